--- a/packages/gypsumwall-bench/src/adviser_lines.ts
+++ b/packages/gypsumwall-bench/src/adviser_lines.ts
@@ -5,13 +5,13 @@
 
 /** Which of the named workers the adviser approves for a step. */
 export type Adviser = (
-  wish: scheduling.schedulerTypes.AdviceWish,
+  wish: scheduling.schedulerTypes.AdviceRequest,
 ) => ReadonlyMap<types.ids.WorkerId, string>;
 
 /** The calls of one decider. */
 export interface AdviserLines {
-  capacity(): scheduling.advisorPool.AdviceCapacity;
-  ask(wish: scheduling.schedulerTypes.AdviceWish): void;
+  capacity(): scheduling.adviserPool.AdviceCapacity;
+  ask(wish: scheduling.schedulerTypes.AdviceRequest): void;
   calls(): number;
 }
 
@@ -24,13 +24,13 @@
   readonly onAnswer: () => void;
 }): AdviserLines {
   const {timeline, entries, scheduler} = parts;
-  const lanes = scheduling.advisorPool.createAdvisorPool<string>();
+  const lanes = scheduling.adviserPool.createAdviserPool<string>();
   const lineEnds = new Map<string, number>();
   let calls = 0;
 
   function answer(
     lane: string,
-    wish: scheduling.schedulerTypes.AdviceWish,
+    wish: scheduling.schedulerTypes.AdviceRequest,
   ): void {
     lanes.finish(lane, wish.callMs);
     const validMs = wish.stepRun.job.policy.advice?.validMs ?? 0;
--- a/packages/gypsumwall-bench/src/gang_coordinator.ts
+++ b/packages/gypsumwall-bench/src/gang_coordinator.ts
@@ -24,7 +24,7 @@
 /** The coordinator of wide gangs. */
 export interface GangCoordinator {
   launch(starts: readonly StartOrder[]): void;
-  runOver(run: scheduling.activeJob.Run): void;
+  runOver(run: scheduling.activeJob.Attempt): void;
   /** Takes over what a shard tells of its workers. */
   roomTold(rooms: readonly shardRooms.WorkerRoom[]): void;
   conflicts(): number;
@@ -47,8 +47,8 @@
   function launch(starts: readonly StartOrder[]): void {
     const gangs = new Map<string, StartOrder[]>();
     for (const start of starts) {
-      const gang = gangs.get(start.run.stepRunId) ?? [];
-      gangs.set(start.run.stepRunId, gang);
+      const gang = gangs.get(start.attempt.stepRunId) ?? [];
+      gangs.set(start.attempt.stepRunId, gang);
       gang.push(start);
     }
     for (const gang of gangs.values()) reserve(gang);
@@ -57,7 +57,7 @@
   function reserve(gang: readonly StartOrder[]): void {
     const byShard = new Map<number, StartOrder[]>();
     for (const start of gang) {
-      const shard = shardOf(start.run.workerId);
+      const shard = shardOf(start.attempt.workerId);
       const part = byShard.get(shard) ?? [];
       byShard.set(shard, part);
       part.push(start);
@@ -100,11 +100,11 @@
   ): shardRooms.WorkerRoom[] | undefined {
     const booked: StartOrder[] = [];
     for (const start of part) {
-      const {workerId, stepRunId, size} = start.run;
+      const {workerId, stepRunId, size} = start.attempt;
       const free = bookOf(workerId).workers.get(workerId)?.free;
       if (free === undefined || !types.resources.fits(size, free)) {
-        for (const {run} of booked) runOver(run);
-        return part.map((one) => roomOf(one.run.workerId));
+        for (const {attempt: run} of booked) runOver(run);
+        return part.map((one) => roomOf(one.attempt.workerId));
       }
       bookOf(workerId).book(workerId, stepRunId, size);
       booked.push(start);
@@ -122,12 +122,12 @@
     told: readonly shardRooms.WorkerRoom[],
   ): void {
     conflicts++;
-    for (const {run} of granted) runOver(run);
+    for (const {attempt: run} of granted) runOver(run);
     parts.decider().refuse(gang);
     for (const room of told) mirror(parts.decider().scheduler.book, room);
   }
 
-  function runOver(run: scheduling.activeJob.Run): void {
+  function runOver(run: scheduling.activeJob.Attempt): void {
     bookOf(run.workerId).release(run.workerId, run.stepRunId, run.size);
     shards[shardOf(run.workerId)]!.requestCycle();
   }
--- a/packages/gypsumwall-bench/src/job_moves.ts
+++ b/packages/gypsumwall-bench/src/job_moves.ts
@@ -86,7 +86,7 @@
 ): scheduling.jobRequest.StepRequest | undefined {
   let found: scheduling.jobRequest.StepRequest | undefined;
   for (const {steps} of job.open.values()) {
-    for (const {runs, waiting, request} of steps) {
+    for (const {attempts: runs, waiting, request} of steps) {
       if (runs.size > 0) return undefined;
       if (waiting.length > 0) found ??= request;
     }
--- a/packages/gypsumwall-bench/src/run_ends.ts
+++ b/packages/gypsumwall-bench/src/run_ends.ts
@@ -6,7 +6,7 @@
 
 /** Draws how a run ends, and its progress in between. */
 export interface DrawEnd {
-  (run: scheduling.activeJob.Run): {
+  (run: scheduling.activeJob.Attempt): {
     readonly spanMs: number;
     readonly how: scheduling.jobSteps.RunEnd;
   };
@@ -15,7 +15,7 @@
 
 /** Creates the draws of one cell. */
 export function createDrawEnd(random: types.random.Random): DrawEnd {
-  const draw = (run: scheduling.activeJob.Run) => {
+  const draw = (run: scheduling.activeJob.Attempt) => {
     const {request, job} = run.owner!.stepRun;
     const {failingShare} = kindOf(job.policy.queue);
     const fails = random.next() < failingShare;
--- a/packages/gypsumwall-bench/src/spread_measures.ts
+++ b/packages/gypsumwall-bench/src/spread_measures.ts
@@ -111,7 +111,7 @@
     noteStarts(orders) {
       starts += orders.length;
       const gangs = new Map<scheduling.activeJob.StepRun, number>();
-      for (const {run} of orders) {
+      for (const {attempt: run} of orders) {
         const {stepRun} = run.owner!;
         if (!stepRun.request.gang) continue;
         gangs.set(stepRun, (gangs.get(stepRun) ?? 0) + 1);
--- a/packages/gypsumwall-bench/src/step_cell.ts
+++ b/packages/gypsumwall-bench/src/step_cell.ts
@@ -69,9 +69,9 @@
   const notes = new Map<string, JobNote>();
   const tookMs = new Map<string, ReturnType<typeof histogram>>();
   const onTime = new Map<string, {met: number; all: number}>();
-  const running = new Map<string, Set<scheduling.activeJob.Run>>();
+  const running = new Map<string, Set<scheduling.activeJob.Attempt>>();
   const sequences = new Map<string, number>();
-  const lanes = scheduling.advisorPool.createAdvisorPool<string>();
+  const lanes = scheduling.adviserPool.createAdviserPool<string>();
   const entries = Array.from({length: options.entries}, (_, nth) => `e${nth}`);
   const lineEnds = new Map<string, number>();
   let now = START_MS as types.clock.MonotonicMs;
@@ -168,7 +168,7 @@
   }
 
   function startRun(order: scheduling.schedulerTypes.StartOrder): void {
-    const {run} = order;
+    const {attempt: run} = order;
     starts++;
     later(ORDER_MS, () => {
       const runs = running.get(run.workerId) ?? new Set();
@@ -186,20 +186,20 @@
   }
 
   function end(
-    run: scheduling.activeJob.Run,
+    run: scheduling.activeJob.Attempt,
     how: scheduling.jobSteps.RunEnd,
   ): void {
     const runs = running.get(run.workerId);
     if (runs?.delete(run) !== true) return;
     const sequence = (sequences.get(run.workerId) ?? 0) + 1;
     sequences.set(run.workerId, sequence);
-    const {taskId, attempt, workerId} = run;
+    const {taskId, number: attempt, workerId} = run;
     const report: scheduling.schedulerTypes.WorkerReport = {
       workerId,
       askedAt: now,
       running: [...runs].map((one) => ({
         taskId: one.taskId,
-        attempt: one.attempt,
+        attempt: one.number,
         checkpoint: '',
         percent: Math.floor(random.next() * 100),
       })),
@@ -217,7 +217,7 @@
     kick();
   }
 
-  function advise(wish: scheduling.schedulerTypes.AdviceWish): void {
+  function advise(wish: scheduling.schedulerTypes.AdviceRequest): void {
     const lane = lanes.take(entries, wish.callMs, wish.needed);
     if (lane === undefined) {
       scheduler.adviceAnswered(wish, undefined, now);
--- a/packages/gypsumwall-bench/src/virtual_decider.ts
+++ b/packages/gypsumwall-bench/src/virtual_decider.ts
@@ -39,7 +39,7 @@
   readonly onStarts: (
     starts: readonly scheduling.schedulerTypes.StartOrder[],
   ) => void;
-  readonly onRunOver?: (run: scheduling.activeJob.Run) => void;
+  readonly onRunOver?: (run: scheduling.activeJob.Attempt) => void;
   readonly onJobOver: (job: types.ids.JobId) => void;
 }
 
@@ -66,7 +66,10 @@
   const launch = parts.launch ?? send;
   const jobs = new Map<types.ids.JobId, scheduling.activeJob.ActiveJob>();
   const leaving = new Set<types.ids.JobId>();
-  const running = new Map<types.ids.WorkerId, Set<scheduling.activeJob.Run>>();
+  const running = new Map<
+    types.ids.WorkerId,
+    Set<scheduling.activeJob.Attempt>
+  >();
   const sequences = new Map<types.ids.WorkerId, number>();
   let planned = false;
   let gapMs = CYCLE_GAP_MS;
@@ -129,7 +132,7 @@
   function send(starts: readonly scheduling.schedulerTypes.StartOrder[]): void {
     parts.onStarts(starts);
     const batches = new Map<workerCalls.WorkerCalls, workerCalls.Order[]>();
-    for (const {run} of starts) {
+    for (const {attempt: run} of starts) {
       const calls = parts.callsFor(run.workerId);
       const batch = batches.get(calls) ?? [];
       batches.set(calls, batch);
@@ -142,13 +145,13 @@
     for (const [calls, batch] of batches) calls.send(batch);
   }
 
-  function answer(run: scheduling.activeJob.Run): void {
+  function answer(run: scheduling.activeJob.Attempt): void {
     process.measure(() =>
       scheduler.startAnswered(run, {type: 'started'}, timeline.now()),
     );
   }
 
-  function begin(run: scheduling.activeJob.Run): void {
+  function begin(run: scheduling.activeJob.Attempt): void {
     const runs = running.get(run.workerId) ?? new Set();
     running.set(run.workerId, runs.add(run));
     const {spanMs, how} = parts.drawEnd(run);
@@ -156,10 +159,10 @@
   }
 
   function end(
-    run: scheduling.activeJob.Run,
+    run: scheduling.activeJob.Attempt,
     how: scheduling.jobSteps.RunEnd,
   ): void {
-    const {taskId, attempt, workerId} = run;
+    const {taskId, number: attempt, workerId} = run;
     const runs = running.get(workerId);
     if (runs?.delete(run) !== true) return;
     parts.onRunOver?.(run);
@@ -170,7 +173,7 @@
       askedAt: timeline.now(),
       running: [...runs].map((one) => ({
         taskId: one.taskId,
-        attempt: one.attempt,
+        attempt: one.number,
         checkpoint: '',
         percent: parts.drawEnd.percent(),
       })),
@@ -187,7 +190,7 @@
     requestCycle();
   }
 
-  function stop(run: scheduling.activeJob.Run): void {
+  function stop(run: scheduling.activeJob.Attempt): void {
     const {workerId} = run;
     const arrive = () => timeline.later(STOP_MS, () => end(run, 'stopped'));
     const answered = () => scheduler.stopAnswered(run, timeline.now());
@@ -225,7 +228,7 @@
     },
     send,
     refuse(starts) {
-      for (const {run} of starts) {
+      for (const {attempt: run} of starts) {
         const outcome = {type: 'refused', reason: 'superseded'} as const;
         scheduler.startAnswered(run, outcome, timeline.now());
       }
--- a/packages/gypsumwall-cell/src/__fixtures__/fake_worker.ts
+++ b/packages/gypsumwall-cell/src/__fixtures__/fake_worker.ts
@@ -44,7 +44,7 @@
   const startedAt = performance.now();
   const running = new Map<string, FakeRun>();
   const started: FakeRun[] = [];
-  let ends: scheduling.schedulerTypes.EndRow[] = [];
+  let ends: scheduling.schedulerTypes.AttemptEnd[] = [];
   let sequence = 0;
   let highestToken = 0;
   let leaseUntil = 0;
@@ -148,7 +148,7 @@
         if (run?.attempt === call.attempt) stopRun(call.taskId);
         return result.ok({type: 'accepted', clockMs: clockMs()});
       },
-      async look(call) {
+      async poll(call) {
         await Promise.resolve();
         if (worker.replaced) return result.ok({type: 'gone'});
         if (worker.cut) return unanswered(Math.min(call.timeoutMs, 60));
--- a/packages/gypsumwall-cell/src/__tests__/age_of_answers.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/age_of_answers.test.ts
@@ -24,7 +24,7 @@
   name: string,
 ): Promise<void> {
   await worlds.until(() => entry.status().storeReachable, 'the store');
-  const answer = await entry.desk.submit(
+  const answer = await entry.jobService.submit(
     id(name),
     worlds.POLICY,
     worlds.request(1),
@@ -33,7 +33,7 @@
 }
 
 async function phase(
-  desk: cellEntryTypes.CellEntry['ownDesk'],
+  desk: cellEntryTypes.CellEntry['localJobService'],
   name: string,
 ): Promise<string> {
   const answer = await desk.phaseOf(id(name), queue);
@@ -43,7 +43,7 @@
 async function pending(
   entry: cellEntryTypes.CellEntry,
 ): Promise<number | string> {
-  const answer = await entry.desk.pendingIn(queue);
+  const answer = await entry.jobService.pendingIn(queue);
   return answer.type === 'ok' ? answer.value : answer.type;
 }
 
@@ -84,7 +84,7 @@
     view.cell.trouble = 'down';
     const second = world.addEntry('b', view);
     await worlds.until(() => second.status().storeReachable, 'the store');
-    assert.notEqual(await phase(second.desk, 'job'), 'absent');
+    assert.notEqual(await phase(second.jobService, 'job'), 'absent');
   } finally {
     world.stop();
   }
@@ -98,21 +98,21 @@
   const second = world.addEntry('b', view);
   const server = peerServers.createPeerServer(
     {ask: () => Promise.reject(new Error('nobody asks'))},
-    second.ownDesk,
+    second.localJobService,
     telemetry.logger.createLogger('silent'),
   );
   try {
     const worker = await world.addWorker('w1', 4);
     await submit(first, 'job');
     await worlds.until(
-      async () => (await phase(second.ownDesk, 'job')) === 'running',
+      async () => (await phase(second.localJobService, 'job')) === 'running',
       'it runs',
     );
     view.jobs.trouble = 'down';
     view.cell.trouble = 'down';
     worker.end([...worker.running.keys()][0]!, 'done');
     await worlds.until(
-      async () => (await phase(first.ownDesk, 'job')) === 'completed',
+      async () => (await phase(first.localJobService, 'job')) === 'completed',
       'it is done',
     );
     await pause(OLD_MS);
@@ -136,7 +136,7 @@
     await worlds.until(async () => (await pending(second)) === 1, 'it waits');
     view.jobs.trouble = 'down';
     view.cell.trouble = 'down';
-    await first.desk.cancel(id('job'), queue);
+    await first.jobService.cancel(id('job'), queue);
     await worlds.until(async () => (await pending(first)) === 0, 'cancelled');
     // As retention does once the job's state needn't be kept any more.
     const jobId = id('job');
@@ -194,7 +194,7 @@
     await submit(first, 'job');
     await worlds.until(() => small.running.size === 1, 'the small one works');
     await worlds.until(
-      async () => (await phase(second.ownDesk, 'job')) === 'running',
+      async () => (await phase(second.localJobService, 'job')) === 'running',
       'both know',
     );
     view.cell.trouble = 'down';
@@ -204,13 +204,17 @@
     const request = {...rest, steps: [{...steps[0]!, size}]};
     await worlds.until(
       async () =>
-        (await first.desk.submit(id('one'), worlds.POLICY, request)).type ===
-        'ok',
+        (await first.jobService.submit(id('one'), worlds.POLICY, request))
+          .type === 'ok',
       'the other entry takes such a job',
     );
     await worlds.until(() => large.running.size === 1, 'it runs');
     await pause(OLD_MS);
-    const answer = await second.desk.submit(id('two'), worlds.POLICY, request);
+    const answer = await second.jobService.submit(
+      id('two'),
+      worlds.POLICY,
+      request,
+    );
     assert.notEqual(answer.type, 'invalid');
   } finally {
     world.stop();
@@ -239,7 +243,7 @@
     view.jobs.trouble = 'none';
     await worlds.until(() => second.status().storeReachable, 'the store');
     const startedAt = performance.now();
-    await second.desk.cancel(id('late59'), queue);
+    await second.jobService.cancel(id('late59'), queue);
     const tookMs = performance.now() - startedAt;
     assert.ok(tookMs < CALLERS_WAIT_MS, `answered after ${tookMs} ms`);
   } finally {
--- a/packages/gypsumwall-cell/src/__tests__/cell_entry.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/cell_entry.test.ts
@@ -14,7 +14,7 @@
   taskCount = 1,
 ): Promise<void> {
   await worlds.until(() => entry.status().storeReachable, 'the store');
-  const answer = await entry.desk.submit(
+  const answer = await entry.jobService.submit(
     id(name),
     worlds.POLICY,
     worlds.request(taskCount),
@@ -26,7 +26,7 @@
   entry: cellEntryTypes.CellEntry,
   name: string,
 ): Promise<string> {
-  const answer = await entry.desk.phaseOf(id(name), worlds.POLICY.queue);
+  const answer = await entry.jobService.phaseOf(id(name), worlds.POLICY.queue);
   return answer.type === 'ok' ? answer.value : answer.type;
 }
 
@@ -34,7 +34,7 @@
 async function pending(
   entry: cellEntryTypes.CellEntry,
 ): Promise<number | string> {
-  const answer = await entry.desk.pendingIn(worlds.POLICY.queue);
+  const answer = await entry.jobService.pendingIn(worlds.POLICY.queue);
   return answer.type === 'ok' ? answer.value : answer.type;
 }
 
@@ -224,7 +224,7 @@
     const entries = ['a', 'b'].map((name) => world.addEntry(name));
     await submitted(entries[0]!, 'job');
     await worlds.until(() => worker.running.size === 1, 'the task');
-    const answer = await entries[1]!.desk.cancel(id('job'), 'plans');
+    const answer = await entries[1]!.jobService.cancel(id('job'), 'plans');
     assert.equal(answer.type, 'ok');
     await worlds.until(() => worker.running.size === 0, 'the stop');
     await becomes(entries[1]!, 'job', 'cancelled');
@@ -241,7 +241,7 @@
     world.store.jobs.trouble = 'down';
     await worlds.until(() => !entry.status().storeReachable, 'the outage');
     const startedAt = performance.now();
-    const answer = await entry.desk.submit(
+    const answer = await entry.jobService.submit(
       id('job'),
       worlds.POLICY,
       worlds.request(1),
--- a/packages/gypsumwall-cell/src/__tests__/copy_age.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/copy_age.test.ts
@@ -23,7 +23,7 @@
 async function pending(
   entry: cellEntryTypes.CellEntry,
 ): Promise<number | string> {
-  const answer = await entry.desk.pendingIn(worlds.POLICY.queue);
+  const answer = await entry.jobService.pendingIn(worlds.POLICY.queue);
   return answer.type === 'ok' ? answer.value : answer.type;
 }
 
@@ -35,7 +35,7 @@
     log,
     clock: types.clock.createSystemClock(),
     logger: telemetry.logger.createLogger('silent'),
-    pulse: storeHealth.createStoreHealth(),
+    storeHealth: storeHealth.createStoreHealth(),
     onRecords,
     pauseMs: () => 1,
     readWaitMs: 1,
@@ -149,7 +149,7 @@
   const entry = world.addEntry('a', view);
   const server = peerServers.createPeerServer(
     {ask: () => Promise.reject(new Error('nobody asks'))},
-    entry.ownDesk,
+    entry.localJobService,
     telemetry.logger.createLogger('silent'),
   );
   const ask = async () => {
--- a/packages/gypsumwall-cell/src/__tests__/crashed_worker.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/crashed_worker.test.ts
@@ -17,7 +17,7 @@
   new Promise((resolve) => setTimeout(resolve, spanMs));
 
 async function stateOf(entry: cellEntryTypes.CellEntry): Promise<string> {
-  const answer = await entry.desk.phaseOf(JOB, worlds.POLICY.queue);
+  const answer = await entry.jobService.phaseOf(JOB, worlds.POLICY.queue);
   return answer.type === 'ok' ? answer.value : answer.type;
 }
 
@@ -93,7 +93,7 @@
     const entry = world.addEntry('a');
     const other = world.addEntry('b');
     await worlds.until(() => entry.status().storeReachable, 'the store');
-    await entry.desk.submit(JOB, worlds.POLICY, worlds.request(1));
+    await entry.jobService.submit(JOB, worlds.POLICY, worlds.request(1));
     await crashUntilFailed(() => entry, machines);
     await worlds.until(
       async () => (await stateOf(other)) === 'failed',
@@ -112,7 +112,7 @@
     const machines = await createMachines(world, 3);
     const first = world.addEntry('a');
     await worlds.until(() => first.status().storeReachable, 'the store');
-    await first.desk.submit(JOB, worlds.POLICY, worlds.request(1));
+    await first.jobService.submit(JOB, worlds.POLICY, worlds.request(1));
     await crashUntil(machines, 2, () => rest(300));
     first.stop();
     const second = world.addEntry('b');
@@ -131,7 +131,7 @@
     const machines = await createMachines(world, 3);
     const entry = world.addEntry('a');
     await worlds.until(() => entry.status().storeReachable, 'the store');
-    await entry.desk.submit(JOB, worlds.POLICY, worlds.request(1));
+    await entry.jobService.submit(JOB, worlds.POLICY, worlds.request(1));
     await crashUntil(machines, 2, async (worker) => {
       await world.unlist(worker);
       await rest(FORGOTTEN_MS / 2);
--- a/packages/gypsumwall-cell/src/__tests__/earlier_leases.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/earlier_leases.test.ts
@@ -20,7 +20,7 @@
     leaving.stopMs = FAR_OFF_MS;
     const first = world.addEntry('a');
     await worlds.until(() => first.status().storeReachable, 'the store');
-    await first.desk.submit(JOB_ID, worlds.POLICY, worlds.request(1));
+    await first.jobService.submit(JOB_ID, worlds.POLICY, worlds.request(1));
     await worlds.until(() => leaving.running.size === 1, 'the task');
     const other = await world.addWorker('w2', 1);
     await rest(500);
@@ -55,7 +55,7 @@
     const cutOff = await world.addWorker('w1', 1);
     const entry = world.addEntry('a', world.store, 1, clock);
     await worlds.until(() => entry.status().storeReachable, 'the store');
-    await entry.desk.submit(JOB_ID, worlds.POLICY, worlds.request(1));
+    await entry.jobService.submit(JOB_ID, worlds.POLICY, worlds.request(1));
     await worlds.until(() => cutOff.running.size === 1, 'the task');
     const other = await world.addWorker('w2', 1);
     await world.drain(cutOff, FAR_OFF_MS);
@@ -82,7 +82,7 @@
     await worlds.until(() => first.status().storeReachable, 'the store');
     const request = worlds.request(1);
     const steps = request.steps.map((step) => ({...step, longRunning: true}));
-    await first.desk.submit(JOB_ID, worlds.POLICY, {...request, steps});
+    await first.jobService.submit(JOB_ID, worlds.POLICY, {...request, steps});
     await worlds.until(() => lost.running.size === 1, 'the task');
     const others = [
       await world.addWorker('w2', 1),
@@ -111,7 +111,7 @@
     await worlds.until(() => first.status().storeReachable, 'the store');
     const request = worlds.request(1);
     const steps = request.steps.map((step) => ({...step, longRunning: true}));
-    await first.desk.submit(JOB_ID, worlds.POLICY, {...request, steps});
+    await first.jobService.submit(JOB_ID, worlds.POLICY, {...request, steps});
     await worlds.until(() => leaving.running.size === 1, 'the task');
     const other = await world.addWorker('w2', 1);
     await rest(500);
--- a/packages/gypsumwall-cell/src/__tests__/forwarding_job_service.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/forwarding_job_service.test.ts
@@ -11,7 +11,7 @@
 const id = types.ids.brand<types.ids.JobId>('job');
 
 interface Situation {
-  readonly own: jobService.DeskAnswer<undefined>;
+  readonly own: jobService.JobServiceAnswer<undefined>;
   readonly relayed: peerDirectory.RelayOutcome;
   /** What the holder alone comes to, if that is something else. */
   readonly byHolder?: peerDirectory.RelayOutcome;
--- a/packages/gypsumwall-cell/src/__tests__/late_evacuation.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/late_evacuation.test.ts
@@ -25,7 +25,7 @@
     const first = world.addEntry('a');
     await worlds.until(() => first.status().storeReachable, 'the store');
     const jobId = types.ids.brand<types.ids.JobId>('job');
-    await first.desk.submit(jobId, worlds.POLICY, gangRequest());
+    await first.jobService.submit(jobId, worlds.POLICY, gangRequest());
     await worlds.until(() => leaving.running.size === TASKS, 'the gang');
     const other = await world.addWorker('w2', TASKS);
     leaving.cut = true;
--- a/packages/gypsumwall-cell/src/__tests__/leaving_worker.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/leaving_worker.test.ts
@@ -28,7 +28,7 @@
   const jobId = types.ids.brand<types.ids.JobId>('job');
   const request = worlds.request(TASKS);
   const steps = request.steps.map((step) => ({...step, longRunning}));
-  await entry.desk.submit(jobId, worlds.POLICY, {...request, steps});
+  await entry.jobService.submit(jobId, worlds.POLICY, {...request, steps});
   await worlds.until(() => leaving.running.size === TASKS, 'all tasks');
   const other = await world.addWorker('w2', TASKS);
   const isBack = () => other.running.size === TASKS;
--- a/packages/gypsumwall-cell/src/__tests__/log_order.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/log_order.test.ts
@@ -21,7 +21,7 @@
     log,
     clock: types.clock.createSystemClock(),
     logger: telemetry.logger.createLogger('silent'),
-    pulse: storeHealth.createStoreHealth(),
+    storeHealth: storeHealth.createStoreHealth(),
     onRecords,
     pauseMs: () => 1,
     readWaitMs: RUN_WAIT_MS,
--- a/packages/gypsumwall-cell/src/__tests__/lost_looks.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/lost_looks.test.ts
@@ -15,7 +15,7 @@
     const worker = await world.addWorker('w1', 4);
     const entry = world.addEntry('a');
     await worlds.until(() => entry.status().holdsCell, 'the cell is held');
-    await entry.desk.submit(job('job'), worlds.POLICY, worlds.request(1));
+    await entry.jobService.submit(job('job'), worlds.POLICY, worlds.request(1));
     await worlds.until(() => worker.running.size === 1, 'the task runs');
     worker.looksToLose = 1;
     await worlds.until(() => worker.looksToLose === 0, 'a look is lost');
--- a/packages/gypsumwall-cell/src/__tests__/lost_worker.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/lost_worker.test.ts
@@ -23,7 +23,7 @@
     const entry = world.addEntry('a');
     await worlds.until(() => entry.status().storeReachable, 'the store');
     const jobId = types.ids.brand<types.ids.JobId>('job');
-    await entry.desk.submit(jobId, worlds.POLICY, lastingRequest());
+    await entry.jobService.submit(jobId, worlds.POLICY, lastingRequest());
     await worlds.until(() => lost.running.size === 1, 'the task');
     const other = await world.addWorker('w2', 1);
     // The lease that came with the start has been renewed by then.
--- a/packages/gypsumwall-cell/src/__tests__/old_copy.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/old_copy.test.ts
@@ -13,7 +13,7 @@
 ): Promise<void> {
   await worlds.until(() => entry.status().storeReachable, 'the store');
   for (const name of names) {
-    const answer = await entry.desk.submit(
+    const answer = await entry.jobService.submit(
       types.ids.brand<types.ids.JobId>(name),
       worlds.POLICY,
       worlds.request(1),
@@ -26,7 +26,7 @@
 async function pending(
   entry: cellEntryTypes.CellEntry,
 ): Promise<number | string> {
-  const answer = await entry.desk.pendingIn(worlds.POLICY.queue);
+  const answer = await entry.jobService.pendingIn(worlds.POLICY.queue);
   return answer.type === 'ok' ? answer.value : answer.type;
 }
 
--- a/packages/gypsumwall-cell/src/__tests__/renewed_lease.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/renewed_lease.test.ts
@@ -33,7 +33,7 @@
     return {
       start: unlessCut((call: ports.StartCall) => link.start(call)),
       stop: unlessCut((call: ports.StartCall) => link.stop(call)),
-      look: unlessCut((call: ports.LookCall) => link.look(call)),
+      poll: unlessCut((call: ports.PollCall) => link.poll(call)),
       close: () => link.close(),
     };
   };
@@ -68,7 +68,7 @@
     await worlds.until(() => first.status().holdsCell, 'the cell is held');
     const second = world.addEntry('b');
     const id = types.ids.brand<types.ids.JobId>('job');
-    await first.desk.submit(id, worlds.POLICY, worlds.request(2));
+    await first.jobService.submit(id, worlds.POLICY, worlds.request(2));
     const running = () => [kept, other].every((one) => one.running.size === 1);
     await worlds.until(running, 'both tasks run');
     const [done] = [...other.running.keys()];
--- a/packages/gypsumwall-cell/src/__tests__/safeguards.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/safeguards.test.ts
@@ -16,8 +16,8 @@
 import * as storeHealth from '../store_health.js';
 import * as storeRecords from '../store_records.js';
 import * as pauseDetector from '../pause_detector.js';
-import * as takeOver from '../take_over.js';
-import * as takeoverGate from '../takeover_gate.js';
+import * as failoverPolicy from '../failover_policy.js';
+import * as failoverBarrier from '../failover_barrier.js';
 import * as workerClock from '../worker_clock.js';
 
 const {test} = nodeTest;
@@ -34,7 +34,7 @@
   const writer = cellWriter.createCellWriter({
     log,
     epoch: 1,
-    pulse: storeHealth.createStoreHealth(),
+    storeHealth: storeHealth.createStoreHealth(),
     clock,
     logger,
     onFenced: () => assert.fail('fenced'),
@@ -56,7 +56,7 @@
   const writer = cellWriter.createCellWriter({
     log,
     epoch: 1,
-    pulse: storeHealth.createStoreHealth(),
+    storeHealth: storeHealth.createStoreHealth(),
     clock,
     logger,
     onFenced: () => (fenced = true),
@@ -69,8 +69,8 @@
 });
 
 function view(
-  fields: Partial<takeOver.TakeOverView> = {},
-): takeOver.TakeOverView {
+  fields: Partial<failoverPolicy.FailoverView> = {},
+): failoverPolicy.FailoverView {
   const claim: claimView.CellClaim = {
     holder: types.ids.brand('a.1'),
     instance: 'a',
@@ -86,22 +86,26 @@
     holderLost: false,
     takeovers: [],
     leaving: false,
-    now: at(takeOver.SILENCE_MS + 1),
+    now: at(failoverPolicy.SILENCE_MS + 1),
     ...fields,
   };
 }
 
 test('a silent holder is replaced', () => {
-  assert.equal(takeOver.vacancyOf(view()), 'silent');
-  const early = view({now: at(takeOver.SILENCE_MS - 1)});
-  assert.equal(takeOver.vacancyOf(early), undefined);
+  assert.equal(failoverPolicy.vacancyOf(view()), 'silent');
+  const early = view({now: at(failoverPolicy.SILENCE_MS - 1)});
+  assert.equal(failoverPolicy.vacancyOf(early), undefined);
 });
 
 test('a holder that answers nobody is replaced before silence alone counts', () => {
   const early = view({holderLost: true, now: at(500)});
-  assert.equal(takeOver.vacancyOf(early), 'lost');
+  assert.equal(failoverPolicy.vacancyOf(early), 'lost');
   const away = view({holderLost: true, reachableSince: undefined});
-  assert.equal(takeOver.vacancyOf(away), undefined, 'the log is not read');
+  assert.equal(
+    failoverPolicy.vacancyOf(away),
+    undefined,
+    'the log is not read',
+  );
 });
 
 // Nobody's job is ever started: 73 holders in 45 s. Taking over 160 workers keeps
@@ -116,7 +120,8 @@
     if (takeovers.length > 0 && heldFor > busyMs) lastRecordAt = now;
     const holderLost = now - lastRecordAt > 450;
     const held = {lastRecordAt, reachableSince: at(0), takeovers, now};
-    if (takeOver.vacancyOf(view({...held, holderLost})) === undefined) continue;
+    if (failoverPolicy.vacancyOf(view({...held, holderLost})) === undefined)
+      continue;
     takeovers.push(now);
     lastRecordAt = now;
   }
@@ -127,11 +132,11 @@
 // the cell from a sound holder as soon as it reads again.
 test('silence counts only while the log is read', () => {
   const now = at(60_000);
-  const since = at(now - takeOver.SILENCE_MS + 1);
+  const since = at(now - failoverPolicy.SILENCE_MS + 1);
   const justBack = view({now, reachableSince: since});
-  assert.equal(takeOver.vacancyOf(justBack), undefined);
+  assert.equal(failoverPolicy.vacancyOf(justBack), undefined);
   const away = view({now, reachableSince: undefined});
-  assert.equal(takeOver.vacancyOf(away), undefined);
+  assert.equal(failoverPolicy.vacancyOf(away), undefined);
 });
 
 test('a restarted holder replaces its predecessor at once', () => {
@@ -140,12 +145,12 @@
     instance: 'a',
   };
   const restarted = view({self, now: at(1)});
-  assert.equal(takeOver.vacancyOf(restarted), 'own_predecessor');
+  assert.equal(failoverPolicy.vacancyOf(restarted), 'own_predecessor');
 });
 
 test('workers are accounted for one by one, or when all leases have passed', () => {
   let steps = 0;
-  const gate = takeoverGate.createTakeoverGate(
+  const gate = failoverBarrier.createFailoverBarrier(
     [worker('a'), worker('b'), worker('c')],
     {latestAt: at(20_000), afterMajorityMs: 5_000},
     () => steps++,
@@ -162,7 +167,7 @@
 });
 
 test('with a majority accounted for, leases have passed sooner', () => {
-  const gate = takeoverGate.createTakeoverGate(
+  const gate = failoverBarrier.createFailoverBarrier(
     [worker('a'), worker('b'), worker('c')],
     {latestAt: at(20_000), afterMajorityMs: 5_000},
     () => {},
@@ -224,7 +229,7 @@
   });
   const entry = (name: string) => ({id: job(name)}) as jobTable.JobEntry;
   jobs.add(entry('sure'));
-  now += takeOver.FRESH_MS;
+  now += failoverPolicy.FRESH_MS;
   jobs.add(entry('doubt'));
   jobs.tick();
   assert.deepEqual(taken, ['sure']);
--- a/packages/gypsumwall-cell/src/__tests__/slow_store.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/slow_store.test.ts
@@ -73,7 +73,7 @@
     jobsLog: log,
     jobs: jobTables.createJobTable({onAdded: () => {}, onCancelled: () => {}}),
     follower,
-    pulse: storeHealths.createStoreHealth(),
+    storeHealth: storeHealths.createStoreHealth(),
     copyAgeMs: () => Infinity,
     catchUp: () => Promise.resolve(true),
     refreshStates: () => Promise.resolve(true),
--- a/packages/gypsumwall-cell/src/__tests__/standby_choice.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/standby_choice.test.ts
@@ -91,12 +91,12 @@
     await worlds.until(() => entry.status().storeReachable, 'the store');
     const id = types.ids.brand<types.ids.JobId>('job');
     const {queue} = worlds.POLICY;
-    await entry.desk.submit(id, worlds.POLICY, worlds.request(1));
+    await entry.jobService.submit(id, worlds.POLICY, worlds.request(1));
     await worlds.until(() => worker.running.size === 1, 'the task');
     worker.end([...worker.running.keys()][0]!, 'done');
     const endedAt = performance.now();
     await worlds.until(async () => {
-      const phase = await entry.desk.phaseOf(id, queue);
+      const phase = await entry.jobService.phaseOf(id, queue);
       return phase.type === 'ok' && phase.value === 'completed';
     }, 'completed');
     const tookMs = performance.now() - endedAt;
--- a/packages/gypsumwall-cell/src/__tests__/store_away.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/store_away.test.ts
@@ -35,7 +35,7 @@
     await worlds.until(() => entry.status().storeReachable, 'it is back', 300);
   }
   const before = world.store.cell.records.length;
-  const answer = await entry.desk.submit(
+  const answer = await entry.jobService.submit(
     job('a'),
     worlds.POLICY,
     worlds.request(1),
@@ -56,7 +56,7 @@
   const {world, entry} = await openWorld();
   trouble(world, 'silent');
   const sentAt = performance.now();
-  const answer = await entry.desk.submit(
+  const answer = await entry.jobService.submit(
     job('a'),
     worlds.POLICY,
     worlds.request(1),
--- a/packages/gypsumwall-cell/src/__tests__/worker_session.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/worker_session.test.ts
@@ -38,9 +38,9 @@
   const isUsable = () => scheduler.book.workers.get(worker.info.id)!.usable;
   const orderOf = (name: string): scheduling.schedulerTypes.StartOrder => ({
     payload: 'plan',
-    run: {
+    attempt: {
       taskId: types.ids.brand(name),
-      attempt: 1,
+      number: 1,
       workerId: worker.info.id,
       size: types.resources.NO_RESOURCES,
       stepRunId: 'job.0.0',
@@ -83,7 +83,7 @@
     await worlds.until(isUsable, 'it answers');
     worker.mute = true;
     const stops = Array.from({length: 20}, (_none, nth) =>
-      session.stopRun(orderOf(`job.0.0.${nth}`).run),
+      session.stopRun(orderOf(`job.0.0.${nth}`).attempt),
     );
     await new Promise((resolve) => setTimeout(resolve, 600));
     session.close();
--- a/packages/gypsumwall-cell/src/advice_caller.ts
+++ b/packages/gypsumwall-cell/src/advice_caller.ts
@@ -28,18 +28,18 @@
 /** The calls to the adviser. */
 export interface AdviceCaller {
   /** Asks for one wish of the scheduler and tells it the answer. */
-  ask(wish: scheduling.schedulerTypes.AdviceWish): Promise<void>;
+  ask(wish: scheduling.schedulerTypes.AdviceRequest): Promise<void>;
   /** How many calls can be made now. */
-  capacity(): scheduling.advisorPool.AdviceCapacity;
+  capacity(): scheduling.adviserPool.AdviceCapacity;
 }
 
 /** Creates the caller of a holder. */
 export function createAdviceCaller(parts: AdviceCallerParts): AdviceCaller {
   const {scheduler, clock, logger} = parts;
-  const lanes = scheduling.advisorPool.createAdvisorPool<string>();
+  const lanes = scheduling.adviserPool.createAdviserPool<string>();
 
   async function ask(
-    wish: scheduling.schedulerTypes.AdviceWish,
+    wish: scheduling.schedulerTypes.AdviceRequest,
   ): Promise<void> {
     const {stepRun, workers, callMs, needed} = wish;
     const advisers = parts.advisers();
--- a/packages/gypsumwall-cell/src/cell_entry.ts
+++ b/packages/gypsumwall-cell/src/cell_entry.ts
@@ -24,7 +24,7 @@
 import * as storeHealth from './store_health.js';
 import * as storeRecords from './store_records.js';
 import * as pauseDetector from './pause_detector.js';
-import * as takeOver from './take_over.js';
+import * as failoverPolicy from './failover_policy.js';
 import * as applyRecords from './apply_records.js';
 import * as retention from './retention.js';
 
@@ -84,7 +84,7 @@
     log: logs.config,
     clock,
     logger,
-    pulse,
+    storeHealth: pulse,
     onRecords: (records) => records.forEach((record) => configs.apply(record)),
     pauseMs: () => CONFIG_PAUSE_MS,
     readWaitMs: CONFIG_WAIT_MS,
@@ -93,7 +93,7 @@
     log: logs.jobs,
     clock,
     logger,
-    pulse,
+    storeHealth: pulse,
     onRecords(records, reloaded) {
       if (reloaded) {
         const named = storeRecords.idsOf<types.ids.JobId>('job', records);
@@ -108,7 +108,7 @@
     log: logs.cell,
     clock,
     logger,
-    pulse,
+    storeHealth: pulse,
     onRecords(records, reloaded) {
       // One that can't be read shows that the holder lives all the same.
       lastRecordAt = clock.monotonic();
@@ -122,7 +122,7 @@
     jobsLog: logs.jobs,
     jobs,
     follower: jobsFollower,
-    pulse,
+    storeHealth: pulse,
     copyAgeMs,
     catchUp: catchUpOnJobs,
     refreshStates,
@@ -134,7 +134,7 @@
   const holderProbe = holderProbes.createHolderProbe({
     holder: holderElsewhere,
     silentSince: () =>
-      takeOver.silentSince({
+      failoverPolicy.silentSince({
         lastRecordAt,
         reachableSince: cellFollower.reachableSince(),
       }),
@@ -217,7 +217,9 @@
 
   function noteTakeover(): void {
     const now = clock.monotonic();
-    takeovers = takeovers.filter((at) => now - at < takeOver.STORM_WINDOW_MS);
+    takeovers = takeovers.filter(
+      (at) => now - at < failoverPolicy.STORM_WINDOW_MS,
+    );
     takeovers.push(now);
   }
 
@@ -250,10 +252,10 @@
       leaseMs: options.leaseMs,
       longestStopMs: options.longestStopMs,
       listExpiryMs: options.listExpiryMs,
-      pulse,
+      storeHealth: pulse,
       clock,
       logger,
-      onDeposed: () => {
+      onFenced: () => {
         if (holder === created) holder = undefined;
       },
     });
@@ -299,8 +301,8 @@
   }
 
   return {
-    desk,
-    ownDesk,
+    jobService: desk,
+    localJobService: ownDesk,
     config: () => configs.config(),
     isReady,
     start() {
@@ -308,7 +310,7 @@
       void jobsFollower.run();
       void cellFollower.run();
       void storeProbe.runStoreProbe(
-        {log: logs.jobs, follower: jobsFollower, pulse, clock},
+        {log: logs.jobs, follower: jobsFollower, storeHealth: pulse, clock},
         stopping.signal,
       );
       void entryRegistration.registerEntry(
--- a/packages/gypsumwall-cell/src/cell_entry_types.ts
+++ b/packages/gypsumwall-cell/src/cell_entry_types.ts
@@ -44,9 +44,9 @@
 /** One entry. */
 export interface CellEntry {
   /** For callers. */
-  readonly desk: jobService.JobService;
+  readonly jobService: jobService.JobService;
   /** For peers: hands nothing on. */
-  readonly ownDesk: jobService.JobService;
+  readonly localJobService: jobService.JobService;
   /** The newest configuration; undefined before the first. */
   config(): ports.CellConfig | undefined;
   /** Whether callers can be served. */
--- a/packages/gypsumwall-cell/src/cell_holder.ts
+++ b/packages/gypsumwall-cell/src/cell_holder.ts
@@ -14,7 +14,7 @@
 import * as leaseLength from './lease_length.js';
 import * as logFollower from './log_follower.js';
 import type * as storeRecords from './store_records.js';
-import * as takeoverGate from './takeover_gate.js';
+import * as failoverBarrier from './failover_barrier.js';
 import * as workerRoster from './worker_roster.js';
 import * as workerSession from './worker_session.js';
 
@@ -35,13 +35,13 @@
 /** A worker's clock may be 2% slow; with that and a margin a lease has passed. */
 const SLOW_CLOCK_FACTOR = 1.05;
 /** Pause between two passes, so that what comes together is decided together. */
-const PASS_GAP_MS = 3;
+const CYCLE_INTERVAL_MS = 3;
 /**
  * A pass over a long line of work takes milliseconds. The pause after it is
  * this many times as long, so that deciding takes a fifth of the processor at
  * most and the rest is left for the calls.
  */
-const PASS_GAP_FACTOR = 4;
+const CYCLE_INTERVAL_FACTOR = 4;
 /** How often time alone may change a decision; milliseconds. */
 const TICK_MS = 100;
 /** The list of workers changes seldom; a span between reads; milliseconds. */
@@ -70,7 +70,7 @@
   const writer = cellWriter.createCellWriter({
     log: options.cellLog,
     epoch: token,
-    pulse: options.pulse,
+    storeHealth: options.storeHealth,
     clock,
     logger,
     onFenced: depose,
@@ -87,9 +87,9 @@
     openSession,
     write: (records) => writer.write(records),
     flush,
-    onChange: kick,
+    onChange: requestCycle,
   });
-  const gate = takeoverGate.createTakeoverGate(
+  const gate = failoverBarrier.createFailoverBarrier(
     [...options.state.usedWorkers.keys()],
     {
       latestAt: types.clock.after(
@@ -111,7 +111,7 @@
     log: options.workerLog,
     clock,
     logger,
-    pulse: options.pulse,
+    storeHealth: options.storeHealth,
     onRecords: (records, reloaded) =>
       // What is read now wasn't there when the log was last read to its end.
       roster.applyList(
@@ -127,7 +127,7 @@
     advisers: options.advisers,
     clock,
     logger,
-    onAnswer: kick,
+    onAnswer: requestCycle,
   });
   const recentSubmissions = freshness.createRecentSubmissions({
     clock,
@@ -147,7 +147,7 @@
     if (stopping.signal.aborted) return;
     logger.warn('cell_lost', {generation: claim.generation, token});
     stop();
-    options.onDeposed();
+    options.onFenced();
   }
 
   function openSession(
@@ -164,7 +164,7 @@
       scheduler,
       mayRenew,
       confirmedAt: () => writer.confirmedAt(),
-      onChange: kick,
+      onChange: requestCycle,
       stored: flush,
       onFirstReport: () => gate.account(worker.id, clock.monotonic()),
       onFenced: depose,
@@ -204,15 +204,18 @@
       for (const {jobId, progress} of dirty) {
         if (scheduling.jobProgress.isOver(progress.phase)) over.push(jobId);
       }
-      kick();
+      requestCycle();
     });
     return lastWrite;
   }
 
-  function kick(): void {
+  function requestCycle(): void {
     if (passPlanned || !deciding) return;
     passPlanned = true;
-    setTimeout(pass, Math.max(PASS_GAP_MS, lastPassMs * PASS_GAP_FACTOR));
+    setTimeout(
+      pass,
+      Math.max(CYCLE_INTERVAL_MS, lastPassMs * CYCLE_INTERVAL_FACTOR),
+    );
   }
 
   function pass(): void {
@@ -237,7 +240,7 @@
     for (const run of scheduler.takeStops()) {
       logger.info('stop_decided', {
         task: run.taskId,
-        attempt: run.attempt,
+        attempt: run.number,
         worker: run.workerId,
       });
       void roster.session(run.workerId)?.stopRun(run);
@@ -247,10 +250,10 @@
   async function startRun(
     order: scheduling.schedulerTypes.StartOrder,
   ): Promise<void> {
-    const session = roster.session(order.run.workerId);
+    const session = roster.session(order.attempt.workerId);
     if (session === undefined) {
       const refused = {type: 'refused', reason: 'other'} as const;
-      scheduler.startAnswered(order.run, refused, clock.monotonic());
+      scheduler.startAnswered(order.attempt, refused, clock.monotonic());
       return;
     }
     ordersOnTheirWay++;
@@ -280,7 +283,7 @@
     recentSubmissions.tick();
     gate.tick(now);
     roster.tick(now);
-    kick();
+    requestCycle();
   }
 
   function stop(): void {
@@ -317,15 +320,15 @@
     jobAdded(job) {
       if (!deciding) return;
       recentSubmissions.add(job);
-      kick();
+      requestCycle();
     },
     jobCancelled(id) {
       scheduler.cancelJob(id);
-      kick();
+      requestCycle();
     },
     policiesChanged() {
       scheduler.updatePolicies(options.policyOf);
-      kick();
+      requestCycle();
     },
     takeEnded() {
       const taken = over;
--- a/packages/gypsumwall-cell/src/cell_holder_types.ts
+++ b/packages/gypsumwall-cell/src/cell_holder_types.ts
@@ -33,10 +33,10 @@
   readonly longestStopMs: number;
   /** Silence after which the list drops a worker; milliseconds, if known. */
   readonly listExpiryMs: number | undefined;
-  readonly pulse: storeHealth.StoreHealth;
+  readonly storeHealth: storeHealth.StoreHealth;
   readonly clock: types.clock.Clock;
   readonly logger: telemetry.logger.Logger;
-  readonly onDeposed: () => void;
+  readonly onFenced: () => void;
 }
 
 /** A cell's holder. */
--- a/packages/gypsumwall-cell/src/cell_writer.ts
+++ b/packages/gypsumwall-cell/src/cell_writer.ts
@@ -10,7 +10,7 @@
 import type * as ports from './ports.js';
 import type * as storeHealth from './store_health.js';
 import * as storeRecords from './store_records.js';
-import * as takeOver from './take_over.js';
+import * as failoverPolicy from './failover_policy.js';
 
 /** Time given to one call; many are on their way at once, see hedging. */
 const CALL_TIMEOUT_MS = 2_000;
@@ -28,7 +28,7 @@
 export interface CellWriterOptions {
   readonly log: ports.KeyedLog;
   readonly epoch: number;
-  readonly pulse: storeHealth.StoreHealth;
+  readonly storeHealth: storeHealth.StoreHealth;
   readonly clock: types.clock.Clock;
   readonly logger: telemetry.logger.Logger;
   /** A higher epoch was seen: this process doesn't hold the cell any more. */
@@ -61,7 +61,7 @@
 export function createCellWriter(options: CellWriterOptions): CellWriter {
   const {log, clock, logger} = options;
   const stopping = new AbortController();
-  const hedger = hedge.createHedger(clock, options.pulse);
+  const hedger = hedge.createHedger(clock, options.storeHealth);
   let waiting: Pending[] = [];
   let wake = () => {};
   // The claim itself was sequence 0 of its epoch.
@@ -134,7 +134,10 @@
     if (waiting.length > 0) return;
     const woken = new AbortController();
     wake = () => woken.abort();
-    const until = types.clock.after(clock.monotonic(), takeOver.HEARTBEAT_MS);
+    const until = types.clock.after(
+      clock.monotonic(),
+      failoverPolicy.HEARTBEAT_MS,
+    );
     await clock.sleepUntil(until, woken.signal);
   }
 
--- a/packages/gypsumwall-cell/src/election.ts
+++ b/packages/gypsumwall-cell/src/election.ts
@@ -9,7 +9,7 @@
 import type * as logFollower from './log_follower.js';
 import type * as ports from './ports.js';
 import * as storeRecords from './store_records.js';
-import * as takeOver from './take_over.js';
+import * as failoverPolicy from './failover_policy.js';
 
 /** How often it is looked whether the cell may be taken; milliseconds. */
 const ELECTION_TICK_MS = 50;
@@ -40,7 +40,7 @@
 
 /** What an election looks at. */
 export interface ElectionParts {
-  readonly self: takeOver.TakeOverView['self'];
+  readonly self: failoverPolicy.FailoverView['self'];
   readonly cellLog: ports.KeyedLog;
   readonly follower: logFollower.LogFollower;
   readonly claim: () => claimView.CellClaim | undefined;
@@ -69,9 +69,9 @@
 
   const pause = (spanMs: number) => types.clock.pause(clock, spanMs, signal);
 
-  function vacancy(): takeOver.Vacancy | undefined {
+  function vacancy(): failoverPolicy.Vacancy | undefined {
     if (parts.isHolder()) return undefined;
-    return takeOver.vacancyOf({
+    return failoverPolicy.vacancyOf({
       claim: parts.claim(),
       self,
       lastRecordAt: parts.lastRecordAt(),
@@ -103,7 +103,7 @@
     }
   }
 
-  async function claimCell(reason: takeOver.Vacancy): Promise<void> {
+  async function claimCell(reason: failoverPolicy.Vacancy): Promise<void> {
     const position = follower.position();
     if (position === undefined) return;
     const before = parts.claim();
--- a/packages/gypsumwall-cell/src/takeover_gate.ts
+++ b/packages/gypsumwall-cell/src/failover_barrier.ts
@@ -21,7 +21,7 @@
 }
 
 /** The workers of one takeover. */
-export interface TakeoverGate {
+export interface FailoverBarrier {
   account(worker: types.ids.WorkerId, now: types.clock.MonotonicMs): void;
   isAccounted(worker: types.ids.WorkerId): boolean;
   /** Accounts for all once old leases have surely passed. */
@@ -30,11 +30,11 @@
 }
 
 /** Creates a gate; `onAccounted` hears of every step, perhaps at once. */
-export function createTakeoverGate(
+export function createFailoverBarrier(
   workers: readonly types.ids.WorkerId[],
   bounds: LeaseBounds,
   onAccounted: () => void,
-): TakeoverGate {
+): FailoverBarrier {
   const missing = new Set(workers);
   const total = missing.size;
   let majorityAt: types.clock.MonotonicMs | undefined;
--- a/packages/gypsumwall-cell/src/take_over.ts
+++ b/packages/gypsumwall-cell/src/failover_policy.ts
@@ -43,7 +43,7 @@
 const MOST_DOUBLINGS = 3;
 
 /** What the decision looks at. */
-export interface TakeOverView {
+export interface FailoverView {
   readonly claim: claimView.CellClaim | undefined;
   readonly self: {
     readonly entryId: types.ids.EntryId;
@@ -69,21 +69,21 @@
 export function silentSince({
   lastRecordAt,
   reachableSince,
-}: Pick<TakeOverView, 'lastRecordAt' | 'reachableSince'>):
+}: Pick<FailoverView, 'lastRecordAt' | 'reachableSince'>):
   types.clock.MonotonicMs | undefined {
   if (reachableSince === undefined) return undefined;
   return lastRecordAt > reachableSince ? lastRecordAt : reachableSince;
 }
 
 /** How many times the usual silence a holder is given. */
-function patienceFactor({takeovers, now}: TakeOverView): number {
+function patienceFactor({takeovers, now}: FailoverView): number {
   const recent = takeovers.filter((at) => now - at < STORM_WINDOW_MS).length;
   const doublings = Math.max(0, recent - UNSUSPECTED_TAKEOVERS);
   return 2 ** Math.min(MOST_DOUBLINGS, doublings);
 }
 
 /** Why the cell may be taken over now; undefined if it may not. */
-export function vacancyOf(view: TakeOverView): Vacancy | undefined {
+export function vacancyOf(view: FailoverView): Vacancy | undefined {
   const {claim, self} = view;
   const quietSince = silentSince(view);
   if (view.leaving || quietSince === undefined) return undefined;
--- a/packages/gypsumwall-cell/src/forwarding_job_service.ts
+++ b/packages/gypsumwall-cell/src/forwarding_job_service.ts
@@ -124,8 +124,8 @@
   async function askSlowHolder<Value>(
     req: peerProtocol.RelayReq,
     withinMs: number,
-    ask: () => Promise<jobService.DeskAnswer<Value>>,
-  ): Promise<jobService.DeskAnswer<Value>> {
+    ask: () => Promise<jobService.JobServiceAnswer<Value>>,
+  ): Promise<jobService.JobServiceAnswer<Value>> {
     const askedAt = clock.monotonic();
     const relayed = await relayToHolder(req, withinMs);
     if (relayed.type === 'answered') return answerOf(relayed.res);
@@ -142,8 +142,8 @@
    */
   async function handOn<Value>(
     req: peerProtocol.RelayReq,
-    refused: jobService.DeskAnswer<Value>,
-  ): Promise<jobService.DeskAnswer<Value>> {
+    refused: jobService.JobServiceAnswer<Value>,
+  ): Promise<jobService.JobServiceAnswer<Value>> {
     const viaHolder = await relayToHolder(req, EACH_RELAY_MS);
     if (viaHolder.type === 'answered') return answerOf(viaHolder.res);
     if (viaHolder.slow) {
@@ -161,8 +161,8 @@
   /** The own desk's answer, or a peer's where that is better. */
   async function answer<Value>(
     req: peerProtocol.RelayReq,
-    ask: () => Promise<jobService.DeskAnswer<Value>>,
-  ): Promise<jobService.DeskAnswer<Value>> {
+    ask: () => Promise<jobService.JobServiceAnswer<Value>>,
+  ): Promise<jobService.JobServiceAnswer<Value>> {
     if (!options.storeReachable()) {
       const relayed = await relayToAny(req);
       if (relayed.type === 'answered') return answerOf(relayed.res);
@@ -249,8 +249,8 @@
 /** A peer's answer to the same call has the same type of value. */
 function answerOf<Value>(
   res: peerProtocol.RelayRes,
-): jobService.DeskAnswer<Value> {
-  return res as jobService.DeskAnswer<Value>;
+): jobService.JobServiceAnswer<Value> {
+  return res as jobService.JobServiceAnswer<Value>;
 }
 
 /**
@@ -258,8 +258,8 @@
  * would be told that nothing ran of a job that runs.
  */
 function withDoubt<Value>(
-  direct: jobService.DeskAnswer<Value>,
+  direct: jobService.JobServiceAnswer<Value>,
   mayStand: boolean,
-): jobService.DeskAnswer<Value> {
+): jobService.JobServiceAnswer<Value> {
   return direct.type === 'not_run' && mayStand ? {type: 'unknown'} : direct;
 }
--- a/packages/gypsumwall-cell/src/holder_probe.ts
+++ b/packages/gypsumwall-cell/src/holder_probe.ts
@@ -6,7 +6,7 @@
  * decides nothing by itself: a claim stands only at the end of the log.
  */
 import * as types from '@gypsumwall/types';
-import * as takeOver from './take_over.js';
+import * as failoverPolicy from './failover_policy.js';
 
 /** Between two questions; milliseconds. */
 const PAUSE_MS = 50;
@@ -44,7 +44,7 @@
   function suspect(): string | undefined {
     const since = parts.silentSince();
     if (since === undefined) return undefined;
-    return clock.monotonic() - since < takeOver.ASK_AFTER_MS
+    return clock.monotonic() - since < failoverPolicy.ASK_AFTER_MS
       ? undefined
       : parts.holder();
   }
--- a/packages/gypsumwall-cell/src/job_service.ts
+++ b/packages/gypsumwall-cell/src/job_service.ts
@@ -47,7 +47,7 @@
 const SUSPECT_STORE_MS = 150;
 
 /** What became of a call. */
-export type DeskAnswer<Value> =
+export type JobServiceAnswer<Value> =
   | {readonly type: 'ok'; readonly value: Value}
   /** Nothing was done, and nothing will be. */
   | {readonly type: 'not_run'; readonly retryAfterMs: number}
@@ -62,12 +62,15 @@
     id: types.ids.JobId,
     policy: scheduling.jobRequest.QueuePolicy,
     request: scheduling.jobRequest.JobRequest,
-  ): Promise<DeskAnswer<undefined>>;
-  cancel(id: types.ids.JobId, queue: string): Promise<DeskAnswer<undefined>>;
+  ): Promise<JobServiceAnswer<undefined>>;
+  cancel(
+    id: types.ids.JobId,
+    queue: string,
+  ): Promise<JobServiceAnswer<undefined>>;
   phaseOf(
     id: types.ids.JobId,
     queue: string,
-  ): Promise<DeskAnswer<scheduling.jobProgress.JobPhase>>;
+  ): Promise<JobServiceAnswer<scheduling.jobProgress.JobPhase>>;
   /**
    * What became of a job that is over, which no copy is too old for; else a
    * refusal.
@@ -75,14 +78,14 @@
   finalPhaseOf(
     id: types.ids.JobId,
     queue: string,
-  ): Promise<DeskAnswer<scheduling.jobProgress.JobPhase>>;
+  ): Promise<JobServiceAnswer<scheduling.jobProgress.JobPhase>>;
   /**
    * Jobs of a queue of which no task has started. An entry that the store has
    * turned away lacks what the others accept, until it has read all of that:
    * 4 were told where 20 had waited for 5 s. It must not take its own copy for
    * an answer then.
    */
-  pendingIn(queue: string): Promise<DeskAnswer<number>>;
+  pendingIn(queue: string): Promise<JobServiceAnswer<number>>;
   /** Whether this entry knows what the store had a moment ago. */
   isCurrent(): boolean;
   /** What appends took lately, in milliseconds; undefined: there were none. */
@@ -94,7 +97,7 @@
   readonly jobsLog: ports.KeyedLog;
   readonly jobs: jobTable.JobTable;
   readonly follower: logFollower.LogFollower;
-  readonly pulse: storeHealth.StoreHealth;
+  readonly storeHealth: storeHealth.StoreHealth;
   /** How old this entry's copy of the logs is at most, in milliseconds. */
   readonly copyAgeMs: () => number;
   /** Reads all logs that tell of jobs to their ends; false if that failed. */
@@ -118,7 +121,7 @@
   const appender = batchAppender.createBatchAppender({
     log: options.jobsLog,
     clock,
-    storeHealth: options.pulse,
+    storeHealth: options.storeHealth,
     isStoreAway: () => follower.reachableSince() === undefined,
     mayHandOn: options.mayHandOn,
   });
@@ -163,7 +166,7 @@
   async function storeAndAnswer(
     event: string,
     record: storeRecords.StoreRecord & {readonly jobId: types.ids.JobId},
-  ): Promise<DeskAnswer<undefined>> {
+  ): Promise<JobServiceAnswer<undefined>> {
     const startedAt = clock.monotonic();
     const outcome = await store(record);
     logger.info(event, {
@@ -225,7 +228,7 @@
   async function find(
     id: types.ids.JobId,
     queue: string,
-  ): Promise<DeskAnswer<jobTable.JobEntry>> {
+  ): Promise<JobServiceAnswer<jobTable.JobEntry>> {
     const known = knownJob(id) ?? (await findInLogs(id));
     if (known === 'not_read') {
       return {type: 'not_run', retryAfterMs: STORE_RETRY_AFTER_MS};
--- a/packages/gypsumwall-cell/src/log_follower.ts
+++ b/packages/gypsumwall-cell/src/log_follower.ts
@@ -23,7 +23,7 @@
   readonly log: ports.KeyedLog;
   readonly clock: types.clock.Clock;
   readonly logger: telemetry.logger.Logger;
-  readonly pulse: storeHealth.StoreHealth;
+  readonly storeHealth: storeHealth.StoreHealth;
   /** Gets records in order; `reloaded` when older ones may be missing. */
   readonly onRecords: (
     records: readonly ports.KeyedRecord[],
@@ -191,7 +191,7 @@
       return undefined;
     }
     answered(sentAt);
-    options.pulse.noteRead(sentAt, clock.monotonic());
+    options.storeHealth.noteRead(sentAt, clock.monotonic());
     switch (read.value.type) {
       case 'records': {
         const {endOffset} = read.value;
@@ -257,7 +257,7 @@
    * a read that was sent into the silence is answered by nobody.
    */
   async function readAway(failurePauseMs: number): Promise<boolean> {
-    const returned = options.pulse.nextReturn();
+    const returned = options.storeHealth.nextReturn();
     if (await unlessAborted(readOnce(0), returned)) return true;
     const until = types.clock.after(clock.monotonic(), failurePauseMs);
     await clock.sleepUntil(until, returned);
--- a/packages/gypsumwall-cell/src/peer_protocol.ts
+++ b/packages/gypsumwall-cell/src/peer_protocol.ts
@@ -102,7 +102,7 @@
   | {readonly type: 'pending'; readonly queue: string};
 
 /** The answer of the peer's desk. */
-export type RelayRes = jobService.DeskAnswer<unknown>;
+export type RelayRes = jobService.JobServiceAnswer<unknown>;
 
 /** Hands a call to a peer; every such call may be repeated. */
 export async function relay(
--- a/packages/gypsumwall-cell/src/poll_retry.ts
+++ b/packages/gypsumwall-cell/src/poll_retry.ts
@@ -17,43 +17,43 @@
 const OVERDUE_AFTER_MS = 120;
 
 /** A look's answer and when it was asked for. */
-export interface LookResult {
-  readonly answer: Awaited<ports.Answer<ports.LookAnswer>>;
+export interface PollResult {
+  readonly answer: Awaited<ports.Answer<ports.PollAnswer>>;
   readonly askedAt: types.clock.MonotonicMs;
 }
 
 /** The first answer of the look and, if it is overdue, of a second one. */
 export async function pollRetry(
   link: ports.WorkerLink,
-  call: ports.LookCall,
+  call: ports.PollCall,
   clock: types.clock.Clock,
-): Promise<LookResult> {
+): Promise<PollResult> {
   const giveUpAt = types.clock.after(clock.monotonic(), call.timeoutMs);
   const answered = new AbortController();
-  const first = lookOnce(link, call, clock);
+  const first = pollOnce(link, call, clock);
   void first.then(() => answered.abort());
   const overdueMs = call.waitMs + OVERDUE_AFTER_MS;
   await types.clock.pause(clock, overdueMs, answered.signal);
   const timeoutMs = giveUpAt - clock.monotonic();
   if (answered.signal.aborted || timeoutMs <= 0) return first;
-  const second = lookOnce(link, {...call, waitMs: 0, timeoutMs}, clock);
+  const second = pollOnce(link, {...call, waitMs: 0, timeoutMs}, clock);
   return firstAnswered(first, second);
 }
 
-async function lookOnce(
+async function pollOnce(
   link: ports.WorkerLink,
-  call: ports.LookCall,
+  call: ports.PollCall,
   clock: types.clock.Clock,
-): Promise<LookResult> {
+): Promise<PollResult> {
   const askedAt = clock.monotonic();
-  return {askedAt, answer: await link.look(call)};
+  return {askedAt, answer: await link.poll(call)};
 }
 
 /** The one that is answered first; an error only if neither is. */
 async function firstAnswered(
-  first: Promise<LookResult>,
-  second: Promise<LookResult>,
-): Promise<LookResult> {
+  first: Promise<PollResult>,
+  second: Promise<PollResult>,
+): Promise<PollResult> {
   const sooner = await Promise.race([first, second]);
   if (result.isOk(sooner.answer)) return sooner;
   const [one, other] = await Promise.all([first, second]);
--- a/packages/gypsumwall-cell/src/ports.ts
+++ b/packages/gypsumwall-cell/src/ports.ts
@@ -104,12 +104,12 @@
   | {readonly type: 'gone'};
 
 /** What a worker answered to a look. */
-export type LookAnswer =
+export type PollAnswer =
   | {
       readonly type: 'report';
       readonly clockMs: number;
-      readonly running: readonly scheduling.schedulerTypes.RunningRow[];
-      readonly ends: readonly scheduling.schedulerTypes.EndRow[];
+      readonly running: readonly scheduling.schedulerTypes.RunningAttempt[];
+      readonly ends: readonly scheduling.schedulerTypes.AttemptEnd[];
       /** Whether there may be more ends than were listed. */
       readonly moreEnds: boolean;
     }
@@ -117,7 +117,7 @@
   | {readonly type: 'gone'};
 
 /** A look at a worker, which also renews its lease and takes note of ends. */
-export interface LookCall {
+export interface PollCall {
   readonly token: number;
   /** All ends up to this one are stored. */
   readonly acknowledged: number;
@@ -134,7 +134,7 @@
   stop(
     call: Pick<StartCall, 'taskId' | 'attempt' | 'token' | 'timeoutMs'>,
   ): Answer<OrderAnswer>;
-  look(call: LookCall): Answer<LookAnswer>;
+  poll(call: PollCall): Answer<PollAnswer>;
   close(): void;
 }
 
--- a/packages/gypsumwall-cell/src/recent_submissions.ts
+++ b/packages/gypsumwall-cell/src/recent_submissions.ts
@@ -8,7 +8,7 @@
 import * as types from '@gypsumwall/types';
 import type * as jobTable from './job_table.js';
 import * as pauseDetector from './pause_detector.js';
-import * as takeOver from './take_over.js';
+import * as failoverPolicy from './failover_policy.js';
 
 /** What decides whether a job is taken up. */
 export interface RecentSubmissionsParts {
@@ -37,7 +37,7 @@
     const confirmedAt = parts.confirmedAt();
     if (confirmedAt <= suspension.lastNoticedAt()) return false;
     if (confirmedAt >= readAt) return true;
-    return readAt - confirmedAt < takeOver.FRESH_MS;
+    return readAt - confirmedAt < failoverPolicy.FRESH_MS;
   }
 
   return {
--- a/packages/gypsumwall-cell/src/store_probe.ts
+++ b/packages/gypsumwall-cell/src/store_probe.ts
@@ -31,13 +31,13 @@
 export interface StoreProbeParts {
   readonly log: ports.KeyedLog;
   readonly follower: logFollower.LogFollower;
-  readonly pulse: storeHealth.StoreHealth;
+  readonly storeHealth: storeHealth.StoreHealth;
   readonly clock: types.clock.Clock;
 }
 
 /** Looks whenever the log's follower gets no answer, until the abort. */
 export async function runStoreProbe(
-  {log, follower, pulse, clock}: StoreProbeParts,
+  {log, follower, storeHealth: pulse, clock}: StoreProbeParts,
   signal: AbortSignal,
 ): Promise<void> {
   let answeredAt = clock.monotonic();
--- a/packages/gypsumwall-cell/src/worker_session.ts
+++ b/packages/gypsumwall-cell/src/worker_session.ts
@@ -12,7 +12,7 @@
 import * as workerClocks from './worker_clock.js';
 
 /** How long a worker may wait with its report if nothing ends; milliseconds. */
-const LOOK_WAIT_MS = 700;
+const POLL_WAIT_MS = 700;
 /** Time for an answer beside the wait; a hundred times what is usual. */
 const ANSWER_TIMEOUT_MS = 500;
 /**
@@ -62,7 +62,7 @@
   readonly workerId: types.ids.WorkerId;
   run(): Promise<void>;
   start(order: scheduling.schedulerTypes.StartOrder): Promise<void>;
-  stopRun(run: scheduling.activeJob.Run): Promise<void>;
+  stopRun(run: scheduling.activeJob.Attempt): Promise<void>;
   /** Whether the worker has answered lately. */
   isReachable(): boolean;
   /** Whether it has ever answered in this session. */
@@ -105,10 +105,10 @@
    * Looks once more, beside the look that waits for the next end: a run that
    * never came up has no end, and its task would wait for the other look.
    */
-  async function settle(run: scheduling.activeJob.Run): Promise<void> {
+  async function settle(run: scheduling.activeJob.Attempt): Promise<void> {
     await pause(1);
     const askedAt = clock.monotonic();
-    const answer = await link.look({
+    const answer = await link.poll({
       token,
       acknowledged,
       waitMs: 0,
@@ -116,14 +116,14 @@
     });
     if (closing.signal.aborted || result.isErr(answer)) return;
     if (answer.value.type !== 'report') return;
-    logger.debug('run_settled', {task: run.taskId, attempt: run.attempt});
+    logger.debug('run_settled', {task: run.taskId, attempt: run.number});
     await applyReport(answer.value, askedAt);
   }
 
   async function look(): Promise<void> {
     // The first look must come back at once: it brings the clock. So must one
     // at a worker that was out of reach: until it does, nothing starts there.
-    const waitMs = reachable && !storing ? LOOK_WAIT_MS : 0;
+    const waitMs = reachable && !storing ? POLL_WAIT_MS : 0;
     // A worker out of reach gets no new lease: a look that seems lost may
     // arrive late, so its lease would never surely pass.
     // Nor does an idle one: a long lease without need would outlast a task that
@@ -167,7 +167,7 @@
   }
 
   async function applyReport(
-    report: Extract<ports.LookAnswer, {type: 'report'}>,
+    report: Extract<ports.PollAnswer, {type: 'report'}>,
     askedAt: types.clock.MonotonicMs,
   ): Promise<void> {
     // Answers may overtake each other. What this one told is told again.
@@ -246,7 +246,7 @@
       while (!closing.signal.aborted) await look();
     },
     async start(order) {
-      const {run, payload, checkpoint, ticket} = order;
+      const {attempt: run, payload, checkpoint, ticket} = order;
       const leaseUntil = nextLease();
       if (leaseUntil === undefined) {
         const refused = {type: 'refused', reason: 'other'} as const;
@@ -256,7 +256,7 @@
       const sentAt = clock.monotonic();
       const answer = await link.start({
         taskId: run.taskId,
-        attempt: run.attempt,
+        attempt: run.number,
         payload,
         checkpoint,
         ticket,
@@ -269,7 +269,7 @@
       scheduler.startAnswered(run, outcome, clock.monotonic());
       logger.info('start_answered', {
         task: run.taskId,
-        attempt: run.attempt,
+        attempt: run.number,
         worker: worker.id,
         outcome: outcome.type === 'refused' ? outcome.reason : outcome.type,
         tookMs: Math.round(clock.monotonic() - sentAt),
@@ -281,7 +281,7 @@
     },
     async stopRun(run) {
       while (!closing.signal.aborted) {
-        const {taskId, attempt} = run;
+        const {taskId, number: attempt} = run;
         const timeoutMs = ORDER_TIMEOUT_MS;
         const answer = await link.stop({taskId, attempt, token, timeoutMs});
         if (result.isOk(answer)) {
--- a/packages/gypsumwall-scheduling/src/__fixtures__/crash_model.ts
+++ b/packages/gypsumwall-scheduling/src/__fixtures__/crash_model.ts
@@ -48,7 +48,7 @@
   backAt?: types.clock.MonotonicMs;
   crashedAt?: types.clock.MonotonicMs;
   runs: RealRun[];
-  ends: schedulerTypes.EndRow[];
+  ends: schedulerTypes.AttemptEnd[];
   sequence: number;
   heard: number;
 }
--- a/packages/gypsumwall-scheduling/src/__fixtures__/crash_world.ts
+++ b/packages/gypsumwall-scheduling/src/__fixtures__/crash_world.ts
@@ -211,14 +211,14 @@
 
   function start(
     target: schedulerTypes.Scheduler,
-    {run}: schedulerTypes.StartOrder,
+    {attempt: run}: schedulerTypes.StartOrder,
   ): void {
     const machine = lives.get(run.workerId)!;
     if (!isUp(machine) || machine.info.id !== run.workerId) {
       target.startAnswered(run, {type: 'unknown'}, now);
       return;
     }
-    const {taskId, attempt, size, workerId: worker} = run;
+    const {taskId, number: attempt, size, workerId: worker} = run;
     used.set(worker, machine.info);
     machine.runs.push({taskId, attempt, startedAt: now, size});
     const {capacity} = machine.info;
@@ -227,12 +227,15 @@
     target.startAnswered(run, {type: 'started'}, now);
   }
 
-  function stop(target: schedulerTypes.Scheduler, run: activeJob.Run): void {
+  function stop(
+    target: schedulerTypes.Scheduler,
+    run: activeJob.Attempt,
+  ): void {
     const machine = lives.get(run.workerId);
     if (machine === undefined || !isUp(machine)) return;
     if (machine.info.id !== run.workerId) return;
     const found = machine.runs.find(
-      (one) => one.taskId === run.taskId && one.attempt === run.attempt,
+      (one) => one.taskId === run.taskId && one.attempt === run.number,
     );
     if (found !== undefined) found.stopsAt = types.clock.after(now, STOP_MS);
     target.stopAnswered(run, now);
--- a/packages/gypsumwall-scheduling/src/__fixtures__/scheduler_world.ts
+++ b/packages/gypsumwall-scheduling/src/__fixtures__/scheduler_world.ts
@@ -59,10 +59,13 @@
   /** Decides, with the store confirming at once; starts aren't answered. */
   decide(): schedulerTypes.StartOrder[];
   /** Decides and answers every start. */
-  startAll(): activeJob.Run[];
-  end(run: activeJob.Run, how: jobSteps.RunEnd): void;
+  startAll(): activeJob.Attempt[];
+  end(run: activeJob.Attempt, how: jobSteps.RunEnd): void;
   /** Hands in a report that lists exactly these runs. */
-  report(worker: types.ids.WorkerId, rows: schedulerTypes.RunningRow[]): void;
+  report(
+    worker: types.ids.WorkerId,
+    rows: schedulerTypes.RunningAttempt[],
+  ): void;
 }
 
 /** Creates a world at time 1,000,000 ms. */
@@ -128,14 +131,14 @@
     },
     startAll() {
       const orders = world.decide();
-      for (const {run} of orders) {
+      for (const {attempt: run} of orders) {
         scheduler.startAnswered(run, {type: 'started'}, world.now);
       }
       world.now = types.clock.after(world.now, 1);
-      return orders.map((order) => order.run);
+      return orders.map((order) => order.attempt);
     },
     end(run, how) {
-      const {taskId, attempt, workerId} = run;
+      const {taskId, number: attempt, workerId} = run;
       const row = {sequence: ++sequence, taskId, attempt, how, checkpoint: ''};
       scheduler.report(
         {
@@ -164,6 +167,6 @@
   taskId: string,
   attempt: number,
   percent = 10,
-): schedulerTypes.RunningRow {
+): schedulerTypes.RunningAttempt {
   return {taskId: types.ids.brand(taskId), attempt, checkpoint: '', percent};
 }
--- a/packages/gypsumwall-scheduling/src/__fixtures__/unreliable_world.ts
+++ b/packages/gypsumwall-scheduling/src/__fixtures__/unreliable_world.ts
@@ -46,7 +46,7 @@
   generation: number;
   readonly runs: Map<string, WorkerRun>;
   readonly barred: Set<string>;
-  ends: schedulerTypes.EndRow[];
+  ends: schedulerTypes.AttemptEnd[];
   sequence: number;
   /** The session's side. */
   heardSequence: number;
@@ -112,8 +112,8 @@
   const turnedDown = new Set<string>();
   let starts: PendingStart[] = [];
   let late: PendingStart[] = [];
-  let stops: activeJob.Run[] = [];
-  let wishes: schedulerTypes.AdviceWish[] = [];
+  let stops: activeJob.Attempt[] = [];
+  let wishes: schedulerTypes.AdviceRequest[] = [];
   let reports: PendingReport[] = [];
   let writes: PendingWrite[] = [];
 
@@ -212,7 +212,7 @@
   function decide(): number {
     const decisions = scheduler.decide(now, WALL);
     for (const order of decisions.starts) {
-      const worker = workers.find((one) => one.id === order.run.workerId)!;
+      const worker = workers.find((one) => one.id === order.attempt.workerId)!;
       starts.push({order, worker, generation});
     }
     wishes.push(...decisions.advice);
@@ -225,7 +225,7 @@
   /** The worker gets a start; what it answers. */
   function receive(start: PendingStart): schedulerTypes.StartOutcome {
     const {worker, order} = start;
-    const {taskId, attempt} = order.run;
+    const {taskId, number: attempt} = order.attempt;
     if (!worker.alive || worker.cut) return {type: 'unknown'};
     if (start.generation < worker.generation) return {type: 'unknown'};
     worker.generation = start.generation;
@@ -237,7 +237,7 @@
 
   function answerStart(start: PendingStart, fate: StartFate): void {
     starts = starts.filter((one) => one !== start);
-    const {run} = start.order;
+    const {attempt: run} = start.order;
     const tell = (outcome: schedulerTypes.StartOutcome) => {
       if (start.generation === generation) {
         if (outcome.type === 'unknown') setReachable(start.worker, false);
@@ -285,13 +285,13 @@
 
   /** The worker gets a stop, and perhaps takes its time. */
   function answerStop(
-    run: activeJob.Run,
+    run: activeJob.Attempt,
     options: {readonly slow: boolean; readonly answered: boolean},
   ): void {
     const worker = workers.find((one) => one.id === run.workerId)!;
     if (!worker.alive || worker.cut) return;
     worker.generation = generation;
-    const key = keyOf(run.taskId, run.attempt);
+    const key = keyOf(run.taskId, run.number);
     worker.barred.add(key);
     const found = worker.runs.get(key);
     if (found !== undefined) {
@@ -363,7 +363,7 @@
   }
 
   function answerAdvice(
-    wish: schedulerTypes.AdviceWish,
+    wish: schedulerTypes.AdviceRequest,
     answer: 'none' | ((worker: types.ids.WorkerId, nth: number) => boolean),
   ): void {
     wishes = wishes.filter((one) => one !== wish);
--- a/packages/gypsumwall-scheduling/src/__tests__/advice_names.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/advice_names.test.ts
@@ -8,14 +8,16 @@
 const WALL = 0 as types.clock.WallMs;
 const ADVICE = {callMs: 570, perWorkerMs: 8, validMs: 2_000};
 
-function wishesOf(world: worlds.SchedulerWorld): schedulerTypes.AdviceWish[] {
+function wishesOf(
+  world: worlds.SchedulerWorld,
+): schedulerTypes.AdviceRequest[] {
   return world.scheduler.decide(world.now, WALL).advice;
 }
 
 /** Approves all that a call names. */
 function approve(
   world: worlds.SchedulerWorld,
-  wish: schedulerTypes.AdviceWish,
+  wish: schedulerTypes.AdviceRequest,
 ): void {
   const approved = new Map(wish.workers.map((id) => [id, 'ticket'] as const));
   const until = types.clock.after(world.now, ADVICE.validMs);
--- a/packages/gypsumwall-scheduling/src/__tests__/advice_turns.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/advice_turns.test.ts
@@ -2,7 +2,7 @@
 import * as nodeTest from 'node:test';
 import * as types from '@gypsumwall/types';
 import * as worlds from '../__fixtures__/scheduler_world.js';
-import * as advisorPool from '../advisor_pool.js';
+import * as adviserPool from '../adviser_pool.js';
 
 const {test} = nodeTest;
 const WALL = 0 as types.clock.WallMs;
@@ -17,7 +17,7 @@
 // looks at steps whose calls are too large for the entries that are left.
 test('a step with room and a small call is asked about behind large calls', () => {
   const world = worlds.createSchedulerWorld();
-  const lanes = advisorPool.createAdvisorPool<string>();
+  const lanes = adviserPool.createAdviserPool<string>();
   for (let nth = 0; nth < 100; nth++) world.addWorker(`w${nth}`, 4);
   for (let nth = 0; nth < 60; nth++) {
     world.submit(`wide${nth}`, [worlds.step({taskCount: 40})], {
--- a/packages/gypsumwall-scheduling/src/__tests__/copies.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/copies.test.ts
@@ -35,7 +35,7 @@
   const [copy] = world.startAll();
   assert.equal(copy?.taskId, run.taskId);
   assert.equal(copy.workerId, 'w2');
-  assert.ok(copy.attempt > run.attempt);
+  assert.ok(copy.number > run.number);
   world.end(copy, 'done');
   assert.deepEqual(world.scheduler.takeStops(), [run]);
   assert.equal(world.scheduler.counts().jobs, 0);
--- a/packages/gypsumwall-scheduling/src/__tests__/decisions.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/decisions.test.ts
@@ -1,7 +1,7 @@
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
 import * as types from '@gypsumwall/types';
-import * as advisorPool from '../advisor_pool.js';
+import * as adviserPool from '../adviser_pool.js';
 import * as gangFit from '../gang_fit.js';
 import * as taskId from '../task_id.js';
 import type * as workerRegistry from '../worker_registry.js';
@@ -63,7 +63,7 @@
 // Load: 1.2 calls a second of 0.74 s, 4.6 of 0.12 s and 34 of 0.01 s, more
 // than one instance's adviser lane has time for.
 test('a small call never waits behind large ones on all lanes', () => {
-  const lanes = advisorPool.createAdvisorPool<string>();
+  const lanes = adviserPool.createAdviserPool<string>();
   const entries = ['a', 'b', 'c', 'd'];
   const large = [1, 2, 3].map(() => lanes.take(entries, 740, true));
   assert.deepEqual(large, ['a', 'b', undefined]);
@@ -72,7 +72,7 @@
 });
 
 test('a lane that is long enough takes no more', () => {
-  const lanes = advisorPool.createAdvisorPool<string>();
+  const lanes = adviserPool.createAdviserPool<string>();
   assert.equal(lanes.take(['a'], 1_600, true), 'a');
   assert.equal(lanes.take(['a'], 1_600, true), undefined);
   lanes.finish('a', 1_600);
@@ -81,7 +81,7 @@
 
 // Guards against urgent calls that stand in line behind long ones.
 test('a call waits at the holder until a lane is nearly free', () => {
-  const lanes = advisorPool.createAdvisorPool<string>();
+  const lanes = adviserPool.createAdviserPool<string>();
   assert.deepEqual(lanes.capacity(['a', 'b']), {
     needed: 2,
     large: 1,
@@ -99,7 +99,7 @@
 });
 
 test('a call that can wait goes only where nothing is in line', () => {
-  const lanes = advisorPool.createAdvisorPool<string>();
+  const lanes = adviserPool.createAdviserPool<string>();
   assert.equal(lanes.take(['a'], 100, false), 'a');
   assert.equal(lanes.take(['a'], 100, false), undefined);
   assert.equal(lanes.take(['a'], 100, true), 'a');
@@ -108,7 +108,7 @@
 // Load: gangs that wait ask for more workers all the time. An urgent job that
 // comes then is late: its small call waits behind theirs on every lane.
 test('calls that can wait leave lanes empty for urgent ones', () => {
-  const lanes = advisorPool.createAdvisorPool<string>();
+  const lanes = adviserPool.createAdviserPool<string>();
   const entries = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'];
   const taken = entries.map(() => lanes.take(entries, 200, false));
   assert.deepEqual(taken.filter((lane) => lane !== undefined).length, 6);
--- a/packages/gypsumwall-scheduling/src/__tests__/left_waiting.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/left_waiting.test.ts
@@ -51,11 +51,11 @@
   const stale = first.find((run) => run.workerId === w1)!;
   const rows = second.filter((run) => run.workerId === w1);
   world.report(w1, [
-    worlds.row(stale.taskId, stale.attempt),
-    ...rows.map((run) => worlds.row(run.taskId, run.attempt)),
+    worlds.row(stale.taskId, stale.number),
+    ...rows.map((run) => worlds.row(run.taskId, run.number)),
   ]);
   const [unwanted, ...others] = world.scheduler.takeStops();
-  assert.equal(unwanted?.attempt, stale.attempt);
+  assert.equal(unwanted?.number, stale.number);
   assert.deepEqual(others, []);
   world.end(unwanted, 'stopped');
   assert.deepEqual(world.scheduler.takeStops(), []);
@@ -132,7 +132,7 @@
     world.end(run, 'done');
     world.now = types.clock.after(world.now, 5);
     const {starts} = world.scheduler.decide(world.now, WALL);
-    started.push(...starts.map((start) => start.run.taskId));
+    started.push(...starts.map((start) => start.attempt.taskId));
     world.scheduler.stored(world.scheduler.takeDirty());
   }
   assert.deepEqual(started, ['small.0.0.0']);
@@ -155,7 +155,7 @@
   world.scheduler.stopAnswered(member, world.now);
   const report = (spanMs: number) => {
     world.now = types.clock.after(world.now, spanMs);
-    world.report(w1, [worlds.row(member.taskId, member.attempt)]);
+    world.report(w1, [worlds.row(member.taskId, member.number)]);
   };
   // A worker takes a while to save progress.
   report(900);
@@ -188,7 +188,7 @@
   const until = types.clock.after(world.now, 3_000);
   while (world.now < until) {
     const {starts, advice: wishes} = world.scheduler.decide(world.now, WALL);
-    started.push(...starts.map(({run}) => run.workerId));
+    started.push(...starts.map(({attempt: run}) => run.workerId));
     for (const wish of wishes) {
       const named = wish.workers.filter((id) => approved.has(id));
       world.scheduler.adviceAnswered(
--- a/packages/gypsumwall-scheduling/src/__tests__/recorded_workers.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/recorded_workers.test.ts
@@ -23,7 +23,7 @@
   const recorded = () =>
     world.scheduler.takeDirty().flatMap((job) => job.progress.workers);
   const endOf = (nth: number) => {
-    const {taskId, attempt} = runs[nth]!;
+    const {taskId, number: attempt} = runs[nth]!;
     const end = {sequence: nth + 1, taskId, attempt, how: 'stopped' as const};
     const ends = [{...end, checkpoint: ''}];
     world.scheduler.report(
--- a/packages/gypsumwall-scheduling/src/__tests__/refused_starts.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/refused_starts.test.ts
@@ -13,7 +13,7 @@
   let refused = 0;
   const until = types.clock.after(world.now, spanMs);
   while (world.now < until) {
-    for (const {run} of world.decide()) {
+    for (const {attempt: run} of world.decide()) {
       refused++;
       const outcome = {type: 'refused', reason: 'other'} as const;
       world.scheduler.startAnswered(run, outcome, world.now);
--- a/packages/gypsumwall-scheduling/src/__tests__/scheduler.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/scheduler.test.ts
@@ -49,13 +49,13 @@
   world.scheduler.stored([recorded]);
   const [lost] = world.decide();
   const unknown = {type: 'unknown'} as const;
-  world.scheduler.startAnswered(lost!.run, unknown, world.now);
+  world.scheduler.startAnswered(lost!.attempt, unknown, world.now);
   assert.deepEqual(world.scheduler.takeDirty(), []);
-  world.scheduler.stopAnswered(lost!.run, world.now);
+  world.scheduler.stopAnswered(lost!.attempt, world.now);
   world.now = types.clock.after(world.now, 1);
   world.report(w1, []);
   const [order] = world.decide();
-  world.scheduler.startAnswered(order!.run, {type: 'started'}, world.now);
+  world.scheduler.startAnswered(order!.attempt, {type: 'started'}, world.now);
   const [begun] = world.scheduler.takeDirty();
   assert.equal(begun?.progress.phase, 'running');
 });
@@ -94,16 +94,16 @@
   const w1 = world.addWorker('w1', 1);
   world.submit('job', [worlds.step()]);
   const [order] = world.decide();
-  world.scheduler.startAnswered(order!.run, {type: 'unknown'}, world.now);
+  world.scheduler.startAnswered(order!.attempt, {type: 'unknown'}, world.now);
   world.addWorker('w2', 1);
-  assert.deepEqual(world.scheduler.takeStops(), [order!.run]);
+  assert.deepEqual(world.scheduler.takeStops(), [order!.attempt]);
   world.report(w1, []);
   assert.equal(world.decide().length, 0, 'a report alone proves nothing');
-  world.scheduler.stopAnswered(order!.run, world.now);
+  world.scheduler.stopAnswered(order!.attempt, world.now);
   world.now = types.clock.after(world.now, 1);
   world.report(w1, []);
   const [again] = world.decide();
-  assert.equal(again?.run.attempt, 2);
+  assert.equal(again?.attempt.number, 2);
 });
 
 test('a task that was done in spite of its stop is done', () => {
@@ -111,9 +111,9 @@
   world.addWorker('w1', 1);
   const job = world.submit('job', [worlds.step()]);
   const [order] = world.decide();
-  world.scheduler.startAnswered(order!.run, {type: 'unknown'}, world.now);
-  world.scheduler.stopAnswered(order!.run, world.now);
-  world.end(order!.run, 'done');
+  world.scheduler.startAnswered(order!.attempt, {type: 'unknown'}, world.now);
+  world.scheduler.stopAnswered(order!.attempt, world.now);
+  world.end(order!.attempt, 'done');
   assert.equal(world.scheduler.hasJob(job), false);
 });
 
@@ -131,12 +131,12 @@
     {
       workerId: w1,
       askedAt: world.now,
-      running: [worlds.row(second!.taskId, second!.attempt)],
+      running: [worlds.row(second!.taskId, second!.number)],
       ends: [
         {
           sequence: 1,
           taskId: run!.taskId,
-          attempt: run!.attempt,
+          attempt: run!.number,
           how: 'failed',
           checkpoint: '',
         },
@@ -158,7 +158,7 @@
   world.addWorker('w2', 1);
   const runs = world.startAll();
   assert.deepEqual(
-    runs.map((run) => run.attempt),
+    runs.map((run) => run.number),
     [1, 1, 1],
   );
 });
@@ -174,7 +174,7 @@
   world.end(runs[1]!, 'stopped');
   world.end(runs[2]!, 'stopped');
   assert.deepEqual(
-    world.startAll().map((run) => run.attempt),
+    world.startAll().map((run) => run.number),
     [2, 2, 2],
   );
 });
@@ -282,7 +282,7 @@
   world.scheduler.adviceAnswered(wish!, new Map([[w2, 'ticket']]), until);
   const orders = world.decide();
   assert.deepEqual(
-    orders.map((order) => [order.run.workerId, order.ticket]),
+    orders.map((order) => [order.attempt.workerId, order.ticket]),
     [['w2', 'ticket']],
   );
 });
@@ -301,7 +301,7 @@
     const rows = runs.filter((run) => run.workerId === worker);
     world.report(
       worker,
-      rows.map((run) => worlds.row(run.taskId, run.attempt, percent)),
+      rows.map((run) => worlds.row(run.taskId, run.number, percent)),
     );
   };
   report(fast, 100);
@@ -329,7 +329,7 @@
       const rows = runs.filter((run) => run.workerId === worker);
       world.report(
         worker,
-        rows.map((run) => worlds.row(run.taskId, run.attempt, percent)),
+        rows.map((run) => worlds.row(run.taskId, run.number, percent)),
       );
     }
     world.now = types.clock.after(world.now, 1_000);
@@ -348,7 +348,7 @@
   const w1 = world.addWorker('w1', 2);
   world.submit('job', [worlds.step({taskCount: 2})]);
   const runs = world.startAll();
-  const rows = runs.map((run) => worlds.row(run.taskId, run.attempt, 0));
+  const rows = runs.map((run) => worlds.row(run.taskId, run.number, 0));
   world.now = types.clock.after(world.now, 1_900);
   world.report(w1, rows);
   assert.deepEqual(world.scheduler.takeStops(), []);
--- a/packages/gypsumwall-scheduling/src/__tests__/scheduling_cycle.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/scheduling_cycle.test.ts
@@ -33,7 +33,7 @@
   const world = worlds.createSchedulerWorld();
   for (let nth = 0; nth < 20; nth++) world.addWorker(`w${nth}`, 4);
   for (let nth = 0; nth < 80; nth++) world.submit(`run${nth}`, [worlds.step()]);
-  const runs: activeJob.Run[] = [];
+  const runs: activeJob.Attempt[] = [];
   settle(world, runs);
   assert.equal(runs.length, 80);
   for (let nth = 0; nth < BACKLOG; nth++) {
@@ -110,7 +110,7 @@
  */
 function settle(
   world: worlds.SchedulerWorld,
-  running: activeJob.Run[],
+  running: activeJob.Attempt[],
 ): number {
   const {now} = world;
   let started = 0;
@@ -135,7 +135,7 @@
           world.addWorker(`w${nth}`, 4, `r${nth % 2}`),
         );
         const jobs: types.ids.JobId[] = [];
-        let running: activeJob.Run[] = [];
+        let running: activeJob.Attempt[] = [];
         let lives = WORKERS;
         for (const action of actions) {
           switch (action.type) {
--- a/packages/gypsumwall-scheduling/src/__tests__/task_isolation.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/task_isolation.test.ts
@@ -44,7 +44,7 @@
   world.now = types.clock.after(world.now, spanMs);
 }
 
-const workersOf = (runs: readonly activeJob.Run[]) =>
+const workersOf = (runs: readonly activeJob.Attempt[]) =>
   runs.map((run) => run.workerId).sort();
 
 // Guards against a sound task that is given up for a newcomer's crash.
@@ -121,7 +121,7 @@
 test('a worker is emptied of newcomers for a task that waits for its trial', () => {
   const world = worlds.createSchedulerWorld();
   for (const name of ['w1', 'w2']) world.addWorker(name, 2);
-  const running: activeJob.Run[] = [];
+  const running: activeJob.Attempt[] = [];
   let sent = 0;
   const sendShort = () => {
     if (running.length === 4) world.end(running.shift()!, 'done');
--- a/packages/gypsumwall-scheduling/src/__tests__/waiting_work.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/waiting_work.test.ts
@@ -304,7 +304,7 @@
 
 /** Each open task is in line or runs; a gang's are all the one or the other. */
 function checkTasks(stepRun: activeJob.StepRun): void {
-  const {id, request, state, waiting, runs, done} = stepRun;
+  const {id, request, state, waiting, attempts: runs, done} = stepRun;
   if (state !== 'open') return;
   const {gang, taskCount} = request;
   for (const run of runs) {
@@ -316,7 +316,7 @@
     const found = `${runs.size} run and ${waiting.length} wait`;
     assert.equal(runs.size + waiting.length, taskCount, `${id}: ${found}`);
     assert.ok(runs.size === 0 || waiting.length === 0, `${id}: ${found}`);
-    const attempts = new Set([...runs].map((run) => run.attempt));
+    const attempts = new Set([...runs].map((run) => run.number));
     assert.ok(attempts.size <= 1, `${id}: attempts ${[...attempts].join()}`);
     return;
   }
@@ -350,7 +350,7 @@
   let found = 0;
   for (const {info, free} of workers) {
     let here = 0;
-    for (const run of stepRun.runs) if (run.workerId === info.id) here++;
+    for (const run of stepRun.attempts) if (run.workerId === info.id) here++;
     let left = free;
     while (types.resources.fits(needed, left) && found < taskCount) {
       if (here++ >= (maxPerWorker ?? Infinity)) break;
--- a/packages/gypsumwall-scheduling/src/active_job.ts
+++ b/packages/gypsumwall-scheduling/src/active_job.ts
@@ -11,7 +11,7 @@
 import * as jobOrder from './job_order.js';
 
 /** Where a run stands between its order and its end. */
-export type RunPhase =
+export type AttemptPhase =
   /** The order is on its way. */
   | 'starting'
   | 'running'
@@ -22,16 +22,16 @@
   | 'stopping';
 
 /** One run of a task on a worker. */
-export interface Run {
+export interface Attempt {
   readonly taskId: types.ids.TaskId;
-  readonly attempt: number;
+  readonly number: number;
   readonly workerId: types.ids.WorkerId;
   /** Whose task it is; absent for a run that nothing here asked for. */
   readonly owner?: {readonly stepRun: StepRun; readonly index: number};
   /** What is booked for it on the worker, and under which step. */
   readonly size: types.resources.Resources;
   readonly stepRunId: string;
-  phase: RunPhase;
+  phase: AttemptPhase;
   /**
    * When the worker had answered the start or the stop. A report asked for
    * later that doesn't name the run proves that it isn't there and never will
@@ -59,7 +59,7 @@
   state: 'closed' | 'open' | 'done';
   /** Indexes that have neither run nor end; a gang's are all or none. */
   waiting: number[];
-  readonly runs: Set<Run>;
+  readonly attempts: Set<Attempt>;
   readonly done: Set<number>;
   /** Attempts that failed, by index; a gang's under 0. */
   readonly failures: Map<number, Set<number>>;
@@ -69,7 +69,7 @@
     Map<types.ids.WorkerId, crashRecords.CrashKind>
   >;
   /** Highest attempt used, by index; a gang's under 0. */
-  readonly attempts: Map<number, number>;
+  readonly highestAttempts: Map<number, number>;
   /** Saved progress to go on from, by index; a gang's under 0. */
   readonly saved: Map<number, string>;
   readonly advice: stepAdvice.StepAdvice;
@@ -158,11 +158,11 @@
       request,
       state: 'closed',
       waiting: [],
-      runs: new Set(),
+      attempts: new Set(),
       done: new Set(),
       failures: new Map(),
       crashes: new Map(),
-      attempts: new Map(),
+      highestAttempts: new Map(),
       saved: new Map(),
       advice: stepAdvice.createStepAdvice(),
       changed: true,
--- a/packages/gypsumwall-scheduling/src/advice_wishes.ts
+++ b/packages/gypsumwall-scheduling/src/advice_wishes.ts
@@ -7,7 +7,7 @@
 import * as types from '@gypsumwall/types';
 import type * as activeJob from './active_job.js';
 import * as adviceNames from './advice_names.js';
-import * as advisorPool from './advisor_pool.js';
+import * as adviserPool from './adviser_pool.js';
 import * as chooseWorker from './choose_worker.js';
 import * as gangFit from './gang_fit.js';
 import type * as schedulerTypes from './scheduler_types.js';
@@ -27,11 +27,11 @@
 /** The calls to be made for steps that wait, given most urgent first. */
 export function takeWishes(
   steps: readonly activeJob.StepRun[],
-  capacity: advisorPool.AdviceCapacity,
+  capacity: adviserPool.AdviceCapacity,
   context: adviceNames.NamesContext,
-): schedulerTypes.AdviceWish[] {
+): schedulerTypes.AdviceRequest[] {
   const {now} = context;
-  const wishes: schedulerTypes.AdviceWish[] = [];
+  const wishes: schedulerTypes.AdviceRequest[] = [];
   const withoutRoom: activeJob.StepRun[] = [];
   const canWait: Wanted[] = [];
   let roomy: workerRegistry.BookedWorker[] | undefined;
@@ -40,7 +40,7 @@
 
   function take({stepRun, named}: Wanted, isNeeded: boolean): void {
     const callMs = callMsOf(stepRun, named);
-    const isLarge = advisorPool.isLarge(callMs);
+    const isLarge = adviserPool.isLarge(callMs);
     if ((isNeeded ? needed : spare) <= 0 || (isLarge && large <= 0)) return;
     if (isNeeded) needed--;
     else spare--;
@@ -84,7 +84,7 @@
   if (policy === undefined || now < advice.nextLookAt) return false;
   const fewestMs =
     policy.callMs + policy.perWorkerMs * adviceNames.FEWEST_NAMED;
-  return large > 0 || !advisorPool.isLarge(fewestMs);
+  return large > 0 || !adviserPool.isLarge(fewestMs);
 }
 
 function callMsOf(
--- a/packages/gypsumwall-scheduling/src/advisor_pool.ts
+++ b/packages/gypsumwall-scheduling/src/adviser_pool.ts
@@ -45,7 +45,7 @@
 }
 
 /** The entries that may call the adviser, and what each has in line. */
-export interface AdvisorPool<Entry extends string> {
+export interface AdviserPool<Entry extends string> {
   /**
    * Takes the shortest line; undefined if all are long enough. A call that can
    * wait takes an empty lane while enough others are.
@@ -63,7 +63,7 @@
 }
 
 /** Creates lanes with nothing in line. */
-export function createAdvisorPool<Entry extends string>(): AdvisorPool<Entry> {
+export function createAdviserPool<Entry extends string>(): AdviserPool<Entry> {
   const inLineMs = new Map<Entry, number>();
   const lineOf = (entry: Entry) => inLineMs.get(entry) ?? 0;
 
--- a/packages/gypsumwall-scheduling/src/crash_reader.ts
+++ b/packages/gypsumwall-scheduling/src/crash_reader.ts
@@ -23,7 +23,7 @@
   /** A worker has crashed with these runs. */
   noteCrash(
     worker: types.ids.WorkerId,
-    runs: readonly activeJob.Run[],
+    runs: readonly activeJob.Attempt[],
     now: types.clock.MonotonicMs,
   ): void;
   /**
@@ -32,7 +32,7 @@
    */
   noteSilent(
     worker: types.ids.WorkerId,
-    runs: readonly activeJob.Run[],
+    runs: readonly activeJob.Attempt[],
     now: types.clock.MonotonicMs,
   ): void;
   /** The worker was cut off: it answers, and is the one it was. */
@@ -45,7 +45,7 @@
 }
 
 interface Unproven {
-  readonly runs: readonly activeJob.Run[];
+  readonly runs: readonly activeJob.Attempt[];
   readonly forgetAt: types.clock.MonotonicMs;
 }
 
@@ -104,7 +104,7 @@
 
   /** How long a run was apart from other jobs when its worker crashed. */
   function isolatedMs(
-    {isolatedUntil, startedAt, workerId}: activeJob.Run,
+    {isolatedUntil, startedAt, workerId}: activeJob.Attempt,
     now: types.clock.MonotonicMs,
   ): number | undefined {
     if (isolatedUntil === undefined) return undefined;
@@ -165,7 +165,7 @@
 function missingIndexes(stepRun: activeJob.StepRun): number[] {
   if (stepRun.state !== 'open') return [];
   const found = new Set(stepRun.done);
-  for (const {owner} of stepRun.runs) {
+  for (const {owner} of stepRun.attempts) {
     if (owner !== undefined) found.add(owner.index);
   }
   const missing: number[] = [];
--- a/packages/gypsumwall-scheduling/src/index.ts
+++ b/packages/gypsumwall-scheduling/src/index.ts
@@ -1,5 +1,5 @@
 export * as activeJob from './active_job.js';
-export * as advisorPool from './advisor_pool.js';
+export * as adviserPool from './adviser_pool.js';
 export * as jobProgress from './job_progress.js';
 export * as jobRequest from './job_request.js';
 export * as jobSteps from './job_steps.js';
--- a/packages/gypsumwall-scheduling/src/job_registry.ts
+++ b/packages/gypsumwall-scheduling/src/job_registry.ts
@@ -7,7 +7,7 @@
 import * as activeJob from './active_job.js';
 import * as jobProgress from './job_progress.js';
 import * as jobSteps from './job_steps.js';
-import type * as runTable from './run_table.js';
+import type * as attemptTable from './attempt_table.js';
 import type * as schedulerTypes from './scheduler_types.js';
 import * as taskIds from './task_id.js';
 import type * as workerHealth from './worker_health.js';
@@ -20,7 +20,7 @@
 
 /** What a job book works on. */
 export interface JobRegistryParts {
-  readonly runs: runTable.RunTable;
+  readonly runs: attemptTable.AttemptTable;
   readonly health: workerHealth.WorkerHealth;
   /** Whether a worker drains or is gone for good. */
   readonly isLeaving: (worker: types.ids.WorkerId) => boolean;
@@ -55,15 +55,15 @@
    */
   noteBegun(job: activeJob.ActiveJob): void;
   /** Has a run stopped; it keeps its room until its end is known. */
-  stop(run: activeJob.Run): void;
+  stop(run: activeJob.Attempt): void;
   /** Has a run stopped whose stop was answered and that is still there. */
-  stopAgain(run: activeJob.Run): void;
+  stopAgain(run: activeJob.Attempt): void;
   /**
    * Puts a task whose attempt has ended back into line, with its gang if it has
    * one.
    */
   requeue(stepRun: activeJob.StepRun, index: number, attempt: number): void;
-  dropRun(run: activeJob.Run): void;
+  dropRun(run: activeJob.Attempt): void;
   /**
    * A run is over. A worker that is about to leave and has none of the job's
    * runs any more is taken off the job's record. A successor holds a job back
@@ -71,13 +71,13 @@
    * nobody: tasks that were moved off in good time stood still for 35 s.
    * Nothing starts on a leaving worker, so it isn't put on the record again.
    */
-  noteLeft(run: activeJob.Run): void;
+  noteLeft(run: activeJob.Attempt): void;
   /**
    * Puts a second run of a task into line beside one that may take long, where
    * its caller allows copies. The first that is done counts, and the other is
    * stopped.
    */
-  startCopy(run: activeJob.Run): void;
+  startCopy(run: activeJob.Attempt): void;
   /** Notes whether the step has tasks that wait. */
   noteWaiting(stepRun: activeJob.StepRun): void;
   /** A task, or its gang, runs already. */
@@ -86,7 +86,7 @@
   /** The task of a job that isn't over, if its step is known. */
   stepRunOf(taskId: types.ids.TaskId): TaskOwner | undefined;
   /** Runs to be stopped, handed over once. */
-  takeStops(): activeJob.Run[];
+  takeStops(): activeJob.Attempt[];
 }
 
 /** Creates an empty book. */
@@ -95,16 +95,16 @@
   const waiting = new Set<activeJob.StepRun>();
   const scheduled = new Set<activeJob.ActiveJob>();
   const dirty = new Set<activeJob.ActiveJob>();
-  let stops: activeJob.Run[] = [];
+  let stops: activeJob.Attempt[] = [];
 
-  function stop(run: activeJob.Run): void {
+  function stop(run: activeJob.Attempt): void {
     if (run.phase === 'stopping') return;
     run.phase = 'stopping';
     run.confirmedAt = undefined;
     stops.push(run);
   }
 
-  function stopAgain(run: activeJob.Run): void {
+  function stopAgain(run: activeJob.Attempt): void {
     run.confirmedAt = undefined;
     stops.push(run);
   }
@@ -136,7 +136,7 @@
     for (const occurrence of job.open.values()) {
       for (const stepRun of occurrence.steps) {
         waiting.delete(stepRun);
-        for (const run of stepRun.runs) stop(run);
+        for (const run of stepRun.attempts) stop(run);
       }
     }
     parts.onEvent({
@@ -150,7 +150,7 @@
 
   /** Breaks a gang up: without one member the others can't work. */
   function breakGang(stepRun: activeJob.StepRun): void {
-    for (const run of stepRun.runs) stop(run);
+    for (const run of stepRun.attempts) stop(run);
   }
 
   /** A gang that was found in part has lost members with their workers. */
@@ -158,7 +158,7 @@
     for (const occurrence of job.open.values()) {
       for (const stepRun of occurrence.steps) {
         const {gang, taskCount} = stepRun.request;
-        const found = stepRun.runs.size;
+        const found = stepRun.attempts.size;
         if (gang && found > 0 && found < taskCount) breakGang(stepRun);
       }
     }
@@ -166,7 +166,13 @@
 
   /** Whether the end of an attempt leaves a gang without a member. */
   function losesMember(stepRun: activeJob.StepRun, attempt: number): boolean {
-    const {request, state, attempts, job, runs} = stepRun;
+    const {
+      request,
+      state,
+      highestAttempts: attempts,
+      job,
+      attempts: runs,
+    } = stepRun;
     // Members of one that is done end by themselves.
     if (!request.gang || state === 'done') return false;
     const latest = attempts.get(activeJob.GANG_KEY) ?? 0;
@@ -187,7 +193,7 @@
     noteWaiting(stepRun);
   }
 
-  function noteLeft({owner, workerId}: activeJob.Run): void {
+  function noteLeft({owner, workerId}: activeJob.Attempt): void {
     const job = owner?.stepRun.job;
     if (job === undefined || jobProgress.isOver(job.phase)) return;
     if (!parts.isLeaving(workerId)) return;
@@ -198,14 +204,14 @@
   }
 
   /** A run is over without a word on how: its task waits again. */
-  function dropRun(run: activeJob.Run): void {
-    const {owner, attempt} = run;
+  function dropRun(run: activeJob.Attempt): void {
+    const {owner, number: attempt} = run;
     parts.runs.remove(run);
     noteLeft(run);
     if (owner !== undefined) requeue(owner.stepRun, owner.index, attempt);
   }
 
-  function startCopy({phase, owner}: activeJob.Run): void {
+  function startCopy({phase, owner}: activeJob.Attempt): void {
     if (phase === 'stopping' || owner === undefined) return;
     const {stepRun, index} = owner;
     const {speculative, gang, longRunning} = stepRun.request;
@@ -214,7 +220,7 @@
     if (stepRun.crashes.has(index)) return;
     if (stepRun.state !== 'open') return;
     if (jobProgress.isOver(stepRun.job.phase)) return;
-    const runsOfTask = [...stepRun.runs].filter(
+    const runsOfTask = [...stepRun.attempts].filter(
       (run) => run.owner?.index === index,
     );
     if (runsOfTask.length > 1 || stepRun.waiting.includes(index)) return;
--- a/packages/gypsumwall-scheduling/src/job_steps.ts
+++ b/packages/gypsumwall-scheduling/src/job_steps.ts
@@ -125,9 +125,9 @@
 /** Indexes without end or run; a gang waits for the last of its runs. */
 function openIndexes(stepRun: activeJob.StepRun): number[] {
   const {gang, taskCount} = stepRun.request;
-  if (gang && stepRun.runs.size > 0) return [];
+  if (gang && stepRun.attempts.size > 0) return [];
   const running = new Set<number | undefined>();
-  for (const run of stepRun.runs) running.add(run.owner?.index);
+  for (const run of stepRun.attempts) running.add(run.owner?.index);
   const indexes: number[] = [];
   // Taken from the end: the first index goes first.
   for (let index = taskCount - 1; index >= 0; index--) {
@@ -184,11 +184,11 @@
 export function requeue(stepRun: activeJob.StepRun, index: number): void {
   if (stepRun.state !== 'open' || jobProgress.isOver(stepRun.job.phase)) return;
   if (stepRun.request.gang) {
-    if (stepRun.runs.size > 0 || stepRun.waiting.length > 0) return;
+    if (stepRun.attempts.size > 0 || stepRun.waiting.length > 0) return;
     stepRun.waiting = openIndexes(stepRun);
     return;
   }
   if (stepRun.done.has(index) || stepRun.waiting.includes(index)) return;
-  for (const run of stepRun.runs) if (run.owner?.index === index) return;
+  for (const run of stepRun.attempts) if (run.owner?.index === index) return;
   stepRun.waiting.push(index);
 }
--- a/packages/gypsumwall-scheduling/src/lost_runs.ts
+++ b/packages/gypsumwall-scheduling/src/lost_runs.ts
@@ -2,13 +2,13 @@
 import type * as types from '@gypsumwall/types';
 import type * as crashReader from './crash_reader.js';
 import type * as jobRegistrys from './job_registry.js';
-import type * as runTable from './run_table.js';
+import type * as attemptTable from './attempt_table.js';
 import type * as schedulerTypes from './scheduler_types.js';
 import type * as workerLosses from './worker_losses.js';
 
 /** What it works on. */
 export interface LostRunsParts {
-  readonly runs: runTable.RunTable;
+  readonly runs: attemptTable.AttemptTable;
   readonly jobRegistry: jobRegistrys.JobRegistry;
   readonly losses: workerLosses.WorkerLosses;
   readonly crashes: crashReader.CrashReader;
@@ -44,7 +44,7 @@
     dropRuns(worker, reason, now) {
       const dropped = [...runs.ofWorker(worker)];
       for (const run of dropped) {
-        const {taskId, attempt} = run;
+        const {taskId, number: attempt} = run;
         const lost = {run: taskId, attempt, worker, how: 'lost'} as const;
         parts.onEvent({type: 'run_ended', ...lost, reason});
         jobRegistry.dropRun(run);
--- a/packages/gypsumwall-scheduling/src/report_reader.ts
+++ b/packages/gypsumwall-scheduling/src/report_reader.ts
@@ -9,7 +9,7 @@
 import type * as jobRegistrys from './job_registry.js';
 import * as jobProgress from './job_progress.js';
 import * as jobSteps from './job_steps.js';
-import type * as runTable from './run_table.js';
+import type * as attemptTable from './attempt_table.js';
 import type * as schedulerTypes from './scheduler_types.js';
 import * as stallDetector from './stall_detector.js';
 import type * as workerRegistry from './worker_registry.js';
@@ -25,7 +25,7 @@
 /** What a reader works on. */
 export interface ReportReaderParts {
   readonly book: workerRegistry.WorkerRegistry;
-  readonly runs: runTable.RunTable;
+  readonly runs: attemptTable.AttemptTable;
   readonly health: workerHealth.WorkerHealth;
   readonly jobRegistry: jobRegistrys.JobRegistry;
   readonly onEvent: (event: schedulerTypes.SchedulerEvent) => void;
@@ -43,7 +43,7 @@
 
   function applyEnd(
     workerId: types.ids.WorkerId,
-    row: schedulerTypes.EndRow,
+    row: schedulerTypes.AttemptEnd,
     now: types.clock.MonotonicMs,
   ): void {
     const run = runs.find(row.taskId, row.attempt, workerId);
@@ -96,7 +96,7 @@
     if (stepRun.state === 'done' || stepRun.done.has(index)) return;
     jobSteps.markDone(stepRun, index);
     jobRegistry.noteWaiting(stepRun);
-    for (const run of stepRun.runs) {
+    for (const run of stepRun.attempts) {
       // Members of a gang end together by themselves; copies don't.
       if (!stepRun.request.gang && run.owner?.index === index)
         jobRegistry.stop(run);
@@ -134,7 +134,7 @@
 
   function applyRow(
     workerId: types.ids.WorkerId,
-    row: schedulerTypes.RunningRow,
+    row: schedulerTypes.RunningAttempt,
     now: types.clock.MonotonicMs,
   ): void {
     const run = runs.find(row.taskId, row.attempt, workerId);
@@ -165,7 +165,7 @@
   }
 
   function isStopOverdue(
-    {phase, confirmedAt}: activeJob.Run,
+    {phase, confirmedAt}: activeJob.Attempt,
     now: types.clock.MonotonicMs,
   ): boolean {
     if (phase !== 'stopping' || confirmedAt === undefined) return false;
@@ -178,7 +178,7 @@
    */
   function adopt(
     workerId: types.ids.WorkerId,
-    row: schedulerTypes.RunningRow,
+    row: schedulerTypes.RunningAttempt,
     now: types.clock.MonotonicMs,
   ): void {
     const owner = jobRegistry.stepRunOf(row.taskId);
@@ -189,9 +189,9 @@
         ? (worker?.info.capacity ?? types.resources.NO_RESOURCES)
         : chooseWorker.bookedSize(owner.stepRun);
     const stepRunId = owner?.stepRun.id ?? 'stray';
-    const run: activeJob.Run = {
+    const run: activeJob.Attempt = {
       taskId: row.taskId,
-      attempt: row.attempt,
+      number: row.attempt,
       workerId,
       owner,
       size,
@@ -224,8 +224,8 @@
     const {stepRun, index} = owner;
     if (stepRun.state === 'done' || stepRun.done.has(index)) return false;
     const {gang} = stepRun.request;
-    for (const run of stepRun.runs) {
-      if (gang ? run.attempt !== attempt : run.owner?.index === index) {
+    for (const run of stepRun.attempts) {
+      if (gang ? run.number !== attempt : run.owner?.index === index) {
         return false;
       }
     }
@@ -238,8 +238,8 @@
     attempt: number,
   ): void {
     const key = activeJob.countKey(stepRun, index);
-    const highest = stepRun.attempts.get(key) ?? 0;
-    stepRun.attempts.set(key, Math.max(highest, attempt));
+    const highest = stepRun.highestAttempts.get(key) ?? 0;
+    stepRun.highestAttempts.set(key, Math.max(highest, attempt));
   }
 
   function findVanished(report: schedulerTypes.WorkerReport): void {
@@ -247,13 +247,13 @@
       report.running.map((row) => `${row.taskId}#${row.attempt}`),
     );
     for (const run of [...runs.ofWorker(report.workerId)]) {
-      if (listed.has(`${run.taskId}#${run.attempt}`)) continue;
+      if (listed.has(`${run.taskId}#${run.number}`)) continue;
       const confirmed = run.confirmedAt;
       if (confirmed === undefined || confirmed >= report.askedAt) continue;
       parts.onEvent({
         type: 'run_ended',
         run: run.taskId,
-        attempt: run.attempt,
+        attempt: run.number,
         worker: run.workerId,
         how: 'vanished',
       });
--- a/packages/gypsumwall-scheduling/src/scheduler.ts
+++ b/packages/gypsumwall-scheduling/src/scheduler.ts
@@ -5,7 +5,7 @@
  */
 import * as types from '@gypsumwall/types';
 import * as activeJob from './active_job.js';
-import type * as advisorPool from './advisor_pool.js';
+import type * as adviserPool from './adviser_pool.js';
 import * as adviceWishes from './advice_wishes.js';
 import * as crashReader from './crash_reader.js';
 import * as jobOrder from './job_order.js';
@@ -16,7 +16,7 @@
 import type * as placements from './placements.js';
 import * as refusalBackoff from './refusal_backoff.js';
 import * as reportReader from './report_reader.js';
-import * as runTable from './run_table.js';
+import * as attemptTable from './attempt_table.js';
 import * as schedulingCycle from './scheduling_cycle.js';
 import * as startOrders from './start_orders.js';
 import * as stepAdvice from './step_advice.js';
@@ -29,7 +29,7 @@
 import * as workerLosses from './worker_losses.js';
 
 /** Where nothing limits the calls to the adviser. */
-const UNLIMITED_ADVICE: advisorPool.AdviceCapacity = {
+const UNLIMITED_ADVICE: adviserPool.AdviceCapacity = {
   needed: Infinity,
   large: Infinity,
   spare: Infinity,
@@ -41,7 +41,7 @@
 ): schedulerTypes.Scheduler {
   const {onEvent} = options;
   const book = workerRegistry.createWorkerRegistry();
-  const runs = runTable.createRunTable(book);
+  const runs = attemptTable.createAttemptTable(book);
   const health = workerHealth.createWorkerHealth(() => book.workers.size);
   const jobRegistry = jobRegistrys.createJobRegistry({
     runs,
@@ -85,7 +85,7 @@
 
   /** Without this the same order would go to the same worker at once. */
   function learnFromRefusal(
-    run: activeJob.Run,
+    run: activeJob.Attempt,
     reason: schedulerTypes.RefusalReason,
     now: types.clock.MonotonicMs,
   ): void {
@@ -110,8 +110,8 @@
     now: types.clock.MonotonicMs,
   ): schedulerTypes.StartOrder {
     const started = startOrders.startOrder(placement, now);
-    runs.add(started.run);
-    isolation.noteOrdered(started.run, now);
+    runs.add(started.attempt);
+    isolation.noteOrdered(started.attempt, now);
     return started;
   }
 
@@ -143,8 +143,8 @@
   function takeWishes(
     unadvised: readonly activeJob.StepRun[],
     now: types.clock.MonotonicMs,
-    capacity: advisorPool.AdviceCapacity,
-  ): schedulerTypes.AdviceWish[] {
+    capacity: adviserPool.AdviceCapacity,
+  ): schedulerTypes.AdviceRequest[] {
     return adviceWishes.takeWishes(unadvised, capacity, {
       book,
       now,
@@ -250,11 +250,11 @@
         if (job.finished.size + job.open.size >= total) scheduled.delete(job);
       }
       const cycle = runCycle(now, capacity.needed);
-      recordWorkers(cycle.unrecorded);
+      recordWorkers(cycle.awaitingCommit);
       startOrders.numberAttempts(cycle.placed, options.attemptBase);
       const starts = cycle.placed.map((placed) => orderStart(placed, now));
       for (const {stepRun} of cycle.placed) jobRegistry.noteWaiting(stepRun);
-      const advice = takeWishes(cycle.unadvised, now, capacity);
+      const advice = takeWishes(cycle.awaitingAdvice, now, capacity);
       return {starts, advice};
     },
     startAnswered(run, outcome, now) {
@@ -281,7 +281,7 @@
           options.onEvent({
             type: 'run_ended',
             run: run.taskId,
-            attempt: run.attempt,
+            attempt: run.number,
             worker: run.workerId,
             how: 'refused',
             reason: outcome.reason,
--- a/packages/gypsumwall-scheduling/src/scheduler_types.ts
+++ b/packages/gypsumwall-scheduling/src/scheduler_types.ts
@@ -1,7 +1,7 @@
 /** What a scheduler is told, what it decides, and what it tells the log. */
 import type * as types from '@gypsumwall/types';
 import type * as activeJob from './active_job.js';
-import type * as advisorPool from './advisor_pool.js';
+import type * as adviserPool from './adviser_pool.js';
 import type * as crashRecords from './crash_records.js';
 import type * as jobProgress from './job_progress.js';
 import type * as jobRequest from './job_request.js';
@@ -10,14 +10,14 @@
 
 /** A start to be sent to a worker. */
 export interface StartOrder {
-  readonly run: activeJob.Run;
+  readonly attempt: activeJob.Attempt;
   readonly payload: string;
   readonly checkpoint?: string;
   readonly ticket?: string;
 }
 
 /** A question to the adviser. */
-export interface AdviceWish {
+export interface AdviceRequest {
   readonly stepRun: activeJob.StepRun;
   readonly workers: types.ids.WorkerId[];
   /** How long the adviser will take, in milliseconds. */
@@ -29,7 +29,7 @@
 /** What is to be done now. */
 export interface Decisions {
   readonly starts: StartOrder[];
-  readonly advice: AdviceWish[];
+  readonly advice: AdviceRequest[];
 }
 
 /** How a start order was answered. */
@@ -45,7 +45,7 @@
   'bad_ticket' | 'superseded' | 'no_room' | 'unhealthy' | 'other';
 
 /** A run as a worker lists it. */
-export interface RunningRow {
+export interface RunningAttempt {
   readonly taskId: types.ids.TaskId;
   readonly attempt: number;
   /** Saved progress; empty if there is none. */
@@ -54,7 +54,7 @@
 }
 
 /** An end as a worker lists it. */
-export interface EndRow {
+export interface AttemptEnd {
   /** Rises by one with each end of the worker's stay. */
   readonly sequence: number;
   readonly taskId: types.ids.TaskId;
@@ -67,9 +67,9 @@
 export interface WorkerReport {
   readonly workerId: types.ids.WorkerId;
   readonly askedAt: types.clock.MonotonicMs;
-  readonly running: readonly RunningRow[];
+  readonly running: readonly RunningAttempt[];
   /** Ends that weren't handed in before. */
-  readonly ends: readonly EndRow[];
+  readonly ends: readonly AttemptEnd[];
   /** Whether `running` and the ends heard so far are all there is. */
   readonly complete: boolean;
 }
@@ -136,22 +136,22 @@
   decide(
     now: types.clock.MonotonicMs,
     wall: types.clock.WallMs,
-    capacity?: advisorPool.AdviceCapacity,
+    capacity?: adviserPool.AdviceCapacity,
   ): Decisions;
   startAnswered(
-    run: activeJob.Run,
+    run: activeJob.Attempt,
     outcome: StartOutcome,
     now: types.clock.MonotonicMs,
   ): void;
-  stopAnswered(run: activeJob.Run, now: types.clock.MonotonicMs): void;
+  stopAnswered(run: activeJob.Attempt, now: types.clock.MonotonicMs): void;
   report(report: WorkerReport, now: types.clock.MonotonicMs): void;
   adviceAnswered(
-    wish: AdviceWish,
+    wish: AdviceRequest,
     approved: ReadonlyMap<types.ids.WorkerId, string> | undefined,
     validUntil: types.clock.MonotonicMs,
   ): void;
   /** Runs to stop, handed over once. */
-  takeStops(): activeJob.Run[];
+  takeStops(): activeJob.Attempt[];
   /** Jobs to store, handed over once. */
   takeDirty(): DirtyJob[];
   /** The jobs' progress stands in the store. */
--- a/packages/gypsumwall-scheduling/src/scheduling_cycle.ts
+++ b/packages/gypsumwall-scheduling/src/scheduling_cycle.ts
@@ -42,12 +42,12 @@
    * Steps that could start more tasks if the adviser approved more workers,
    * most urgent first.
    */
-  readonly unadvised: activeJob.StepRun[];
+  readonly awaitingAdvice: activeJob.StepRun[];
   /**
    * Placements that would have been made on workers that aren't recorded for
    * their jobs yet.
    */
-  readonly unrecorded: placements.Placement[];
+  readonly awaitingCommit: placements.Placement[];
   /** Workers whose room is kept, and the gang that it is kept for. */
   readonly held: ReadonlyMap<types.ids.WorkerId, activeJob.StepRun>;
 }
@@ -59,7 +59,12 @@
 ): CycleResult {
   const hold = gangReservation.createGangReservation(context);
   const {held} = hold;
-  const result: CycleResult = {placed: [], unadvised: [], unrecorded: [], held};
+  const result: CycleResult = {
+    placed: [],
+    awaitingAdvice: [],
+    awaitingCommit: [],
+    held,
+  };
   const isHeld = (id: types.ids.WorkerId) => hold.isHeld(id);
   const choice = {...context, isHeld};
   const leftOut = longestLeftOut(ordered);
@@ -76,7 +81,8 @@
     const found = tries ? placeStep.placeStep(stepRun, choice) : [];
     if (isWaitingGang(stepRun) && !pauses) hold.holdFor(stepRun);
     const advised = stepRun.job.policy.advice !== undefined;
-    if (advised && stepRun.waiting.length > 0) result.unadvised.push(stepRun);
+    if (advised && stepRun.waiting.length > 0)
+      result.awaitingAdvice.push(stepRun);
     const ready = readyOf(stepRun, found);
     result.placed.push(...ready);
     // Uncommitted placements are made anew at the next cycle.
@@ -88,9 +94,9 @@
     // that no later step takes it.
     if (ready.length === found.length) continue;
     const early = new Set(ready);
-    result.unrecorded.push(...found.filter((one) => !early.has(one)));
+    result.awaitingCommit.push(...found.filter((one) => !early.has(one)));
   }
-  for (const placement of result.unrecorded) {
+  for (const placement of result.awaitingCommit) {
     placements.takeBack(placement, context.book);
   }
   return result;
--- a/packages/gypsumwall-scheduling/src/stall_detector.ts
+++ b/packages/gypsumwall-scheduling/src/stall_detector.ts
@@ -14,7 +14,7 @@
 
 /** What stands still on one worker. */
 export interface Stall {
-  readonly runs: activeJob.Run[];
+  readonly runs: activeJob.Attempt[];
   /**
    * Whether the worker is to blame. Members of a gang stand still all
    * together, wherever the one at fault is, so they accuse nobody.
@@ -29,16 +29,16 @@
  * before its end and began anew. One that really hangs is found by the members
  * that stand still before 100.
  */
-function waitsForGang({owner, percent}: activeJob.Run): boolean {
+function waitsForGang({owner, percent}: activeJob.Attempt): boolean {
   return owner?.stepRun.request.gang === true && percent >= DONE_PERCENT;
 }
 
 /** The stalled runs of a worker, if nothing on it moves; else undefined. */
 export function findStall(
-  runs: ReadonlySet<activeJob.Run>,
+  runs: ReadonlySet<activeJob.Attempt>,
   now: types.clock.MonotonicMs,
 ): Stall | undefined {
-  const stalled: activeJob.Run[] = [];
+  const stalled: activeJob.Attempt[] = [];
   for (const run of runs) {
     if (run.owner?.stepRun.request.longRunning === true) continue;
     if (run.phase !== 'running' || waitsForGang(run)) continue;
--- a/packages/gypsumwall-scheduling/src/start_orders.ts
+++ b/packages/gypsumwall-scheduling/src/start_orders.ts
@@ -17,9 +17,9 @@
     if (stepRun.request.gang && gangs.has(stepRun)) continue;
     gangs.add(stepRun);
     const key = activeJob.countKey(stepRun, index);
-    const highest = stepRun.attempts.get(key) ?? 0;
+    const highest = stepRun.highestAttempts.get(key) ?? 0;
     const next = Math.max(attemptBase, highest) + 1;
-    stepRun.attempts.set(key, next);
+    stepRun.highestAttempts.set(key, next);
   }
 }
 
@@ -29,9 +29,9 @@
   now: types.clock.MonotonicMs,
 ): schedulerTypes.StartOrder {
   const key = activeJob.countKey(stepRun, index);
-  const run: activeJob.Run = {
+  const run: activeJob.Attempt = {
     taskId: taskIds.taskId(stepRun.id, index),
-    attempt: stepRun.attempts.get(key)!,
+    number: stepRun.highestAttempts.get(key)!,
     workerId: worker.info.id,
     owner: {stepRun, index},
     size: chooseWorker.bookedSize(stepRun),
@@ -41,7 +41,7 @@
     percentChangedAt: now,
   };
   return {
-    run,
+    attempt: run,
     payload: stepRun.job.request.payload,
     checkpoint: stepRun.saved.get(key),
     ticket: stepAdvice.ticketFor(stepRun.advice, worker.info.id, now),
--- a/packages/gypsumwall-scheduling/src/task_isolation.ts
+++ b/packages/gypsumwall-scheduling/src/task_isolation.ts
@@ -9,7 +9,7 @@
 import * as chooseWorker from './choose_worker.js';
 import * as crashRecords from './crash_records.js';
 import * as gangFit from './gang_fit.js';
-import type * as runTable from './run_table.js';
+import type * as attemptTable from './attempt_table.js';
 import type * as workerRegistry from './worker_registry.js';
 
 /** What has run for so long beside a task doesn't crash its worker first. */
@@ -55,9 +55,9 @@
     now: types.clock.MonotonicMs,
   ): void;
   /** A start is sent: its task is on trial, if it has to be. */
-  noteOrdered(run: activeJob.Run, now: types.clock.MonotonicMs): void;
+  noteOrdered(run: activeJob.Attempt, now: types.clock.MonotonicMs): void;
   /** The start was taken: the trial counts from now. */
-  noteStarted(run: activeJob.Run, now: types.clock.MonotonicMs): void;
+  noteStarted(run: activeJob.Attempt, now: types.clock.MonotonicMs): void;
   /** Runs of a worker were found: those that are apart are on trial from now. */
   noteFound(worker: types.ids.WorkerId, now: types.clock.MonotonicMs): void;
   /** Closes workers to others, so that the step's tasks find one quiet soon. */
@@ -73,7 +73,7 @@
 /** What the isolation works on. */
 export interface TaskIsolationParts {
   readonly book: workerRegistry.WorkerRegistry;
-  readonly runs: runTable.RunTable;
+  readonly runs: attemptTable.AttemptTable;
   /** Whether a task of the job that has to be apart waits. */
   readonly isWaiting: (job: types.ids.JobId) => boolean;
 }
@@ -89,7 +89,7 @@
     kept.get(id)?.jobId === stepRun.job.id;
 
   function isSettled(
-    {owner, startedAt}: activeJob.Run,
+    {owner, startedAt}: activeJob.Attempt,
     now: types.clock.MonotonicMs,
   ): boolean {
     if (owner === undefined || startedAt === undefined) return false;
@@ -139,7 +139,7 @@
   }
 
   /** Whether all that runs beside it is of the same job. */
-  function isAmongOwn({owner, workerId}: activeJob.Run): boolean {
+  function isAmongOwn({owner, workerId}: activeJob.Attempt): boolean {
     for (const other of runs.ofWorker(workerId)) {
       if (other.owner?.stepRun.job !== owner?.stepRun.job) return false;
     }
@@ -169,7 +169,7 @@
   }
 
   function startTrial(
-    run: activeJob.Run,
+    run: activeJob.Attempt,
     slackMs: number,
     now: types.clock.MonotonicMs,
   ): void {
--- a/packages/gypsumwall-scheduling/src/wait_reporter.ts
+++ b/packages/gypsumwall-scheduling/src/wait_reporter.ts
@@ -111,7 +111,11 @@
 }
 
 /** Whether a gang waits until the last of its members has ended. */
-function isBreaking({request, state, runs}: activeJob.StepRun): boolean {
+function isBreaking({
+  request,
+  state,
+  attempts: runs,
+}: activeJob.StepRun): boolean {
   if (!request.gang || state !== 'open') return false;
   for (const run of runs) if (run.phase === 'stopping') return true;
   return false;
@@ -129,7 +133,7 @@
   stepRun: activeJob.StepRun,
   waitedMs: number,
 ): schedulerTypes.SchedulerEvent {
-  const runs = [...stepRun.runs];
+  const runs = [...stepRun.attempts];
   return {
     type: 'gang_breaks',
     step: stepRun.id,
