--- a/packages/gypsumwall-entry/src/__tests__/forward_call.test.ts
+++ b/packages/gypsumwall-entry/src/__tests__/forward_call.test.ts
@@ -36,7 +36,7 @@
       idempotent: true,
     });
     const refusal = problem.notRun('log_unavailable', 'the log is down');
-    return forwardCall.sendAfter(handed, res, refusal);
+    return forwardCall.sendForwardFailure(handed, res, refusal);
   });
   const res = await app.inject({method: 'POST', url: '/'});
   await app.close();
--- a/packages/gypsumwall-entry/src/answer_client_fault.ts
+++ b/packages/gypsumwall-entry/src/answer_client_fault.ts
@@ -31,8 +31,8 @@
   const status = STATUS_OF_CODE[err.code ?? ''] ?? BAD_REQUEST;
   const detail =
     DETAIL_OF_STATUS[status] ?? `the call is no HTTP/1.1: ${err.message}`;
-  const told = {...problem.notRun('invalid', detail), status};
-  const body = JSON.stringify(problem.toBody(told));
+  const refusal = {...problem.notRun('invalid', detail), status};
+  const body = JSON.stringify(problem.toBody(refusal));
   socket.end(
     [
       `HTTP/1.1 ${status} ${http.STATUS_CODES[status]}`,
--- a/packages/gypsumwall-entry/src/authenticate.ts
+++ b/packages/gypsumwall-entry/src/authenticate.ts
@@ -21,19 +21,19 @@
   authorization: string | undefined,
 ) => Identity | undefined;
 
-const BEARER = /^Bearer +(\S+)$/i;
+const BEARER_PATTERN = /^Bearer +(\S+)$/i;
 const ROOT_OPERATOR = 'root';
 /** Tokens whose owner is remembered, to spare the walk over all hashes. */
-const KEPT_IDENTITIES = 10_000;
+const MAX_CACHED_IDENTITIES = 10_000;
 
 /** Makes the check against the tree in force. */
 export function createAuthenticate(
   config: records.configFold.ConfigFold,
   rootOperatorTokenHash: string,
-): {readonly authenticate: Authenticate; readonly forget: () => void} {
-  const known = new Map<string, Identity>();
+): {readonly authenticate: Authenticate; readonly clearCache: () => void} {
+  const cache = new Map<string, Identity>();
 
-  function find(hash: string): Identity | undefined {
+  function findIdentity(hash: string): Identity | undefined {
     if (sameHash(hash, rootOperatorTokenHash)) {
       return {type: 'operator', name: ROOT_OPERATOR, subtrees: ['*']};
     }
@@ -53,16 +53,16 @@
 
   return {
     // A changed tree may take a token back.
-    forget: () => known.clear(),
+    clearCache: () => cache.clear(),
     authenticate: (authorization) => {
-      const token = BEARER.exec(authorization ?? '')?.[1];
+      const token = BEARER_PATTERN.exec(authorization ?? '')?.[1];
       if (token === undefined) return undefined;
       const hash = sha256(token);
-      const remembered = known.get(hash);
-      if (remembered !== undefined) return remembered;
-      const identity = find(hash);
-      if (identity !== undefined && known.size < KEPT_IDENTITIES) {
-        known.set(hash, identity);
+      const cached = cache.get(hash);
+      if (cached !== undefined) return cached;
+      const identity = findIdentity(hash);
+      if (identity !== undefined && cache.size < MAX_CACHED_IDENTITIES) {
+        cache.set(hash, identity);
       }
       return identity;
     },
--- a/packages/gypsumwall-entry/src/call_context.ts
+++ b/packages/gypsumwall-entry/src/call_context.ts
@@ -17,8 +17,8 @@
   clock: types.clock.Clock,
 ): result.Result<types.clock.MonotonicMs, problem.Problem> {
   const text = headerOf(req, 'gypsumwall-timeout-ms');
-  const spanMs = text === undefined ? defaultMs : Number(text);
-  if (!Number.isFinite(spanMs) || spanMs > MAX_TIMEOUT_MS) {
+  const timeoutMs = text === undefined ? defaultMs : Number(text);
+  if (!Number.isFinite(timeoutMs) || timeoutMs > MAX_TIMEOUT_MS) {
     return result.err(
       problem.notRun(
         'invalid',
@@ -27,7 +27,7 @@
       ),
     );
   }
-  if (spanMs <= 0) {
+  if (timeoutMs <= 0) {
     return result.err(
       problem.notRun(
         'deadline_passed',
@@ -36,7 +36,7 @@
       ),
     );
   }
-  return result.ok(types.clock.after(clock.monotonic(), spanMs));
+  return result.ok(types.clock.after(clock.monotonic(), timeoutMs));
 }
 
 /** The one value of a header. */
@@ -69,7 +69,7 @@
 }
 
 /** A key for a call whose caller gave none. */
-export function newKey(): types.ids.IdempotencyKey {
+export function makeKey(): types.ids.IdempotencyKey {
   return types.ids.brand<types.ids.IdempotencyKey>(
     `auto-${crypto.randomUUID()}`,
   );
--- a/packages/gypsumwall-entry/src/call_telemetry.ts
+++ b/packages/gypsumwall-entry/src/call_telemetry.ts
@@ -11,14 +11,14 @@
   readonly tracer: telemetry.tracing.Tracer;
 }
 
-interface CallUnderWay {
+interface CallInProgress {
   readonly span: telemetry.tracing.Span;
   readonly arrivedAt: types.clock.MonotonicMs;
 }
 
 /** Routes that a balancer asks all the time; they would drown the rest. */
-const QUIET_ROUTES = new Set(['/healthz', '/readyz']);
-const SERVER_FAULT = 500;
+const UNRECORDED_ROUTES = new Set(['/healthz', '/readyz']);
+const SERVER_ERROR_STATUS = 500;
 
 /** Adds the hooks. A route finds its span's context in `traceparent`. */
 export function addCallTelemetry(
@@ -26,22 +26,22 @@
   options: CallTelemetryOptions,
 ): void {
   const {clock, logger, metrics, tracer} = options;
-  const underWay = new WeakMap<fastify.FastifyRequest, CallUnderWay>();
+  const callsInProgress = new WeakMap<fastify.FastifyRequest, CallInProgress>();
 
   app.addHook('onRequest', (req, _res, done) => {
     const route = req.routeOptions.url ?? 'none';
-    if (!QUIET_ROUTES.has(route)) {
-      const given = req.headers.traceparent;
-      const parent = typeof given === 'string' ? given : undefined;
+    if (!UNRECORDED_ROUTES.has(route)) {
+      const header = req.headers.traceparent;
+      const parent = typeof header === 'string' ? header : undefined;
       const span = tracer.startSpan('entry.call', parent, {route});
       req.headers.traceparent = span.traceparent;
-      underWay.set(req, {span, arrivedAt: clock.monotonic()});
+      callsInProgress.set(req, {span, arrivedAt: clock.monotonic()});
     }
     done();
   });
 
   app.addHook('onResponse', (req, res, done) => {
-    const call = underWay.get(req);
+    const call = callsInProgress.get(req);
     if (call !== undefined) {
       const outcome = String(res.getHeader('gypsumwall-outcome') ?? 'none');
       const tookMs = clock.monotonic() - call.arrivedAt;
@@ -62,8 +62,8 @@
       });
       call.span.setAttribute('status', res.statusCode);
       call.span.setAttribute('outcome', outcome);
-      const fault = res.statusCode >= SERVER_FAULT;
-      call.span.end(fault ? `status ${res.statusCode}` : undefined);
+      const isServerError = res.statusCode >= SERVER_ERROR_STATUS;
+      call.span.end(isServerError ? `status ${res.statusCode}` : undefined);
     }
     done();
   });
--- a/packages/gypsumwall-entry/src/create_entry.ts
+++ b/packages/gypsumwall-entry/src/create_entry.ts
@@ -50,12 +50,12 @@
   close(): Promise<void>;
 }
 
-const PEER_TIMEOUT_MS = 2_000;
+const PEER_CALL_TIMEOUT_MS = 2_000;
 /** A busy holder's ends of tasks: 20 appends a second, however many. */
-const DOMAIN_GAP_MS = 50;
+const DOMAIN_MIN_GAP_MS = 50;
 /** A caller waits for each of these. */
-const REQUESTS_GAP_MS = 10;
-const CONFIG_GAP_MS = 10;
+const REQUESTS_MIN_GAP_MS = 10;
+const CONFIG_MIN_GAP_MS = 10;
 const CONFIG_STREAM = 'config';
 const REQUESTS_STREAM = 'requests';
 
@@ -75,16 +75,17 @@
   const metrics = options.metrics ?? entryTelemetry.makeMetrics(cfg, logger);
   const closing = new AbortController();
   const {signal} = closing;
-  let leaving = false;
+  let isLeaving = false;
 
-  const outside = entryClients.createEntryClients({
+  const externalClients = entryClients.createEntryClients({
     settings: cfg,
     clock,
     metrics,
     tracer,
   });
-  const clients = membership.peerClients.createPeerClients(PEER_TIMEOUT_MS);
-  const streamOf = (
+  const peerClients =
+    membership.peerClients.createPeerClients(PEER_CALL_TIMEOUT_MS);
+  const createStream = (
     stream: string,
     fold: records.streamFold.StreamFold,
     minGapMs: number,
@@ -92,7 +93,7 @@
     entryStream.createEntryStream({
       stream,
       self,
-      log: outside.log,
+      log: externalClients.log,
       fold,
       minGapMs,
       clock,
@@ -101,16 +102,20 @@
     });
 
   // Settings tree.
-  const config = records.configFold.createConfigFold(() => onConfig());
-  const configStream = streamOf(CONFIG_STREAM, config, CONFIG_GAP_MS);
-  const identities = authenticate.createAuthenticate(
+  const config = records.configFold.createConfigFold(() => onConfigChange());
+  const configStream = createStream(CONFIG_STREAM, config, CONFIG_MIN_GAP_MS);
+  const authenticator = authenticate.createAuthenticate(
     config,
     cfg.rootOperatorTokenHash,
   );
 
   // Requests that may not be repeated.
   const requests = records.requestFold.createRequestFold(clock);
-  const requestStream = streamOf(REQUESTS_STREAM, requests, REQUESTS_GAP_MS);
+  const requestStream = createStream(
+    REQUESTS_STREAM,
+    requests,
+    REQUESTS_MIN_GAP_MS,
+  );
 
   // Peers. The server listens first, since its address is part of the view.
   const forwardMark = forwarder.createForwardMark();
@@ -139,8 +144,8 @@
     address: peerServer.address,
     clock,
     logger,
-    list: outside.list,
-    clients,
+    list: externalClients.list,
+    clients: peerClients,
     listPollMs: cfg.listPollMs,
     listLagMs: cfg.listLagMs,
     heartbeatMs: cfg.peerHeartbeatMs,
@@ -149,7 +154,9 @@
   });
 
   // The domain: its jobs, its claim, and the holder's part.
-  const jobs = records.jobFold.createJobFold((change) => holder.onJob(change));
+  const jobs = records.jobFold.createJobFold((change) =>
+    holder.onJobChange(change),
+  );
   const claim = membership.claimKeeper.createClaimKeeper({
     self,
     failureDomain,
@@ -162,13 +169,13 @@
     appendRecord: (record) => domainStream.append(record),
     caughtUp: () => domainStream.isCurrent(),
     view: () => viewKeeper.current(),
-    peers: membership.claimCalls.createClaimCalls(clients),
-    onChange: (state) => holder.onClaim(state),
+    peers: membership.claimCalls.createClaimCalls(peerClients),
+    onChange: (state) => holder.onClaimChange(state),
   });
-  const domainStream = streamOf(
+  const domainStream = createStream(
     records.domainRecords.streamOf(failureDomain),
     domainFold.createDomainFold(jobs, claim),
-    DOMAIN_GAP_MS,
+    DOMAIN_MIN_GAP_MS,
   );
   const holder = domainHolder.createDomainHolder({
     claim: () => claim.state(),
@@ -189,7 +196,7 @@
       logger,
       jobs,
       recentWorkers,
-      makeWorker: (listed) => outside.makeWorker(listed),
+      makeWorker: (listed) => externalClients.makeWorker(listed),
       tracer,
       metrics,
       append: (record) => domainStream.appendAndApply(record),
@@ -205,7 +212,7 @@
     listLagMs: cfg.listLagMs,
     defaults: settings.cellTree.TEAM_DEFAULTS,
     makeUpstream: (listed, connections) =>
-      outside.makeUpstream(listed, connections),
+      externalClients.makeUpstream(listed, connections),
   });
 
   const feed = routerFeed.createRouterFeed({
@@ -222,7 +229,7 @@
     logger,
     metrics,
     tracer,
-    authenticate: identities.authenticate,
+    authenticate: authenticator.authenticate,
     config,
     configFollower: configStream.follower,
     domainFollower: domainStream.follower,
@@ -235,7 +242,7 @@
       self,
       failureDomain,
       clock,
-      log: outside.log,
+      log: externalClients.log,
       config,
       configStream,
       requests,
@@ -246,20 +253,20 @@
       router,
     }),
     sendToPeer: peerForwarding.createSendToPeer({
-      clients,
+      clients: peerClients,
       clock,
       tracer,
     }),
     forwardMark,
-    isReady: () =>
-      entryReadiness.notReadyBecause({
-        leaving,
+    notReadyReason: () =>
+      entryReadiness.notReadyReason({
+        isLeaving,
         config,
         streams: streams(),
         view: viewKeeper.current(),
         ownSlots: feed.ownSlots(),
       }),
-    isLeaving: () => leaving,
+    isLeaving: () => isLeaving,
     hasSlots: () => feed.ownSlots() > 0,
     startDrain: () => void stop.drain(),
   };
@@ -269,15 +276,15 @@
     const state = claim.state();
     return {
       configOffset: configStream.follower.nextOffset(),
-      leaving,
+      leaving: isLeaving,
       heldEpoch: state.type === 'held' ? state.epoch : undefined,
     };
   }
 
-  function onConfig(): void {
-    identities.forget();
+  function onConfigChange(): void {
+    authenticator.clearCache();
     feed.onTeams(config.teams());
-    holder.onTeams();
+    holder.onTeamsChange();
   }
 
   function onView(view: membership.domainView.DomainView): void {
@@ -302,13 +309,13 @@
     router,
     app,
     peerServer,
-    peerClients: clients,
-    outside,
+    peerClients,
+    externalClients,
     tracer,
     metrics,
     closing,
     onLeaving: () => {
-      leaving = true;
+      isLeaving = true;
     },
   });
 
@@ -320,7 +327,7 @@
     viewKeeper,
     claim,
     onView,
-    peerClients: clients,
+    peerClients,
     config: configStream,
     requests: requestStream,
     domain: domainStream,
--- a/packages/gypsumwall-entry/src/domain_holder.ts
+++ b/packages/gypsumwall-entry/src/domain_holder.ts
@@ -22,48 +22,48 @@
 /** This entry's part as holder. */
 export interface DomainHolder {
   current(): domainScheduler.DomainScheduler | undefined;
-  onClaim(state: membership.domainClaim.ClaimState): void;
+  onClaimChange(state: membership.domainClaim.ClaimState): void;
   onView(view: membership.domainView.DomainView): void;
-  onJob(change: records.jobFold.JobChange): void;
-  onTeams(): void;
+  onJobChange(change: records.jobFold.JobChange): void;
+  onTeamsChange(): void;
   /** Starts nothing more; resolves when no start is on its way. */
   close(): Promise<void>;
 }
 
 /** Makes the part; it does nothing until the claim is held. */
 export function createDomainHolder(options: DomainHolderOptions): DomainHolder {
-  let held: domainScheduler.DomainScheduler | undefined;
-  let heldEpoch: number | undefined;
-  let closed = false;
-  let attempts = 0;
+  let scheduler: domainScheduler.DomainScheduler | undefined;
+  let schedulerEpoch: number | undefined;
+  let isClosed = false;
+  let attemptCount = 0;
 
-  function open(epoch: number): void {
-    heldEpoch = epoch;
-    held = domainScheduler.createDomainScheduler({
+  function openScheduler(epoch: number): void {
+    schedulerEpoch = epoch;
+    scheduler = domainScheduler.createDomainScheduler({
       ...options.scheduler,
       epoch,
       hadPredecessor: options.hadPredecessor(),
       placer: options.makePlacer(),
       claimDeadline: () => deadlineOf(options.claim(), epoch),
       nextAttempt: () => {
-        attempts += 1;
-        return types.ids.brand<types.ids.AttemptId>(`${epoch}.${attempts}`);
+        attemptCount += 1;
+        return types.ids.brand<types.ids.AttemptId>(`${epoch}.${attemptCount}`);
       },
     });
     setTeams();
-    held.setWorkers(options.view().workers);
+    scheduler.setWorkers(options.view().workers);
   }
 
-  async function shut(): Promise<void> {
-    const last = held;
-    held = undefined;
-    heldEpoch = undefined;
-    await last?.close();
+  async function closeScheduler(): Promise<void> {
+    const previous = scheduler;
+    scheduler = undefined;
+    schedulerEpoch = undefined;
+    await previous?.close();
   }
 
   function setTeams(): void {
     for (const [id, policy] of options.teams()) {
-      held?.setTeam({
+      scheduler?.setTeam({
         id: types.ids.brand<types.ids.TeamId>(id),
         weight: policy.weight,
         quota: policy.quota,
@@ -73,40 +73,40 @@
   }
 
   return {
-    current: () => held,
-    onClaim: (state) => {
+    current: () => scheduler,
+    onClaimChange: (state) => {
       switch (state.type) {
         case 'none':
         case 'held_by_other':
-          void shut();
+          void closeScheduler();
           return;
         case 'lapsed':
           // Nobody may have taken over; the same epoch can be renewed yet.
-          if (state.epoch !== heldEpoch) void shut();
+          if (state.epoch !== schedulerEpoch) void closeScheduler();
           return;
         case 'held':
-          if (closed || state.epoch === heldEpoch) return;
-          void shut();
-          open(state.epoch);
+          if (isClosed || state.epoch === schedulerEpoch) return;
+          void closeScheduler();
+          openScheduler(state.epoch);
           return;
       }
     },
-    onView: (view) => held?.setWorkers(view.workers),
-    onJob: (change) => {
-      if (change.type !== 'restored' || heldEpoch === undefined) {
-        held?.onJob(change);
+    onView: (view) => scheduler?.setWorkers(view.workers),
+    onJobChange: (change) => {
+      if (change.type !== 'restored' || schedulerEpoch === undefined) {
+        scheduler?.onJob(change);
         return;
       }
       // The books were kept record by record; after a jump they are made
       // anew from the jobs and from what the workers tell.
-      const epoch = heldEpoch;
-      void shut();
-      open(epoch);
+      const epoch = schedulerEpoch;
+      void closeScheduler();
+      openScheduler(epoch);
     },
-    onTeams: setTeams,
+    onTeamsChange: setTeams,
     close: () => {
-      closed = true;
-      return shut();
+      isClosed = true;
+      return closeScheduler();
     },
   };
 }
--- a/packages/gypsumwall-entry/src/domain_scheduler.ts
+++ b/packages/gypsumwall-entry/src/domain_scheduler.ts
@@ -9,8 +9,8 @@
 import * as types from '@gypsumwall/types';
 import * as recoveryGate from './recovery_gate.js';
 import type * as schedulerOptions from './scheduler_options.js';
-import * as taskBooks from './task_books.js';
-import * as taskEnds from './task_ends.js';
+import * as taskTracker from './task_tracker.js';
+import * as taskEndHandler from './task_end_handler.js';
 import * as workerPool from './worker_pool.js';
 import type * as workerSession from './worker_session.js';
 
@@ -44,9 +44,9 @@
 }
 
 /** Decisions of one round; more wait for the next turn of the event loop. */
-const ROUND_LIMIT = 500;
+const MAX_DECISIONS_PER_CYCLE = 500;
 /** A round is due at least this often, for deadlines and quarantines. */
-const ROUND_EVERY_MS = 200;
+const CYCLE_INTERVAL_MS = 200;
 
 /** Makes the scheduler of an epoch and starts its loops. */
 export function createDomainScheduler(
@@ -57,65 +57,65 @@
   const heldSince = clock.monotonic();
   const closing = new AbortController();
   /** Attached at some time in this epoch: older holders are fenced there. */
-  const fenced = new Set<types.ids.WorkerId>();
+  const fencedWorkers = new Set<types.ids.WorkerId>();
   const capacities = new Map<types.ids.WorkerId, types.resources.Resources>();
-  const books = taskBooks.createTaskBooks(options, scheduleRound);
-  const {tasks} = books;
+  const tracker = taskTracker.createTaskTracker(options, requestCycle);
+  const {tasks} = tracker;
   const pool = workerPool.createWorkerPool({
     scheduler: {...options, logger},
-    runsOnce: (taskId) => books.runsOnce(taskId),
-    eventsOf,
-    onClosed: (id) => {
+    mustRunOnce: (taskId) => tracker.mustRunOnce(taskId),
+    sessionEventsOf,
+    onUnschedulable: (id) => {
       placer.closeWorker(id);
       evacuate(id);
     },
-    onReopened: openWorker,
-    onForgotten: (id) => {
+    onSchedulable: updatePlacerWorker,
+    onRemoved: (id) => {
       capacities.delete(id);
       placer.removeWorker(id);
     },
-    hasTasks: (id) => tasks.at(id).length > 0,
+    hasTasks: (id) => tasks.onWorker(id).length > 0,
     signal: closing.signal,
   });
-  const onTaskEnd = taskEnds.createTaskEnds({
+  const onTaskEnd = taskEndHandler.createTaskEndHandler({
     clock,
     append: options.append,
-    books,
+    tracker,
     heldSince,
     acknowledge: (id, attempt) => pool.session(id)?.acknowledge(attempt),
   });
-  let recovered = false;
-  let roundDue = false;
+  let isRecovered = false;
+  let isCycleRequested = false;
 
-  function scheduleRound(): void {
-    if (roundDue || closing.signal.aborted) return;
-    roundDue = true;
+  function requestCycle(): void {
+    if (isCycleRequested || closing.signal.aborted) return;
+    isCycleRequested = true;
     setImmediate(() => {
-      roundDue = false;
-      if (!closing.signal.aborted) round();
+      isCycleRequested = false;
+      if (!closing.signal.aborted) runCycle();
     });
   }
 
-  function round(): void {
-    if (!recovered) openGateWhenSafe();
+  function runCycle(): void {
+    if (!isRecovered) openGateWhenSafe();
     const deadline = options.claimDeadline();
     if (deadline === undefined || deadline <= clock.monotonic()) return;
     const startedAt = clock.monotonic();
-    const decisions = placer.decide(clock.wall(), ROUND_LIMIT);
-    const decided = decisions.placements.length;
-    if (decided > 0) {
+    const decisions = placer.decide(clock.wall(), MAX_DECISIONS_PER_CYCLE);
+    const decidedCount = decisions.placements.length;
+    if (decidedCount > 0) {
       const tookMs = clock.monotonic() - startedAt;
-      options.metrics.observe('placementTime', tookMs / decided);
+      options.metrics.observe('placementTime', tookMs / decidedCount);
     }
     decisions.placements.forEach(startTask);
-    decisions.reliefs.forEach(relieve);
+    decisions.reliefs.forEach(applyRelief);
     placer.takeGivenUp().forEach(giveUpJob);
-    if (decided >= ROUND_LIMIT) scheduleRound();
+    if (decidedCount >= MAX_DECISIONS_PER_CYCLE) requestCycle();
   }
 
   function startTask(decided: placement.placer.Placement): void {
     const {taskId, size} = decided;
-    const job = books.jobOf(taskId);
+    const job = tracker.jobOf(taskId);
     const session = pool.session(decided.workerId);
     if (job === undefined || session === undefined) {
       placer.release(taskId, {type: 'not_started'});
@@ -126,20 +126,20 @@
     const waitMs = clock.wall() - job.acceptedAt;
     options.metrics.observe('taskWait', waitMs, {urgency});
     const startedAt = clock.monotonic();
-    tasks.put({...decided, attempt, phase: 'starting', startedAt});
+    tasks.add({...decided, attempt, phase: 'starting', startedAt});
     session.start({
       taskId,
       attempt,
       size,
       work,
       traceparent: job.traceparent,
-      leaseMs: books.runsOnce(taskId)
+      leaseMs: tracker.mustRunOnce(taskId)
         ? spans.taskLeaseMs
         : spans.serviceLeaseMs,
     });
   }
 
-  function relieve(relief: placement.placer.Relief): void {
+  function applyRelief(relief: placement.placer.Relief): void {
     const task = tasks.get(relief.taskId);
     const session = task && pool.session(task.workerId);
     if (task === undefined || session === undefined) return;
@@ -153,16 +153,16 @@
     }
   }
 
-  function giveUpJob(given: {
+  function giveUpJob(failure: {
     readonly jobId: types.ids.JobId;
     readonly message: string;
   }): void {
-    logger.warn('job_given_up', {job: given.jobId, reason: given.message});
-    void options.append({type: 'job_given_up', ...given});
+    logger.warn('job_given_up', {job: failure.jobId, reason: failure.message});
+    void options.append({type: 'job_given_up', ...failure});
   }
 
   function openGateWhenSafe(): void {
-    recovered = recoveryGate.isOpen({
+    isRecovered = recoveryGate.isOpen({
       now: clock.monotonic(),
       hadPredecessor: options.hadPredecessor,
       heldSince,
@@ -170,59 +170,60 @@
       graceMs: spans.leaseGraceMs,
       listLagMs: spans.listLagMs,
       recent: options.recentWorkers,
-      fenced,
+      fenced: fencedWorkers,
     });
-    if (!recovered) return;
+    if (!isRecovered) return;
     logger.info('domain_recovered', {
       after_ms: Math.round(clock.monotonic() - heldSince),
       active: tasks.size(),
-      gated_jobs: books.gatedJobs(),
+      gated_jobs: tracker.gatedJobCount(),
     });
-    books.openGate();
+    tracker.releaseGatedJobs();
   }
 
   /** Takes over a task that runs, or stops it if nobody wants it there. */
-  function adopt(
+  function reconcileRunningTask(
     workerId: types.ids.WorkerId,
     running: platform.worker.RunningTask,
   ): void {
-    const known = tasks.get(running.taskId);
-    if (known?.attempt === running.attempt) {
+    const tracked = tasks.get(running.taskId);
+    if (tracked?.attempt === running.attempt) {
       // A cancelled task that is being stopped stays so.
-      if (known.phase === 'starting') known.phase = 'running';
+      if (tracked.phase === 'starting') tracked.phase = 'running';
       return;
     }
-    const job = books.jobOf(running.taskId);
-    const isWanted = known === undefined && books.isWanted(running.taskId);
+    const job = tracker.jobOf(running.taskId);
+    const isWanted = tracked === undefined && tracker.isNeeded(running.taskId);
     if (job === undefined || !isWanted) {
       pool.session(workerId)?.stop(running);
       return;
     }
-    books.hold(running, workerId, job, clock.monotonic());
+    tracker.track(running, workerId, job, clock.monotonic());
   }
 
   function onAttached(
     id: types.ids.WorkerId,
     answer: platform.worker.Attached,
   ): void {
-    fenced.add(id);
+    fencedWorkers.add(id);
     capacities.set(id, answer.capacity);
-    const told = new Set([
+    const reportedAttempts = new Set([
       ...answer.running.map((task) => task.attempt),
       ...answer.finished.map((task) => task.attempt),
     ]);
-    for (const task of tasks.at(id)) {
+    for (const task of tasks.onWorker(id)) {
       // Starts under way are settled by their own answer.
-      if (task.phase === 'starting' || told.has(task.attempt)) continue;
-      books.release(task, {type: 'stopped'});
+      if (task.phase === 'starting' || reportedAttempts.has(task.attempt))
+        continue;
+      tracker.release(task, {type: 'stopped'});
     }
-    openWorker(id);
-    answer.running.forEach((task) => adopt(id, task));
+    updatePlacerWorker(id);
+    answer.running.forEach((task) => reconcileRunningTask(id, task));
     if (pool.listed(id)?.state === 'leaving') evacuate(id);
-    scheduleRound();
+    requestCycle();
   }
 
-  function openWorker(id: types.ids.WorkerId): void {
+  function updatePlacerWorker(id: types.ids.WorkerId): void {
     const listed = pool.listed(id);
     const capacity = capacities.get(id);
     if (listed === undefined || capacity === undefined) return;
@@ -238,43 +239,46 @@
   function evacuate(id: types.ids.WorkerId): void {
     const session = pool.session(id);
     if (session?.isAttached() !== true) return;
-    for (const task of tasks.at(id)) {
-      const kind = books.jobOf(task.taskId)?.spec.shape.kind;
+    for (const task of tasks.onWorker(id)) {
+      const kind = tracker.jobOf(task.taskId)?.spec.shape.kind;
       if (task.phase !== 'running' || kind === 'gang') continue;
       session.checkpoint(task.attempt);
     }
   }
 
-  function eventsOf(id: types.ids.WorkerId): workerSession.SessionEvents {
+  function sessionEventsOf(
+    id: types.ids.WorkerId,
+  ): workerSession.SessionEvents {
     return {
       attached: (answer) => onAttached(id, answer),
       started: (order) => {
-        const task = tasks.attempt(order.taskId, order.attempt);
+        const task = tasks.getAttempt(order.taskId, order.attempt);
         if (task?.phase === 'starting') task.phase = 'running';
       },
       notStarted: (order, message) => {
         logger.info('task_not_started', {task: order.taskId, reason: message});
-        const task = tasks.attempt(order.taskId, order.attempt);
-        if (task !== undefined) books.release(task, {type: 'not_started'});
+        const task = tasks.getAttempt(order.taskId, order.attempt);
+        if (task !== undefined) tracker.release(task, {type: 'not_started'});
       },
       ended: (ended) => onTaskEnd(id, ended),
       stopped: (stopped) => {
-        const task = tasks.attempt(stopped.taskId, stopped.attempt);
-        if (task !== undefined) books.release(task, {type: 'stopped'});
+        const task = tasks.getAttempt(stopped.taskId, stopped.attempt);
+        if (task !== undefined) tracker.release(task, {type: 'stopped'});
       },
       usage: (usage) => {
         for (const {taskId, used} of usage) placer.reportUsage(taskId, used);
       },
       silent: () => placer.closeWorker(id),
       lapsed: () => {
-        for (const task of tasks.at(id)) books.release(task, {type: 'stopped'});
-        pool.forgetIfGone(id);
+        for (const task of tasks.onWorker(id))
+          tracker.release(task, {type: 'stopped'});
+        pool.removeIfUnlisted(id);
       },
     };
   }
 
   function stopTasksOf(job: records.jobFold.JobState): void {
-    for (const task of tasks.of(job.jobId)) {
+    for (const task of tasks.ofJob(job.jobId)) {
       if (task.phase === 'recording') continue;
       task.phase = 'stopping';
       pool.session(task.workerId)?.stop(task);
@@ -284,10 +288,10 @@
   function onJob(change: records.jobFold.JobChange): void {
     switch (change.type) {
       case 'accepted':
-        books.enqueueJob(change.job);
+        tracker.enqueueJob(change.job);
         return;
       case 'closed':
-        books.closeJob(change.job);
+        tracker.dropJob(change.job);
         stopTasksOf(change.job);
         return;
       case 'restored':
@@ -296,37 +300,37 @@
     }
   }
 
-  async function tick(): Promise<void> {
+  async function requestCyclesPeriodically(): Promise<void> {
     while (!closing.signal.aborted) {
-      scheduleRound();
-      const next = types.clock.after(clock.monotonic(), ROUND_EVERY_MS);
+      requestCycle();
+      const next = types.clock.after(clock.monotonic(), CYCLE_INTERVAL_MS);
       await clock.sleepUntil(next, closing.signal);
     }
   }
-  void tick();
+  void requestCyclesPeriodically();
 
   return {
     setWorkers: (listed) => {
       pool.setListed(listed);
-      scheduleRound();
+      requestCycle();
     },
     setTeam: (team) => placer.setTeam(team),
     onJob,
-    running: (jobId) => tasks.of(jobId).length,
-    failures: (jobId) => books.failures(jobId),
+    running: (jobId) => tasks.ofJob(jobId).length,
+    failures: (jobId) => tracker.failedAttempts(jobId),
     explain: (jobId) => placer.explain(jobId),
     admit: (spec) => placer.admit(spec, clock.wall()),
     status: () => ({
       epoch,
-      recovered,
+      recovered: isRecovered,
       workers: pool.size(),
-      attachedWorkers: pool.attached(),
+      attachedWorkers: pool.attachedCount(),
       activeTasks: tasks.size(),
       waitingTasks: placer.waitingTasks(),
     }),
     close: () => {
       closing.abort();
-      return pool.ended();
+      return pool.sessionsEnded();
     },
   };
 }
--- a/packages/gypsumwall-entry/src/entry_context.ts
+++ b/packages/gypsumwall-entry/src/entry_context.ts
@@ -30,12 +30,12 @@
   readonly claim: () => membership.domainClaim.ClaimState;
   readonly scheduler: () => domainScheduler.DomainScheduler | undefined;
   readonly router: routing.router.Router;
-  readonly jobs: jobService.JobService;
+  readonly jobService: jobService.JobService;
   readonly runOnce: ReturnType<typeof onceRequest.createOnceRequest>;
   readonly settingsService: settingsService.SettingsService;
   readonly sendToPeer: forwarder.SendToPeer;
   readonly forwardMark: forwarder.ForwardMark;
-  readonly isReady: () => string | undefined;
+  readonly notReadyReason: () => string | undefined;
   readonly isLeaving: () => boolean;
   /** Whether this entry has a share of any upstream's slots by now. */
   readonly hasSlots: () => boolean;
--- a/packages/gypsumwall-entry/src/entry_loops.ts
+++ b/packages/gypsumwall-entry/src/entry_loops.ts
@@ -6,7 +6,7 @@
 import type * as entryStream from './entry_stream.js';
 import * as peerCatchUp from './peer_catch_up.js';
 import * as reportGauges from './report_gauges.js';
-import * as snapshotKeeper from './snapshot_keeper.js';
+import * as snapshotWriter from './snapshot_writer.js';
 import * as viewTicker from './view_ticker.js';
 
 /** What the loops work on. */
@@ -25,7 +25,7 @@
   readonly signal: AbortSignal;
 }
 
-const VIEW_BEAT_MS = 200;
+const VIEW_INTERVAL_MS = 200;
 
 /** Starts them all; they run until the signal aborts. */
 export function startEntryLoops(options: EntryLoopsOptions): void {
@@ -36,14 +36,14 @@
   void options.claim.run(signal);
   void reportGauges.reportGauges(context, options.metrics, signal);
   void viewTicker.tickView(tickerOptions(options), signal);
-  void snapshotKeeper.keepSnapshots(
+  void snapshotWriter.writeSnapshots(
     {
       streams,
       clock: context.clock,
       random: options.random,
       logger: context.logger,
-      everyRecords: context.settings.snapshotEveryRecords,
-      everyMs: context.settings.snapshotEveryMs,
+      intervalRecords: context.settings.snapshotEveryRecords,
+      intervalMs: context.settings.snapshotEveryMs,
     },
     signal,
   );
@@ -56,9 +56,9 @@
   const {clock, settings} = options.context;
   return {
     clock,
-    everyMs: VIEW_BEAT_MS,
-    pauseMs: settings.listLagMs,
-    fetchMs: settings.platformTimeoutMs,
+    intervalMs: VIEW_INTERVAL_MS,
+    pauseThresholdMs: settings.listLagMs,
+    maxFetchMs: settings.platformTimeoutMs,
     view: () => options.viewKeeper.current(),
     onView: options.onView,
   };
@@ -68,14 +68,14 @@
   options: EntryLoopsOptions,
 ): peerCatchUp.PeerCatchUpOptions {
   const {clock, logger, failureDomain, view} = options.context;
-  const all = () => view().peers;
-  const sameDomain = () =>
-    all().filter((peer) => peer.failureDomain === failureDomain);
+  const allPeers = () => view().peers;
+  const domainPeers = () =>
+    allPeers().filter((peer) => peer.failureDomain === failureDomain);
   return {
     streams: [
-      {stream: options.config, peers: all},
-      {stream: options.requests, peers: all},
-      {stream: options.domain, peers: sameDomain},
+      {stream: options.config, peers: allPeers},
+      {stream: options.requests, peers: allPeers},
+      {stream: options.domain, peers: domainPeers},
     ],
     clients: options.peerClients,
     clock,
--- a/packages/gypsumwall-entry/src/entry_readiness.ts
+++ b/packages/gypsumwall-entry/src/entry_readiness.ts
@@ -5,7 +5,7 @@
 
 /** What readiness is judged by. */
 export interface ReadinessInput {
-  readonly leaving: boolean;
+  readonly isLeaving: boolean;
   readonly config: records.configFold.ConfigFold;
   readonly streams: readonly entryStream.EntryStream[];
   readonly view: membership.domainView.DomainView;
@@ -14,8 +14,8 @@
 }
 
 /** Why not, for a person; undefined when it is ready. */
-export function notReadyBecause(input: ReadinessInput): string | undefined {
-  if (input.leaving) return 'this entry is leaving';
+export function notReadyReason(input: ReadinessInput): string | undefined {
+  if (input.isLeaving) return 'this entry is leaving';
   if (input.config.cell() === undefined) {
     return 'no settings yet: neither the log nor a peer has told any';
   }
--- a/packages/gypsumwall-entry/src/entry_services.ts
+++ b/packages/gypsumwall-entry/src/entry_services.ts
@@ -27,7 +27,7 @@
 
 /** The services. */
 export interface EntryServices {
-  readonly jobs: jobService.JobService;
+  readonly jobService: jobService.JobService;
   readonly runOnce: ReturnType<typeof onceRequest.createOnceRequest>;
   readonly settingsService: settingsService.SettingsService;
 }
@@ -39,7 +39,7 @@
   const {self, clock, router} = options;
   const {configStream, requestStream, domainStream} = options;
   return {
-    jobs: jobService.createJobService({
+    jobService: jobService.createJobService({
       self,
       failureDomain: options.failureDomain,
       clock,
--- a/packages/gypsumwall-entry/src/entry_stop.ts
+++ b/packages/gypsumwall-entry/src/entry_stop.ts
@@ -19,7 +19,7 @@
   readonly app: fastify.FastifyInstance;
   readonly peerServer: membership.peerServer.PeerServer;
   readonly peerClients: membership.peerClients.PeerClients;
-  readonly outside: entryClients.EntryClients;
+  readonly externalClients: entryClients.EntryClients;
   readonly tracer: telemetry.tracing.Tracer;
   readonly metrics: telemetry.metrics.Metrics;
   /** Ends the entry's loops. */
@@ -34,7 +34,7 @@
   close(): Promise<void>;
 }
 
-const PEER_CLOSE_MS = 1_000;
+const PEER_CLOSE_TIMEOUT_MS = 1_000;
 
 /** Makes the stop of an entry that runs. */
 export function createEntryStop(options: EntryStopOptions): EntryStop {
@@ -50,8 +50,11 @@
     await options.holder.close();
     await options.claim.release();
     // Until the balancer has seen it, calls still come: they are handed over.
-    const noticed = types.clock.after(clock.monotonic(), cfg.drainNoticeMs);
-    await clock.sleepUntil(noticed, closing.signal);
+    const noticeEndsAt = types.clock.after(
+      clock.monotonic(),
+      cfg.drainNoticeMs,
+    );
+    await clock.sleepUntil(noticeEndsAt, closing.signal);
     const timer = new AbortController();
     await Promise.race([
       router.drain().then(() => app.close()),
@@ -76,9 +79,9 @@
     app.server.closeAllConnections();
     await app.close();
     await router.close();
-    await options.peerServer.close(PEER_CLOSE_MS);
+    await options.peerServer.close(PEER_CLOSE_TIMEOUT_MS);
     options.peerClients.close();
-    await options.outside.close();
+    await options.externalClients.close();
     await options.tracer.close();
     await options.metrics.close();
   }
--- a/packages/gypsumwall-entry/src/entry_stream.ts
+++ b/packages/gypsumwall-entry/src/entry_stream.ts
@@ -38,9 +38,9 @@
   isCurrent(): boolean;
 }
 
-const APPEND_MS = 10_000;
+const APPEND_TIMEOUT_MS = 10_000;
 /** A log unheard for this long is not known to its end. */
-const CURRENT_MS = 2_500;
+const MAX_STALENESS_MS = 2_500;
 
 /** Makes reader and writer; the reader is started by its `run`. */
 export function createEntryStream(options: EntryStreamOptions): EntryStream {
@@ -65,9 +65,10 @@
     signal,
   });
 
-  const inAppendTime = () => types.clock.after(clock.monotonic(), APPEND_MS);
+  const appendDeadline = () =>
+    types.clock.after(clock.monotonic(), APPEND_TIMEOUT_MS);
   const append: EntryStream['append'] = (record) =>
-    appender.append(records.envelope.encodeRecord(record), inAppendTime());
+    appender.append(records.envelope.encodeRecord(record), appendDeadline());
   return {
     name: stream,
     follower,
@@ -76,12 +77,14 @@
     appendAndApply: async (record) => {
       const appended = await append(record);
       if (appended.isErr) return false;
-      return follower.waitFor(appended.value.offset, inAppendTime());
+      return follower.waitFor(appended.value.offset, appendDeadline());
     },
     isCurrent: () => {
-      const last = follower.lastAnswerAt();
-      if (!follower.caughtUp() || last === undefined) return false;
-      return clock.monotonic() < types.clock.after(last, CURRENT_MS);
+      const lastAnswerAt = follower.lastAnswerAt();
+      if (!follower.caughtUp() || lastAnswerAt === undefined) return false;
+      return (
+        clock.monotonic() < types.clock.after(lastAnswerAt, MAX_STALENESS_MS)
+      );
     },
   };
 }
--- a/packages/gypsumwall-entry/src/forward_call.ts
+++ b/packages/gypsumwall-entry/src/forward_call.ts
@@ -40,7 +40,7 @@
 }
 
 /** What became of handing a call on. */
-export type Handed =
+export type ForwardResult =
   /** A peer's answer was passed on to the caller. */
   | {readonly type: 'answered'; readonly reply: fastify.FastifyReply}
   /** No peer has had it. */
@@ -49,7 +49,7 @@
   | {readonly type: 'in_doubt'; readonly detail: string};
 
 /** A call that no peer was asked to take. */
-export const NOT_TAKEN: Handed = {type: 'not_taken'};
+export const NOT_FORWARDED: ForwardResult = {type: 'not_taken'};
 
 /**
  * Hands the call to the first peer that answers. Once a peer may have taken
@@ -65,19 +65,19 @@
     readonly idempotent: boolean;
     readonly extraHeaders?: Readonly<Record<string, string>>;
   },
-): Promise<Handed> {
+): Promise<ForwardResult> {
   const via = [...context.forwardMark.read(req.headers), context.self];
   const call: forwarder.ForwardedCall = {
     method: req.method,
     path: req.url,
     headers: {
-      ...forwarder.carriedHeaders(req.headers),
+      ...forwarder.forwardedHeaders(req.headers),
       ...options.extraHeaders,
     },
     body: rawBody(req),
     via,
   };
-  let handed = NOT_TAKEN;
+  let forwarded = NOT_FORWARDED;
   for (const address of options.peers) {
     const answer = await context.sendToPeer(address, call, options.deadline);
     if (answer.isOk) {
@@ -92,11 +92,14 @@
       reason: error.message,
     });
     if (error.effect === 'unknown') {
-      handed = {type: 'in_doubt', detail: types.stepError.describeError(error)};
-      if (!options.idempotent) return handed;
+      forwarded = {
+        type: 'in_doubt',
+        detail: types.stepError.describeError(error),
+      };
+      if (!options.idempotent) return forwarded;
     }
   }
-  return handed;
+  return forwarded;
 }
 
 /**
@@ -106,18 +109,18 @@
  * finds itself unable to serve the call. Symptom: the caller is told `not_run`
  * of work that ran. After a lost answer only `unknown` is true.
  */
-export function sendAfter(
-  handed: Handed,
+export function sendForwardFailure(
+  forwarded: ForwardResult,
   res: fastify.FastifyReply,
-  told: problem.Problem,
+  failure: problem.Problem,
 ): fastify.FastifyReply {
-  switch (handed.type) {
+  switch (forwarded.type) {
     case 'answered':
-      return handed.reply;
+      return forwarded.reply;
     case 'not_taken':
-      return problem.send(res, told);
+      return problem.send(res, failure);
     case 'in_doubt':
-      return problem.send(res, problem.unknownOutcome(handed.detail));
+      return problem.send(res, problem.unknownOutcome(forwarded.detail));
   }
 }
 
--- a/packages/gypsumwall-entry/src/forwarder.ts
+++ b/packages/gypsumwall-entry/src/forwarder.ts
@@ -34,7 +34,7 @@
 export const MAX_HOPS = 2;
 
 /** Headers of a caller that travel with the call. */
-const CARRIED_HEADERS = [
+const FORWARDED_HEADERS = [
   'authorization',
   'content-type',
   'idempotency-key',
@@ -74,20 +74,20 @@
 }
 
 /** The headers of a call that another entry needs. */
-export function carriedHeaders(
+export function forwardedHeaders(
   headers: Readonly<Record<string, unknown>>,
 ): Record<string, string> {
-  return pick(headers, CARRIED_HEADERS);
+  return pickHeaders(headers, FORWARDED_HEADERS);
 }
 
 /** The headers of an answer that its caller needs. */
 export function returnedHeaders(
   headers: Readonly<Record<string, unknown>>,
 ): Record<string, string> {
-  return pick(headers, RETURNED_HEADERS);
+  return pickHeaders(headers, RETURNED_HEADERS);
 }
 
-function pick(
+function pickHeaders(
   headers: Readonly<Record<string, unknown>>,
   names: readonly string[],
 ): Record<string, string> {
--- a/packages/gypsumwall-entry/src/http_server.ts
+++ b/packages/gypsumwall-entry/src/http_server.ts
@@ -11,12 +11,12 @@
 import * as statusRoutes from './status_routes.js';
 
 /** Largest body of a call, in bytes. */
-const BODY_LIMIT = 1024 * 1024;
+const MAX_BODY_BYTES = 1024 * 1024;
 /** A caller that sends its head or body slower than this is cut off. */
 const REQUEST_TIMEOUT_MS = 10_000;
 const HEADERS_TIMEOUT_MS = 5_000;
 /** Node looks for slow senders this often; by default only every 30 s. */
-const CHECK_CONNECTIONS_MS = 1_000;
+const CONNECTION_CHECK_INTERVAL_MS = 1_000;
 
 /** Makes the server; it does not listen yet. */
 export function createHttpServer(
@@ -24,11 +24,11 @@
 ): fastify.FastifyInstance {
   const app = fastify.fastify({
     logger: false,
-    bodyLimit: BODY_LIMIT,
+    bodyLimit: MAX_BODY_BYTES,
     requestTimeout: REQUEST_TIMEOUT_MS,
     http: {
       headersTimeout: HEADERS_TIMEOUT_MS,
-      connectionsCheckingInterval: CHECK_CONNECTIONS_MS,
+      connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL_MS,
     },
     clientErrorHandler: answerClientFault.answerClientFault,
     forceCloseConnections: 'idle',
@@ -45,11 +45,11 @@
       const reason = types.stepError.messageOf(err);
       context.logger.error('call_failed', {step: 'http.call', reason});
     }
-    const told =
+    const answer =
       status >= 500
         ? problem.unknownOutcome('the entry failed while it served the call')
         : problem.notRun('invalid', types.stepError.messageOf(err));
-    return problem.send(res, {...told, status});
+    return problem.send(res, {...answer, status});
   });
   app.setNotFoundHandler((req, res) =>
     problem.send(
--- a/packages/gypsumwall-entry/src/job_request.ts
+++ b/packages/gypsumwall-entry/src/job_request.ts
@@ -48,7 +48,7 @@
 });
 
 /** Every key of a job, for the remedy of a misspelt one. */
-const KNOWN_KEYS = [
+const JOB_KEYS = [
   ...Object.keys(jobRequestSchema.shape),
   ...Object.keys(jobRequestSchema.shape.size.shape),
   ...Object.keys(jobRequestSchema.shape.work.shape),
@@ -67,10 +67,10 @@
     const problems = settings.explainIssue.explainIssues(
       parsed.error.issues,
       {value: body},
-      KNOWN_KEYS,
+      JOB_KEYS,
     );
-    const told = problems.map(settings.settingsProblem.describeProblem);
-    return result.err(told.join(' | '));
+    const descriptions = problems.map(settings.settingsProblem.describeProblem);
+    return result.err(descriptions.join(' | '));
   }
   const {deadline, ...rest} = parsed.data;
   return result.ok({
--- a/packages/gypsumwall-entry/src/job_routes.ts
+++ b/packages/gypsumwall-entry/src/job_routes.ts
@@ -11,8 +11,8 @@
 
 /** Time a job call gets when its caller says nothing. */
 const DEFAULT_TIMEOUT_MS = 5_000;
-const LIST_LIMIT = 1_000;
-const COME_BACK_MS = 2_000;
+const MAX_LISTED_JOBS = 1_000;
+const RETRY_AFTER_MS = 2_000;
 
 interface JobParams {
   readonly jobId: string;
@@ -36,7 +36,7 @@
 }
 
 /** Who calls and until when, or the refusal. */
-function check(
+function checkCall(
   context: entryContext.EntryContext,
   req: fastify.FastifyRequest,
 ): result.Result<
@@ -60,7 +60,7 @@
   req: fastify.FastifyRequest,
   res: fastify.FastifyReply,
 ): Promise<fastify.FastifyReply> {
-  const checked = check(context, req);
+  const checked = checkCall(context, req);
   if (checked.isErr) return problem.send(res, checked.error);
   const {team, deadline} = checked.value;
   const body = callContext.readJson(req);
@@ -70,13 +70,13 @@
   }
   const givenKey = callContext.readKey(req);
   if (givenKey.isErr) return problem.send(res, givenKey.error);
-  const key = givenKey.value ?? callContext.newKey();
+  const key = givenKey.value ?? callContext.makeKey();
   const home =
     givenKey.value === undefined
       ? context.failureDomain
       : homeOfKey(context, team, key);
   if (home !== context.failureDomain) {
-    return submitAtHome(context, req, res, {
+    return forwardSubmission(context, req, res, {
       home,
       key,
       spec: spec.value,
@@ -86,24 +86,24 @@
   // The holder keeps the domain's books, so it can refuse early. A submission
   // is idempotent by its key: should the holder not answer, this entry may
   // append the job itself without a risk of taking it twice.
-  const handed = await handToHolder(context, req, res, deadline, key);
-  if (handed.type === 'answered') return handed.reply;
-  const accepted = await context.jobs.submit(
+  const forwarded = await forwardToHolder(context, req, res, deadline, key);
+  if (forwarded.type === 'answered') return forwarded.reply;
+  const accepted = await context.jobService.submit(
     spec.value,
     key,
     deadline,
     callContext.headerOf(req, 'traceparent'),
   );
-  return sendAccepted(handed, res, accepted);
+  return sendAccepted(forwarded, res, accepted);
 }
 
 function sendAccepted(
-  handed: forwardCall.Handed,
+  forwarded: forwardCall.ForwardResult,
   res: fastify.FastifyReply,
   accepted: result.Result<types.ids.JobId, problem.Problem>,
 ): fastify.FastifyReply {
   if (accepted.isErr) {
-    return forwardCall.sendAfter(handed, res, accepted.error);
+    return forwardCall.sendForwardFailure(forwarded, res, accepted.error);
   }
   return res.status(202).send({jobId: accepted.value});
 }
@@ -121,7 +121,7 @@
  * Only the home of a key may accept it: another one would be a second job.
  * With no entry of the home in reach, the record goes straight to its stream.
  */
-async function submitAtHome(
+async function forwardSubmission(
   context: entryContext.EntryContext,
   req: fastify.FastifyRequest,
   res: fastify.FastifyReply,
@@ -133,34 +133,34 @@
   },
 ): Promise<fastify.FastifyReply> {
   const {home, key, spec, deadline} = job;
-  const handed = forwardCall.mayForward(context, req)
+  const forwarded = forwardCall.mayForward(context, req)
     ? await forwardCall.forwardCall(context, req, res, {
         peers: forwardCall.peersOfDomain(context, home),
         deadline,
         idempotent: true,
       })
-    : forwardCall.NOT_TAKEN;
-  if (handed.type === 'answered') return handed.reply;
-  const accepted = await context.jobs.submitElsewhere(
+    : forwardCall.NOT_FORWARDED;
+  if (forwarded.type === 'answered') return forwarded.reply;
+  const accepted = await context.jobService.submitToHome(
     home,
     spec,
     key,
     callContext.headerOf(req, 'traceparent'),
   );
-  return sendAccepted(handed, res, accepted);
+  return sendAccepted(forwarded, res, accepted);
 }
 
 /** Hands a submission to the domain's holder, unless it is this entry. */
-async function handToHolder(
+async function forwardToHolder(
   context: entryContext.EntryContext,
   req: fastify.FastifyRequest,
   res: fastify.FastifyReply,
   deadline: types.clock.MonotonicMs,
   key: types.ids.IdempotencyKey,
-): Promise<forwardCall.Handed> {
+): Promise<forwardCall.ForwardResult> {
   const isHolder = context.scheduler() !== undefined;
   if (isHolder || !forwardCall.mayForward(context, req)) {
-    return forwardCall.NOT_TAKEN;
+    return forwardCall.NOT_FORWARDED;
   }
   return forwardCall.forwardCall(context, req, res, {
     peers: forwardCall.holderOfDomain(context),
@@ -171,7 +171,7 @@
 }
 
 /** Whether the answer is to come from another entry, and from whom. */
-function peersFor(
+function peersForJob(
   context: entryContext.EntryContext,
   jobId: types.ids.JobId,
 ): forwardCall.PeerChoice {
@@ -184,15 +184,15 @@
     : [];
 }
 
-async function handOn(
+async function forwardToHome(
   context: entryContext.EntryContext,
   req: JobCall,
   res: fastify.FastifyReply,
   deadline: types.clock.MonotonicMs,
-): Promise<forwardCall.Handed> {
-  if (!forwardCall.mayForward(context, req)) return forwardCall.NOT_TAKEN;
+): Promise<forwardCall.ForwardResult> {
+  if (!forwardCall.mayForward(context, req)) return forwardCall.NOT_FORWARDED;
   const jobId = types.ids.brand<types.ids.JobId>(req.params.jobId);
-  const peers = peersFor(context, jobId);
+  const peers = peersForJob(context, jobId);
   return forwardCall.forwardCall(context, req, res, {
     peers,
     deadline,
@@ -201,7 +201,7 @@
 }
 
 /** An entry that can't reach a job's home knows nothing about the job. */
-function isForeign(
+function isHomeElsewhere(
   context: entryContext.EntryContext,
   jobId: types.ids.JobId,
 ): boolean {
@@ -211,12 +211,12 @@
 }
 
 function homeUnreachable(jobId: types.ids.JobId): problem.Problem {
-  return unreachable(types.ids.homeOfJob(jobId));
+  return domainUnreachable(types.ids.homeOfJob(jobId));
 }
 
-function unreachable(home: types.ids.FailureDomain): problem.Problem {
+function domainUnreachable(home: types.ids.FailureDomain): problem.Problem {
   const detail = `no entry of failure domain "${home}" can be reached now`;
-  return problem.notRun('not_ready', detail, COME_BACK_MS);
+  return problem.notRun('not_ready', detail, RETRY_AFTER_MS);
 }
 
 async function view(
@@ -224,15 +224,20 @@
   req: JobCall,
   res: fastify.FastifyReply,
 ): Promise<fastify.FastifyReply> {
-  const checked = check(context, req);
+  const checked = checkCall(context, req);
   if (checked.isErr) return problem.send(res, checked.error);
-  const handed = await handOn(context, req, res, checked.value.deadline);
-  if (handed.type === 'answered') return handed.reply;
+  const forwarded = await forwardToHome(
+    context,
+    req,
+    res,
+    checked.value.deadline,
+  );
+  if (forwarded.type === 'answered') return forwarded.reply;
   const jobId = types.ids.brand<types.ids.JobId>(req.params.jobId);
-  if (isForeign(context, jobId)) {
+  if (isHomeElsewhere(context, jobId)) {
     return problem.send(res, homeUnreachable(jobId));
   }
-  const found = context.jobs.view(checked.value.team, jobId);
+  const found = context.jobService.view(checked.value.team, jobId);
   if (found !== undefined) return res.send(found);
   return problem.send(res, problem.notRun('not_found', `no job "${jobId}"`));
 }
@@ -242,11 +247,11 @@
   req: fastify.FastifyRequest,
   res: fastify.FastifyReply,
 ): Promise<fastify.FastifyReply> {
-  const checked = check(context, req);
+  const checked = checkCall(context, req);
   if (checked.isErr) return problem.send(res, checked.error);
   return res.send({
     failureDomain: context.failureDomain,
-    jobs: context.jobs.list(checked.value.team, LIST_LIMIT),
+    jobs: context.jobService.list(checked.value.team, MAX_LISTED_JOBS),
   });
 }
 
@@ -255,18 +260,22 @@
   req: JobCall,
   res: fastify.FastifyReply,
 ): Promise<fastify.FastifyReply> {
-  const checked = check(context, req);
+  const checked = checkCall(context, req);
   if (checked.isErr) return problem.send(res, checked.error);
   const {team, deadline} = checked.value;
   const jobId = types.ids.brand<types.ids.JobId>(req.params.jobId);
   if (types.ids.homeOfJob(jobId) !== context.failureDomain) {
-    const handed = await handOn(context, req, res, deadline);
-    if (handed.type === 'answered') return handed.reply;
-    if (isForeign(context, jobId)) {
-      return forwardCall.sendAfter(handed, res, homeUnreachable(jobId));
+    const forwarded = await forwardToHome(context, req, res, deadline);
+    if (forwarded.type === 'answered') return forwarded.reply;
+    if (isHomeElsewhere(context, jobId)) {
+      return forwardCall.sendForwardFailure(
+        forwarded,
+        res,
+        homeUnreachable(jobId),
+      );
     }
   }
-  const cancelled = await context.jobs.cancel(team, jobId, deadline);
+  const cancelled = await context.jobService.cancel(team, jobId, deadline);
   if (cancelled.isErr) return problem.send(res, cancelled.error);
   return res.status(202).send({jobId});
 }
--- a/packages/gypsumwall-entry/src/job_service.ts
+++ b/packages/gypsumwall-entry/src/job_service.ts
@@ -42,7 +42,7 @@
    * reached. What the home knows of the key is not seen from here: a key that
    * stands for another job already keeps to that one.
    */
-  submitElsewhere(
+  submitToHome(
     home: types.ids.FailureDomain,
     spec: types.job.JobSpec,
     key: types.ids.IdempotencyKey,
@@ -70,7 +70,7 @@
   ): Answer<number> {
     const outage = appender.outage();
     if (outage !== undefined)
-      return result.err(logProblem.logDown(outage.retryAfterMs));
+      return result.err(logProblem.logUnavailable(outage.retryAfterMs));
     const appended = await appender.append(
       records.envelope.encodeRecord(record),
       deadline,
@@ -88,8 +88,8 @@
 
   return {
     submit: async (spec, key, deadline, traceparent) => {
-      const before = jobs.byKey(spec.team, key);
-      if (before !== undefined) return sameJob(before, spec);
+      const existing = jobs.byKey(spec.team, key);
+      if (existing !== undefined) return checkSameJob(existing, spec);
       const refusal = options.scheduler()?.admit(spec);
       if (refusal !== undefined) {
         return result.err(
@@ -116,12 +116,12 @@
       if (accepted === undefined) {
         return result.err(problem.unknownOutcome('the record was not taken'));
       }
-      return sameJob(accepted, spec);
+      return checkSameJob(accepted, spec);
     },
-    submitElsewhere: async (home, spec, key, traceparent) => {
+    submitToHome: async (home, spec, key, traceparent) => {
       const outage = appender.outage();
       if (outage !== undefined)
-        return result.err(logProblem.logDown(outage.retryAfterMs));
+        return result.err(logProblem.logUnavailable(outage.retryAfterMs));
       const suffix = chooseHome.suffixOfKey(spec.team, key);
       const jobId = types.ids.makeJobId(home, suffix);
       const appended = await options.log.append({
@@ -149,13 +149,13 @@
       const job = jobs.job(jobId);
       // Another team's job is as good as none: not even its being is told.
       if (job?.spec.team !== team) return undefined;
-      return viewOf(job, options.scheduler());
+      return toJobView(job, options.scheduler());
     },
     list: (team, limit) =>
       [...jobs.jobs()]
         .filter((job) => job.spec.team === team)
         .slice(-limit)
-        .map((job) => viewOf(job, options.scheduler())),
+        .map((job) => toJobView(job, options.scheduler())),
     cancel: async (team, jobId, deadline) => {
       const job = jobs.job(jobId);
       if (job?.spec.team !== team) {
@@ -169,7 +169,7 @@
 }
 
 /** A key stands for one job; another body under it is the caller's mistake. */
-function sameJob(
+function checkSameJob(
   job: records.jobFold.JobState,
   spec: types.job.JobSpec,
 ): result.Result<types.ids.JobId, problem.Problem> {
@@ -185,12 +185,12 @@
   );
 }
 
-function viewOf(
+function toJobView(
   job: records.jobFold.JobState,
   scheduler: domainScheduler.DomainScheduler | undefined,
 ): types.job.JobView {
   const running = scheduler?.running(job.jobId) ?? 0;
-  const closedWell = job.phase.type === 'done';
+  const isDone = job.phase.type === 'done';
   return {
     jobId: job.jobId,
     team: job.spec.team,
@@ -201,7 +201,7 @@
     failed: scheduler?.failures(job.jobId) ?? 0,
     running,
     message: messageOf(job, scheduler),
-    results: closedWell
+    results: isDone
       ? [...job.results].sort(([a], [b]) => a - b).map(([, text]) => text)
       : [],
   };
--- a/packages/gypsumwall-entry/src/log_problem.ts
+++ b/packages/gypsumwall-entry/src/log_problem.ts
@@ -3,7 +3,7 @@
 import * as problem from './problem.js';
 
 /** The log can't be reached: final at once, with when to come back. */
-export function logDown(retryAfterMs: number): problem.Problem {
+export function logUnavailable(retryAfterMs: number): problem.Problem {
   return problem.notRun(
     'log_unavailable',
     'the platform log does not answer',
--- a/packages/gypsumwall-entry/src/once_request.ts
+++ b/packages/gypsumwall-entry/src/once_request.ts
@@ -30,14 +30,14 @@
 };
 
 /** Time kept back to record the outcome, in milliseconds. */
-const RECORD_MS = 10_000;
+const OUTCOME_APPEND_TIMEOUT_MS = 10_000;
 /** Time that a caller's answer waits for the record of its outcome. */
-const RECORD_PATIENCE_MS = 200;
+const OUTCOME_WAIT_MS = 200;
 /** Added to the window, so that an outcome on its way still counts. */
 const WINDOW_SLACK_MS = 5_000;
-const COME_BACK_MS = 1_000;
+const RETRY_AFTER_MS = 1_000;
 /** Bytes of the largest answer that is kept for a repeated call. */
-const LARGEST_KEPT_ANSWER = 64 * 1024;
+const MAX_STORED_ANSWER_BYTES = 64 * 1024;
 
 type Answer = Promise<result.Result<wholeAnswer.WholeAnswer, problem.Problem>>;
 
@@ -51,12 +51,13 @@
     const known = requests.key(req.team, req.key);
     const bodyHash = authenticate.sha256(req.body);
     if (known !== undefined && known.outcome?.outcome.type !== 'not_run') {
-      return answerOfOther(req, bodyHash);
+      return answerOfFirstIntent(req, bodyHash);
     }
     const intent = await appendIntent(req, bodyHash);
     if (intent.isErr) return result.err(intent.error);
-    const first = requests.key(req.team, req.key);
-    if (first?.offset !== intent.value) return answerOfOther(req, bodyHash);
+    const current = requests.key(req.team, req.key);
+    if (current?.offset !== intent.value)
+      return answerOfFirstIntent(req, bodyHash);
     // Waiting for the log took time, and a paused process wakes up late.
     if (clock.monotonic() >= req.deadline) {
       const late = notRun('deadline_passed', 'the log took too long');
@@ -72,7 +73,7 @@
   ): Promise<result.Result<number, problem.Problem>> {
     const outage = appender.outage();
     if (outage !== undefined) {
-      return result.err(logProblem.logDown(outage.retryAfterMs));
+      return result.err(logProblem.logUnavailable(outage.retryAfterMs));
     }
     const spanMs = Math.max(0, req.deadline - clock.monotonic());
     const appended = await appendRecord(
@@ -95,14 +96,16 @@
       const message = types.stepError.describeError(appended.error);
       if (appended.error.effect === 'unknown') void withdraw(req, message);
       return result.err(
-        problem.notRun('log_unavailable', message, COME_BACK_MS),
+        problem.notRun('log_unavailable', message, RETRY_AFTER_MS),
       );
     }
     const {offset} = appended.value;
     if (await follower.waitFor(offset, req.deadline)) return result.ok(offset);
     const message = 'the log can not be read back';
     void withdraw(req, message);
-    return result.err(problem.notRun('log_unavailable', message, COME_BACK_MS));
+    return result.err(
+      problem.notRun('log_unavailable', message, RETRY_AFTER_MS),
+    );
   }
 
   /**
@@ -121,7 +124,7 @@
     }
     const whole = await wholeAnswer.collect(routed.value);
     if (whole.isErr) {
-      const unknown = unknownEnd(whole.error);
+      const unknown = unknownOutcome(whole.error);
       await appendOutcome(req, unknown);
       return result.err(problem.ofOutcome(unknown));
     }
@@ -130,18 +133,21 @@
   }
 
   /** The answer of the run that the key stands for. */
-  async function answerOfOther(req: KeyedRequest, bodyHash: string): Answer {
-    const other = requests.key(req.team, req.key);
-    if (other === undefined) {
+  async function answerOfFirstIntent(
+    req: KeyedRequest,
+    bodyHash: string,
+  ): Answer {
+    const firstIntent = requests.key(req.team, req.key);
+    if (firstIntent === undefined) {
       return result.err(
         problem.notRun(
           'key_in_use',
           `key "${req.key}" is in use`,
-          COME_BACK_MS,
+          RETRY_AFTER_MS,
         ),
       );
     }
-    if (other.intent.bodyHash !== bodyHash) {
+    if (firstIntent.intent.bodyHash !== bodyHash) {
       return result.err(
         problem.notRun(
           'key_in_use',
@@ -150,12 +156,12 @@
         ),
       );
     }
-    const until = Math.min(
+    const waitUntil = Math.min(
       req.deadline,
-      other.windowEnds,
+      firstIntent.windowEnds,
     ) as types.clock.MonotonicMs;
-    await requests.waitForOutcome(req.team, req.key, until);
-    return toldOutcome(requests.key(req.team, req.key));
+    await requests.waitForOutcome(req.team, req.key, waitUntil);
+    return answerFromLog(requests.key(req.team, req.key));
   }
 
   async function appendRecord(
@@ -176,7 +182,10 @@
     outcome: types.outcome.Outcome,
     answer?: wholeAnswer.WholeAnswer,
   ): Promise<void> {
-    const deadline = types.clock.after(clock.monotonic(), RECORD_MS);
+    const deadline = types.clock.after(
+      clock.monotonic(),
+      OUTCOME_APPEND_TIMEOUT_MS,
+    );
     const recorded = appendRecord(
       {
         type: 'outcome',
@@ -184,7 +193,7 @@
         key: req.key,
         requestId: req.requestId,
         outcome,
-        ...(answer === undefined || answer.body.length > LARGEST_KEPT_ANSWER
+        ...(answer === undefined || answer.body.length > MAX_STORED_ANSWER_BYTES
           ? {}
           : {
               answer: Buffer.from(answer.body).toString('base64'),
@@ -193,41 +202,41 @@
       },
       deadline,
     );
-    const patience = new AbortController();
-    const until = types.clock.after(clock.monotonic(), RECORD_PATIENCE_MS);
-    await Promise.race([recorded, clock.sleepUntil(until, patience.signal)]);
-    patience.abort();
+    const timer = new AbortController();
+    const waitUntil = types.clock.after(clock.monotonic(), OUTCOME_WAIT_MS);
+    await Promise.race([recorded, clock.sleepUntil(waitUntil, timer.signal)]);
+    timer.abort();
   }
 
   return runOnce;
 }
 
-const ANSWER_NOT_KEPT =
+const ANSWER_NOT_STORED =
   'the request has run once, as its key asks; its answer was too large, or ' +
   'is too old, to be kept';
 
-function toldOutcome(
+function answerFromLog(
   known: records.requestFold.KeyState | undefined,
 ): result.Result<wholeAnswer.WholeAnswer, problem.Problem> {
-  const told = known?.outcome;
-  if (told === undefined) {
+  const recorded = known?.outcome;
+  if (recorded === undefined) {
     return result.err(
       problem.unknownOutcome(
         'the one attempt for this key has no recorded end: it may have run',
       ),
     );
   }
-  switch (told.outcome.type) {
+  switch (recorded.outcome.type) {
     case 'done':
-      return told.answer === undefined
-        ? result.err(problem.unknownOutcome(ANSWER_NOT_KEPT))
+      return recorded.answer === undefined
+        ? result.err(problem.unknownOutcome(ANSWER_NOT_STORED))
         : result.ok({
-            contentType: told.contentType ?? 'application/octet-stream',
-            body: Buffer.from(told.answer, 'base64'),
+            contentType: recorded.contentType ?? 'application/octet-stream',
+            body: Buffer.from(recorded.answer, 'base64'),
           });
     case 'not_run':
     case 'unknown':
-      return result.err(problem.ofOutcome(told.outcome));
+      return result.err(problem.ofOutcome(recorded.outcome));
   }
 }
 
@@ -235,10 +244,10 @@
   reason: types.outcome.RefusalReason,
   message: string,
 ): Extract<types.outcome.Outcome, {type: 'not_run'}> {
-  return {type: 'not_run', reason, message, retryAfterMs: COME_BACK_MS};
+  return {type: 'not_run', reason, message, retryAfterMs: RETRY_AFTER_MS};
 }
 
-function unknownEnd(
+function unknownOutcome(
   message: string,
 ): Extract<types.outcome.Outcome, {type: 'unknown'}> {
   return {type: 'unknown', message};
--- a/packages/gypsumwall-entry/src/peer_catch_up.ts
+++ b/packages/gypsumwall-entry/src/peer_catch_up.ts
@@ -21,9 +21,9 @@
   readonly logger: telemetry.logger.Logger;
 }
 
-const LOOK_EVERY_MS = 1_000;
+const POLL_INTERVAL_MS = 1_000;
 /** A log unheard for this long counts as out of reach. */
-const LOG_SILENCE_MS = 3_000;
+const MAX_LOG_SILENCE_MS = 3_000;
 
 /** Asks peers until the signal aborts. */
 export async function catchUpFromPeers(
@@ -32,43 +32,46 @@
 ): Promise<void> {
   const {clock} = options;
   while (!signal.aborted) {
-    const lookAt = types.clock.after(clock.monotonic(), LOOK_EVERY_MS);
-    await clock.sleepUntil(lookAt, signal);
+    const pollAt = types.clock.after(clock.monotonic(), POLL_INTERVAL_MS);
+    await clock.sleepUntil(pollAt, signal);
     for (const {stream, peers} of options.streams) {
       if (signal.aborted) return;
-      if (logSuffices(stream, clock)) continue;
-      await askOne(options, stream, peers());
+      if (isLogSufficient(stream, clock)) continue;
+      await readFromPeer(options, stream, peers());
     }
   }
 }
 
 /** Whether the log has answered lately, and with all that is needed. */
-function logSuffices(
+function isLogSufficient(
   stream: entryStream.EntryStream,
   clock: types.clock.Clock,
 ): boolean {
-  const last = stream.follower.lastAnswerAt();
-  if (last === undefined || !stream.follower.caughtUp()) return false;
-  return clock.monotonic() < types.clock.after(last, LOG_SILENCE_MS);
+  const lastAnswerAt = stream.follower.lastAnswerAt();
+  if (lastAnswerAt === undefined || !stream.follower.caughtUp()) return false;
+  return (
+    clock.monotonic() < types.clock.after(lastAnswerAt, MAX_LOG_SILENCE_MS)
+  );
 }
 
-async function askOne(
+async function readFromPeer(
   options: PeerCatchUpOptions,
   stream: entryStream.EntryStream,
   peers: readonly membership.domainView.PeerEntry[],
 ): Promise<void> {
-  const living = peers.filter((peer) => peer.state !== 'silent');
-  if (living.length === 0) return;
-  const peer = living[options.random.integer(0, living.length - 1)];
+  const reachable = peers.filter((peer) => peer.state !== 'silent');
+  if (reachable.length === 0) return;
+  const peer = reachable[options.random.integer(0, reachable.length - 1)];
   if (peer === undefined) return;
   const answer = await options.clients.at(peer.address).readState({
     stream: stream.name,
-    above: BigInt(stream.follower.wantsAbove()),
+    above: BigInt(stream.follower.minAdoptableOffset()),
   });
-  if (answer.isErr || answer.value.nextOffset === readState.NOT_KNOWN) return;
+  if (answer.isErr || answer.value.nextOffset === readState.UNKNOWN_OFFSET)
+    return;
   if (answer.value.snapshot.length === 0) {
     // A stream may well be empty: the word that it is counts as much.
-    stream.follower.noteAsFarAsPeer(Number(answer.value.nextOffset));
+    stream.follower.confirmCaughtUp(Number(answer.value.nextOffset));
     return;
   }
   const adopted = stream.follower.adopt({
--- a/packages/gypsumwall-entry/src/peer_forwarding.ts
+++ b/packages/gypsumwall-entry/src/peer_forwarding.ts
@@ -7,7 +7,7 @@
 import * as forwarder from './forwarder.js';
 
 /** Time left for the way back of an answer, in milliseconds. */
-const WAY_BACK_MS = 20;
+const RETURN_MARGIN_MS = 20;
 
 /** What the sending side needs. */
 export interface SendToPeerOptions {
@@ -22,8 +22,8 @@
 ): forwarder.SendToPeer {
   const {clients, clock, tracer} = options;
   return async (address, call, deadline) => {
-    const leftMs = Math.max(1, Math.floor(deadline - clock.monotonic()));
-    const timeoutMs = Math.max(1, leftMs - WAY_BACK_MS);
+    const remainingMs = Math.max(1, Math.floor(deadline - clock.monotonic()));
+    const timeoutMs = Math.max(1, remainingMs - RETURN_MARGIN_MS);
     const span = tracer.startSpan('peer.forward', call.headers['traceparent'], {
       peer: address,
     });
@@ -37,10 +37,10 @@
           traceparent: span.traceparent,
         },
         body: call.body,
-        deadlineMs: BigInt(leftMs),
+        deadlineMs: BigInt(remainingMs),
         via: [...call.via],
       },
-      leftMs,
+      remainingMs,
     );
     span.end(
       answer.isErr ? types.stepError.describeError(answer.error) : undefined,
@@ -52,7 +52,7 @@
 /** Serves a call that a peer handed over, by the routes callers use. */
 export async function serveForwarded(
   app: fastify.FastifyInstance,
-  mark: forwarder.ForwardMark,
+  forwardMark: forwarder.ForwardMark,
   req: protocol.peer.ForwardRequest,
 ): Promise<{
   status: number;
@@ -62,7 +62,7 @@
   const res = await app.inject({
     method: req.method as 'GET',
     url: req.path,
-    headers: {...req.headers, [mark.header]: req.via.join(',')},
+    headers: {...req.headers, [forwardMark.header]: req.via.join(',')},
     payload: Buffer.from(req.body),
   });
   return {
--- a/packages/gypsumwall-entry/src/read_state.ts
+++ b/packages/gypsumwall-entry/src/read_state.ts
@@ -4,7 +4,7 @@
 import type * as entryStream from './entry_stream.js';
 
 /** Said of a stream that this entry has not read to its end itself. */
-export const NOT_KNOWN = -1n;
+export const UNKNOWN_OFFSET = -1n;
 
 /** The state of the asked stream, if it goes further than the asker's. */
 export function readState(
@@ -14,7 +14,7 @@
 ): {entryId: string; nextOffset: bigint; snapshot?: Uint8Array} {
   const found = streams.find((stream) => stream.name === req.stream);
   if (found?.follower.caughtUp() !== true) {
-    return {entryId: self, nextOffset: NOT_KNOWN};
+    return {entryId: self, nextOffset: UNKNOWN_OFFSET};
   }
   const next = found.follower.nextOffset();
   if (next <= Number(req.above)) {
--- a/packages/gypsumwall-entry/src/recovery_gate.ts
+++ b/packages/gypsumwall-entry/src/recovery_gate.ts
@@ -60,15 +60,17 @@
 /** Whether tasks of older jobs may be started. */
 export function isOpen(input: GateInput): boolean {
   if (!input.hadPredecessor) return true;
-  const outlast = input.leaseMs + input.graceMs;
-  if (input.now >= types.clock.after(input.heldSince, outlast)) return true;
-  const watching = input.recent.watchingSince();
+  const leaseBoundMs = input.leaseMs + input.graceMs;
+  if (input.now >= types.clock.after(input.heldSince, leaseBoundMs))
+    return true;
+  const firstRecordedAt = input.recent.watchingSince();
   const windowStart = types.clock.after(
     input.heldSince,
-    -(outlast + input.listLagMs),
+    -(leaseBoundMs + input.listLagMs),
   );
   // A process that has not watched for so long may not know every worker.
-  if (watching === undefined || watching > windowStart) return false;
+  if (firstRecordedAt === undefined || firstRecordedAt > windowStart)
+    return false;
   return input.recent
     .listedSince(windowStart)
     .every((id) => input.fenced.has(id));
--- a/packages/gypsumwall-entry/src/report_gauges.ts
+++ b/packages/gypsumwall-entry/src/report_gauges.ts
@@ -3,7 +3,7 @@
 import * as types from '@gypsumwall/types';
 import type * as entryContext from './entry_context.js';
 
-const EVERY_MS = 1_000;
+const REPORT_INTERVAL_MS = 1_000;
 
 /** Reports until the signal aborts. */
 export async function reportGauges(
@@ -13,7 +13,7 @@
 ): Promise<void> {
   const {clock} = context;
   while (!signal.aborted) {
-    const next = types.clock.after(clock.monotonic(), EVERY_MS);
+    const next = types.clock.after(clock.monotonic(), REPORT_INTERVAL_MS);
     await clock.sleepUntil(next, signal);
     reportOnce(context, metrics);
   }
--- a/packages/gypsumwall-entry/src/request_routes.ts
+++ b/packages/gypsumwall-entry/src/request_routes.ts
@@ -29,17 +29,17 @@
   context: entryContext.EntryContext,
 ): void {
   app.post<{Params: Params}>('/v1/requests/:operation', async (req, res) => {
-    const checked = check(context, req, req.params.operation);
+    const checked = checkCall(context, req, req.params.operation);
     if ('reason' in checked) return problem.send(res, checked);
     if (context.isLeaving()) return refuseLeaving(context, req, res, checked);
     if (checked.policy.idempotent) {
-      return answerRepeatable(context, req, res, checked);
+      return answerIdempotent(context, req, res, checked);
     }
     return answerOnce(context, req, res, checked);
   });
 }
 
-function check(
+function checkCall(
   context: entryContext.EntryContext,
   req: fastify.FastifyRequest,
   operation: string,
@@ -74,7 +74,7 @@
   };
 }
 
-function toRouted(
+function toRoutedRequest(
   req: fastify.FastifyRequest,
   operation: string,
   checked: CheckedCall,
@@ -93,27 +93,31 @@
   };
 }
 
-async function answerRepeatable(
+async function answerIdempotent(
   context: entryContext.EntryContext,
   req: fastify.FastifyRequest<{Params: Params}>,
   res: fastify.FastifyReply,
   checked: CheckedCall,
 ): Promise<fastify.FastifyReply> {
   // An entry that has just started has no slots of its own yet.
-  let handed = context.hasSlots()
-    ? forwardCall.NOT_TAKEN
-    : await handOver(context, req, res, checked);
-  if (handed.type === 'answered') return handed.reply;
-  const routed = toRouted(req, req.params.operation, checked);
+  let forwarded = context.hasSlots()
+    ? forwardCall.NOT_FORWARDED
+    : await forwardToPeer(context, req, res, checked);
+  if (forwarded.type === 'answered') return forwarded.reply;
+  const routed = toRoutedRequest(req, req.params.operation, checked);
   const answer = await context.router.route(routed);
   if (answer.isErr) {
     const {error} = answer;
     const lacksUpstream =
       error.type === 'not_run' && error.reason === 'no_upstream';
-    if (lacksUpstream && handed.type === 'not_taken' && context.hasSlots()) {
-      handed = await handOver(context, req, res, checked);
+    if (lacksUpstream && forwarded.type === 'not_taken' && context.hasSlots()) {
+      forwarded = await forwardToPeer(context, req, res, checked);
     }
-    return forwardCall.sendAfter(handed, res, problem.ofOutcome(error));
+    return forwardCall.sendForwardFailure(
+      forwarded,
+      res,
+      problem.ofOutcome(error),
+    );
   }
   const {contentType, contentLength, body} = answer.value;
   void res
@@ -129,22 +133,22 @@
 }
 
 /** Lets another entry answer: one of this domain before one of another. */
-async function handOver(
+async function forwardToPeer(
   context: entryContext.EntryContext,
   req: fastify.FastifyRequest,
   res: fastify.FastifyReply,
   checked: CheckedCall,
-): Promise<forwardCall.Handed> {
-  if (!forwardCall.mayForward(context, req)) return forwardCall.NOT_TAKEN;
-  const own = forwardCall.peersOfDomain(context, context.failureDomain);
+): Promise<forwardCall.ForwardResult> {
+  if (!forwardCall.mayForward(context, req)) return forwardCall.NOT_FORWARDED;
+  const domainPeers = forwardCall.peersOfDomain(context, context.failureDomain);
   return forwardCall.forwardCall(context, req, res, {
-    peers: [...own, ...otherDomains(context)],
+    peers: [...domainPeers, ...peersOfOtherDomains(context)],
     deadline: checked.deadline,
     idempotent: checked.policy.idempotent,
   });
 }
 
-function otherDomains(
+function peersOfOtherDomains(
   context: entryContext.EntryContext,
 ): forwardCall.PeerChoice {
   return context
@@ -160,24 +164,24 @@
   res: fastify.FastifyReply,
   checked: CheckedCall,
 ): Promise<fastify.FastifyReply> {
-  const routed = toRouted(req, req.params.operation, checked);
+  const routed = toRoutedRequest(req, req.params.operation, checked);
   const {key} = routed;
   // Nothing is appended before the intent, so handing it over is safe.
   if (!context.hasSlots()) {
-    const handed = await handOver(context, req, res, checked);
-    if (handed.type === 'answered') return handed.reply;
+    const forwarded = await forwardToPeer(context, req, res, checked);
+    if (forwarded.type === 'answered') return forwarded.reply;
     // The peer may have run it, and its key with it: only it may tell.
-    if (handed.type === 'in_doubt') {
-      return problem.send(res, problem.unknownOutcome(handed.detail));
+    if (forwarded.type === 'in_doubt') {
+      return problem.send(res, problem.unknownOutcome(forwarded.detail));
     }
   }
   if (key === undefined) throw new Error('checked before: the key is there');
   const answer = await context.runOnce({...routed, key});
   if (answer.isErr) return problem.send(res, answer.error);
-  return sendWhole(res, answer.value, routed.requestId);
+  return sendAnswer(res, answer.value, routed.requestId);
 }
 
-function sendWhole(
+function sendAnswer(
   res: fastify.FastifyReply,
   answer: wholeAnswer.WholeAnswer,
   requestId: string,
@@ -197,7 +201,7 @@
   res: fastify.FastifyReply,
   checked: CheckedCall,
 ): Promise<fastify.FastifyReply> {
-  const handed = await handOver(context, req, res, checked);
+  const forwarded = await forwardToPeer(context, req, res, checked);
   const refusal = problem.notRun('leaving', 'this entry is leaving', 1_000);
-  return forwardCall.sendAfter(handed, res, refusal);
+  return forwardCall.sendForwardFailure(forwarded, res, refusal);
 }
--- a/packages/gypsumwall-entry/src/settings_service.ts
+++ b/packages/gypsumwall-entry/src/settings_service.ts
@@ -38,7 +38,7 @@
   const {config, follower, appender} = options;
 
   /** Faults that can be told before anything is appended. */
-  function foresee(req: PublishRequest): problem.Problem | undefined {
+  function checkBeforeAppend(req: PublishRequest): problem.Problem | undefined {
     const checked = settings.checkSubtree.checkSubtree(req.path, req.value);
     if (checked.isErr) return invalid(checked.error);
     const newest = config.subtree(req.path)?.revision;
@@ -48,11 +48,11 @@
 
   return {
     publish: async (req, deadline) => {
-      const foreseen = foresee(req);
-      if (foreseen !== undefined) return result.err(foreseen);
+      const earlyProblem = checkBeforeAppend(req);
+      if (earlyProblem !== undefined) return result.err(earlyProblem);
       const outage = appender.outage();
       if (outage !== undefined) {
-        return result.err(logProblem.logDown(outage.retryAfterMs));
+        return result.err(logProblem.logUnavailable(outage.retryAfterMs));
       }
       const body = records.envelope.encodeRecord({type: 'publish', ...req});
       const appended = await appender.append(body, deadline);
--- a/packages/gypsumwall-entry/src/snapshot_keeper.ts
+++ b/packages/gypsumwall-entry/src/snapshot_writer.ts
@@ -12,60 +12,66 @@
 import type * as entryStream from './entry_stream.js';
 
 /** What the keeper needs. */
-export interface SnapshotKeeperOptions {
+export interface SnapshotWriterOptions {
   readonly streams: readonly entryStream.EntryStream[];
   readonly clock: types.clock.Clock;
   readonly random: types.random.Random;
   readonly logger: telemetry.logger.Logger;
   /** Records after which a stream's state is written again. */
-  readonly everyRecords: number;
+  readonly intervalRecords: number;
   /** Time after which it is, however few the records. */
-  readonly everyMs: number;
+  readonly intervalMs: number;
 }
 
-const LOOK_EVERY_MS = 1_000;
-const APPEND_MS = 10_000;
+const CHECK_INTERVAL_MS = 1_000;
+const APPEND_TIMEOUT_MS = 10_000;
 
 /** Writes snapshots until the signal aborts. */
-export async function keepSnapshots(
-  options: SnapshotKeeperOptions,
+export async function writeSnapshots(
+  options: SnapshotWriterOptions,
   signal: AbortSignal,
 ): Promise<void> {
   const {clock, random} = options;
   const dueAt = new Map(
-    options.streams.map((stream) => [stream, nextDue(options)]),
+    options.streams.map((stream) => [stream, nextDueAt(options)]),
   );
   while (!signal.aborted) {
     // Entries look at different moments, so that one writes for all: the
     // others see its snapshot in the stream and start to count anew.
-    const spreadMs = LOOK_EVERY_MS * (0.5 + random.next());
-    const lookAt = types.clock.after(clock.monotonic(), spreadMs);
-    await clock.sleepUntil(lookAt, signal);
+    const jitteredMs = CHECK_INTERVAL_MS * (0.5 + random.next());
+    const checkAt = types.clock.after(clock.monotonic(), jitteredMs);
+    await clock.sleepUntil(checkAt, signal);
     for (const stream of options.streams) {
-      const since = stream.follower.recordsSinceSnapshot();
-      const timeIsUp = clock.monotonic() >= (dueAt.get(stream) ?? 0);
+      const recordCount = stream.follower.recordsSinceSnapshot();
+      const isIntervalOver = clock.monotonic() >= (dueAt.get(stream) ?? 0);
       // Retention has already dropped what a new reader would need.
-      const urgent = !stream.follower.isRebuildable();
-      const due =
-        urgent || since >= options.everyRecords || (timeIsUp && since > 0);
-      if (timeIsUp) dueAt.set(stream, nextDue(options));
-      if (due && stream.follower.caughtUp()) await write(options, stream);
+      const isUrgent = !stream.follower.isRebuildable();
+      const isDue =
+        isUrgent ||
+        recordCount >= options.intervalRecords ||
+        (isIntervalOver && recordCount > 0);
+      if (isIntervalOver) dueAt.set(stream, nextDueAt(options));
+      if (isDue && stream.follower.caughtUp())
+        await writeSnapshot(options, stream);
     }
   }
 }
 
-function nextDue(options: SnapshotKeeperOptions): types.clock.MonotonicMs {
-  const {clock, random, everyMs} = options;
-  return types.clock.after(clock.monotonic(), everyMs * (0.5 + random.next()));
+function nextDueAt(options: SnapshotWriterOptions): types.clock.MonotonicMs {
+  const {clock, random, intervalMs} = options;
+  return types.clock.after(clock.monotonic(), intervalMs * (0.5 + random.next()));
 }
 
-async function write(
-  options: SnapshotKeeperOptions,
+async function writeSnapshot(
+  options: SnapshotWriterOptions,
   stream: entryStream.EntryStream,
 ): Promise<void> {
   const snapshot = stream.follower.snapshot();
   const bodies = records.snapshotText.toBodies(snapshot);
-  const deadline = types.clock.after(options.clock.monotonic(), APPEND_MS);
+  const deadline = types.clock.after(
+    options.clock.monotonic(),
+    APPEND_TIMEOUT_MS,
+  );
   const appended = await Promise.all(
     bodies.map((body) => stream.appender.append(body, deadline)),
   );
--- a/packages/gypsumwall-entry/src/start_order.ts
+++ b/packages/gypsumwall-entry/src/start_order.ts
@@ -21,30 +21,30 @@
 
 /** The order as the worker takes it; its lease counts from `now`. */
 export function toStartTask(
-  held: workerAttachment.WorkerAttachment,
+  attachment: workerAttachment.WorkerAttachment,
   order: StartOrder,
   now: types.clock.MonotonicMs,
 ): platform.worker.StartTask {
-  const leaseEnds = types.clock.after(now, order.leaseMs);
+  const leaseEndsAt = types.clock.after(now, order.leaseMs);
   return {
     taskId: order.taskId,
     attempt: order.attempt,
     size: order.size,
     work: order.work,
-    leaseUntil: workerClock.toWorkerTime(held.clock, leaseEnds),
+    leaseUntil: workerClock.toWorkerTime(attachment.clock, leaseEndsAt),
   };
 }
 
 /** Why a start was refused; undefined when the task started. */
-export function startFault(
-  said: platform.worker.StartAnswer | undefined,
+export function startFailureOf(
+  answer: platform.worker.StartAnswer | undefined,
 ): string | undefined {
-  switch (said?.type) {
+  switch (answer?.type) {
     case undefined:
       return 'the worker gave no answer for it';
     case 'started':
       return undefined;
     case 'refused':
-      return said.message;
+      return answer.message;
   }
 }
--- a/packages/gypsumwall-entry/src/status_routes.ts
+++ b/packages/gypsumwall-entry/src/status_routes.ts
@@ -11,7 +11,7 @@
 ): void {
   app.get('/healthz', (_req, res) => res.send({alive: true}));
   app.get('/readyz', (_req, res) => {
-    const reason = context.isReady();
+    const reason = context.notReadyReason();
     if (reason === undefined) return res.send({ready: true});
     return problem.send(res, problem.notRun('not_ready', reason, 1_000));
   });
@@ -42,7 +42,7 @@
     id: context.self,
     failureDomain: context.failureDomain,
     leaving: context.isLeaving(),
-    notReadyBecause: context.isReady() ?? null,
+    notReadyBecause: context.notReadyReason() ?? null,
     list: {ageMs: age(view.listFetchedAt), peers: view.peers},
     claim: claimStatus(context),
     streams: {
--- a/packages/gypsumwall-entry/src/task_ends.ts
+++ b/packages/gypsumwall-entry/src/task_end_handler.ts
@@ -7,15 +7,15 @@
 import type * as records from '@gypsumwall/records';
 import type * as types from '@gypsumwall/types';
 import type * as schedulerOptions from './scheduler_options.js';
-import type * as taskBooks from './task_books.js';
+import type * as taskTracker from './task_tracker.js';
 import type * as taskTable from './task_table.js';
 
 /** What is needed. */
-export interface TaskEndsOptions extends Pick<
+export interface TaskEndHandlerOptions extends Pick<
   schedulerOptions.DomainSchedulerOptions,
   'clock' | 'append'
 > {
-  readonly books: taskBooks.TaskBooks;
+  readonly tracker: taskTracker.TaskTracker;
   readonly heldSince: types.clock.MonotonicMs;
   /** Lets the worker forget the end. */
   readonly acknowledge: (
@@ -25,51 +25,57 @@
 }
 
 /** Takes an end that a worker told, once or again. */
-export type OnTaskEnd = (
+export type TaskEndHandler = (
   workerId: types.ids.WorkerId,
   ended: platform.worker.FinishedTask,
 ) => void;
 
 /** Makes the function. */
-export function createTaskEnds(options: TaskEndsOptions): OnTaskEnd {
-  const {books, clock, heldSince, acknowledge} = options;
+export function createTaskEndHandler(
+  options: TaskEndHandlerOptions,
+): TaskEndHandler {
+  const {tracker, clock, heldSince, acknowledge} = options;
 
-  function onEnd(
+  function handleTaskEnd(
     workerId: types.ids.WorkerId,
     ended: platform.worker.FinishedTask,
   ): void {
-    const task = books.tasks.attempt(ended.taskId, ended.attempt);
-    const job = books.jobOf(ended.taskId);
+    const task = tracker.tasks.getAttempt(ended.taskId, ended.attempt);
+    const job = tracker.jobOf(ended.taskId);
     const isResult =
       ended.end.type === 'done' &&
-      books.runsOnce(ended.taskId) &&
-      books.isWanted(ended.taskId);
+      tracker.mustRunOnce(ended.taskId) &&
+      tracker.isNeeded(ended.taskId);
     if (job !== undefined && isResult) {
-      record(workerId, ended, task ?? holdEnded(workerId, ended, job));
+      recordResult(
+        workerId,
+        ended,
+        task ?? trackEndedTask(workerId, ended, job),
+      );
       return;
     }
     acknowledge(workerId, ended.attempt);
     if (task !== undefined)
-      books.release(task, reportOf(ended.end, ranMs(task)));
+      tracker.release(task, reportOf(ended.end, ranMs(task)));
   }
 
   /**
    * A task that had ended before this epoch counts as active until its end
    * stands in the log: were it forgotten, it would be run a second time.
    */
-  function holdEnded(
+  function trackEndedTask(
     workerId: types.ids.WorkerId,
     ended: platform.worker.FinishedTask,
     job: records.jobFold.JobState,
   ): taskTable.ActiveTask | undefined {
-    if (books.tasks.get(ended.taskId) !== undefined) return undefined;
+    if (tracker.tasks.get(ended.taskId) !== undefined) return undefined;
     const {taskId, attempt} = ended;
     const {size} = job.spec;
-    return books.hold({taskId, attempt, size}, workerId, job, heldSince);
+    return tracker.track({taskId, attempt, size}, workerId, job, heldSince);
   }
 
   /** Acknowledges the end once it is in the log; until then it is repeated. */
-  function record(
+  function recordResult(
     workerId: types.ids.WorkerId,
     ended: platform.worker.FinishedTask,
     task: taskTable.ActiveTask | undefined,
@@ -80,14 +86,14 @@
       type: 'done',
       ranMs: ranMs(task),
     };
-    void options.append({type: 'task_ended', ...ended}).then((recorded) => {
-      if (!recorded) {
+    void options.append({type: 'task_ended', ...ended}).then((isRecorded) => {
+      if (!isRecorded) {
         if (task !== undefined) task.phase = 'running';
         return;
       }
       acknowledge(workerId, ended.attempt);
-      const current = books.tasks.attempt(ended.taskId, ended.attempt);
-      if (current !== undefined) books.release(current, report);
+      const current = tracker.tasks.getAttempt(ended.taskId, ended.attempt);
+      if (current !== undefined) tracker.release(current, report);
     });
   }
 
@@ -95,7 +101,7 @@
     return clock.monotonic() - (task?.startedAt ?? heldSince);
   }
 
-  return onEnd;
+  return handleTaskEnd;
 }
 
 function reportOf(
--- a/packages/gypsumwall-entry/src/task_table.ts
+++ b/packages/gypsumwall-entry/src/task_table.ts
@@ -15,14 +15,14 @@
 export interface TaskTable {
   get(taskId: types.ids.TaskId): ActiveTask | undefined;
   /** The task, if this very attempt is the active one. */
-  attempt(
+  getAttempt(
     taskId: types.ids.TaskId,
     attempt: types.ids.AttemptId,
   ): ActiveTask | undefined;
-  put(task: ActiveTask): void;
+  add(task: ActiveTask): void;
   remove(task: ActiveTask): void;
-  at(workerId: types.ids.WorkerId): readonly ActiveTask[];
-  of(jobId: types.ids.JobId): readonly ActiveTask[];
+  onWorker(workerId: types.ids.WorkerId): readonly ActiveTask[];
+  ofJob(jobId: types.ids.JobId): readonly ActiveTask[];
   size(): number;
 }
 
@@ -35,11 +35,11 @@
   const byJob = new Map<types.ids.JobId, Set<ActiveTask>>();
   return {
     get: (taskId) => byId.get(taskId),
-    attempt: (taskId, attempt) => {
+    getAttempt: (taskId, attempt) => {
       const task = byId.get(taskId);
       return task?.attempt === attempt ? task : undefined;
     },
-    put: (task) => {
+    add: (task) => {
       byId.set(task.taskId, task);
       addTo(byWorker, task.workerId, task);
       addTo(byJob, jobOf(task.taskId), task);
@@ -49,8 +49,8 @@
       removeFrom(byWorker, task.workerId, task);
       removeFrom(byJob, jobOf(task.taskId), task);
     },
-    at: (workerId) => [...(byWorker.get(workerId) ?? [])],
-    of: (jobId) => [...(byJob.get(jobId) ?? [])],
+    onWorker: (workerId) => [...(byWorker.get(workerId) ?? [])],
+    ofJob: (jobId) => [...(byJob.get(jobId) ?? [])],
     size: () => byId.size,
   };
 }
--- a/packages/gypsumwall-entry/src/task_books.ts
+++ b/packages/gypsumwall-entry/src/task_tracker.ts
@@ -12,19 +12,19 @@
 type JobState = records.jobFold.JobState;
 
 /** The books of one epoch. */
-export interface TaskBooks {
+export interface TaskTracker {
   readonly tasks: taskTable.TaskTable;
   jobOf(taskId: types.ids.TaskId): JobState | undefined;
   /** Whether two copies of the task would do harm. */
-  runsOnce(taskId: types.ids.TaskId): boolean;
+  mustRunOnce(taskId: types.ids.TaskId): boolean;
   /** Whether the task's job still wants it to run. */
-  isWanted(taskId: types.ids.TaskId): boolean;
+  isNeeded(taskId: types.ids.TaskId): boolean;
   /** Queues all of a job's tasks that neither run nor are done. */
   enqueueJob(job: JobState): void;
   /** Drops what waits of a job that is closed. */
-  closeJob(job: JobState): void;
+  dropJob(job: JobState): void;
   /** Books a task that was found at a worker. */
-  hold(
+  track(
     task: Pick<platform.worker.RunningTask, 'taskId' | 'attempt' | 'size'>,
     workerId: types.ids.WorkerId,
     job: JobState,
@@ -33,30 +33,30 @@
   /** Gives a task's room back; it waits again if its job still wants it. */
   release(task: taskTable.ActiveTask, report: placement.placer.RunReport): void;
   /** Runs of a job's tasks that failed in this epoch. */
-  failures(jobId: types.ids.JobId): number;
+  failedAttempts(jobId: types.ids.JobId): number;
   /** Jobs from before the epoch that are held back. */
-  gatedJobs(): number;
+  gatedJobCount(): number;
   /** Lets them go. */
-  openGate(): void;
+  releaseGatedJobs(): void;
 }
 
 /** Makes books in which all open jobs are held back. */
-export function createTaskBooks(
+export function createTaskTracker(
   options: Pick<schedulerOptions.DomainSchedulerOptions, 'placer' | 'jobs'>,
   onChange: () => void,
-): TaskBooks {
+): TaskTracker {
   const {placer, jobs} = options;
   const tasks = taskTable.createTaskTable(
     (taskId) => types.ids.splitTaskId(taskId).jobId,
   );
-  const gated = new Set<JobState>(jobs.openJobs());
+  const gatedJobs = new Set<JobState>(jobs.openJobs());
   const failures = new Map<types.ids.JobId, number>();
 
   function jobOf(taskId: types.ids.TaskId): JobState | undefined {
     return jobs.job(types.ids.splitTaskId(taskId).jobId);
   }
 
-  function isWanted(taskId: types.ids.TaskId): boolean {
+  function isNeeded(taskId: types.ids.TaskId): boolean {
     const job = jobOf(taskId);
     if (job?.phase.type !== 'open') return false;
     const {index} = types.ids.splitTaskId(taskId);
@@ -64,7 +64,7 @@
     return index < count && !job.results.has(index);
   }
 
-  function waitingIndexes(job: JobState): number[] {
+  function indexesToQueue(job: JobState): number[] {
     const waiting: number[] = [];
     const count = types.job.taskCount(job.spec.shape);
     for (let index = 0; index < count; index++) {
@@ -92,7 +92,7 @@
     if (report.type === 'failed' && job?.phase.type === 'open') {
       failures.set(job.jobId, (failures.get(job.jobId) ?? 0) + 1);
     }
-    if (job !== undefined && !gated.has(job) && isWanted(task.taskId)) {
+    if (job !== undefined && !gatedJobs.has(job) && isNeeded(task.taskId)) {
       enqueue(job, [types.ids.splitTaskId(task.taskId).index]);
     }
     onChange();
@@ -101,17 +101,17 @@
   return {
     tasks,
     jobOf,
-    isWanted,
+    isNeeded,
     release,
-    runsOnce: (taskId) => jobOf(taskId)?.spec.shape.kind !== 'service',
-    enqueueJob: (job) => enqueue(job, waitingIndexes(job)),
-    closeJob: (job) => {
+    mustRunOnce: (taskId) => jobOf(taskId)?.spec.shape.kind !== 'service',
+    enqueueJob: (job) => enqueue(job, indexesToQueue(job)),
+    dropJob: (job) => {
       placer.cancel(job.jobId);
-      gated.delete(job);
+      gatedJobs.delete(job);
       failures.delete(job.jobId);
     },
-    hold: ({taskId, attempt, size}, workerId, job, startedAt) => {
-      const held: taskTable.ActiveTask = {
+    track: ({taskId, attempt, size}, workerId, job, startedAt) => {
+      const tracked: taskTable.ActiveTask = {
         taskId,
         attempt,
         workerId,
@@ -119,16 +119,16 @@
         phase: 'running',
         startedAt,
       };
-      tasks.put(held);
+      tasks.add(tracked);
       placer.adopt({taskId, spec: job.spec, workerId, size});
-      return held;
+      return tracked;
     },
-    failures: (jobId) => failures.get(jobId) ?? 0,
-    gatedJobs: () => gated.size,
-    openGate: () => {
-      const waiting = [...gated].filter((job) => job.phase.type === 'open');
-      gated.clear();
-      for (const job of waiting) enqueue(job, waitingIndexes(job));
+    failedAttempts: (jobId) => failures.get(jobId) ?? 0,
+    gatedJobCount: () => gatedJobs.size,
+    releaseGatedJobs: () => {
+      const waiting = [...gatedJobs].filter((job) => job.phase.type === 'open');
+      gatedJobs.clear();
+      for (const job of waiting) enqueue(job, indexesToQueue(job));
     },
   };
 }
--- a/packages/gypsumwall-entry/src/view_ticker.ts
+++ b/packages/gypsumwall-entry/src/view_ticker.ts
@@ -9,11 +9,11 @@
 /** What the ticker needs. */
 export interface ViewTickerOptions {
   readonly clock: types.clock.Clock;
-  readonly everyMs: number;
+  readonly intervalMs: number;
   /** A longer gap between two beats means that this process was paused. */
-  readonly pauseMs: number;
+  readonly pauseThresholdMs: number;
   /** Time that a fetch of the list takes at most. */
-  readonly fetchMs: number;
+  readonly maxFetchMs: number;
   readonly view: () => membership.domainView.DomainView;
   readonly onView: (view: membership.domainView.DomainView) => void;
 }
@@ -28,16 +28,18 @@
   signal: AbortSignal,
 ): Promise<void> {
   const {clock} = options;
-  let lastBeat = clock.monotonic();
-  let wokeAt = lastBeat;
+  let lastTickAt = clock.monotonic();
+  let resumedAt = lastTickAt;
   while (!signal.aborted) {
     const now = clock.monotonic();
-    if (now > types.clock.after(lastBeat, options.pauseMs)) wokeAt = now;
-    lastBeat = now;
+    if (now > types.clock.after(lastTickAt, options.pauseThresholdMs))
+      resumedAt = now;
+    lastTickAt = now;
     const view = options.view();
-    const fetchedSince = (view.listFetchedAt ?? -Infinity) >= wokeAt;
-    const triedSince = now >= types.clock.after(wokeAt, options.fetchMs);
-    if (fetchedSince || triedSince) options.onView(view);
-    await clock.sleepUntil(types.clock.after(now, options.everyMs), signal);
+    const wasFetched = (view.listFetchedAt ?? -Infinity) >= resumedAt;
+    const hasFetchTimedOut =
+      now >= types.clock.after(resumedAt, options.maxFetchMs);
+    if (wasFetched || hasFetchTimedOut) options.onView(view);
+    await clock.sleepUntil(types.clock.after(now, options.intervalMs), signal);
   }
 }
--- a/packages/gypsumwall-entry/src/worker_attachment.ts
+++ b/packages/gypsumwall-entry/src/worker_attachment.ts
@@ -13,7 +13,7 @@
    * Highest end of a lease that was sent, answered or not, on the worker's
    * clock. Leases of tasks that may run twice do not count.
    */
-  longestLease: platform.worker.WorkerMs;
+  latestLeaseEnd: platform.worker.WorkerMs;
 }
 
 /** Makes it of the answer to an attach that arrived at `now`. */
@@ -21,31 +21,35 @@
   answer: platform.worker.Attached,
   epoch: number,
   now: MonotonicMs,
-  runsOnce: (taskId: types.ids.TaskId) => boolean,
+  mustRunOnce: (taskId: types.ids.TaskId) => boolean,
 ): WorkerAttachment {
   const leases = answer.running
-    .filter((task) => runsOnce(task.taskId))
+    .filter((task) => mustRunOnce(task.taskId))
     .map((task) => task.leaseUntil);
   return {
     call: {epoch, incarnation: answer.incarnation},
     clock: {workerTime: answer.now, arrivedAt: now},
-    longestLease: Math.max(answer.now, ...leases) as platform.worker.WorkerMs,
+    latestLeaseEnd: Math.max(answer.now, ...leases) as platform.worker.WorkerMs,
   };
 }
 
 /** Notes a lease before it is sent, since the call may arrive unanswered. */
-export function noteLease(
-  held: WorkerAttachment,
+export function recordLease(
+  attachment: WorkerAttachment,
   leaseUntil: platform.worker.WorkerMs,
 ): void {
-  if (leaseUntil > held.longestLease) held.longestLease = leaseUntil;
+  if (leaseUntil > attachment.latestLeaseEnd)
+    attachment.latestLeaseEnd = leaseUntil;
 }
 
 /** When the worker has surely stopped by itself whatever must run once. */
-export function leasesOverAt(
-  held: WorkerAttachment,
+export function leasesExpiredAt(
+  attachment: WorkerAttachment,
   graceMs: number,
 ): MonotonicMs {
-  const over = workerClock.surelyPassedAt(held.clock, held.longestLease);
-  return types.clock.after(over, graceMs);
+  const expiredAt = workerClock.toLatestLocalTime(
+    attachment.clock,
+    attachment.latestLeaseEnd,
+  );
+  return types.clock.after(expiredAt, graceMs);
 }
--- a/packages/gypsumwall-entry/src/worker_clock.ts
+++ b/packages/gypsumwall-entry/src/worker_clock.ts
@@ -28,7 +28,7 @@
 }
 
 /** The moment here by which the worker's clock surely shows `workerTime`. */
-export function surelyPassedAt(
+export function toLatestLocalTime(
   clock: WorkerClock,
   workerTime: WorkerMs,
 ): MonotonicMs {
--- a/packages/gypsumwall-entry/src/worker_pool.ts
+++ b/packages/gypsumwall-entry/src/worker_pool.ts
@@ -7,16 +7,16 @@
 /** What is needed. */
 export interface WorkerPoolOptions {
   readonly scheduler: schedulerOptions.DomainSchedulerOptions;
-  readonly runsOnce: (taskId: types.ids.TaskId) => boolean;
-  readonly eventsOf: (
+  readonly mustRunOnce: (taskId: types.ids.TaskId) => boolean;
+  readonly sessionEventsOf: (
     workerId: types.ids.WorkerId,
   ) => workerSession.SessionEvents;
   /** No new work there: it leaves, or is off the list. */
-  readonly onClosed: (workerId: types.ids.WorkerId) => void;
+  readonly onUnschedulable: (workerId: types.ids.WorkerId) => void;
   /** Back on the list as live, and attached. */
-  readonly onReopened: (workerId: types.ids.WorkerId) => void;
+  readonly onSchedulable: (workerId: types.ids.WorkerId) => void;
   /** Off the list, and nothing runs there any more. */
-  readonly onForgotten: (workerId: types.ids.WorkerId) => void;
+  readonly onRemoved: (workerId: types.ids.WorkerId) => void;
   readonly hasTasks: (workerId: types.ids.WorkerId) => boolean;
   readonly signal: AbortSignal;
 }
@@ -32,18 +32,18 @@
     workerId: types.ids.WorkerId,
   ): platform.instanceList.ListedWorker | undefined;
   /** Ends the session of a worker that is off the list. */
-  forgetIfGone(workerId: types.ids.WorkerId): void;
+  removeIfUnlisted(workerId: types.ids.WorkerId): void;
   size(): number;
-  attached(): number;
+  attachedCount(): number;
   /** Resolves when no session has a call under way any more. */
-  ended(): Promise<void>;
+  sessionsEnded(): Promise<void>;
 }
 
 interface PooledWorker {
   readonly session: workerSession.WorkerSession;
   readonly abort: AbortController;
   listed: platform.instanceList.ListedWorker;
-  gone: boolean;
+  isUnlisted: boolean;
 }
 
 /** Makes an empty pool. */
@@ -52,7 +52,7 @@
   const workers = new Map<types.ids.WorkerId, PooledWorker>();
   const loops = new Set<Promise<void>>();
 
-  function add(listed: platform.instanceList.ListedWorker): void {
+  function addWorker(listed: platform.instanceList.ListedWorker): void {
     const abort = new AbortController();
     const {spans} = scheduler;
     const session = workerSession.createWorkerSession({
@@ -67,65 +67,65 @@
       heartbeatMs: spans.workerHeartbeatMs,
       leaseMs: spans.taskLeaseMs,
       graceMs: spans.leaseGraceMs,
-      runsOnce: options.runsOnce,
+      mustRunOnce: options.mustRunOnce,
       claimDeadline: scheduler.claimDeadline,
-      events: options.eventsOf(listed.id),
+      events: options.sessionEventsOf(listed.id),
     });
-    workers.set(listed.id, {listed, session, abort, gone: false});
+    workers.set(listed.id, {listed, session, abort, isUnlisted: false});
     const loop = session.run(AbortSignal.any([abort.signal, options.signal]));
     loops.add(loop);
     void loop.finally(() => loops.delete(loop));
   }
 
-  function update(
+  function updateWorker(
     worker: PooledWorker,
     listed: platform.instanceList.ListedWorker,
   ): void {
-    const wasOpen = !worker.gone && worker.listed.state === 'live';
+    const wasSchedulable = !worker.isUnlisted && worker.listed.state === 'live';
     worker.listed = listed;
-    worker.gone = false;
-    const isOpen = listed.state === 'live';
-    if (wasOpen && !isOpen) options.onClosed(listed.id);
-    if (!wasOpen && isOpen && worker.session.isAttached()) {
-      options.onReopened(listed.id);
+    worker.isUnlisted = false;
+    const isSchedulable = listed.state === 'live';
+    if (wasSchedulable && !isSchedulable) options.onUnschedulable(listed.id);
+    if (!wasSchedulable && isSchedulable && worker.session.isAttached()) {
+      options.onSchedulable(listed.id);
     }
   }
 
-  function drop(id: types.ids.WorkerId, worker: PooledWorker): void {
-    if (!worker.gone) options.onClosed(id);
+  function markUnlisted(id: types.ids.WorkerId, worker: PooledWorker): void {
+    if (!worker.isUnlisted) options.onUnschedulable(id);
     // Off the list is not stopped: its tasks count until leases lapse.
-    worker.gone = true;
-    forgetIfGone(id);
+    worker.isUnlisted = true;
+    removeIfUnlisted(id);
   }
 
-  function forgetIfGone(id: types.ids.WorkerId): void {
+  function removeIfUnlisted(id: types.ids.WorkerId): void {
     const worker = workers.get(id);
-    if (worker?.gone !== true || options.hasTasks(id)) return;
+    if (worker?.isUnlisted !== true || options.hasTasks(id)) return;
     worker.abort.abort();
     workers.delete(id);
-    options.onForgotten(id);
+    options.onRemoved(id);
   }
 
   return {
-    forgetIfGone,
+    removeIfUnlisted,
     setListed: (listed) => {
       const present = new Set(listed.map((worker) => worker.id));
       for (const worker of listed) {
         const known = workers.get(worker.id);
-        if (known === undefined) add(worker);
-        else update(known, worker);
+        if (known === undefined) addWorker(worker);
+        else updateWorker(known, worker);
       }
       for (const [id, worker] of workers) {
-        if (!present.has(id)) drop(id, worker);
+        if (!present.has(id)) markUnlisted(id, worker);
       }
     },
     session: (id) => workers.get(id)?.session,
     listed: (id) => workers.get(id)?.listed,
-    ended: async () => {
+    sessionsEnded: async () => {
       await Promise.all(loops);
     },
     size: () => workers.size,
-    attached: () =>
+    attachedCount: () =>
       [...workers.values()].filter((worker) => worker.session.isAttached())
         .length,
   };
--- a/packages/gypsumwall-entry/src/worker_session.ts
+++ b/packages/gypsumwall-entry/src/worker_session.ts
@@ -49,7 +49,7 @@
    * waited out; a service keeps a long lease of its own, so that it outlives
    * a time without a holder.
    */
-  readonly runsOnce: (taskId: types.ids.TaskId) => boolean;
+  readonly mustRunOnce: (taskId: types.ids.TaskId) => boolean;
   /** Deadline of the claim now; undefined when it is not held any more. */
   readonly claimDeadline: () => MonotonicMs | undefined;
   readonly events: SessionEvents;
@@ -67,7 +67,7 @@
 }
 
 /** Starts sent in one call. */
-const MAX_STARTS = 256;
+const MAX_STARTS_PER_CALL = 256;
 
 /** Makes a session that does nothing before `run`. */
 export function createWorkerSession(
@@ -84,12 +84,12 @@
   /** Starts whose answer was lost. */
   const inDoubt = new Map<types.ids.AttemptId, startOrder.StartOrder>();
   let attachment: workerAttachment.WorkerAttachment | undefined;
-  let everAttached = false;
-  let reachable = false;
-  let wake = new AbortController();
+  let hasAttached = false;
+  let isReachable = false;
+  let sleepAbort = new AbortController();
 
-  function poke(): void {
-    wake.abort();
+  function resumeLoop(): void {
+    sleepAbort.abort();
   }
 
   function describe(err: types.stepError.StepError): string {
@@ -103,17 +103,17 @@
       return false;
     }
     const {incarnation, running, finished} = answer.value;
-    const restarted =
+    const isRestarted =
       attachment !== undefined && attachment.call.incarnation !== incarnation;
-    if (restarted) giveUp();
+    if (isRestarted) resetSession();
     attachment = workerAttachment.fromAnswer(
       answer.value,
       epoch,
       clock.monotonic(),
-      options.runsOnce,
+      options.mustRunOnce,
     );
-    reachable = true;
-    everAttached = true;
+    isReachable = true;
+    hasAttached = true;
     events.attached(answer.value);
     finished.forEach((task) => events.ended(task));
     logger.info('worker_attached', {epoch, running: running.length});
@@ -121,17 +121,17 @@
   }
 
   async function sendStops(
-    held: workerAttachment.WorkerAttachment,
+    current: workerAttachment.WorkerAttachment,
   ): Promise<boolean> {
-    const asked = stops.splice(0);
-    if (asked.length === 0) return true;
-    const answer = await worker.stop(held.call, asked);
+    const requested = stops.splice(0);
+    if (requested.length === 0) return true;
+    const answer = await worker.stop(current.call, requested);
     if (answer.isErr) {
       logger.warn('stop_failed', {reason: describe(answer.error)});
-      stops.unshift(...asked);
+      stops.unshift(...requested);
       return false;
     }
-    for (const attempt of asked) {
+    for (const attempt of requested) {
       inDoubt.delete(attempt.attempt);
       events.stopped(attempt);
     }
@@ -140,9 +140,9 @@
 
   /** Starts wait here until they are sent; a lapsed claim sends none. */
   async function sendStarts(
-    held: workerAttachment.WorkerAttachment,
+    current: workerAttachment.WorkerAttachment,
   ): Promise<boolean> {
-    const orders = starts.splice(0, MAX_STARTS);
+    const orders = starts.splice(0, MAX_STARTS_PER_CALL);
     if (orders.length === 0) return true;
     const deadline = options.claimDeadline();
     const now = clock.monotonic();
@@ -151,13 +151,13 @@
       return true;
     }
     const tasks = orders.map((order) =>
-      startOrder.toStartTask(held, order, now),
+      startOrder.toStartTask(current, order, now),
     );
     for (const task of tasks) {
-      if (options.runsOnce(task.taskId))
-        workerAttachment.noteLease(held, task.leaseUntil);
+      if (options.mustRunOnce(task.taskId))
+        workerAttachment.recordLease(current, task.leaseUntil);
     }
-    const startBy = workerClock.toWorkerTime(held.clock, deadline);
+    const startBy = workerClock.toWorkerTime(current.clock, deadline);
     const spans = orders.map((order) =>
       options.tracer.startSpan('worker.start', order.traceparent, {
         worker: workerId,
@@ -165,25 +165,25 @@
         attempt: order.attempt,
       }),
     );
-    const answer = await worker.start(held.call, startBy, tasks);
+    const answer = await worker.start(current.call, startBy, tasks);
     if (answer.isErr) {
       const {error} = answer;
       spans.forEach((span) => span.end(describe(error)));
-      return startFailed(orders, error);
+      return onStartFailed(orders, error);
     }
     orders.forEach((order, index) => {
-      const said = answer.value[index];
-      const fault = startOrder.startFault(said);
-      spans[index]?.end(fault);
-      const outcome = fault === undefined ? 'started' : 'refused';
+      const answerOfTask = answer.value[index];
+      const failure = startOrder.startFailureOf(answerOfTask);
+      spans[index]?.end(failure);
+      const outcome = failure === undefined ? 'started' : 'refused';
       options.metrics.count('taskStarts', {outcome});
-      if (fault === undefined) events.started(order);
-      else events.notStarted(order, fault);
+      if (failure === undefined) events.started(order);
+      else events.notStarted(order, failure);
     });
     return true;
   }
 
-  function startFailed(
+  function onStartFailed(
     orders: readonly startOrder.StartOrder[],
     err: types.stepError.StepError,
   ): boolean {
@@ -201,28 +201,28 @@
   }
 
   async function heartbeat(
-    held: workerAttachment.WorkerAttachment,
+    current: workerAttachment.WorkerAttachment,
   ): Promise<boolean> {
     const deadline = options.claimDeadline();
     const now = clock.monotonic();
     if (deadline === undefined || deadline <= now) return true;
     const leaseUntil = workerClock.toWorkerTime(
-      held.clock,
+      current.clock,
       types.clock.after(now, options.leaseMs),
     );
-    workerAttachment.noteLease(held, leaseUntil);
+    workerAttachment.recordLease(current, leaseUntil);
     const acks = [...acknowledged];
-    const answer = await worker.heartbeat(held.call, leaseUntil, acks);
+    const answer = await worker.heartbeat(current.call, leaseUntil, acks);
     if (answer.isErr) {
       logger.debug('heartbeat_failed', {reason: describe(answer.error)});
       return false;
     }
-    held.clock = {
+    current.clock = {
       workerTime: answer.value.now,
       arrivedAt: clock.monotonic(),
     };
     acks.forEach((attempt) => acknowledged.delete(attempt));
-    settleDoubts(answer.value.running);
+    resolveInDoubt(answer.value.running);
     for (const task of answer.value.finished) {
       if (!acks.includes(task.attempt)) events.ended(task);
     }
@@ -231,11 +231,13 @@
   }
 
   /** A start in doubt runs, or is stopped so that it never will. */
-  function settleDoubts(running: readonly platform.worker.RunningTask[]): void {
+  function resolveInDoubt(
+    running: readonly platform.worker.RunningTask[],
+  ): void {
     if (inDoubt.size === 0) return;
-    const present = new Set(running.map((task) => task.attempt));
+    const runningAttempts = new Set(running.map((task) => task.attempt));
     for (const [attempt, order] of inDoubt) {
-      if (present.has(attempt)) {
+      if (runningAttempts.has(attempt)) {
         inDoubt.delete(attempt);
         events.started(order);
       } else if (!stops.some((asked) => asked.attempt === attempt)) {
@@ -245,9 +247,9 @@
   }
 
   /** Tells once that the worker is silent, and once that leases are over. */
-  function noteSilence(): void {
-    if (reachable) {
-      reachable = false;
+  function onCallsFailed(): void {
+    if (isReachable) {
+      isReachable = false;
       starts
         .splice(0)
         .forEach((order) => events.notStarted(order, 'worker is silent'));
@@ -255,14 +257,17 @@
       events.silent();
     }
     if (attachment === undefined) return;
-    const over = workerAttachment.leasesOverAt(attachment, options.graceMs);
-    if (clock.monotonic() < over) return;
+    const expiredAt = workerAttachment.leasesExpiredAt(
+      attachment,
+      options.graceMs,
+    );
+    if (clock.monotonic() < expiredAt) return;
     logger.warn('leases_lapsed', {epoch});
-    giveUp();
+    resetSession();
   }
 
   /** Nothing that was sent there runs any more: all is decided anew. */
-  function giveUp(): void {
+  function resetSession(): void {
     attachment = undefined;
     inDoubt.clear();
     starts.length = 0;
@@ -270,72 +275,79 @@
     events.lapsed();
   }
 
-  async function round(): Promise<boolean> {
-    if (!reachable || attachment === undefined) {
+  async function sendPendingCalls(): Promise<boolean> {
+    if (!isReachable || attachment === undefined) {
       if (!(await attach())) return false;
     }
-    const held = attachment;
-    if (held === undefined) return false;
-    for (const control of controls.splice(0)) await control(held.call);
-    if (!(await sendStops(held))) return false;
+    const current = attachment;
+    if (current === undefined) return false;
+    for (const control of controls.splice(0)) await control(current.call);
+    if (!(await sendStops(current))) return false;
     while (starts.length > 0) {
-      if (!(await sendStarts(held))) return false;
+      if (!(await sendStarts(current))) return false;
     }
     return true;
   }
 
   async function run(signal: AbortSignal): Promise<void> {
-    let nextBeat = clock.monotonic();
-    signal.addEventListener('abort', poke);
+    let nextHeartbeatAt = clock.monotonic();
+    signal.addEventListener('abort', resumeLoop);
     while (!signal.aborted) {
-      let well = await round();
-      if (well && attachment !== undefined && clock.monotonic() >= nextBeat) {
-        well = await heartbeat(attachment);
-        nextBeat = types.clock.after(clock.monotonic(), options.heartbeatMs);
+      let succeeded = await sendPendingCalls();
+      if (
+        succeeded &&
+        attachment !== undefined &&
+        clock.monotonic() >= nextHeartbeatAt
+      ) {
+        succeeded = await heartbeat(attachment);
+        nextHeartbeatAt = types.clock.after(
+          clock.monotonic(),
+          options.heartbeatMs,
+        );
       }
       if (signal.aborted) return;
-      if (!well) {
-        noteSilence();
-        nextBeat = clock.monotonic();
-        const retryAt = types.clock.after(nextBeat, options.heartbeatMs);
+      if (!succeeded) {
+        onCallsFailed();
+        nextHeartbeatAt = clock.monotonic();
+        const retryAt = types.clock.after(nextHeartbeatAt, options.heartbeatMs);
         await clock.sleepUntil(retryAt, signal);
         continue;
       }
       if (starts.length + stops.length + controls.length > 0) continue;
-      wake = new AbortController();
-      await clock.sleepUntil(nextBeat, wake.signal);
+      sleepAbort = new AbortController();
+      await clock.sleepUntil(nextHeartbeatAt, sleepAbort.signal);
     }
   }
 
   return {
     run,
-    isAttached: () => everAttached && reachable,
+    isAttached: () => hasAttached && isReachable,
     start: (order) => {
       starts.push(order);
-      poke();
+      resumeLoop();
     },
     stop: (attempt) => {
-      const unsent = starts.findIndex(
+      const unsentIndex = starts.findIndex(
         (order) => order.attempt === attempt.attempt,
       );
-      if (unsent >= 0) {
-        starts.splice(unsent, 1);
+      if (unsentIndex >= 0) {
+        starts.splice(unsentIndex, 1);
         events.stopped(attempt);
         return;
       }
       stops.push(attempt);
-      poke();
+      resumeLoop();
     },
     acknowledge: (attempt) => {
       acknowledged.add(attempt);
     },
     throttle: (attempt, cpuMillis) => {
       controls.push((call) => worker.throttle(call, attempt, cpuMillis));
-      poke();
+      resumeLoop();
     },
     checkpoint: (attempt) => {
       controls.push((call) => worker.checkpoint(call, attempt));
-      poke();
+      resumeLoop();
     },
   };
 }
--- a/packages/gypsumwall-records/src/__fixtures__/memory_log.ts
+++ b/packages/gypsumwall-records/src/__fixtures__/memory_log.ts
@@ -15,8 +15,8 @@
 /** The log and its faults. */
 export interface MemoryLog extends platform.platformLog.PlatformLog {
   /** Strikes the next appends, one each. */
-  strike(...faults: AppendFault[]): void;
-  deliverLate(): void;
+  failNextAppends(...faults: AppendFault[]): void;
+  deliverDelayed(): void;
   /** Drops records below the offset, as retention does. */
   dropBelow(offset: number): void;
   appends(): number;
@@ -24,18 +24,18 @@
 
 /** Makes an empty log of one stream. */
 export function createMemoryLog(): MemoryLog {
-  let kept: platform.platformLog.LogRecord[] = [];
+  let stored: platform.platformLog.LogRecord[] = [];
   let firstOffset = 0;
   let endOffset = 0;
   let appends = 0;
   const faults: AppendFault[] = [];
-  const late: platform.platformLog.AppendRequest[] = [];
+  const delayed: platform.platformLog.AppendRequest[] = [];
   const readers = new Set<() => void>();
 
-  function take(req: platform.platformLog.AppendRequest): number {
+  function storeRecords(req: platform.platformLog.AppendRequest): number {
     const first = endOffset;
     req.bodies.forEach((body, index) => {
-      kept.push({
+      stored.push({
         offset: first + index,
         producer: req.producer,
         sequence: req.sequence + index,
@@ -57,11 +57,11 @@
     });
 
   return {
-    strike: (...more) => void faults.push(...more),
-    deliverLate: () => late.splice(0).forEach(take),
+    failNextAppends: (...more) => void faults.push(...more),
+    deliverDelayed: () => delayed.splice(0).forEach(storeRecords),
     dropBelow: (offset) => {
       firstOffset = offset;
-      kept = kept.filter((record) => record.offset >= offset);
+      stored = stored.filter((record) => record.offset >= offset);
     },
     appends: () => appends,
     append: async (req) => {
@@ -69,21 +69,21 @@
       await Promise.resolve();
       switch (faults.shift()) {
         case undefined:
-          return result.ok({firstOffset: take(req)});
+          return result.ok({firstOffset: storeRecords(req)});
         case 'lost_answer':
-          take(req);
+          storeRecords(req);
           return timeout();
         case 'lost_request':
           return timeout();
         case 'late':
-          late.push(req);
+          delayed.push(req);
           return timeout();
       }
     },
     read: async ({from, limit, waitMs, signal}) => {
       if (from >= endOffset && waitMs > 0) await nextAppend(readers, signal);
       const start = Math.max(from, firstOffset);
-      const records = kept
+      const records = stored
         .filter((record) => record.offset >= start)
         .slice(0, limit);
       const last = records.at(-1);
@@ -98,11 +98,11 @@
   signal: AbortSignal | undefined,
 ): Promise<void> {
   return new Promise((resolve) => {
-    const wake = () => {
-      readers.delete(wake);
+    const resolveRead = () => {
+      readers.delete(resolveRead);
       resolve();
     };
-    readers.add(wake);
-    signal?.addEventListener('abort', wake, {once: true});
+    readers.add(resolveRead);
+    signal?.addEventListener('abort', resolveRead, {once: true});
   });
 }
--- a/packages/gypsumwall-records/src/__fixtures__/open_stream.ts
+++ b/packages/gypsumwall-records/src/__fixtures__/open_stream.ts
@@ -9,7 +9,7 @@
 import * as recordingFold from './recording_fold.js';
 
 /** Long enough for whatever a test waits for. */
-const PATIENCE_MS = 5_000;
+const TIMEOUT_MS = 5_000;
 
 /** Opens the stream; the test's end closes it. */
 export function openStream(
@@ -42,12 +42,12 @@
     signal: closing.signal,
   });
   void follower.run(closing.signal);
-  const patience = () => types.clock.after(clock.monotonic(), PATIENCE_MS);
+  const deadline = () => types.clock.after(clock.monotonic(), TIMEOUT_MS);
   return {
     fold,
     follower,
     append: (name: string) =>
-      appender.append(envelope.encodeRecord({name}), patience()),
-    seen: (offset: number) => follower.waitFor(offset, patience()),
+      appender.append(envelope.encodeRecord({name}), deadline()),
+    seen: (offset: number) => follower.waitFor(offset, deadline()),
   };
 }
--- a/packages/gypsumwall-records/src/__fixtures__/recording_fold.ts
+++ b/packages/gypsumwall-records/src/__fixtures__/recording_fold.ts
@@ -3,20 +3,20 @@
 
 /** The fold and what it has taken. */
 export interface RecordingFold extends streamFold.StreamFold {
-  readonly taken: string[];
+  readonly applied: string[];
 }
 
 /** Makes an empty one. */
 export function createRecordingFold(): RecordingFold {
-  const taken: string[] = [];
+  const applied: string[] = [];
   return {
-    taken,
+    applied,
     apply: (_offset, record) => {
-      taken.push((record as {name: string}).name);
+      applied.push((record as {name: string}).name);
     },
-    snapshot: () => JSON.stringify(taken),
+    snapshot: () => JSON.stringify(applied),
     restore: (text) => {
-      taken.splice(0, taken.length, ...(JSON.parse(text) as string[]));
+      applied.splice(0, applied.length, ...(JSON.parse(text) as string[]));
     },
   };
 }
--- a/packages/gypsumwall-records/src/__tests__/log_appender.test.ts
+++ b/packages/gypsumwall-records/src/__tests__/log_appender.test.ts
@@ -19,10 +19,10 @@
   // it. Sending it again blindly would have put it there twice.
   const log = memoryLog.createMemoryLog();
   const {append, fold} = openStream.openStream(t, log);
-  log.strike('lost_answer');
+  log.failNextAppends('lost_answer');
   const answer = await append('kept');
   assert.deepEqual(answer.isOk && answer.value, {offset: 0});
-  assert.deepEqual(fold.taken, ['kept']);
+  assert.deepEqual(fold.applied, ['kept']);
 });
 
 nodeTest.test('an append that was lost is told as not run', async (t) => {
@@ -31,10 +31,10 @@
   // before it is void for every reader, whenever it may turn up.
   const log = memoryLog.createMemoryLog();
   const {append, fold} = openStream.openStream(t, log);
-  log.strike('lost_request');
+  log.failNextAppends('lost_request');
   const answer = await append('lost');
   assert.equal(answer.isErr && answer.error.effect, 'not_run');
-  assert.deepEqual(fold.taken, []);
+  assert.deepEqual(fold.applied, []);
 });
 
 nodeTest.test('a record that turns up late stays void', async (t) => {
@@ -43,13 +43,13 @@
   // the log takes the old append. Readers drop it: its sequence has passed.
   const log = memoryLog.createMemoryLog();
   const {append, fold, seen} = openStream.openStream(t, log);
-  log.strike('late');
+  log.failNextAppends('late');
   const answer = await append('late');
   assert.equal(answer.isErr && answer.error.effect, 'not_run');
-  log.deliverLate();
+  log.deliverDelayed();
   const next = await append('next');
   assert.ok(next.isOk && (await seen(next.value.offset)));
-  assert.deepEqual(fold.taken, ['next']);
+  assert.deepEqual(fold.applied, ['next']);
 });
 
 nodeTest.test('under load appends keep their distance', async (t) => {
--- a/packages/gypsumwall-records/src/__tests__/request_fold.test.ts
+++ b/packages/gypsumwall-records/src/__tests__/request_fold.test.ts
@@ -88,7 +88,7 @@
   // Large answers must not fill the entry's memory, and dropping one must not
   // let its request run a second time.
   const fold = requestFold.createRequestFold(clock);
-  const answer = 'x'.repeat(requestFold.KEPT_ANSWER_CHARS / 4);
+  const answer = 'x'.repeat(requestFold.MAX_STORED_ANSWER_CHARS / 4);
   const keyOf = (n: number) =>
     types.ids.brand<types.ids.IdempotencyKey>(`large-${n}`);
   for (let n = 0; n < 6; n += 1) {
--- a/packages/gypsumwall-records/src/__tests__/stream_follower.test.ts
+++ b/packages/gypsumwall-records/src/__tests__/stream_follower.test.ts
@@ -22,7 +22,7 @@
   log.dropBelow(2);
   const late = openStream.openStream(t, log, 'entry-2');
   assert.ok(await late.seen(last.value.offset));
-  assert.deepEqual(late.fold.taken, ['a', 'b', 'c', 'd']);
+  assert.deepEqual(late.fold.applied, ['a', 'b', 'c', 'd']);
 });
 
 nodeTest.test('a reader without a snapshot says it is behind', async (t) => {
@@ -39,7 +39,7 @@
     await new Promise((resolve) => setImmediate(resolve));
   }
   assert.equal(late.follower.caughtUp(), false);
-  assert.deepEqual(late.fold.taken, []);
+  assert.deepEqual(late.fold.applied, []);
 });
 
 nodeTest.test('a peer never takes a reader back', async (t) => {
@@ -53,7 +53,7 @@
   const second = await reader.append('b');
   assert.ok(second.isOk && (await reader.seen(second.value.offset)));
   assert.equal(reader.follower.adopt(old), false);
-  assert.deepEqual(reader.fold.taken, ['a', 'b']);
+  assert.deepEqual(reader.fold.applied, ['a', 'b']);
 });
 
 nodeTest.test('records it can not read do not stop it', async (t) => {
@@ -70,7 +70,7 @@
   await log.append({stream: 's', producer: 'other', sequence: 0, bodies});
   const next = await reader.append('known');
   assert.ok(next.isOk && (await reader.seen(next.value.offset)));
-  assert.deepEqual(reader.fold.taken, ['known']);
+  assert.deepEqual(reader.fold.applied, ['known']);
 });
 
 nodeTest.test('a peer fills the gap that retention left', async (t) => {
@@ -92,7 +92,7 @@
   }
   assert.equal(late.follower.isRebuildable(), false);
   assert.ok(late.follower.adopt(held));
-  assert.deepEqual(late.fold.taken, ['a', 'b', 'c']);
+  assert.deepEqual(late.fold.applied, ['a', 'b', 'c']);
   assert.equal(late.follower.caughtUp(), true);
 });
 
--- a/packages/gypsumwall-records/src/config_fold.ts
+++ b/packages/gypsumwall-records/src/config_fold.ts
@@ -37,7 +37,7 @@
 /** Revision of a subtree that was never published. */
 export const NO_REVISION = -1;
 /** Verdicts kept for the publishers that wait for them. */
-const KEPT_VERDICTS = 1_000;
+const MAX_KEPT_VERDICTS = 1_000;
 
 /** Makes an empty tree; `onChange` is told of each subtree that changed. */
 export function createConfigFold(
@@ -67,18 +67,18 @@
     onChange(path);
   }
 
-  function inForce(): settings.checkSubtree.CheckedSubtree[] {
-    const found = [...teams].map(([team, policy]) => ({
+  function currentSubtrees(): settings.checkSubtree.CheckedSubtree[] {
+    const subtreesInForce = [...teams].map(([team, policy]) => ({
       type: 'team' as const,
       path: `teams/${team}`,
       team,
       policy,
     }));
-    if (cell === undefined) return found;
-    return [{type: 'cell', path: 'cell', policy: cell}, ...found];
+    if (cell === undefined) return subtreesInForce;
+    return [{type: 'cell', path: 'cell', policy: cell}, ...subtreesInForce];
   }
 
-  function judge(
+  function evaluate(
     offset: number,
     record: configRecords.PublishRecord,
   ): PublishVerdict {
@@ -89,11 +89,14 @@
       record.value,
     );
     if (checked.isErr) return {type: 'invalid', problems: checked.error};
-    const owner = settings.tokenHashes.otherOwner(checked.value, inForce());
+    const owner = settings.tokenHashes.otherOwner(
+      checked.value,
+      currentSubtrees(),
+    );
     if (owner !== undefined) {
       return {
         type: 'invalid',
-        problems: [sharedToken(record.path, owner.path)],
+        problems: [sharedTokenProblem(record.path, owner.path)],
       };
     }
     install(record.path, {revision: offset, value: record.value});
@@ -104,8 +107,8 @@
     apply: (offset, body) => {
       const record = body as configRecords.PublishRecord;
       if (record.type !== 'publish') return;
-      verdicts.set(offset, judge(offset, record));
-      if (verdicts.size > KEPT_VERDICTS) {
+      verdicts.set(offset, evaluate(offset, record));
+      if (verdicts.size > MAX_KEPT_VERDICTS) {
         verdicts.delete(Math.min(...verdicts.keys()));
       }
     },
@@ -113,8 +116,8 @@
     restore: (text) => {
       const entries = JSON.parse(text) as Array<[string, Subtree]>;
       for (const [path, subtree] of entries) {
-        const held = subtrees.get(path)?.revision ?? NO_REVISION;
-        if (subtree.revision > held) install(path, subtree);
+        const currentRevision = subtrees.get(path)?.revision ?? NO_REVISION;
+        if (subtree.revision > currentRevision) install(path, subtree);
       }
     },
     subtree: (path) => subtrees.get(path),
@@ -132,7 +135,7 @@
  * their work read, cancelled and billed by the wrong team. The first subtree
  * in the log's order keeps the hash.
  */
-function sharedToken(
+function sharedTokenProblem(
   path: string,
   owner: string,
 ): settings.settingsProblem.SettingsProblem {
--- a/packages/gypsumwall-records/src/job_fold.ts
+++ b/packages/gypsumwall-records/src/job_fold.ts
@@ -44,7 +44,7 @@
 }
 
 /** Closed jobs kept for readers and for their keys; the oldest go first. */
-export const KEPT_CLOSED_JOBS = 20_000;
+export const MAX_CLOSED_JOBS = 20_000;
 
 /** Makes a fold without jobs. */
 export function createJobFold(
@@ -80,11 +80,11 @@
     job.phase = phase;
     open.delete(job);
     closed.add(job);
-    if (closed.size > KEPT_CLOSED_JOBS) forgetOldest();
+    if (closed.size > MAX_CLOSED_JOBS) evictOldest();
     onChange({type: 'closed', job});
   }
 
-  function forgetOldest(): void {
+  function evictOldest(): void {
     const oldest = closed.values().next();
     if (oldest.done === true) return;
     closed.delete(oldest.value);
@@ -128,7 +128,7 @@
     }
   }
 
-  function put(job: JobState): void {
+  function restoreJob(job: JobState): void {
     jobs.set(job.jobId, job);
     byKey.set(keyName(job.spec.team, job.key), job);
     (job.phase.type === 'open' ? open : closed).add(job);
@@ -146,7 +146,7 @@
     restore: (text) => {
       [jobs, byKey, open, closed].forEach((table) => table.clear());
       for (const saved of JSON.parse(text) as SavedJob[]) {
-        put({...saved, results: new Map(saved.results)});
+        restoreJob({...saved, results: new Map(saved.results)});
       }
       onChange({type: 'restored'});
     },
--- a/packages/gypsumwall-records/src/log_appender.ts
+++ b/packages/gypsumwall-records/src/log_appender.ts
@@ -58,41 +58,41 @@
   outage(): {readonly retryAfterMs: number} | undefined;
 }
 
-const MAX_BATCH = 512;
-const RESOLVE_RETRY_MS = 300;
+const MAX_BATCH_RECORDS = 512;
+const VOID_RETRY_MS = 300;
 /** Longer than a long poll of the follower and a slow answer to it. */
-const SILENCE_MS = 4_000;
-const COME_BACK_MS = 1_000;
+const MAX_LOG_SILENCE_MS = 4_000;
+const RETRY_AFTER_MS = 1_000;
 /** How often the wait for the follower looks whether the process is closing. */
-const FOLLOW_MS = 1_000;
+const FOLLOWER_WAIT_MS = 1_000;
 
-interface Pending {
+interface PendingAppend {
   readonly body: string;
   readonly deadline: types.clock.MonotonicMs;
   /** Settles the caller's promise; later calls have no effect. */
   readonly settle: (answer: AppendResult) => void;
-  settled: boolean;
+  isSettled: boolean;
 }
 
 interface SentBatch {
   readonly sequence: number;
-  readonly pendings: readonly Pending[];
+  readonly pendings: readonly PendingAppend[];
 }
 
 /** Makes an appender with an empty queue. */
 export function createLogAppender(options: LogAppenderOptions): LogAppender {
   const {stream, producer, log, clock} = options;
   const logger = options.logger.with({stream});
-  const queue: Pending[] = [];
+  const queue: PendingAppend[] = [];
   /** Own records seen by the follower while a batch is in doubt. */
   const observed = new Map<number, number>();
   let sequence = 0;
-  let sending = false;
+  let isSending = false;
   let nextAppendAt = clock.monotonic();
-  let inDoubt = false;
+  let isInDoubt = false;
 
-  function refuse(
-    pending: Pending,
+  function settleWithError(
+    pending: PendingAppend,
     effect: types.stepError.Effect,
     message: string,
   ): void {
@@ -103,7 +103,7 @@
         peer: stream,
         effect,
         message,
-        retryAfterMs: RESOLVE_RETRY_MS * 2,
+        retryAfterMs: VOID_RETRY_MS * 2,
       }),
     );
   }
@@ -112,27 +112,29 @@
    * The log has answered no read for long. An append would wait for its
    * deadline and then be `unknown`; refused before, it is surely `not_run`.
    */
-  function isSilent(): boolean {
-    const last = options.follower.lastAnswerAt();
-    if (last === undefined) return true;
-    return clock.monotonic() > types.clock.after(last, SILENCE_MS);
+  function isLogSilent(): boolean {
+    const lastAnswerAt = options.follower.lastAnswerAt();
+    if (lastAnswerAt === undefined) return true;
+    return (
+      clock.monotonic() > types.clock.after(lastAnswerAt, MAX_LOG_SILENCE_MS)
+    );
   }
 
   async function sendAll(): Promise<void> {
-    if (sending) return;
-    sending = true;
+    if (isSending) return;
+    isSending = true;
     while (queue.length > 0) {
       await clock.sleepUntil(nextAppendAt, options.signal);
       nextAppendAt = types.clock.after(clock.monotonic(), options.minGapMs);
       const pendings = queue
-        .splice(0, MAX_BATCH)
-        .filter((pending) => !pending.settled);
+        .splice(0, MAX_BATCH_RECORDS)
+        .filter((pending) => !pending.isSettled);
       if (pendings.length > 0) await sendBatch(pendings);
     }
-    sending = false;
+    isSending = false;
   }
 
-  async function sendBatch(pendings: readonly Pending[]): Promise<void> {
+  async function sendBatch(pendings: readonly PendingAppend[]): Promise<void> {
     const batch: SentBatch = {sequence, pendings};
     observed.clear();
     sequence += pendings.length;
@@ -155,38 +157,41 @@
     });
     if (answer.error.effect === 'not_run') {
       for (const pending of pendings) {
-        refuse(pending, 'not_run', answer.error.message);
+        settleWithError(pending, 'not_run', answer.error.message);
       }
       return;
     }
-    await resolveDoubt(batch);
+    await resolveUnknownBatch(batch);
   }
 
-  async function resolveDoubt(batch: SentBatch): Promise<void> {
-    inDoubt = true;
+  async function resolveUnknownBatch(batch: SentBatch): Promise<void> {
+    isInDoubt = true;
     // Whoever waits in the queue was never sent: told so at once.
     for (const pending of queue.splice(0)) {
-      refuse(pending, 'not_run', 'an earlier append is in doubt');
+      settleWithError(pending, 'not_run', 'an earlier append is in doubt');
     }
     const restoresBefore = options.follower.restores();
-    const seen = await followTo(await appendVoid());
+    const isFollowed = await waitForFollower(await appendVoid());
     // A snapshot in between covers records without showing them one by one.
-    const sawEach = seen && options.follower.restores() === restoresBefore;
+    const hasSeenEach =
+      isFollowed && options.follower.restores() === restoresBefore;
     batch.pendings.forEach((pending, index) => {
       const offset = observed.get(batch.sequence + index);
       if (offset !== undefined) pending.settle(result.ok({offset}));
-      else if (sawEach) refuse(pending, 'not_run', 'the log did not take it');
-      else refuse(pending, 'unknown', 'the log could not be read back');
+      else if (hasSeenEach)
+        settleWithError(pending, 'not_run', 'the log did not take it');
+      else
+        settleWithError(pending, 'unknown', 'the log could not be read back');
     });
     observed.clear();
-    inDoubt = false;
+    isInDoubt = false;
     logger.info('append_doubt_resolved', {records: batch.pendings.length});
   }
 
   /** Waits until the follower has seen the offset; false when closing. */
-  async function followTo(offset: number | undefined): Promise<boolean> {
+  async function waitForFollower(offset: number | undefined): Promise<boolean> {
     while (offset !== undefined && !options.signal.aborted) {
-      const deadline = types.clock.after(clock.monotonic(), FOLLOW_MS);
+      const deadline = types.clock.after(clock.monotonic(), FOLLOWER_WAIT_MS);
       if (await options.follower.waitFor(offset, deadline)) return true;
     }
     return false;
@@ -204,7 +209,7 @@
       });
       sequence += 1;
       if (answer.isOk) return answer.value.firstOffset;
-      const retryAt = types.clock.after(clock.monotonic(), RESOLVE_RETRY_MS);
+      const retryAt = types.clock.after(clock.monotonic(), VOID_RETRY_MS);
       await clock.sleepUntil(retryAt, options.signal);
     }
     return undefined;
@@ -214,27 +219,27 @@
     append: (body, deadline) =>
       new Promise<AppendResult>((resolve) => {
         const timer = new AbortController();
-        const pending: Pending = {
+        const pending: PendingAppend = {
           body,
           deadline,
-          settled: false,
+          isSettled: false,
           settle: (answer) => {
-            if (pending.settled) return;
-            pending.settled = true;
+            if (pending.isSettled) return;
+            pending.isSettled = true;
             timer.abort();
             resolve(answer);
           },
         };
-        if (inDoubt) {
-          refuse(pending, 'not_run', 'the log does not answer');
+        if (isInDoubt) {
+          settleWithError(pending, 'not_run', 'the log does not answer');
           return;
         }
         queue.push(pending);
         void clock.sleepUntil(deadline, timer.signal).then(() => {
-          const unsent = queue.includes(pending);
-          refuse(
+          const isUnsent = queue.includes(pending);
+          settleWithError(
             pending,
-            unsent ? 'not_run' : 'unknown',
+            isUnsent ? 'not_run' : 'unknown',
             'the log did not answer in time',
           );
         });
@@ -243,9 +248,9 @@
     observe: (record) => {
       if (record.producer !== producer) return;
       // Kept only until the batch it belongs to is settled.
-      if (sending) observed.set(record.sequence, record.offset);
+      if (isSending) observed.set(record.sequence, record.offset);
     },
     outage: () =>
-      inDoubt || isSilent() ? {retryAfterMs: COME_BACK_MS} : undefined,
+      isInDoubt || isLogSilent() ? {retryAfterMs: RETRY_AFTER_MS} : undefined,
   };
 }
--- a/packages/gypsumwall-records/src/producer_counts.ts
+++ b/packages/gypsumwall-records/src/producer_sequences.ts
@@ -10,27 +10,27 @@
  */
 
 /** Producers kept; the longest unheard are forgotten first. */
-const KEPT_PRODUCERS = 20_000;
+const MAX_PRODUCERS = 20_000;
 
 /** Counts of a stream's producers. */
-export interface ProducerCounts {
+export interface ProducerSequences {
   /** Whether the record counts; remembers it if so. */
-  take(producer: string, sequence: number): boolean;
+  accept(producer: string, sequence: number): boolean;
   entries(): ReadonlyArray<readonly [string, number]>;
   restore(entries: ReadonlyArray<readonly [string, number]>): void;
 }
 
 /** Makes empty counts. */
-export function createProducerCounts(): ProducerCounts {
+export function createProducerSequences(): ProducerSequences {
   let highest = new Map<string, number>();
   return {
-    take: (producer, sequence) => {
+    accept: (producer, sequence) => {
       const seen = highest.get(producer);
       if (seen !== undefined && sequence <= seen) return false;
       // Deleting first keeps the map in order of the latest word.
       highest.delete(producer);
       highest.set(producer, sequence);
-      if (highest.size > KEPT_PRODUCERS) forgetOldest(highest);
+      if (highest.size > MAX_PRODUCERS) evictOldest(highest);
       return true;
     },
     entries: () => [...highest],
@@ -40,7 +40,7 @@
   };
 }
 
-function forgetOldest(highest: Map<string, number>): void {
+function evictOldest(highest: Map<string, number>): void {
   const oldest = highest.keys().next();
   if (oldest.done !== true) highest.delete(oldest.value);
 }
--- a/packages/gypsumwall-records/src/request_fold.ts
+++ b/packages/gypsumwall-records/src/request_fold.ts
@@ -36,12 +36,12 @@
 }
 
 /** Keys kept; the oldest go first. Stated to callers in docs/API.md. */
-export const KEPT_KEYS = 100_000;
+export const MAX_KEYS = 100_000;
 /**
  * Characters of answers kept in all, for callers who ask again. Beyond it the
  * oldest answers go, while their keys stay: what has run is never run again.
  */
-export const KEPT_ANSWER_CHARS = 32 * 1024 * 1024;
+export const MAX_STORED_ANSWER_CHARS = 32 * 1024 * 1024;
 
 /** Makes a fold without keys. */
 export function createRequestFold(clock: types.clock.Clock): RequestFold {
@@ -58,16 +58,16 @@
   ): void {
     const name = keyName(intent.team, intent.key);
     const known = keys.get(name);
-    const free =
+    const isFree =
       known === undefined || known.outcome?.outcome.type === 'not_run';
-    if (!free) return;
+    if (!isFree) return;
     keys.delete(name);
     const windowEnds = types.clock.after(readAt, intent.windowMs);
     keys.set(name, {intent, offset, windowEnds});
-    if (keys.size > KEPT_KEYS) forgetOldest();
+    if (keys.size > MAX_KEYS) evictOldest();
   }
 
-  function forgetOldest(): void {
+  function evictOldest(): void {
     const oldest = keys.keys().next();
     if (oldest.done === true) return;
     const state = keys.get(oldest.value);
@@ -75,13 +75,13 @@
     keys.delete(oldest.value);
   }
 
-  function keepAnswer(state: KeyState): void {
+  function storeAnswer(state: KeyState): void {
     const chars = state.outcome?.answer?.length ?? 0;
     if (chars === 0) return;
     answered.add(state);
     answerChars += chars;
     for (const oldest of answered) {
-      if (answerChars <= KEPT_ANSWER_CHARS) return;
+      if (answerChars <= MAX_STORED_ANSWER_CHARS) return;
       dropAnswer(oldest);
     }
   }
@@ -100,7 +100,7 @@
     if (known?.intent.requestId !== record.requestId) return;
     if (known.outcome !== undefined) return;
     known.outcome = record;
-    keepAnswer(known);
+    storeAnswer(known);
     waiters.get(name)?.forEach((wake) => wake());
   }
 
@@ -139,7 +139,7 @@
         const windowEnds = types.clock.after(readAt, intent.windowMs);
         const state = {...saved, windowEnds};
         keys.set(keyName(intent.team, intent.key), state);
-        keepAnswer(state);
+        storeAnswer(state);
       }
       waiters.forEach((set) => set.forEach((wake) => wake()));
     },
--- a/packages/gypsumwall-records/src/snapshot_text.ts
+++ b/packages/gypsumwall-records/src/snapshot_text.ts
@@ -1,6 +1,6 @@
 /** Snapshots in the stream: one state cut into records of a bounded size. */
 import * as envelope from './envelope.js';
-import type * as producerCounts from './producer_counts.js';
+import type * as producerSequences from './producer_sequences.js';
 import type * as streamFold from './stream_fold.js';
 
 /** Characters of one part; keeps a record well under the log's limit. */
@@ -20,11 +20,11 @@
 
 /** The text of a stream's state, its producers' counts included. */
 export function writeText(
-  counts: producerCounts.ProducerCounts,
+  sequences: producerSequences.ProducerSequences,
   fold: streamFold.StreamFold,
 ): string {
   const body: SnapshotBody = {
-    producers: counts.entries(),
+    producers: sequences.entries(),
     state: fold.snapshot(),
   };
   return JSON.stringify(body);
@@ -61,17 +61,17 @@
 
 /** Makes an empty collector. */
 export function createSnapshotCollector(): SnapshotCollector {
-  const started = new Map<string, string[]>();
+  const partsByName = new Map<string, string[]>();
   return {
     add: (producer, part) => {
       // Two entries may write at once; their parts are kept apart.
       const name = `${producer} ${part.nextOffset}`;
-      const texts = part.part === 0 ? [] : started.get(name);
+      const texts = part.part === 0 ? [] : partsByName.get(name);
       if (texts === undefined || texts.length !== part.part) return undefined;
       texts.push(part.text);
-      started.set(name, texts);
+      partsByName.set(name, texts);
       if (texts.length < part.parts) return undefined;
-      started.delete(name);
+      partsByName.delete(name);
       return {nextOffset: part.nextOffset, text: texts.join('')};
     },
   };
--- a/packages/gypsumwall-records/src/stream_follower.ts
+++ b/packages/gypsumwall-records/src/stream_follower.ts
@@ -6,7 +6,7 @@
 import type * as telemetry from '@gypsumwall/telemetry';
 import * as types from '@gypsumwall/types';
 import * as envelope from './envelope.js';
-import * as producerCounts from './producer_counts.js';
+import * as producerSequences from './producer_sequences.js';
 import * as snapshotText from './snapshot_text.js';
 import type * as streamFold from './stream_fold.js';
 
@@ -42,7 +42,7 @@
   /** Whether a reader that starts now could rebuild the state from the log. */
   isRebuildable(): boolean;
   /** A state is of use to this reader only if it goes further than this. */
-  wantsAbove(): number;
+  minAdoptableOffset(): number;
   /** The state now, for a snapshot record or for a peer. */
   snapshot(): snapshotText.Snapshot;
   /**
@@ -51,7 +51,7 @@
    */
   adopt(snapshot: snapshotText.Snapshot): boolean;
   /** A peer that is caught up has read no further than this reader has. */
-  noteAsFarAsPeer(nextOffset: number): void;
+  confirmCaughtUp(nextOffset: number): void;
 }
 
 const PAGE_LIMIT = 2_000;
@@ -69,19 +69,19 @@
 ): StreamFollower {
   const {stream, log, fold, clock} = options;
   const logger = options.logger.with({stream});
-  const counts = producerCounts.createProducerCounts();
+  const sequences = producerSequences.createProducerSequences();
   const waiters = new Set<Waiter>();
-  let next = 0;
-  let complete = false;
+  let nextOffset = 0;
+  let isComplete = false;
   /** Whether the last page went to the stream's end; then reads may wait. */
-  let atEnd = false;
-  let sinceSnapshot = 0;
+  let isAtEnd = false;
+  let recordsAfterSnapshot = 0;
   /** Oldest record that the log still has, as of its last answer. */
-  let oldest = 0;
+  let firstRetainedOffset = 0;
   /** Records below this offset are covered by a snapshot in the stream. */
-  let covered = 0;
-  let restores = 0;
-  let lastAnswer: types.clock.MonotonicMs | undefined;
+  let snapshotEndOffset = 0;
+  let restoreCount = 0;
+  let lastAnsweredAt: types.clock.MonotonicMs | undefined;
   /**
    * Set while the start of the stream is lost to retention: records wait
    * here until a snapshot says what came before them.
@@ -89,11 +89,12 @@
   let awaitingSnapshot: AwaitingSnapshot | undefined;
 
   /** What counts is how far it goes: an old snapshot may arrive late. */
-  function noteCovered(
+  function recordSnapshotPart(
     part: Extract<envelope.Envelope, {readonly type: 'snapshot'}>,
   ): void {
-    const isWhole = part.part === part.parts - 1;
-    if (isWhole) covered = Math.max(covered, part.nextOffset);
+    const isLastPart = part.part === part.parts - 1;
+    if (isLastPart)
+      snapshotEndOffset = Math.max(snapshotEndOffset, part.nextOffset);
   }
 
   function applyRecord(record: platform.platformLog.LogRecord): void {
@@ -117,11 +118,11 @@
         break;
     }
     if (read.envelope.type === 'snapshot') {
-      sinceSnapshot = 0;
-      noteCovered(read.envelope);
+      recordsAfterSnapshot = 0;
+      recordSnapshotPart(read.envelope);
       return;
     }
-    if (!counts.take(record.producer, record.sequence)) {
+    if (!sequences.accept(record.producer, record.sequence)) {
       logger.info('record_void', {
         offset: record.offset,
         producer: record.producer,
@@ -129,7 +130,7 @@
       });
       return;
     }
-    sinceSnapshot += 1;
+    recordsAfterSnapshot += 1;
     if (read.envelope.type === 'record') {
       fold.apply(record.offset, read.envelope.record, clock.monotonic());
     }
@@ -138,8 +139,8 @@
 
   function restore(snapshot: snapshotText.Snapshot): void {
     const body = snapshotText.readText(snapshot.text);
-    restores += 1;
-    counts.restore(body.producers);
+    restoreCount += 1;
+    sequences.restore(body.producers);
     fold.restore(body.state, clock.monotonic());
     logger.info('snapshot_restored', {
       next_offset: snapshot.nextOffset,
@@ -148,7 +149,7 @@
   }
 
   /** Takes the state that was waited for, and what came after it. */
-  function resume(
+  function restoreAndReplay(
     waiting: AwaitingSnapshot,
     found: snapshotText.Snapshot,
   ): void {
@@ -159,53 +160,56 @@
       .forEach(applyRecord);
   }
 
-  function collect(
+  function bufferRecord(
     waiting: AwaitingSnapshot,
     record: platform.platformLog.LogRecord,
   ): void {
     const read = envelope.decode(record.body);
     if (read.type === 'known' && read.envelope.type === 'snapshot') {
-      noteCovered(read.envelope);
+      recordSnapshotPart(read.envelope);
       const found = waiting.collector.add(record.producer, read.envelope);
       if (found !== undefined && found.nextOffset >= waiting.firstOffset) {
-        resume(waiting, found);
+        restoreAndReplay(waiting, found);
       }
       return;
     }
     waiting.records.push(record);
   }
 
-  function takePage(page: platform.platformLog.LogPage): void {
-    if (page.firstOffset > next) {
+  function applyPage(page: platform.platformLog.LogPage): void {
+    if (page.firstOffset > nextOffset) {
       // Retention passed this reader: what was between is gone, so the state
       // is rebuilt from a snapshot instead of carried on with a hole in it.
-      logger.warn('retention_passed', {next, first: page.firstOffset});
+      logger.warn('retention_passed', {
+        next: nextOffset,
+        first: page.firstOffset,
+      });
       awaitingSnapshot = {
         firstOffset: page.firstOffset,
         records: [],
         collector: snapshotText.createSnapshotCollector(),
       };
-      next = page.firstOffset;
+      nextOffset = page.firstOffset;
     }
     for (const record of page.records) {
       // An overlapping page must not apply a record twice.
-      if (record.offset < next) continue;
+      if (record.offset < nextOffset) continue;
       if (awaitingSnapshot === undefined) applyRecord(record);
-      else collect(awaitingSnapshot, record);
-      next = record.offset + 1;
+      else bufferRecord(awaitingSnapshot, record);
+      nextOffset = record.offset + 1;
     }
-    atEnd = next >= page.endOffset;
-    oldest = page.firstOffset;
-    complete = awaitingSnapshot === undefined && atEnd;
-    lastAnswer = clock.monotonic();
-    wakeWaiters();
+    isAtEnd = nextOffset >= page.endOffset;
+    firstRetainedOffset = page.firstOffset;
+    isComplete = awaitingSnapshot === undefined && isAtEnd;
+    lastAnsweredAt = clock.monotonic();
+    resolveWaiters();
     if (page.records.length > 0) options.onProgress?.();
   }
 
-  function wakeWaiters(): void {
+  function resolveWaiters(): void {
     if (awaitingSnapshot !== undefined) return;
     for (const waiter of waiters) {
-      if (waiter.offset < next) waiter.resolve(true);
+      if (waiter.offset < nextOffset) waiter.resolve(true);
     }
   }
 
@@ -213,7 +217,7 @@
     offset: number,
     deadline: types.clock.MonotonicMs,
   ): Promise<boolean> {
-    if (offset < next && awaitingSnapshot === undefined) return true;
+    if (offset < nextOffset && awaitingSnapshot === undefined) return true;
     const timer = new AbortController();
     const seen = new Promise<boolean>((resolve) => {
       const waiter: Waiter = {
@@ -232,9 +236,9 @@
     return seen;
   }
 
-  function wantsAbove(): number {
+  function minAdoptableOffset(): number {
     return awaitingSnapshot === undefined
-      ? next
+      ? nextOffset
       : awaitingSnapshot.firstOffset - 1;
   }
 
@@ -242,14 +246,14 @@
     while (!signal.aborted) {
       const page = await log.read({
         stream,
-        from: next,
+        from: nextOffset,
         limit: PAGE_LIMIT,
-        waitMs: atEnd ? LONG_POLL_MS : 0,
+        waitMs: isAtEnd ? LONG_POLL_MS : 0,
         signal,
       });
       if (signal.aborted) return;
       if (page.isOk) {
-        takePage(page.value);
+        applyPage(page.value);
         continue;
       }
       logger.debug('log_read_failed', {
@@ -263,29 +267,29 @@
   return {
     run,
     waitFor,
-    nextOffset: () => next,
-    caughtUp: () => complete,
-    lastAnswerAt: () => lastAnswer,
-    restores: () => restores,
-    recordsSinceSnapshot: () => sinceSnapshot,
-    isRebuildable: () => covered >= oldest,
-    wantsAbove,
+    nextOffset: () => nextOffset,
+    caughtUp: () => isComplete,
+    lastAnswerAt: () => lastAnsweredAt,
+    restores: () => restoreCount,
+    recordsSinceSnapshot: () => recordsAfterSnapshot,
+    isRebuildable: () => snapshotEndOffset >= firstRetainedOffset,
+    minAdoptableOffset,
     snapshot: () => ({
-      nextOffset: next,
-      text: snapshotText.writeText(counts, fold),
+      nextOffset,
+      text: snapshotText.writeText(sequences, fold),
     }),
-    noteAsFarAsPeer: (nextOffset) => {
-      if (awaitingSnapshot === undefined && nextOffset === next) {
-        complete = true;
+    confirmCaughtUp: (nextOffset) => {
+      if (awaitingSnapshot === undefined && nextOffset === nextOffset) {
+        isComplete = true;
       }
     },
     adopt: (snapshot) => {
-      if (snapshot.nextOffset <= wantsAbove()) return false;
+      if (snapshot.nextOffset <= minAdoptableOffset()) return false;
       if (awaitingSnapshot === undefined) restore(snapshot);
-      else resume(awaitingSnapshot, snapshot);
-      next = Math.max(next, snapshot.nextOffset);
-      complete = true;
-      wakeWaiters();
+      else restoreAndReplay(awaitingSnapshot, snapshot);
+      nextOffset = Math.max(nextOffset, snapshot.nextOffset);
+      isComplete = true;
+      resolveWaiters();
       options.onProgress?.();
       return true;
     },
