--- a/packages/gypsumwall-entry/src/entry_stream.ts
+++ b/packages/gypsumwall-entry/src/entry_stream.ts
@@ -40,7 +40,7 @@
 
 const APPEND_TIMEOUT_MS = 10_000;
 /** A log unheard for this long is not known to its end. */
-const MAX_STALENESS_MS = 2_500;
+const MAX_AGE_MS = 2_500;
 
 /** Makes reader and writer; the reader is started by its `run`. */
 export function createEntryStream(options: EntryStreamOptions): EntryStream {
@@ -80,11 +80,9 @@
       return follower.waitFor(appended.value.offset, appendDeadline());
     },
     isCurrent: () => {
-      const lastAnswerAt = follower.lastAnswerAt();
-      if (!follower.caughtUp() || lastAnswerAt === undefined) return false;
-      return (
-        clock.monotonic() < types.clock.after(lastAnswerAt, MAX_STALENESS_MS)
-      );
+      const answeredAt = follower.lastAnswerAt();
+      if (!follower.caughtUp() || answeredAt === undefined) return false;
+      return clock.monotonic() < types.clock.after(answeredAt, MAX_AGE_MS);
     },
   };
 }
--- a/packages/gypsumwall-entry/src/peer_catch_up.ts
+++ b/packages/gypsumwall-entry/src/peer_catch_up.ts
@@ -47,11 +47,9 @@
   stream: entryStream.EntryStream,
   clock: types.clock.Clock,
 ): boolean {
-  const lastAnswerAt = stream.follower.lastAnswerAt();
-  if (lastAnswerAt === undefined || !stream.follower.caughtUp()) return false;
-  return (
-    clock.monotonic() < types.clock.after(lastAnswerAt, MAX_LOG_SILENCE_MS)
-  );
+  const answeredAt = stream.follower.lastAnswerAt();
+  if (answeredAt === undefined || !stream.follower.caughtUp()) return false;
+  return clock.monotonic() < types.clock.after(answeredAt, MAX_LOG_SILENCE_MS);
 }
 
 async function readFromPeer(
--- a/packages/gypsumwall-records/src/log_appender.ts
+++ b/packages/gypsumwall-records/src/log_appender.ts
@@ -61,7 +61,7 @@
 const MAX_BATCH_RECORDS = 512;
 const VOID_RETRY_MS = 300;
 /** Longer than a long poll of the follower and a slow answer to it. */
-const MAX_LOG_SILENCE_MS = 4_000;
+const MAX_SILENCE_MS = 4_000;
 const RETRY_AFTER_MS = 1_000;
 /** How often the wait for the follower looks whether the process is closing. */
 const FOLLOWER_WAIT_MS = 1_000;
@@ -113,11 +113,9 @@
    * deadline and then be `unknown`; refused before, it is surely `not_run`.
    */
   function isLogSilent(): boolean {
-    const lastAnswerAt = options.follower.lastAnswerAt();
-    if (lastAnswerAt === undefined) return true;
-    return (
-      clock.monotonic() > types.clock.after(lastAnswerAt, MAX_LOG_SILENCE_MS)
-    );
+    const answeredAt = options.follower.lastAnswerAt();
+    if (answeredAt === undefined) return true;
+    return clock.monotonic() > types.clock.after(answeredAt, MAX_SILENCE_MS);
   }
 
   async function sendAll(): Promise<void> {
