--- a/packages/gypsumwall-entry/src/__tests__/job_request.test.ts
+++ b/packages/gypsumwall-entry/src/__tests__/job_request.test.ts
@@ -46,5 +46,5 @@
   const work = {command: 'x', args: {a: [1]}};
   assert.match(refusal({work}), /work\/args\/a.*type string or number or bool/);
   const noJson = jobRequest.checkJobRequest(undefined, TEAM);
-  assert.match(noJson.isErr ? noJson.error : '', /no JSON/);
+  assert.match(noJson.isErr ? noJson.error : '', /not JSON/);
 });
--- a/packages/gypsumwall-entry/src/answer_client_fault.ts
+++ b/packages/gypsumwall-entry/src/answer_client_fault.ts
@@ -1,6 +1,7 @@
 /**
- * Answers callers whose HTTP can't be read or comes too slowly. A route sees a
- * call only once its body is there, so it is proved that nothing ran.
+ * Answers callers whose HTTP is malformed or arrives too slowly. Routes are
+ * called only once the whole body has arrived, so it is certain that nothing
+ * ran.
  */
 import * as http from 'node:http';
 import type * as net from 'node:net';
@@ -8,18 +9,18 @@
 
 const BAD_REQUEST = 400;
 
-/** Status by the code of Node's parser; all others are a bad request. */
+/** Status for error codes of Node's parser; all other codes get 400. */
 const STATUS_OF_CODE: Readonly<Record<string, number>> = {
   ERR_HTTP_REQUEST_TIMEOUT: 408,
   HPE_HEADER_OVERFLOW: 431,
 };
 
 const DETAIL_OF_STATUS: Readonly<Record<number, string>> = {
-  408: 'the call came too slowly: send its head and body in one go',
-  431: 'the head of the call is too large: send fewer or shorter headers',
+  408: 'the call arrived too slowly: send headers and body without pauses',
+  431: 'the headers of the call are too large: send fewer or shorter headers',
 };
 
-/** Writes the answer onto the socket and closes it. */
+/** Writes an error answer to the socket and closes it. */
 export function answerClientFault(
   err: Error & {readonly code?: string},
   socket: net.Socket,
@@ -30,7 +31,8 @@
   }
   const status = STATUS_OF_CODE[err.code ?? ''] ?? BAD_REQUEST;
   const detail =
-    DETAIL_OF_STATUS[status] ?? `the call is no HTTP/1.1: ${err.message}`;
+    DETAIL_OF_STATUS[status] ??
+    `the call is not valid HTTP/1.1: ${err.message}`;
   const refusal = {...problem.notRun('invalid', detail), status};
   const body = JSON.stringify(problem.toBody(refusal));
   socket.end(
@@ -47,12 +49,13 @@
 }
 
 /**
- * Whether a call that came whole before on this connection has no answer yet.
- * Failure: garbage follows it. Symptom: the caller reads our `not_run` as the
- * answer to that call, which runs. A connection that is cut says `unknown`.
+ * Whether an earlier, complete call on this connection has no answer yet.
+ * Failure: invalid bytes follow that call. Symptom: the caller takes our
+ * `not_run` for the answer to that call, which runs. Closing the connection
+ * instead leaves the caller with `unknown`.
  */
 function isServing(socket: net.Socket): boolean {
-  // Node keeps the answer under way here; it has no public name.
+  // Node stores the response in progress in this private field.
   const {_httpMessage: answer} = socket as net.Socket & {
     readonly _httpMessage?: http.ServerResponse | null;
   };
--- a/packages/gypsumwall-entry/src/authenticate.ts
+++ b/packages/gypsumwall-entry/src/authenticate.ts
@@ -1,12 +1,12 @@
 /**
- * Who calls: a team by its token, or an operator. Tokens are known only by
- * their hashes, and are compared in constant time.
+ * Authenticates callers by token, as a team or an operator. Only hashes of
+ * tokens are stored, and they are compared in constant time.
  */
 import * as crypto from 'node:crypto';
 import type * as records from '@gypsumwall/records';
 import * as types from '@gypsumwall/types';
 
-/** A caller who proved who it is. */
+/** An authenticated caller. */
 export type Identity =
   | {readonly type: 'team'; readonly team: types.ids.TeamId}
   | {
@@ -16,17 +16,17 @@
       readonly subtrees: readonly string[];
     };
 
-/** Whom a token stands for; undefined when for nobody. */
+/** Returns whose token the header carries; undefined if it is unknown. */
 export type Authenticate = (
   authorization: string | undefined,
 ) => Identity | undefined;
 
 const BEARER_PATTERN = /^Bearer +(\S+)$/i;
 const ROOT_OPERATOR = 'root';
-/** Tokens whose owner is remembered, to spare the walk over all hashes. */
+/** The cache avoids comparing each call's token with all hashes. */
 const MAX_CACHED_IDENTITIES = 10_000;
 
-/** Makes the check against the tree in force. */
+/** Creates the check against the current settings tree. */
 export function createAuthenticate(
   config: records.configFold.ConfigFold,
   rootOperatorTokenHash: string,
@@ -52,7 +52,7 @@
   }
 
   return {
-    // A changed tree may take a token back.
+    // Call this when the settings change, as that may revoke a token.
     clearCache: () => cache.clear(),
     authenticate: (authorization) => {
       const token = BEARER_PATTERN.exec(authorization ?? '')?.[1];
@@ -69,7 +69,7 @@
   };
 }
 
-/** SHA-256 in hex. */
+/** Returns the SHA-256 hash in hexadecimal. */
 export function sha256(data: string | Uint8Array): string {
   return crypto.createHash('sha256').update(data).digest('hex');
 }
--- a/packages/gypsumwall-entry/src/call_context.ts
+++ b/packages/gypsumwall-entry/src/call_context.ts
@@ -1,4 +1,4 @@
-/** What every route reads off a call before it does anything. */
+/** Reads headers, identity and body of a call; used by all routes. */
 import * as crypto from 'node:crypto';
 import type * as fastify from 'fastify';
 import * as result from 'true-myth/result';
@@ -7,10 +7,10 @@
 import type * as entryContext from './entry_context.js';
 import * as problem from './problem.js';
 
-/** Longest time a call may ask for. */
+/** Longest time limit that a caller may set. */
 export const MAX_TIMEOUT_MS = 600_000;
 
-/** The caller's time limit as a deadline here, or what is wrong with it. */
+/** Converts the caller's time limit to a deadline, or returns the refusal. */
 export function readDeadline(
   req: fastify.FastifyRequest,
   defaultMs: number,
@@ -39,7 +39,7 @@
   return result.ok(types.clock.after(clock.monotonic(), timeoutMs));
 }
 
-/** The one value of a header. */
+/** Returns the value of a header, or the first one if it is repeated. */
 export function headerOf(
   req: fastify.FastifyRequest,
   name: string,
@@ -50,7 +50,7 @@
 
 const KEY_PATTERN = /^[\x21-\x7e]{1,200}$/;
 
-/** The caller's idempotency key, if it gave one. */
+/** Returns the caller's idempotency key if there is one, or the refusal. */
 export function readKey(
   req: fastify.FastifyRequest,
 ): result.Result<types.ids.IdempotencyKey | undefined, problem.Problem> {
@@ -68,7 +68,7 @@
   );
 }
 
-/** A key for a call whose caller gave none. */
+/** Makes a key for a call whose caller gave none. */
 export function makeKey(): types.ids.IdempotencyKey {
   return types.ids.brand<types.ids.IdempotencyKey>(
     `auto-${crypto.randomUUID()}`,
@@ -77,7 +77,7 @@
 
 type Operator = Extract<authenticate.Identity, {type: 'operator'}>;
 
-/** The team that calls, or the refusal. */
+/** Returns the calling team, or the refusal. */
 export function teamOf(
   context: entryContext.EntryContext,
   req: fastify.FastifyRequest,
@@ -92,13 +92,13 @@
       return result.err(
         problem.notRun(
           'forbidden',
-          'an operator has no work of its own: use a team token',
+          'operators have no jobs or requests: use a team token for this call',
         ),
       );
   }
 }
 
-/** The operator that calls, or the refusal. */
+/** Returns the calling operator, or the refusal. */
 export function operatorOf(
   context: entryContext.EntryContext,
   req: fastify.FastifyRequest,
@@ -120,11 +120,11 @@
   return problem.notRun(
     'unauthenticated',
     'send the header "authorization: Bearer TOKEN" with a token whose hash ' +
-      'stands in the settings tree',
+      'is in the settings tree',
   );
 }
 
-/** The body as JSON; undefined where it is none. */
+/** Parses the body as JSON; returns undefined if it is not valid JSON. */
 export function readJson(req: fastify.FastifyRequest): unknown {
   if (!Buffer.isBuffer(req.body)) return req.body;
   try {
--- a/packages/gypsumwall-entry/src/call_telemetry.ts
+++ b/packages/gypsumwall-entry/src/call_telemetry.ts
@@ -1,9 +1,9 @@
-/** A span, a counter and a log line for each call of a caller or a peer. */
+/** Records a span, a counter and a log line for each call. */
 import type * as fastify from 'fastify';
 import type * as telemetry from '@gypsumwall/telemetry';
 import type * as types from '@gypsumwall/types';
 
-/** What is needed. */
+/** Options of `addCallTelemetry`. */
 export interface CallTelemetryOptions {
   readonly clock: types.clock.Clock;
   readonly logger: telemetry.logger.Logger;
@@ -16,11 +16,11 @@
   readonly arrivedAt: types.clock.MonotonicMs;
 }
 
-/** Routes that a balancer asks all the time; they would drown the rest. */
+/** Health checks are so frequent that their records would bury all others. */
 const UNRECORDED_ROUTES = new Set(['/healthz', '/readyz']);
 const SERVER_ERROR_STATUS = 500;
 
-/** Adds the hooks. A route finds its span's context in `traceparent`. */
+/** Adds the hooks; they set the header `traceparent` to the call's own span. */
 export function addCallTelemetry(
   app: fastify.FastifyInstance,
   options: CallTelemetryOptions,
--- a/packages/gypsumwall-entry/src/choose_home.ts
+++ b/packages/gypsumwall-entry/src/choose_home.ts
@@ -1,17 +1,18 @@
 /**
- * The home of a job that its caller gave a key.
+ * Chooses the home domain of a job whose caller gave an idempotency key.
  *
  * Failure: a caller repeats a submission, and the balancer sends it to an
  * entry of another failure domain. Symptom: two homes each accept the key,
- * and a plan runs twice. The key itself names the home, the same at every
- * entry, so that one stream of the log decides on all repetitions.
+ * and the job runs twice. The home is therefore computed from the key, with
+ * the same result at every entry, so that one stream of the log decides on all
+ * repetitions.
  */
 import * as crypto from 'node:crypto';
 import * as types from '@gypsumwall/types';
 
 /**
- * Rendezvous hashing: with a domain more or less, only keys of that domain
- * change their home. Undefined where there are no domains.
+ * Chooses the home by rendezvous hashing: if a domain is added or removed, only
+ * the keys of that domain change their home. Undefined if there is no domain.
  */
 export function chooseHome(
   team: types.ids.TeamId,
@@ -27,13 +28,14 @@
     : types.ids.brand<types.ids.FailureDomain>(first);
 }
 
-/** Hexadecimal digits of a job's suffix: enough that no two keys meet. */
+/** Hexadecimal digits of a job's suffix; enough to rule out collisions. */
 const SUFFIX_LENGTH = 24;
 
 /**
- * The suffix of the id of the job that a key stands for. All repetitions get
- * one id, so that a record may be appended by an entry that can't read its
- * stream back: whichever record comes first, the id that was told is right.
+ * Returns the suffix of the id of a key's job. All repetitions of a submission
+ * get the same id, so an entry may append the job's record to a stream that it
+ * can't read back: whichever record is first, the id given to the caller is
+ * right.
  */
 export function suffixOfKey(
   team: types.ids.TeamId,
--- a/packages/gypsumwall-entry/src/create_entry.ts
+++ b/packages/gypsumwall-entry/src/create_entry.ts
@@ -1,4 +1,4 @@
-/** Puts the parts of an entry together and runs them. */
+/** Creates an entry from its parts and starts it. */
 import * as crypto from 'node:crypto';
 import * as membership from '@gypsumwall/membership';
 import * as placement from '@gypsumwall/placement';
@@ -25,45 +25,46 @@
 import * as recoveryGate from './recovery_gate.js';
 import * as routerFeed from './router_feed.js';
 
-/** What an entry is made of; the same code runs on another clock or seed. */
+/** Options of an entry. Tests pass their own clock and random source. */
 export interface EntryOptions {
   readonly settings: settings.entrySettings.EntrySettings;
   readonly clock: types.clock.Clock;
   readonly random: types.random.Random;
   readonly logger: telemetry.logger.Logger;
-  /** Made from the settings where absent. */
+  /** Defaults to a tracer made from the settings. */
   readonly tracer?: telemetry.tracing.Tracer;
-  /** Made from the settings where absent. */
+  /** Defaults to metrics made from the settings. */
   readonly metrics?: telemetry.metrics.Metrics;
 }
 
 /** A running entry. */
 export interface Entry {
   readonly id: types.ids.EntryId;
-  /** Where callers reach it, `http://ip:port`. */
+  /** Address for callers, `http://ip:port`. */
   readonly address: string;
-  /** Where other entries reach it. */
+  /** Address of the peer service, for other entries. */
   readonly peerAddress: string;
-  /** Takes nothing new, hands the claim over, finishes what is in flight. */
+  /** Refuses new calls, releases the claim and finishes calls in flight. */
   drain(): Promise<void>;
-  /** Ends at once. */
+  /** Stops at once and cuts off calls in flight. */
   close(): Promise<void>;
 }
 
 const PEER_CALL_TIMEOUT_MS = 2_000;
-/** A busy holder's ends of tasks: 20 appends a second, however many. */
+/** Limits a busy holder, which records each task's end, to 20 appends/s. */
 const DOMAIN_MIN_GAP_MS = 50;
-/** A caller waits for each of these. */
+/** Short, because a caller waits for each append to these two streams. */
 const REQUESTS_MIN_GAP_MS = 10;
 const CONFIG_MIN_GAP_MS = 10;
 const CONFIG_STREAM = 'config';
 const REQUESTS_STREAM = 'requests';
 
-/** Starts an entry; resolves once it listens. */
+/** Starts an entry; resolves once it accepts calls. */
 export async function createEntry(options: EntryOptions): Promise<Entry> {
   const {clock, random} = options;
   const cfg = options.settings;
-  // Every process is a new entry to its peers: it remembers no promise.
+  // Each process gets a new id, because a restarted process has lost the
+  // promises that it gave to peers.
   const self = types.ids.brand<types.ids.EntryId>(
     `${cfg.id}-${crypto.randomBytes(4).toString('hex')}`,
   );
@@ -101,7 +102,7 @@
       signal,
     });
 
-  // Settings tree.
+  // Settings tree
   const config = records.configFold.createConfigFold(() => onConfigChange());
   const configStream = createStream(CONFIG_STREAM, config, CONFIG_MIN_GAP_MS);
   const authenticator = authenticate.createAuthenticate(
@@ -109,7 +110,7 @@
     cfg.rootOperatorTokenHash,
   );
 
-  // Requests that may not be repeated.
+  // Requests that may not be repeated
   const requests = records.requestFold.createRequestFold(clock);
   const requestStream = createStream(
     REQUESTS_STREAM,
@@ -117,7 +118,7 @@
     REQUESTS_MIN_GAP_MS,
   );
 
-  // Peers. The server listens first, since its address is part of the view.
+  // Peers. The server starts first, because its address is part of the view.
   const forwardMark = forwarder.createForwardMark();
   const peerServer = await membership.peerServer.createPeerServer({
     self,
@@ -153,7 +154,7 @@
     ownState,
   });
 
-  // The domain: its jobs, its claim, and the holder's part.
+  // The failure domain: its jobs, its claim and the holder's scheduler
   const jobs = records.jobFold.createJobFold((change) =>
     holder.onJobChange(change),
   );
@@ -203,7 +204,7 @@
     },
   });
 
-  // Quick requests.
+  // Quick requests
   const router = routing.createRouter.createRouter({
     entryId: peerServer.address,
     clock,
--- a/packages/gypsumwall-entry/src/domain_fold.ts
+++ b/packages/gypsumwall-entry/src/domain_fold.ts
@@ -1,19 +1,20 @@
-/** All that a domain's stream tells: its jobs and the claim on it. */
+/** State folded from a domain's stream: its jobs and the claim on it. */
 import type * as membership from '@gypsumwall/membership';
 import type * as records from '@gypsumwall/records';
 
-/** What the stream's claim records are handed to. */
+/** The part of the claim keeper that applies the stream's claim records. */
 export type ClaimPart = Pick<
   membership.claimKeeper.ClaimKeeper,
   'apply' | 'newest' | 'restore'
 >;
 
+/** Stored in the log as JSON; the field names must stay. */
 interface DomainSnapshot {
   readonly jobs: string;
   readonly claim?: ReturnType<ClaimPart['newest']>;
 }
 
-/** Puts both parts under one fold, so that one snapshot covers both. */
+/** Combines both parts in one fold, so that one snapshot covers both. */
 export function createDomainFold(
   jobs: records.jobFold.JobFold,
   claim: ClaimPart,
--- a/packages/gypsumwall-entry/src/domain_holder.ts
+++ b/packages/gypsumwall-entry/src/domain_holder.ts
@@ -1,4 +1,4 @@
-/** Runs a scheduler while, and only while, this entry holds its domain. */
+/** Runs a scheduler for as long as this entry holds its domain's claim. */
 import type * as membership from '@gypsumwall/membership';
 import type * as records from '@gypsumwall/records';
 import type * as settings from '@gypsumwall/settings';
@@ -6,7 +6,7 @@
 import * as domainScheduler from './domain_scheduler.js';
 import type * as schedulerOptions from './scheduler_options.js';
 
-/** What the holder needs; the rest of a scheduler's options stay the same. */
+/** Options of the holder; `scheduler` has those that all epochs share. */
 export interface DomainHolderOptions {
   readonly scheduler: Omit<
     schedulerOptions.DomainSchedulerOptions,
@@ -19,18 +19,18 @@
   readonly teams: () => ReadonlyMap<string, settings.cellTree.TeamPolicy>;
 }
 
-/** This entry's part as holder. */
+/** Opens and closes this entry's scheduler as the claim changes. */
 export interface DomainHolder {
   current(): domainScheduler.DomainScheduler | undefined;
   onClaimChange(state: membership.domainClaim.ClaimState): void;
   onView(view: membership.domainView.DomainView): void;
   onJobChange(change: records.jobFold.JobChange): void;
   onTeamsChange(): void;
-  /** Starts nothing more; resolves when no start is on its way. */
+  /** Closes the scheduler for good; resolves once no start is in flight. */
   close(): Promise<void>;
 }
 
-/** Makes the part; it does nothing until the claim is held. */
+/** Creates a holder without a scheduler; one is opened with the claim. */
 export function createDomainHolder(options: DomainHolderOptions): DomainHolder {
   let scheduler: domainScheduler.DomainScheduler | undefined;
   let schedulerEpoch: number | undefined;
@@ -81,7 +81,7 @@
           void closeScheduler();
           return;
         case 'lapsed':
-          // Nobody may have taken over; the same epoch can be renewed yet.
+          // The same epoch can still be renewed if nobody has taken over.
           if (state.epoch !== schedulerEpoch) void closeScheduler();
           return;
         case 'held':
@@ -97,8 +97,8 @@
         scheduler?.onJob(change);
         return;
       }
-      // The books were kept record by record; after a jump they are made
-      // anew from the jobs and from what the workers tell.
+      // The scheduler tracks tasks record by record. After a restore it is
+      // replaced by a new one, built from the jobs and the workers' reports.
       const epoch = schedulerEpoch;
       void closeScheduler();
       openScheduler(epoch);
--- a/packages/gypsumwall-entry/src/domain_scheduler.ts
+++ b/packages/gypsumwall-entry/src/domain_scheduler.ts
@@ -1,7 +1,7 @@
 /**
  * Places the tasks of one failure domain while this entry holds its claim.
- * One scheduler lives for one epoch; what it needs to know it takes from the
- * jobs in the log and from the workers themselves.
+ * Each epoch has a scheduler of its own, which builds its state from the jobs
+ * in the log and from the workers' reports.
  */
 import type * as placement from '@gypsumwall/placement';
 import type * as platform from '@gypsumwall/platform';
@@ -14,7 +14,7 @@
 import * as workerPool from './worker_pool.js';
 import type * as workerSession from './worker_session.js';
 
-/** State for `status`. */
+/** State shown by the route `/v1/status`. */
 export interface SchedulerStatus {
   readonly epoch: number;
   readonly recovered: boolean;
@@ -26,29 +26,32 @@
 
 /** The scheduler of a domain. */
 export interface DomainScheduler {
-  /** Workers as the list shows them now. */
+  /** Sets the workers that are on the instance list. */
   setWorkers(listed: readonly platform.instanceList.ListedWorker[]): void;
   setTeam(team: placement.placer.PlacerTeam): void;
   onJob(change: records.jobFold.JobChange): void;
+  /** Number of the job's tasks that are active on workers. */
   running(jobId: types.ids.JobId): number;
-  /** Runs of its tasks that failed while this entry has held the domain. */
+  /** Attempts of the job's tasks that failed in this epoch. */
   failures(jobId: types.ids.JobId): number;
+  /** Why the job waits, as text for its owner. */
   explain(jobId: types.ids.JobId): string;
+  /** Returns a refusal if the job can't be accepted now. */
   admit(spec: types.job.JobSpec): placement.placer.PlacementRefusal | undefined;
   status(): SchedulerStatus;
   /**
-   * Ends all sessions; tasks go on under their leases. Resolves when no start
-   * is on its way any more: only then may the claim be given up.
+   * Closes all worker sessions; tasks keep running under their leases.
+   * Resolves once no start is in flight: only then may the claim be released.
    */
   close(): Promise<void>;
 }
 
-/** Decisions of one round; more wait for the next turn of the event loop. */
+/** Further decisions are made in the next turn of the event loop. */
 const MAX_DECISIONS_PER_CYCLE = 500;
-/** A round is due at least this often, for deadlines and quarantines. */
+/** Cycles run at least this often, so that deadlines and quarantines apply. */
 const CYCLE_INTERVAL_MS = 200;
 
-/** Makes the scheduler of an epoch and starts its loops. */
+/** Creates the scheduler of an epoch and starts its loops. */
 export function createDomainScheduler(
   options: schedulerOptions.DomainSchedulerOptions,
 ): DomainScheduler {
@@ -56,7 +59,7 @@
   const logger = options.logger.with({epoch});
   const heldSince = clock.monotonic();
   const closing = new AbortController();
-  /** Attached at some time in this epoch: older holders are fenced there. */
+  /** Workers attached at some time in this epoch; they refuse older holders. */
   const fencedWorkers = new Set<types.ids.WorkerId>();
   const capacities = new Map<types.ids.WorkerId, types.resources.Resources>();
   const tracker = taskTracker.createTaskTracker(options, requestCycle);
@@ -181,14 +184,14 @@
     tracker.releaseGatedJobs();
   }
 
-  /** Takes over a task that runs, or stops it if nobody wants it there. */
+  /** Tracks a task that a worker reports as running, or stops it. */
   function reconcileRunningTask(
     workerId: types.ids.WorkerId,
     running: platform.worker.RunningTask,
   ): void {
     const tracked = tasks.get(running.taskId);
     if (tracked?.attempt === running.attempt) {
-      // A cancelled task that is being stopped stays so.
+      // The phase `stopping` of a cancelled task must not change back.
       if (tracked.phase === 'starting') tracked.phase = 'running';
       return;
     }
@@ -212,7 +215,7 @@
       ...answer.finished.map((task) => task.attempt),
     ]);
     for (const task of tasks.onWorker(id)) {
-      // Starts under way are settled by their own answer.
+      // The answer to the start call settles starts in flight.
       if (task.phase === 'starting' || reportedAttempts.has(task.attempt))
         continue;
       tracker.release(task, {type: 'stopped'});
@@ -232,9 +235,9 @@
   }
 
   /**
-   * A worker that leaves takes its tasks with it when it goes. Those that can
-   * go on elsewhere save their progress and move now; a gang would have to
-   * move whole and is left to end.
+   * Moves tasks off a worker that is leaving, before it goes and they are
+   * lost: a checkpoint saves their progress for the next attempt. Gang tasks
+   * stay until they end, because a gang can only move as a whole.
    */
   function evacuate(id: types.ids.WorkerId): void {
     const session = pool.session(id);
@@ -295,7 +298,7 @@
         stopTasksOf(change.job);
         return;
       case 'restored':
-        // The holder makes a new scheduler; see `domain_holder.ts`.
+        // The domain holder replaces this scheduler; see `domain_holder.ts`.
         return;
     }
   }
--- a/packages/gypsumwall-entry/src/entry_clients.ts
+++ b/packages/gypsumwall-entry/src/entry_clients.ts
@@ -1,11 +1,11 @@
-/** Clients of everything outside, each with its metrics and spans. */
+/** Clients of the platform, the workers and the upstreams, with telemetry. */
 import * as undici from 'undici';
 import * as platform from '@gypsumwall/platform';
 import type * as settings from '@gypsumwall/settings';
 import type * as telemetry from '@gypsumwall/telemetry';
 import * as types from '@gypsumwall/types';
 
-/** What the clients need. */
+/** Options of `createEntryClients`. */
 export interface EntryClientsOptions {
   readonly settings: settings.entrySettings.EntrySettings;
   readonly clock: types.clock.Clock;
@@ -13,7 +13,7 @@
   readonly tracer: telemetry.tracing.Tracer;
 }
 
-/** The clients. */
+/** Clients of an entry. */
 export interface EntryClients {
   readonly log: platform.platformLog.PlatformLog;
   readonly list: platform.instanceList.InstanceList;
@@ -27,10 +27,10 @@
   close(): Promise<void>;
 }
 
-/** Connections to one worker: one for calls, one to replace a silent one. */
+/** One connection for calls, and a spare for when the first one hangs. */
 const WORKER_CONNECTIONS = 2;
 
-/** Makes the clients; none connects before its first call. */
+/** Creates the clients; none connects before its first call. */
 export function createEntryClients(options: EntryClientsOptions): EntryClients {
   const {clock} = options;
   const cfg = options.settings;
--- a/packages/gypsumwall-entry/src/entry_context.ts
+++ b/packages/gypsumwall-entry/src/entry_context.ts
@@ -1,4 +1,4 @@
-/** The parts of an entry that its routes work with. */
+/** The parts of an entry that its HTTP routes use. */
 import type * as membership from '@gypsumwall/membership';
 import type * as records from '@gypsumwall/records';
 import type * as routing from '@gypsumwall/routing';
@@ -12,7 +12,7 @@
 import type * as onceRequest from './once_request.js';
 import type * as settingsService from './settings_service.js';
 
-/** What a route may use. */
+/** Dependencies of the routes. */
 export interface EntryContext {
   readonly self: types.ids.EntryId;
   readonly settings: settings.entrySettings.EntrySettings;
@@ -35,10 +35,11 @@
   readonly settingsService: settingsService.SettingsService;
   readonly sendToPeer: forwarder.SendToPeer;
   readonly forwardMark: forwarder.ForwardMark;
+  /** Undefined when the entry is ready. */
   readonly notReadyReason: () => string | undefined;
   readonly isLeaving: () => boolean;
-  /** Whether this entry has a share of any upstream's slots by now. */
+  /** Whether this entry has a share of any upstream's slots. */
   readonly hasSlots: () => boolean;
-  /** Starts the planned stop; returns at once. */
+  /** Starts a planned stop and returns without waiting for it. */
   readonly startDrain: () => void;
 }
--- a/packages/gypsumwall-entry/src/entry_loops.ts
+++ b/packages/gypsumwall-entry/src/entry_loops.ts
@@ -1,4 +1,4 @@
-/** The loops of an entry; each is written straight down in its own module. */
+/** Starts the background loops of an entry; each has a module of its own. */
 import type * as membership from '@gypsumwall/membership';
 import type * as telemetry from '@gypsumwall/telemetry';
 import type * as types from '@gypsumwall/types';
@@ -9,7 +9,7 @@
 import * as snapshotWriter from './snapshot_writer.js';
 import * as viewTicker from './view_ticker.js';
 
-/** What the loops work on. */
+/** Options of `startEntryLoops`. */
 export interface EntryLoopsOptions {
   readonly context: entryContext.EntryContext;
   readonly metrics: telemetry.metrics.Metrics;
@@ -21,13 +21,13 @@
   readonly config: entryStream.EntryStream;
   readonly requests: entryStream.EntryStream;
   readonly domain: entryStream.EntryStream;
-  /** Ends all loops. */
+  /** Stops all loops. */
   readonly signal: AbortSignal;
 }
 
 const VIEW_INTERVAL_MS = 200;
 
-/** Starts them all; they run until the signal aborts. */
+/** Starts all loops; they run until the signal aborts. */
 export function startEntryLoops(options: EntryLoopsOptions): void {
   const {context, config, requests, domain, signal} = options;
   const streams = [config, domain, requests];
--- a/packages/gypsumwall-entry/src/entry_readiness.ts
+++ b/packages/gypsumwall-entry/src/entry_readiness.ts
@@ -1,9 +1,9 @@
-/** Whether the balancer may send callers to an entry. */
+/** Decides whether the balancer may send calls to an entry. */
 import type * as membership from '@gypsumwall/membership';
 import type * as records from '@gypsumwall/records';
 import type * as entryStream from './entry_stream.js';
 
-/** What readiness is judged by. */
+/** State that readiness depends on. */
 export interface ReadinessInput {
   readonly isLeaving: boolean;
   readonly config: records.configFold.ConfigFold;
@@ -13,21 +13,21 @@
   readonly ownSlots: number;
 }
 
-/** Why not, for a person; undefined when it is ready. */
+/** Returns why the entry isn't ready, or undefined if it is. */
 export function notReadyReason(input: ReadinessInput): string | undefined {
   if (input.isLeaving) return 'this entry is leaving';
   if (input.config.cell() === undefined) {
-    return 'no settings yet: neither the log nor a peer has told any';
+    return 'no settings yet: neither the log nor a peer has supplied any';
   }
   const behind = input.streams.find((stream) => !stream.follower.caughtUp());
   if (behind !== undefined) {
-    return `stream "${behind.name}" is not read to its end yet`;
+    return `stream "${behind.name}" has not been read to its end yet`;
   }
-  // An empty list is one that was not filled yet; to be ready on it would
-  // bring callers to an entry that can serve nobody.
-  if (isEmpty(input.view)) return 'the instance list shows nobody yet';
+  // An empty list has not been fetched yet. An entry that reported ready with
+  // it would receive calls that it can't serve.
+  if (isEmpty(input.view)) return 'the instance list is still empty';
   if (input.view.upstreams.length === 0 || input.ownSlots > 0) return undefined;
-  return "no share of an upstream's slots yet";
+  return "this entry has no share of any upstream's slots yet";
 }
 
 function isEmpty(view: membership.domainView.DomainView): boolean {
--- a/packages/gypsumwall-entry/src/entry_services.ts
+++ b/packages/gypsumwall-entry/src/entry_services.ts
@@ -1,4 +1,4 @@
-/** What an entry does for its callers, over its streams and its router. */
+/** Services that an entry offers its callers. */
 import type * as platform from '@gypsumwall/platform';
 import type * as records from '@gypsumwall/records';
 import type * as routing from '@gypsumwall/routing';
@@ -9,7 +9,7 @@
 import * as onceRequest from './once_request.js';
 import * as settingsService from './settings_service.js';
 
-/** The parts that the services work on. */
+/** Dependencies of the services. */
 export interface EntryServicesOptions {
   readonly self: types.ids.EntryId;
   readonly failureDomain: types.ids.FailureDomain;
@@ -25,14 +25,14 @@
   readonly router: routing.router.Router;
 }
 
-/** The services. */
+/** Services for jobs, keyed requests and settings. */
 export interface EntryServices {
   readonly jobService: jobService.JobService;
   readonly runOnce: ReturnType<typeof onceRequest.createOnceRequest>;
   readonly settingsService: settingsService.SettingsService;
 }
 
-/** Makes them. */
+/** Creates the services. */
 export function createEntryServices(
   options: EntryServicesOptions,
 ): EntryServices {
--- a/packages/gypsumwall-entry/src/entry_stop.ts
+++ b/packages/gypsumwall-entry/src/entry_stop.ts
@@ -1,4 +1,7 @@
-/** How an entry ends: a planned stop that cuts nothing off, or at once. */
+/**
+ * Stops an entry: either a planned stop, which lets calls in flight finish, or
+ * an immediate one.
+ */
 import type * as fastify from 'fastify';
 import type * as membership from '@gypsumwall/membership';
 import type * as routing from '@gypsumwall/routing';
@@ -8,7 +11,7 @@
 import type * as domainHolder from './domain_holder.js';
 import type * as entryClients from './entry_clients.js';
 
-/** What is stopped. */
+/** Dependencies of `createEntryStop`. */
 export interface EntryStopOptions {
   readonly settings: settings.entrySettings.EntrySettings;
   readonly clock: types.clock.Clock;
@@ -22,13 +25,13 @@
   readonly externalClients: entryClients.EntryClients;
   readonly tracer: telemetry.tracing.Tracer;
   readonly metrics: telemetry.metrics.Metrics;
-  /** Ends the entry's loops. */
+  /** Stops the entry's loops. */
   readonly closing: AbortController;
-  /** Not ready to the balancer from now on. */
+  /** Called when the stop begins; readiness must fail from then on. */
   readonly onLeaving: () => void;
 }
 
-/** Both ways to end; the first call of each decides. */
+/** Both ways to stop; repeated calls return the first call's promise. */
 export interface EntryStop {
   drain(): Promise<void>;
   close(): Promise<void>;
@@ -36,7 +39,7 @@
 
 const PEER_CLOSE_TIMEOUT_MS = 1_000;
 
-/** Makes the stop of an entry that runs. */
+/** Creates the stop functions of a running entry. */
 export function createEntryStop(options: EntryStopOptions): EntryStop {
   const {clock, logger, app, router, closing} = options;
   const cfg = options.settings;
@@ -49,7 +52,7 @@
     const deadline = types.clock.after(clock.monotonic(), cfg.drainTimeoutMs);
     await options.holder.close();
     await options.claim.release();
-    // Until the balancer has seen it, calls still come: they are handed over.
+    // Calls arrive until the balancer notices; they are forwarded to peers.
     const noticeEndsAt = types.clock.after(
       clock.monotonic(),
       cfg.drainNoticeMs,
@@ -75,7 +78,7 @@
     options.onLeaving();
     closing.abort();
     void options.holder.close();
-    // After a drain nothing is left; past its deadline, waiting has an end.
+    // After a drain no calls are left; past its deadline, the rest is cut off.
     app.server.closeAllConnections();
     await app.close();
     await router.close();
--- a/packages/gypsumwall-entry/src/entry_stream.ts
+++ b/packages/gypsumwall-entry/src/entry_stream.ts
@@ -1,11 +1,11 @@
-/** One stream of the log as an entry uses it: read, appended to, restored. */
+/** One stream of the log with the entry's follower and appender for it. */
 import type * as result from 'true-myth/result';
 import type * as platform from '@gypsumwall/platform';
 import * as records from '@gypsumwall/records';
 import type * as telemetry from '@gypsumwall/telemetry';
 import * as types from '@gypsumwall/types';
 
-/** What a stream needs. */
+/** Options of `createEntryStream`. */
 export interface EntryStreamOptions {
   readonly stream: string;
   readonly self: types.ids.EntryId;
@@ -18,31 +18,31 @@
   readonly signal: AbortSignal;
 }
 
-/** A stream with its reader and its writer. */
+/** A stream with its follower and its appender. */
 export interface EntryStream {
   readonly name: string;
   readonly follower: records.streamFollower.StreamFollower;
   readonly appender: records.logAppender.LogAppender;
-  /** Appends a record, for a caller that has no deadline of its own. */
+  /** Appends a record with a default deadline of 10 s. */
   append(
     record: object,
   ): Promise<result.Result<{offset: number}, types.stepError.StepError>>;
   /**
-   * Appends, and waits until the record is applied here. The log's answer can
-   * come before the record is read back: a task's end would then be released
-   * while the job's state still lacks its result, and the task would be
-   * started a second time.
+   * Appends a record and waits until the fold has applied it. The log can
+   * acknowledge a record before the follower has read it. Without the wait,
+   * the scheduler would release an ended task while the job's state still
+   * lacks the result, and would start the task a second time.
    */
   appendAndApply(record: object): Promise<boolean>;
-  /** Whether the stream has lately been read up to its end. */
+  /** Whether the stream was read to its end within the last 2.5 s. */
   isCurrent(): boolean;
 }
 
 const APPEND_TIMEOUT_MS = 10_000;
-/** A log unheard for this long is not known to its end. */
+/** After this time without an answer of the log, the state may be stale. */
 const MAX_AGE_MS = 2_500;
 
-/** Makes reader and writer; the reader is started by its `run`. */
+/** Creates follower and appender; the follower reads once `run` is called. */
 export function createEntryStream(options: EntryStreamOptions): EntryStream {
   const {stream, log, clock, logger, signal} = options;
   const follower = records.streamFollower.createStreamFollower({
@@ -55,7 +55,7 @@
   });
   const appender = records.logAppender.createLogAppender({
     stream,
-    // The id is new with each process, so its count begins anew with it.
+    // The id is new for each process, so its sequence may start at 0.
     producer: options.self,
     log,
     clock,
--- a/packages/gypsumwall-entry/src/entry_telemetry.ts
+++ b/packages/gypsumwall-entry/src/entry_telemetry.ts
@@ -1,9 +1,9 @@
-/** The tracer and the metrics of an entry, as its settings ask for them. */
+/** Creates the tracer and the metrics of an entry from its settings. */
 import type * as settings from '@gypsumwall/settings';
 import * as telemetry from '@gypsumwall/telemetry';
 import type * as types from '@gypsumwall/types';
 
-/** A tracer; without a collector it still hands contexts on. */
+/** Creates a tracer; without a collector it only propagates contexts. */
 export function makeTracer(
   cfg: settings.entrySettings.EntrySettings,
   self: types.ids.EntryId,
@@ -16,7 +16,7 @@
   });
 }
 
-/** Metrics that go to StatsD, or nowhere. */
+/** Creates metrics that are sent to StatsD, or dropped if it is not set. */
 export function makeMetrics(
   cfg: settings.entrySettings.EntrySettings,
   logger: telemetry.logger.Logger,
--- a/packages/gypsumwall-entry/src/forward_call.ts
+++ b/packages/gypsumwall-entry/src/forward_call.ts
@@ -1,14 +1,14 @@
-/** Chooses a peer for a call that this entry should not answer itself. */
+/** Forwards calls that another entry should answer, to the first fit peer. */
 import type * as fastify from 'fastify';
 import * as types from '@gypsumwall/types';
 import type * as entryContext from './entry_context.js';
 import * as forwarder from './forwarder.js';
 import * as problem from './problem.js';
 
-/** Addresses of peers to try, the best first. */
+/** Addresses of peers to try, in order. */
 export type PeerChoice = readonly string[];
 
-/** Living entries of another failure domain. */
+/** Addresses of a failure domain's entries, without silent ones. */
 export function peersOfDomain(
   context: entryContext.EntryContext,
   domain: types.ids.FailureDomain,
@@ -20,7 +20,7 @@
     .map((peer) => peer.address);
 }
 
-/** The holder of this domain, unless it is this entry or unknown. */
+/** Address of this domain's holder; empty if it is this entry or unknown. */
 export function holderOfDomain(context: entryContext.EntryContext): PeerChoice {
   const claim = context.claim();
   if (claim.type !== 'held_by_other') return [];
@@ -31,7 +31,7 @@
     .map((peer) => peer.address);
 }
 
-/** Whether this call may be handed on once more. */
+/** Whether the call may be forwarded once more. */
 export function mayForward(
   context: entryContext.EntryContext,
   req: fastify.FastifyRequest,
@@ -39,21 +39,21 @@
   return context.forwardMark.read(req.headers).length < forwarder.MAX_HOPS;
 }
 
-/** What became of handing a call on. */
+/** Result of forwarding a call. */
 export type ForwardResult =
-  /** A peer's answer was passed on to the caller. */
+  /** A peer's answer was sent to the caller. */
   | {readonly type: 'answered'; readonly reply: fastify.FastifyReply}
-  /** No peer has had it. */
+  /** No peer has received the call. */
   | {readonly type: 'not_taken'}
-  /** A peer may have done it, but its answer is lost. */
+  /** A peer may have served the call, but its answer was lost. */
   | {readonly type: 'in_doubt'; readonly detail: string};
 
-/** A call that no peer was asked to take. */
+/** Result for a call that was not sent to any peer. */
 export const NOT_FORWARDED: ForwardResult = {type: 'not_taken'};
 
 /**
- * Hands the call to the first peer that answers. Once a peer may have taken
- * it, no other one is tried, unless the call is idempotent.
+ * Forwards the call to the peers in order until one answers. After a peer that
+ * may have served it, further peers are tried only if the call is idempotent.
  */
 export async function forwardCall(
   context: entryContext.EntryContext,
@@ -103,11 +103,11 @@
 }
 
 /**
- * Tells the caller of a call that no peer has answered.
+ * Sends the failure of a call that no peer has answered.
  *
- * Failure: a peer takes the call and its answer is lost; this entry then
- * finds itself unable to serve the call. Symptom: the caller is told `not_run`
- * of work that ran. After a lost answer only `unknown` is true.
+ * Failure: a peer serves the call but its answer is lost, and this entry then
+ * can't serve the call itself. Symptom: the caller gets `not_run` for work
+ * that ran. After a lost answer, `unknown` is the only correct outcome.
  */
 export function sendForwardFailure(
   forwarded: ForwardResult,
--- a/packages/gypsumwall-entry/src/forwarder.ts
+++ b/packages/gypsumwall-entry/src/forwarder.ts
@@ -1,22 +1,22 @@
 /**
- * Hands a caller's call to another entry and brings its answer back: to the
- * holder of this domain, or to an entry of a job's home domain.
+ * Types, headers and hop tracking for calls that one entry forwards to another,
+ * for example to the holder of its domain or to an entry of a job's home.
  */
 import * as crypto from 'node:crypto';
 import type * as result from 'true-myth/result';
 import * as types from '@gypsumwall/types';
 
-/** A call as it came from its caller. */
+/** A call as received from its caller. */
 export interface ForwardedCall {
   readonly method: string;
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
-  /** Entries that have had it. */
+  /** Entries that the call has already passed through. */
   readonly via: readonly string[];
 }
 
-/** The other entry's answer. */
+/** The answer of the entry that served the call. */
 export interface ForwardedAnswer {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
@@ -30,10 +30,10 @@
   deadline: types.clock.MonotonicMs,
 ) => Promise<result.Result<ForwardedAnswer, types.stepError.StepError>>;
 
-/** Hops after which a call is answered where it is. */
+/** After this number of hops, an entry answers the call itself. */
 export const MAX_HOPS = 2;
 
-/** Headers of a caller that travel with the call. */
+/** Headers of a call that are forwarded with it. */
 const FORWARDED_HEADERS = [
   'authorization',
   'content-type',
@@ -44,7 +44,7 @@
   'traceparent',
 ];
 
-/** Headers of an answer that travel back. */
+/** Headers of an answer that are returned to the caller. */
 export const RETURNED_HEADERS = [
   'content-type',
   'retry-after',
@@ -53,15 +53,15 @@
 ];
 
 /**
- * Marks calls that came through a peer. The name of the mark is random for
- * each process, so that no caller can pass its call off as a peer's.
+ * Header that marks calls forwarded by a peer. Its name is random for each
+ * process, so that no caller can forge it.
  */
 export interface ForwardMark {
   readonly header: string;
   read(headers: Readonly<Record<string, unknown>>): readonly string[];
 }
 
-/** Makes the mark of this process. */
+/** Creates the mark of this process. */
 export function createForwardMark(): ForwardMark {
   const header = `gypsumwall-via-${crypto.randomBytes(12).toString('hex')}`;
   return {
@@ -73,14 +73,14 @@
   };
 }
 
-/** The headers of a call that another entry needs. */
+/** Selects the headers of a call to forward. */
 export function forwardedHeaders(
   headers: Readonly<Record<string, unknown>>,
 ): Record<string, string> {
   return pickHeaders(headers, FORWARDED_HEADERS);
 }
 
-/** The headers of an answer that its caller needs. */
+/** Selects the headers of an answer to return to the caller. */
 export function returnedHeaders(
   headers: Readonly<Record<string, unknown>>,
 ): Record<string, string> {
--- a/packages/gypsumwall-entry/src/http_server.ts
+++ b/packages/gypsumwall-entry/src/http_server.ts
@@ -1,4 +1,4 @@
-/** The caller's interface over HTTP (docs/API.md). */
+/** The HTTP server for callers; docs/API.md describes its interface. */
 import * as fastify from 'fastify';
 import * as types from '@gypsumwall/types';
 import * as answerClientFault from './answer_client_fault.js';
@@ -10,15 +10,14 @@
 import * as settingsRoutes from './settings_routes.js';
 import * as statusRoutes from './status_routes.js';
 
-/** Largest body of a call, in bytes. */
 const MAX_BODY_BYTES = 1024 * 1024;
-/** A caller that sends its head or body slower than this is cut off. */
+/** Callers that send their headers or body more slowly are disconnected. */
 const REQUEST_TIMEOUT_MS = 10_000;
 const HEADERS_TIMEOUT_MS = 5_000;
-/** Node looks for slow senders this often; by default only every 30 s. */
+/** Interval of Node's check for slow callers; its default is 30 s. */
 const CONNECTION_CHECK_INTERVAL_MS = 1_000;
 
-/** Makes the server; it does not listen yet. */
+/** Creates the server; it does not listen yet. */
 export function createHttpServer(
   context: entryContext.EntryContext,
 ): fastify.FastifyInstance {
@@ -33,8 +32,8 @@
     clientErrorHandler: answerClientFault.answerClientFault,
     forceCloseConnections: 'idle',
   });
-  // Bodies are kept as bytes: they are passed on unread, and a job's JSON is
-  // parsed by the route, which can name what is wrong with it.
+  // Bodies are kept as bytes: requests are forwarded without being parsed, and
+  // the job routes parse JSON themselves in order to report its faults.
   app.removeAllContentTypeParsers();
   app.addContentTypeParser('*', {parseAs: 'buffer'}, (_req, body, done) =>
     done(null, body),
@@ -47,7 +46,7 @@
     }
     const answer =
       status >= 500
-        ? problem.unknownOutcome('the entry failed while it served the call')
+        ? problem.unknownOutcome('internal error while serving the call')
         : problem.notRun('invalid', types.stepError.messageOf(err));
     return problem.send(res, {...answer, status});
   });
--- a/packages/gypsumwall-entry/src/job_request.ts
+++ b/packages/gypsumwall-entry/src/job_request.ts
@@ -1,10 +1,10 @@
-/** Checks the body of a job submission. */
+/** Validates the body of a job submission. */
 import * as result from 'true-myth/result';
 import * as zod from 'zod';
 import * as settings from '@gypsumwall/settings';
 import type * as types from '@gypsumwall/types';
 
-/** Most tasks of one job. */
+/** Maximum number of tasks or replicas of one job. */
 export const MAX_TASKS = 100_000;
 
 const positive = zod.number().int().positive();
@@ -47,20 +47,22 @@
   }),
 });
 
-/** Every key of a job, for the remedy of a misspelt one. */
+/** All keys of a job, to suggest the nearest one for a misspelt key. */
 const JOB_KEYS = [
   ...Object.keys(jobRequestSchema.shape),
   ...Object.keys(jobRequestSchema.shape.size.shape),
   ...Object.keys(jobRequestSchema.shape.work.shape),
 ];
 
-/** The job that a body asks for, or what is wrong with it. */
+/** Returns the job that a body describes, or what is wrong with the body. */
 export function checkJobRequest(
   body: unknown,
   team: types.ids.TeamId,
 ): result.Result<types.job.JobSpec, string> {
   if (body === undefined) {
-    return result.err('the body is no JSON. Send a job as docs/API.md has it');
+    return result.err(
+      'the body is not JSON. Send a job as described in docs/API.md',
+    );
   }
   const parsed = jobRequestSchema.safeParse(body);
   if (!parsed.success) {
--- a/packages/gypsumwall-entry/src/job_routes.ts
+++ b/packages/gypsumwall-entry/src/job_routes.ts
@@ -1,4 +1,4 @@
-/** Jobs: submitted, read, listed and cancelled through any entry. */
+/** Routes that submit, show, list and cancel jobs through any entry. */
 import type * as fastify from 'fastify';
 import type * as result from 'true-myth/result';
 import * as types from '@gypsumwall/types';
@@ -9,7 +9,7 @@
 import * as jobRequest from './job_request.js';
 import * as problem from './problem.js';
 
-/** Time a job call gets when its caller says nothing. */
+/** Time limit of a job call whose caller gives none. */
 const DEFAULT_TIMEOUT_MS = 5_000;
 const MAX_LISTED_JOBS = 1_000;
 const RETRY_AFTER_MS = 2_000;
@@ -20,7 +20,7 @@
 
 type JobCall = fastify.FastifyRequest<{Params: JobParams}>;
 
-/** Adds the routes. */
+/** Adds the job routes. */
 export function addJobRoutes(
   app: fastify.FastifyInstance,
   context: entryContext.EntryContext,
@@ -35,7 +35,7 @@
   );
 }
 
-/** Who calls and until when, or the refusal. */
+/** Returns the calling team and the call's deadline, or the refusal. */
 function checkCall(
   context: entryContext.EntryContext,
   req: fastify.FastifyRequest,
@@ -83,9 +83,9 @@
       deadline,
     });
   }
-  // The holder keeps the domain's books, so it can refuse early. A submission
-  // is idempotent by its key: should the holder not answer, this entry may
-  // append the job itself without a risk of taking it twice.
+  // Only the holder knows the domain's load and can refuse early. The key makes
+  // a submission idempotent: if the holder does not answer, this entry can
+  // append the job itself without the risk of accepting it twice.
   const forwarded = await forwardToHolder(context, req, res, deadline, key);
   if (forwarded.type === 'answered') return forwarded.reply;
   const accepted = await context.jobService.submit(
@@ -118,8 +118,9 @@
 }
 
 /**
- * Only the home of a key may accept it: another one would be a second job.
- * With no entry of the home in reach, the record goes straight to its stream.
+ * Submits a job at the home of its key. Only the home may accept the key, or
+ * there could be two jobs for it. If none of the home's entries is reachable,
+ * the record is appended directly to the home's stream.
  */
 async function forwardSubmission(
   context: entryContext.EntryContext,
@@ -150,7 +151,7 @@
   return sendAccepted(forwarded, res, accepted);
 }
 
-/** Hands a submission to the domain's holder, unless it is this entry. */
+/** Forwards a submission to the domain's holder, unless that is this entry. */
 async function forwardToHolder(
   context: entryContext.EntryContext,
   req: fastify.FastifyRequest,
@@ -170,7 +171,7 @@
   });
 }
 
-/** Whether the answer is to come from another entry, and from whom. */
+/** Peers that can answer for the job; empty if this entry answers itself. */
 function peersForJob(
   context: entryContext.EntryContext,
   jobId: types.ids.JobId,
@@ -200,7 +201,7 @@
   });
 }
 
-/** An entry that can't reach a job's home knows nothing about the job. */
+/** Whether the job's home is another domain, whose jobs are not known here. */
 function isHomeElsewhere(
   context: entryContext.EntryContext,
   jobId: types.ids.JobId,
@@ -215,7 +216,7 @@
 }
 
 function domainUnreachable(home: types.ids.FailureDomain): problem.Problem {
-  const detail = `no entry of failure domain "${home}" can be reached now`;
+  const detail = `no entry of failure domain "${home}" is reachable`;
   return problem.notRun('not_ready', detail, RETRY_AFTER_MS);
 }
 
--- a/packages/gypsumwall-entry/src/job_service.ts
+++ b/packages/gypsumwall-entry/src/job_service.ts
@@ -1,7 +1,7 @@
 /**
  * Accepts, shows and cancels the jobs whose home is this entry's failure
- * domain. A job is accepted once its record stands in the log; any entry of
- * the domain can do that, the domain's holder then places it.
+ * domain. A job is accepted once its record is in the log. Any entry of the
+ * domain can accept a job; the domain's holder then places its tasks.
  */
 import * as crypto from 'node:crypto';
 import * as result from 'true-myth/result';
@@ -13,7 +13,7 @@
 import * as logProblem from './log_problem.js';
 import * as problem from './problem.js';
 
-/** What the service needs. */
+/** Options of `createJobService`. */
 export interface JobServiceOptions {
   readonly failureDomain: types.ids.FailureDomain;
   readonly clock: types.clock.Clock;
@@ -22,14 +22,14 @@
   readonly appender: records.logAppender.LogAppender;
   /** The scheduler, while this entry holds the domain. */
   readonly scheduler: () => domainScheduler.DomainScheduler | undefined;
-  /** For jobs whose home is another failure domain. */
+  /** Used to submit jobs whose home is another failure domain. */
   readonly log: platform.platformLog.PlatformLog;
   readonly self: types.ids.EntryId;
 }
 
 type Answer<Value> = Promise<result.Result<Value, problem.Problem>>;
 
-/** The jobs of this domain. */
+/** Job calls of one failure domain. */
 export interface JobService {
   submit(
     spec: types.job.JobSpec,
@@ -38,9 +38,9 @@
     traceparent?: string,
   ): Answer<types.ids.JobId>;
   /**
-   * Appends the job to the stream of its home, no entry of which can be
-   * reached. What the home knows of the key is not seen from here: a key that
-   * stands for another job already keeps to that one.
+   * Appends the job directly to the stream of its home, for use when none of
+   * the home's entries is reachable. This entry can't see which keys the home
+   * has accepted: if the key already belongs to a job, that job remains.
    */
   submitToHome(
     home: types.ids.FailureDomain,
@@ -60,7 +60,7 @@
   ): Answer<void>;
 }
 
-/** Makes the service. */
+/** Creates the service. */
 export function createJobService(options: JobServiceOptions): JobService {
   const {jobs, clock, appender, follower} = options;
 
@@ -80,7 +80,9 @@
     const {offset} = appended.value;
     if (!(await follower.waitFor(offset, deadline))) {
       return result.err(
-        problem.unknownOutcome('the log took it, but can not be read back'),
+        problem.unknownOutcome(
+          'the record is in the log, but could not be read back',
+        ),
       );
     }
     return result.ok(offset);
@@ -114,7 +116,9 @@
       if (appended.isErr) return result.err(appended.error);
       const accepted = jobs.byKey(spec.team, key);
       if (accepted === undefined) {
-        return result.err(problem.unknownOutcome('the record was not taken'));
+        return result.err(
+          problem.unknownOutcome('the record was read back, but not applied'),
+        );
       }
       return checkSameJob(accepted, spec);
     },
@@ -126,8 +130,8 @@
       const jobId = types.ids.makeJobId(home, suffix);
       const appended = await options.log.append({
         stream: records.domainRecords.streamOf(home),
-        // A producer of its own: in one count, two appends under way at once
-        // could pass each other, and the earlier one would be void.
+        // Each append has a producer id of its own. If concurrent appends
+        // shared one, the later could overtake the earlier and make it void.
         producer: `${options.self}-${crypto.randomUUID()}`,
         sequence: 0,
         bodies: [
@@ -147,7 +151,7 @@
     },
     view: (team, jobId) => {
       const job = jobs.job(jobId);
-      // Another team's job is as good as none: not even its being is told.
+      // Callers must not learn that another team's job exists.
       if (job?.spec.team !== team) return undefined;
       return toJobView(job, options.scheduler());
     },
@@ -168,7 +172,7 @@
   };
 }
 
-/** A key stands for one job; another body under it is the caller's mistake. */
+/** Returns the job's id, or a refusal if the key was used for another spec. */
 function checkSameJob(
   job: records.jobFold.JobState,
   spec: types.job.JobSpec,
@@ -179,7 +183,7 @@
   return result.err(
     problem.notRun(
       'key_in_use',
-      `idempotency-key "${job.key}" already stands for job "${job.jobId}" ` +
+      `idempotency-key "${job.key}" was already used for job "${job.jobId}" ` +
         'with another body: use a new key for a new job',
     ),
   );
--- a/packages/gypsumwall-entry/src/log_problem.ts
+++ b/packages/gypsumwall-entry/src/log_problem.ts
@@ -1,8 +1,8 @@
-/** What a caller is told when the platform's log lets a call down. */
+/** Problems reported to callers when the platform's log fails. */
 import * as types from '@gypsumwall/types';
 import * as problem from './problem.js';
 
-/** The log can't be reached: final at once, with when to come back. */
+/** Refuses a call at once while the log is unreachable; it can be retried. */
 export function logUnavailable(retryAfterMs: number): problem.Problem {
   return problem.notRun(
     'log_unavailable',
@@ -11,7 +11,7 @@
   );
 }
 
-/** The problem that tells a failed append. */
+/** Converts the error of a failed append to a problem. */
 export function ofStepError(err: types.stepError.StepError): problem.Problem {
   const detail = types.stepError.describeError(err);
   if (err.effect === 'unknown') return problem.unknownOutcome(detail);
--- a/packages/gypsumwall-entry/src/once_request.ts
+++ b/packages/gypsumwall-entry/src/once_request.ts
@@ -1,9 +1,9 @@
 /**
- * Runs a request that may not be repeated: at most one attempt, ever, for a
- * team's key. The log decides: an intent is appended first, and only the
- * entry whose intent is the key's first in log order sends anything. An entry
- * that dies in between leaves an intent without an outcome, and the key's
- * answer is then `unknown`, never a second run.
+ * Runs a request that may not be repeated: at most one attempt, ever, per team
+ * and idempotency key. Each entry first appends an intent to the log, and only
+ * the entry whose intent is the key's first in log order sends the request. If
+ * that entry crashes, its intent stays without an outcome: further calls with
+ * the key get `unknown`, never a second attempt.
  */
 import * as result from 'true-myth/result';
 import * as records from '@gypsumwall/records';
@@ -14,7 +14,7 @@
 import * as problem from './problem.js';
 import * as wholeAnswer from './whole_answer.js';
 
-/** What is needed to run such a request. */
+/** Options of `createOnceRequest`. */
 export interface OnceRequestOptions {
   readonly self: types.ids.EntryId;
   readonly clock: types.clock.Clock;
@@ -24,24 +24,24 @@
   readonly router: routing.router.Router;
 }
 
-/** A request with its key. */
+/** A request with its idempotency key. */
 export type KeyedRequest = routing.router.RoutedRequest & {
   readonly key: types.ids.IdempotencyKey;
 };
 
-/** Time kept back to record the outcome, in milliseconds. */
+/** Deadline for the append of an outcome. */
 const OUTCOME_APPEND_TIMEOUT_MS = 10_000;
-/** Time that a caller's answer waits for the record of its outcome. */
+/** Longest time that an answer is delayed until its outcome is recorded. */
 const OUTCOME_WAIT_MS = 200;
-/** Added to the window, so that an outcome on its way still counts. */
+/** Added to the window, so that an outcome whose append is in flight counts. */
 const WINDOW_SLACK_MS = 5_000;
 const RETRY_AFTER_MS = 1_000;
-/** Bytes of the largest answer that is kept for a repeated call. */
+/** Larger answers are not stored for repeated calls. */
 const MAX_STORED_ANSWER_BYTES = 64 * 1024;
 
 type Answer = Promise<result.Result<wholeAnswer.WholeAnswer, problem.Problem>>;
 
-/** Makes the function that runs such requests. */
+/** Creates the function that runs such requests. */
 export function createOnceRequest(
   options: OnceRequestOptions,
 ): (req: KeyedRequest) => Answer {
@@ -58,9 +58,12 @@
     const current = requests.key(req.team, req.key);
     if (current?.offset !== intent.value)
       return answerOfFirstIntent(req, bodyHash);
-    // Waiting for the log took time, and a paused process wakes up late.
+    // The wait for the log or a pause of this process may have taken too long.
     if (clock.monotonic() >= req.deadline) {
-      const late = notRun('deadline_passed', 'the log took too long');
+      const late = notRun(
+        'deadline_passed',
+        'the request was not recorded in time',
+      );
       await appendOutcome(req, late);
       return result.err(problem.ofOutcome(late));
     }
@@ -90,8 +93,8 @@
       },
       req.deadline,
     );
-    // Nothing is sent before the intent is seen to be the first, so whatever
-    // became of the append, this request did not run.
+    // The request is sent only after its intent has been read back as the
+    // first one. So it did not run, whether or not the append took effect.
     if (appended.isErr) {
       const message = types.stepError.describeError(appended.error);
       if (appended.error.effect === 'unknown') void withdraw(req, message);
@@ -101,7 +104,7 @@
     }
     const {offset} = appended.value;
     if (await follower.waitFor(offset, req.deadline)) return result.ok(offset);
-    const message = 'the log can not be read back';
+    const message = 'the intent could not be read back from the log';
     void withdraw(req, message);
     return result.err(
       problem.notRun('log_unavailable', message, RETRY_AFTER_MS),
@@ -109,8 +112,9 @@
   }
 
   /**
-   * An intent that nobody acts on would hold its key until the window ends
-   * and then read as `unknown`; its withdrawal frees the key for a retry.
+   * Records that the intent will never run, which frees its key for a retry.
+   * Otherwise the key would be blocked until the window ends, and its outcome
+   * would be `unknown` after that.
    */
   function withdraw(req: KeyedRequest, message: string): Promise<void> {
     return appendOutcome(req, notRun('log_unavailable', message));
@@ -132,7 +136,7 @@
     return result.ok(whole.value);
   }
 
-  /** The answer of the run that the key stands for. */
+  /** Waits for the outcome of the key's first intent and returns its answer. */
   async function answerOfFirstIntent(
     req: KeyedRequest,
     bodyHash: string,
@@ -172,10 +176,11 @@
   }
 
   /**
-   * Records how the run ended. Usually that takes milliseconds and is waited
-   * for, so that a repeated call finds it. A log that is slow or down must not
-   * hold back the caller's answer: the record is then left to itself, and
-   * should it be lost, a repeated call is told `unknown`, which is true.
+   * Records the outcome of the attempt. The append usually takes milliseconds,
+   * and the answer waits for it, so that a repeated call finds the outcome. A
+   * log that is slow or down must not delay the caller's answer: the append
+   * then continues in the background. If it fails, a repeated call gets
+   * `unknown`, which is correct.
    */
   async function appendOutcome(
     req: KeyedRequest,
@@ -212,8 +217,8 @@
 }
 
 const ANSWER_NOT_STORED =
-  'the request has run once, as its key asks; its answer was too large, or ' +
-  'is too old, to be kept';
+  'the request with this key has already run; its answer is no longer ' +
+  'available, because it was too large or is too old';
 
 function answerFromLog(
   known: records.requestFold.KeyState | undefined,
@@ -222,7 +227,7 @@
   if (recorded === undefined) {
     return result.err(
       problem.unknownOutcome(
-        'the one attempt for this key has no recorded end: it may have run',
+        'the only attempt for this key has no recorded end: it may have run',
       ),
     );
   }
--- a/packages/gypsumwall-entry/src/peer_catch_up.ts
+++ b/packages/gypsumwall-entry/src/peer_catch_up.ts
@@ -1,6 +1,6 @@
 /**
- * Learns from peers what the log can't tell for now: a new entry, or one that
- * is cut off from the log, takes the newest state that a peer holds.
+ * Reads stream states from peers while the log can't supply them: an entry that
+ * is new, or cut off from the log, adopts a peer's newer state.
  */
 import type * as membership from '@gypsumwall/membership';
 import type * as telemetry from '@gypsumwall/telemetry';
@@ -8,9 +8,9 @@
 import type * as entryStream from './entry_stream.js';
 import * as readState from './read_state.js';
 
-/** What is needed. */
+/** Options of `catchUpFromPeers`. */
 export interface PeerCatchUpOptions {
-  /** Streams with the peers that follow them too. */
+  /** Streams, each with the peers that also follow it. */
   readonly streams: ReadonlyArray<{
     readonly stream: entryStream.EntryStream;
     readonly peers: () => readonly membership.domainView.PeerEntry[];
@@ -22,10 +22,10 @@
 }
 
 const POLL_INTERVAL_MS = 1_000;
-/** A log unheard for this long counts as out of reach. */
+/** After this time without an answer, the log counts as unreachable. */
 const MAX_LOG_SILENCE_MS = 3_000;
 
-/** Asks peers until the signal aborts. */
+/** Polls peers until the signal aborts. */
 export async function catchUpFromPeers(
   options: PeerCatchUpOptions,
   signal: AbortSignal,
@@ -42,7 +42,7 @@
   }
 }
 
-/** Whether the log has answered lately, and with all that is needed. */
+/** Whether the log answered recently and the stream was read to its end. */
 function isLogSufficient(
   stream: entryStream.EntryStream,
   clock: types.clock.Clock,
@@ -68,7 +68,8 @@
   if (answer.isErr || answer.value.nextOffset === readState.UNKNOWN_OFFSET)
     return;
   if (answer.value.snapshot.length === 0) {
-    // A stream may well be empty: the word that it is counts as much.
+    // The peer has no newer state. For an empty stream, which has no state to
+    // adopt, this answer is what shows that this entry is caught up.
     stream.follower.confirmCaughtUp(Number(answer.value.nextOffset));
     return;
   }
--- a/packages/gypsumwall-entry/src/peer_forwarding.ts
+++ b/packages/gypsumwall-entry/src/peer_forwarding.ts
@@ -1,4 +1,4 @@
-/** Carries calls between entries over the peer service. */
+/** Forwards calls between entries over the peer service. */
 import type * as fastify from 'fastify';
 import type * as membership from '@gypsumwall/membership';
 import type * as protocol from '@gypsumwall/protocol';
@@ -6,17 +6,17 @@
 import * as types from '@gypsumwall/types';
 import * as forwarder from './forwarder.js';
 
-/** Time left for the way back of an answer, in milliseconds. */
+/** Time reserved for the answer's return, in milliseconds. */
 const RETURN_MARGIN_MS = 20;
 
-/** What the sending side needs. */
+/** Options of `createSendToPeer`. */
 export interface SendToPeerOptions {
   readonly clients: membership.peerClients.PeerClients;
   readonly clock: types.clock.Clock;
   readonly tracer: telemetry.tracing.Tracer;
 }
 
-/** Makes the sending side. */
+/** Creates the function that sends a call to a peer. */
 export function createSendToPeer(
   options: SendToPeerOptions,
 ): forwarder.SendToPeer {
@@ -49,7 +49,7 @@
   };
 }
 
-/** Serves a call that a peer handed over, by the routes callers use. */
+/** Serves a call forwarded by a peer, using the routes that callers use. */
 export async function serveForwarded(
   app: fastify.FastifyInstance,
   forwardMark: forwarder.ForwardMark,
--- a/packages/gypsumwall-entry/src/problem.ts
+++ b/packages/gypsumwall-entry/src/problem.ts
@@ -1,8 +1,8 @@
-/** Refusals and failures as problem+json (RFC 9457), one form for all. */
+/** Refusals and failures of calls, sent as problem+json (RFC 9457). */
 import type * as fastify from 'fastify';
 import type * as types from '@gypsumwall/types';
 
-/** Why a call was refused, beyond the reasons of work itself. */
+/** Why a call was refused or failed. */
 export type ProblemReason =
   | types.outcome.RefusalReason
   | 'unauthenticated'
@@ -11,7 +11,7 @@
   | 'conflict'
   | 'unknown_outcome';
 
-/** What the caller is told. */
+/** A refusal or failure as it is reported to the caller. */
 export interface Problem {
   readonly status: number;
   readonly reason: ProblemReason;
@@ -40,7 +40,7 @@
   unknown_outcome: 502,
 };
 
-/** A problem whose work surely did not run. */
+/** Creates a problem for a call whose work certainly did not run. */
 export function notRun(
   reason: ProblemReason,
   detail: string,
@@ -55,7 +55,7 @@
   };
 }
 
-/** A problem whose work may have run. */
+/** Creates a problem for a call whose work may have run. */
 export function unknownOutcome(detail: string): Problem {
   return {
     status: STATUS_OF_REASON.unknown_outcome,
@@ -65,7 +65,7 @@
   };
 }
 
-/** The problem that tells a failed outcome. */
+/** Converts a failed outcome to a problem. */
 export function ofOutcome(
   outcome: Exclude<types.outcome.Outcome, {readonly type: 'done'}>,
 ): Problem {
@@ -77,7 +77,7 @@
   }
 }
 
-/** The body of a problem. */
+/** Converts a problem to the body of an answer. */
 export function toBody(problem: Problem): object {
   return {
     type: `urn:gypsumwall:problem:${problem.reason}`,
--- a/packages/gypsumwall-entry/src/read_state.ts
+++ b/packages/gypsumwall-entry/src/read_state.ts
@@ -1,12 +1,12 @@
-/** Serves a peer that can't reach the log with a stream's state. */
+/** Serves a stream's state to a peer that can't read it from the log. */
 import type * as protocol from '@gypsumwall/protocol';
 import type * as types from '@gypsumwall/types';
 import type * as entryStream from './entry_stream.js';
 
-/** Said of a stream that this entry has not read to its end itself. */
+/** Returned for a stream that this entry has not read to its end itself. */
 export const UNKNOWN_OFFSET = -1n;
 
-/** The state of the asked stream, if it goes further than the asker's. */
+/** Returns the requested stream's state if it is newer than the peer's. */
 export function readState(
   self: types.ids.EntryId,
   streams: readonly entryStream.EntryStream[],
--- a/packages/gypsumwall-entry/src/recovery_gate.ts
+++ b/packages/gypsumwall-entry/src/recovery_gate.ts
@@ -1,30 +1,31 @@
 /**
- * Says when the new holder of a domain may start tasks that the holder before
- * it may have started.
+ * Decides when the new holder of a domain may start tasks that its predecessor
+ * may have started.
  *
- * Failure: the old holder started a task at a worker that the new one can't
- * reach. Symptom: the task runs in two places. The gate opens when every
- * worker that the list showed lately has been attached (what runs there is
- * known, and the old holder is fenced there), or else when the last lease
- * the old holder can have granted has run out, by which the worker has
- * stopped the task itself. A domain's first holder has no such wait. Jobs accepted after the claim pass at once: the
- * old holder's deadline was over before it could see them.
+ * Failure: the old holder started a task on a worker that the new one can't
+ * reach. Symptom: the task runs in two places. The gate opens once every
+ * recently listed worker has been attached: then the tasks that run there are
+ * known, and the old holder is fenced there. Otherwise the gate opens once the
+ * last lease that the old holder can have granted has expired, by which time
+ * the worker has stopped the task itself. A domain's first holder does not
+ * wait. Neither do jobs accepted after the claim, because the old holder's
+ * deadline had passed before it could see them.
  */
 import * as types from '@gypsumwall/types';
 
 type MonotonicMs = types.clock.MonotonicMs;
 
-/** When each worker was last on the list, as long as this process ran. */
+/** When each worker was last on the list, since this process started. */
 export interface RecentWorkers {
-  /** Notes the workers of a list that was just fetched. */
+  /** Records the workers of a list that was just fetched. */
   note(ids: Iterable<types.ids.WorkerId>, now: MonotonicMs): void;
   /** Workers listed at or after `since`. */
   listedSince(since: MonotonicMs): readonly types.ids.WorkerId[];
-  /** When the first list was noted; undefined before. */
+  /** When the first list was recorded; undefined before that. */
   watchingSince(): MonotonicMs | undefined;
 }
 
-/** Makes a record of workers seen. */
+/** Creates an empty record of workers. */
 export function createRecentWorkers(): RecentWorkers {
   const lastListed = new Map<types.ids.WorkerId, MonotonicMs>();
   let since: MonotonicMs | undefined;
@@ -41,23 +42,23 @@
   };
 }
 
-/** What the gate is judged by. */
+/** State that the gate depends on. */
 export interface GateInput {
   readonly now: MonotonicMs;
-  /** Whether anybody has held the domain before. */
+  /** Whether any entry held the domain before. */
   readonly hadPredecessor: boolean;
   /** When this entry became the holder. */
   readonly heldSince: MonotonicMs;
-  /** Longest lease that a holder grants to work that must run only once. */
+  /** Longest lease that a holder grants to tasks that must run only once. */
   readonly leaseMs: number;
   readonly graceMs: number;
   readonly listLagMs: number;
   readonly recent: RecentWorkers;
-  /** Workers that refuse older holders by now. */
+  /** Workers that already refuse older holders. */
   readonly fenced: ReadonlySet<types.ids.WorkerId>;
 }
 
-/** Whether tasks of older jobs may be started. */
+/** Whether tasks of jobs accepted before the claim may be started. */
 export function isOpen(input: GateInput): boolean {
   if (!input.hadPredecessor) return true;
   const leaseBoundMs = input.leaseMs + input.graceMs;
@@ -68,7 +69,7 @@
     input.heldSince,
     -(leaseBoundMs + input.listLagMs),
   );
-  // A process that has not watched for so long may not know every worker.
+  // A process that started recently may not know every worker.
   if (firstRecordedAt === undefined || firstRecordedAt > windowStart)
     return false;
   return input.recent
--- a/packages/gypsumwall-entry/src/report_gauges.ts
+++ b/packages/gypsumwall-entry/src/report_gauges.ts
@@ -1,4 +1,4 @@
-/** States the gauges of an entry at a steady beat. */
+/** Reports the gauges of an entry at regular intervals. */
 import type * as telemetry from '@gypsumwall/telemetry';
 import * as types from '@gypsumwall/types';
 import type * as entryContext from './entry_context.js';
--- a/packages/gypsumwall-entry/src/request_routes.ts
+++ b/packages/gypsumwall-entry/src/request_routes.ts
@@ -1,4 +1,4 @@
-/** Quick requests: one answer of an upstream to one caller. */
+/** Routes for quick requests, each answered by one upstream. */
 import * as crypto from 'node:crypto';
 import type * as fastify from 'fastify';
 import type * as settings from '@gypsumwall/settings';
@@ -15,7 +15,7 @@
   readonly operation: string;
 }
 
-/** A call that passed all checks. */
+/** A call that has passed all checks. */
 interface CheckedCall {
   readonly team: types.ids.TeamId;
   readonly policy: settings.cellTree.OperationPolicy;
@@ -23,7 +23,7 @@
   readonly deadline: types.clock.MonotonicMs;
 }
 
-/** Adds the routes. */
+/** Adds the request routes. */
 export function addRequestRoutes(
   app: fastify.FastifyInstance,
   context: entryContext.EntryContext,
@@ -99,7 +99,7 @@
   res: fastify.FastifyReply,
   checked: CheckedCall,
 ): Promise<fastify.FastifyReply> {
-  // An entry that has just started has no slots of its own yet.
+  // An entry that has just started has no share of any upstream's slots yet.
   let forwarded = context.hasSlots()
     ? forwardCall.NOT_FORWARDED
     : await forwardToPeer(context, req, res, checked);
@@ -125,14 +125,14 @@
     .type(contentType)
     .header('gypsumwall-outcome', 'done')
     .header(REQUEST_ID_HEADER, routed.requestId);
-  // With its length declared, an answer that breaks off reads as broken.
+  // The declared length lets the caller detect an answer that is cut off.
   if (contentLength !== undefined) {
     void res.header('content-length', contentLength);
   }
   return res.send(body);
 }
 
-/** Lets another entry answer: one of this domain before one of another. */
+/** Forwards the call to a peer; peers of the same domain are tried first. */
 async function forwardToPeer(
   context: entryContext.EntryContext,
   req: fastify.FastifyRequest,
@@ -166,16 +166,16 @@
 ): Promise<fastify.FastifyReply> {
   const routed = toRoutedRequest(req, req.params.operation, checked);
   const {key} = routed;
-  // Nothing is appended before the intent, so handing it over is safe.
+  // This entry has appended no intent yet, so it is safe to forward the call.
   if (!context.hasSlots()) {
     const forwarded = await forwardToPeer(context, req, res, checked);
     if (forwarded.type === 'answered') return forwarded.reply;
-    // The peer may have run it, and its key with it: only it may tell.
+    // The peer may have run the request, so this entry must not try it too.
     if (forwarded.type === 'in_doubt') {
       return problem.send(res, problem.unknownOutcome(forwarded.detail));
     }
   }
-  if (key === undefined) throw new Error('checked before: the key is there');
+  if (key === undefined) throw new Error('a checked call must have a key');
   const answer = await context.runOnce({...routed, key});
   if (answer.isErr) return problem.send(res, answer.error);
   return sendAnswer(res, answer.value, routed.requestId);
@@ -194,7 +194,7 @@
     .send(Buffer.from(answer.body));
 }
 
-/** A leaving entry takes nothing new, but may know who does. */
+/** A leaving entry serves no new requests; it forwards them if a peer can. */
 async function refuseLeaving(
   context: entryContext.EntryContext,
   req: fastify.FastifyRequest,
--- a/packages/gypsumwall-entry/src/router_feed.ts
+++ b/packages/gypsumwall-entry/src/router_feed.ts
@@ -1,10 +1,10 @@
-/** Tells the router of quick requests what this entry believes and may do. */
+/** Passes the view and the teams' settings to the router of quick requests. */
 import type * as membership from '@gypsumwall/membership';
 import type * as routing from '@gypsumwall/routing';
 import type * as settings from '@gypsumwall/settings';
 import * as types from '@gypsumwall/types';
 
-/** Who is told, and of whom. */
+/** Options of `createRouterFeed`. */
 export interface RouterFeedOptions {
   readonly router: routing.router.Router;
   readonly failureDomain: types.ids.FailureDomain;
@@ -12,15 +12,15 @@
   readonly address: string;
 }
 
-/** The feed. */
+/** Callbacks for changes that the router depends on. */
 export interface RouterFeed {
   onView(view: membership.domainView.DomainView): void;
   onTeams(teams: ReadonlyMap<string, settings.cellTree.TeamPolicy>): void;
-  /** Slots of all upstreams that this entry has a share of by now. */
+  /** Total of this entry's shares in the slots of all upstreams. */
   ownSlots(): number;
 }
 
-/** Makes the feed; before its first view there are no slots. */
+/** Creates a feed; there are no slots before its first view. */
 export function createRouterFeed(options: RouterFeedOptions): RouterFeed {
   const {router} = options;
   let slots = 0;
@@ -47,10 +47,11 @@
 }
 
 /**
- * The entries that share the domain's upstreams, by the addresses on the
- * list. Ids of processes are learned one by one: entries that call the same
- * one by different names would divide the slots differently. One that the
- * list does not show takes no share, since others stop counting it.
+ * The entries that share the domain's upstreams, identified by their addresses
+ * on the list. Process ids would not do: each entry learns them one by one, so
+ * entries could name the same peer differently and divide the slots
+ * differently. An entry that isn't listed takes no share, because the others
+ * no longer count it.
  */
 function sharingEntries(
   {failureDomain, address}: RouterFeedOptions,
--- a/packages/gypsumwall-entry/src/scheduler_options.ts
+++ b/packages/gypsumwall-entry/src/scheduler_options.ts
@@ -1,4 +1,4 @@
-/** What a scheduler and its parts are given. */
+/** Options of a domain scheduler and its parts. */
 import type * as placement from '@gypsumwall/placement';
 import type * as platform from '@gypsumwall/platform';
 import type * as records from '@gypsumwall/records';
@@ -6,21 +6,21 @@
 import type * as types from '@gypsumwall/types';
 import type * as recoveryGate from './recovery_gate.js';
 
-/** Spans of the scheduler, in milliseconds, out of the entry's settings. */
+/** Durations from the entry's settings, in milliseconds. */
 export interface SchedulerSpans {
   readonly workerHeartbeatMs: number;
   readonly taskLeaseMs: number;
-  /** Lease of a service's task, which may run twice for a while. */
+  /** Lease of a service's task, of which two attempts may overlap. */
   readonly serviceLeaseMs: number;
   readonly leaseGraceMs: number;
   readonly listLagMs: number;
 }
 
-/** What a scheduler needs. */
+/** Options of `createDomainScheduler`. */
 export interface DomainSchedulerOptions {
   readonly epoch: number;
   readonly self: types.ids.EntryId;
-  /** Whether anybody has held the domain before this epoch. */
+  /** Whether any entry held the domain before this epoch. */
   readonly hadPredecessor: boolean;
   readonly spans: SchedulerSpans;
   readonly clock: types.clock.Clock;
@@ -33,11 +33,11 @@
   readonly makeWorker: (
     listed: platform.instanceList.ListedWorker,
   ) => platform.worker.Worker;
-  /** Deadline of the claim now; undefined when it is not held any more. */
+  /** Current deadline of the claim; undefined if it is no longer held. */
   readonly claimDeadline: () => types.clock.MonotonicMs | undefined;
-  /** Ids of attempts are unique to the entry and the epoch. */
+  /** Returns an id that no other attempt of this epoch has. */
   readonly nextAttempt: () => types.ids.AttemptId;
-  /** Appends to the domain's stream; true once the record is applied here. */
+  /** Appends to the domain's stream; true once this entry has applied it. */
   readonly append: (
     record: records.domainRecords.DomainRecord,
   ) => Promise<boolean>;
--- a/packages/gypsumwall-entry/src/settings_routes.ts
+++ b/packages/gypsumwall-entry/src/settings_routes.ts
@@ -1,4 +1,4 @@
-/** The settings tree: read by operators, published subtree by subtree. */
+/** Routes that let operators read and publish subtrees of the settings tree. */
 import type * as fastify from 'fastify';
 import * as records from '@gypsumwall/records';
 import * as authenticate from './authenticate.js';
@@ -14,7 +14,7 @@
 
 type SettingsCall = fastify.FastifyRequest<{Params: PathParams}>;
 
-/** Adds the routes. */
+/** Adds the settings routes. */
 export function addSettingsRoutes(
   app: fastify.FastifyInstance,
   context: entryContext.EntryContext,
@@ -48,7 +48,10 @@
   if (subtree === undefined) {
     return problem.send(
       res,
-      problem.notRun('not_found', `nothing is published at "${path}"`),
+      problem.notRun(
+        'not_found',
+        `no settings have been published at "${path}"`,
+      ),
     );
   }
   return res.send({path, ...subtree});
--- a/packages/gypsumwall-entry/src/settings_service.ts
+++ b/packages/gypsumwall-entry/src/settings_service.ts
@@ -1,4 +1,4 @@
-/** Publishes and shows subtrees of the settings tree. */
+/** Publishes subtrees of the settings tree. */
 import * as result from 'true-myth/result';
 import * as records from '@gypsumwall/records';
 import * as settings from '@gypsumwall/settings';
@@ -6,17 +6,17 @@
 import * as logProblem from './log_problem.js';
 import * as problem from './problem.js';
 
-/** What the service needs. */
+/** Options of `createSettingsService`. */
 export interface SettingsServiceOptions {
   readonly config: records.configFold.ConfigFold;
   readonly follower: records.streamFollower.StreamFollower;
   readonly appender: records.logAppender.LogAppender;
 }
 
-/** A publish that an operator asks for. */
+/** An operator's request to publish a subtree. */
 export interface PublishRequest {
   readonly path: string;
-  /** Revision it is based on; -1 for a subtree that is new. */
+  /** Revision that the change is based on; -1 for a new subtree. */
   readonly base: number;
   readonly value: unknown;
   readonly operator: string;
@@ -24,20 +24,23 @@
 
 /** The settings tree, for operators. */
 export interface SettingsService {
-  /** The new revision; the log's order decides between two who race. */
+  /**
+   * Resolves to the new revision. Of two concurrent publishes of a subtree, the
+   * first in log order takes effect and the other is refused.
+   */
   publish(
     req: PublishRequest,
     deadline: types.clock.MonotonicMs,
   ): Promise<result.Result<number, problem.Problem>>;
 }
 
-/** Makes the service. */
+/** Creates the service. */
 export function createSettingsService(
   options: SettingsServiceOptions,
 ): SettingsService {
   const {config, follower, appender} = options;
 
-  /** Faults that can be told before anything is appended. */
+  /** Finds problems that can be detected before anything is appended. */
   function checkBeforeAppend(req: PublishRequest): problem.Problem | undefined {
     const checked = settings.checkSubtree.checkSubtree(req.path, req.value);
     if (checked.isErr) return invalid(checked.error);
@@ -65,8 +68,8 @@
       if (verdict === undefined) {
         return result.err(
           problem.unknownOutcome(
-            `the record stands at offset ${offset}, but can not be read ` +
-              'back: read the subtree again before the next publish',
+            `the record was appended at offset ${offset}, but could not be ` +
+              'read back: read the subtree again before the next publish',
           ),
         );
       }
@@ -86,7 +89,7 @@
   return problem.notRun(
     'conflict',
     `subtree "${req.path}" is at revision ${newest}, the change was based ` +
-      `on ${req.base}: read it again and repeat the change on top`,
+      `on ${req.base}: read the subtree again and repeat the change`,
   );
 }
 
--- a/packages/gypsumwall-entry/src/snapshot_writer.ts
+++ b/packages/gypsumwall-entry/src/snapshot_writer.ts
@@ -1,25 +1,25 @@
 /**
- * Re-appends a stream's state before retention drops the records it came
- * from.
+ * Appends snapshots of a stream's state before retention drops the records
+ * that it was built from.
  *
  * Failure: the log keeps records for a limited time only. Symptom: an entry
- * started later misses settings, jobs or keys that were set long ago. A
- * snapshot in the stream, newer than what is dropped, is all it needs.
+ * that starts later lacks old settings, jobs or keys. A snapshot that covers
+ * all dropped records lets it rebuild the state.
  */
 import * as records from '@gypsumwall/records';
 import type * as telemetry from '@gypsumwall/telemetry';
 import * as types from '@gypsumwall/types';
 import type * as entryStream from './entry_stream.js';
 
-/** What the keeper needs. */
+/** Options of `writeSnapshots`. */
 export interface SnapshotWriterOptions {
   readonly streams: readonly entryStream.EntryStream[];
   readonly clock: types.clock.Clock;
   readonly random: types.random.Random;
   readonly logger: telemetry.logger.Logger;
-  /** Records after which a stream's state is written again. */
+  /** Number of records after which a new snapshot is written. */
   readonly intervalRecords: number;
-  /** Time after which it is, however few the records. */
+  /** Time after which a snapshot is written if there is any new record. */
   readonly intervalMs: number;
 }
 
@@ -36,15 +36,15 @@
     options.streams.map((stream) => [stream, nextDueAt(options)]),
   );
   while (!signal.aborted) {
-    // Entries look at different moments, so that one writes for all: the
-    // others see its snapshot in the stream and start to count anew.
+    // Entries check at different moments, so that one of them writes for all:
+    // the others see its snapshot in the stream and reset their counts.
     const jitteredMs = CHECK_INTERVAL_MS * (0.5 + random.next());
     const checkAt = types.clock.after(clock.monotonic(), jitteredMs);
     await clock.sleepUntil(checkAt, signal);
     for (const stream of options.streams) {
       const recordCount = stream.follower.recordsSinceSnapshot();
       const isIntervalOver = clock.monotonic() >= (dueAt.get(stream) ?? 0);
-      // Retention has already dropped what a new reader would need.
+      // Retention has already dropped records that a new reader would need.
       const isUrgent = !stream.follower.isRebuildable();
       const isDue =
         isUrgent ||
@@ -59,7 +59,10 @@
 
 function nextDueAt(options: SnapshotWriterOptions): types.clock.MonotonicMs {
   const {clock, random, intervalMs} = options;
-  return types.clock.after(clock.monotonic(), intervalMs * (0.5 + random.next()));
+  return types.clock.after(
+    clock.monotonic(),
+    intervalMs * (0.5 + random.next()),
+  );
 }
 
 async function writeSnapshot(
--- a/packages/gypsumwall-entry/src/start_order.ts
+++ b/packages/gypsumwall-entry/src/start_order.ts
@@ -1,25 +1,25 @@
-/** Starts of tasks, from the holder's decision to the worker's answer. */
+/** The scheduler's order to start a task, and the worker's answer to it. */
 import type * as platform from '@gypsumwall/platform';
 import * as types from '@gypsumwall/types';
 import type * as workerAttachment from './worker_attachment.js';
 import * as workerClock from './worker_clock.js';
 
-/** One run of a task at this worker. */
+/** One execution of a task on a worker. */
 export interface Attempt {
   readonly taskId: types.ids.TaskId;
   readonly attempt: types.ids.AttemptId;
 }
 
-/** A start that the scheduler decided. */
+/** The scheduler's order to start an attempt. */
 export interface StartOrder extends Attempt {
   readonly size: types.resources.Resources;
   readonly work: types.job.Work;
   readonly leaseMs: number;
-  /** Trace context of the submission. */
+  /** Trace context of the call that submitted the job. */
   readonly traceparent?: string;
 }
 
-/** The order as the worker takes it; its lease counts from `now`. */
+/** Converts the order to a worker call; its lease counts from `now`. */
 export function toStartTask(
   attachment: workerAttachment.WorkerAttachment,
   order: StartOrder,
@@ -35,13 +35,13 @@
   };
 }
 
-/** Why a start was refused; undefined when the task started. */
+/** Returns why the task did not start, or undefined if it started. */
 export function startFailureOf(
   answer: platform.worker.StartAnswer | undefined,
 ): string | undefined {
   switch (answer?.type) {
     case undefined:
-      return 'the worker gave no answer for it';
+      return "the worker's answer lacks this task";
     case 'started':
       return undefined;
     case 'refused':
--- a/packages/gypsumwall-entry/src/status_routes.ts
+++ b/packages/gypsumwall-entry/src/status_routes.ts
@@ -1,10 +1,10 @@
-/** Health for the balancer, and what this entry believes, for operators. */
+/** Routes for the balancer's health checks and for operators. */
 import type * as fastify from 'fastify';
 import * as callContext from './call_context.js';
 import type * as entryContext from './entry_context.js';
 import * as problem from './problem.js';
 
-/** Adds the routes. */
+/** Adds the status routes. */
 export function addStatusRoutes(
   app: fastify.FastifyInstance,
   context: entryContext.EntryContext,
@@ -55,7 +55,10 @@
   };
 }
 
-/** The claim; a deadline on this process's clock says nothing to a reader. */
+/**
+ * The claim with the time left instead of its deadline, which is on this
+ * process's monotonic clock and means nothing to a reader.
+ */
 function claimStatus(context: entryContext.EntryContext): object {
   const claim = context.claim();
   if (claim.type !== 'held') return claim;
--- a/packages/gypsumwall-entry/src/task_end_handler.ts
+++ b/packages/gypsumwall-entry/src/task_end_handler.ts
@@ -1,6 +1,6 @@
 /**
- * What happens when a worker tells that a task has ended. A result is kept in
- * the log before the worker may forget it.
+ * Handles a worker's report that a task has ended. A result is recorded in the
+ * log before the worker is allowed to discard it.
  */
 import type * as placement from '@gypsumwall/placement';
 import type * as platform from '@gypsumwall/platform';
@@ -10,27 +10,27 @@
 import type * as taskTracker from './task_tracker.js';
 import type * as taskTable from './task_table.js';
 
-/** What is needed. */
+/** Options of `createTaskEndHandler`. */
 export interface TaskEndHandlerOptions extends Pick<
   schedulerOptions.DomainSchedulerOptions,
   'clock' | 'append'
 > {
   readonly tracker: taskTracker.TaskTracker;
   readonly heldSince: types.clock.MonotonicMs;
-  /** Lets the worker forget the end. */
+  /** Allows the worker to discard its report of the end. */
   readonly acknowledge: (
     workerId: types.ids.WorkerId,
     attempt: types.ids.AttemptId,
   ) => void;
 }
 
-/** Takes an end that a worker told, once or again. */
+/** Handles one report; workers repeat reports until they are acknowledged. */
 export type TaskEndHandler = (
   workerId: types.ids.WorkerId,
   ended: platform.worker.FinishedTask,
 ) => void;
 
-/** Makes the function. */
+/** Creates the handler. */
 export function createTaskEndHandler(
   options: TaskEndHandlerOptions,
 ): TaskEndHandler {
@@ -60,8 +60,8 @@
   }
 
   /**
-   * A task that had ended before this epoch counts as active until its end
-   * stands in the log: were it forgotten, it would be run a second time.
+   * Tracks a task that ended before this epoch as active until its end is in
+   * the log. Otherwise it would be queued and run a second time.
    */
   function trackEndedTask(
     workerId: types.ids.WorkerId,
@@ -74,7 +74,7 @@
     return tracker.track({taskId, attempt, size}, workerId, job, heldSince);
   }
 
-  /** Acknowledges the end once it is in the log; until then it is repeated. */
+  /** Appends the end to the log, and acknowledges it only after that. */
   function recordResult(
     workerId: types.ids.WorkerId,
     ended: platform.worker.FinishedTask,
--- a/packages/gypsumwall-entry/src/task_table.ts
+++ b/packages/gypsumwall-entry/src/task_table.ts
@@ -1,20 +1,21 @@
-/** What the holder knows of each task that may run: where, and how far. */
+/** Tasks that occupy resources on workers, with their worker and phase. */
 import type * as types from '@gypsumwall/types';
 
-/** A task that holds room on a worker. */
+/** A task that occupies resources on a worker. */
 export interface ActiveTask {
   readonly taskId: types.ids.TaskId;
   readonly attempt: types.ids.AttemptId;
   readonly workerId: types.ids.WorkerId;
   readonly size: types.resources.Resources;
+  /** `recording`: it has ended, and its result is being appended to the log. */
   phase: 'starting' | 'running' | 'stopping' | 'recording';
   startedAt: types.clock.MonotonicMs;
 }
 
-/** Active tasks by id and by worker. */
+/** Active tasks by id, worker and job. */
 export interface TaskTable {
   get(taskId: types.ids.TaskId): ActiveTask | undefined;
-  /** The task, if this very attempt is the active one. */
+  /** The task, if the given attempt is its active one. */
   getAttempt(
     taskId: types.ids.TaskId,
     attempt: types.ids.AttemptId,
@@ -26,7 +27,7 @@
   size(): number;
 }
 
-/** Makes an empty table. */
+/** Creates an empty table. */
 export function createTaskTable(
   jobOf: (taskId: types.ids.TaskId) => types.ids.JobId,
 ): TaskTable {
--- a/packages/gypsumwall-entry/src/task_tracker.ts
+++ b/packages/gypsumwall-entry/src/task_tracker.ts
@@ -1,6 +1,7 @@
 /**
- * The holder's books: which tasks are active and which wait. The policy keeps
- * books of room; these keep attempts, and move a task from one to the other.
+ * Tracks which tasks of the domain are active and which are queued. The placer
+ * accounts for resources; the tracker accounts for attempts, and moves tasks
+ * between the queue and the active ones.
  */
 import type * as placement from '@gypsumwall/placement';
 import type * as platform from '@gypsumwall/platform';
@@ -11,36 +12,36 @@
 
 type JobState = records.jobFold.JobState;
 
-/** The books of one epoch. */
+/** The tasks of one epoch. */
 export interface TaskTracker {
   readonly tasks: taskTable.TaskTable;
   jobOf(taskId: types.ids.TaskId): JobState | undefined;
-  /** Whether two copies of the task would do harm. */
+  /** Whether two attempts of the task must not overlap. */
   mustRunOnce(taskId: types.ids.TaskId): boolean;
-  /** Whether the task's job still wants it to run. */
+  /** Whether the task's job is open and still lacks the task's result. */
   isNeeded(taskId: types.ids.TaskId): boolean;
-  /** Queues all of a job's tasks that neither run nor are done. */
+  /** Queues all tasks of a job that are neither active nor done. */
   enqueueJob(job: JobState): void;
-  /** Drops what waits of a job that is closed. */
+  /** Removes the queued tasks of a closed job. */
   dropJob(job: JobState): void;
-  /** Books a task that was found at a worker. */
+  /** Adds a task that a worker reported, and its resources. */
   track(
     task: Pick<platform.worker.RunningTask, 'taskId' | 'attempt' | 'size'>,
     workerId: types.ids.WorkerId,
     job: JobState,
     startedAt: types.clock.MonotonicMs,
   ): taskTable.ActiveTask;
-  /** Gives a task's room back; it waits again if its job still wants it. */
+  /** Frees a task's resources; queues it again if it is still needed. */
   release(task: taskTable.ActiveTask, report: placement.placer.RunReport): void;
-  /** Runs of a job's tasks that failed in this epoch. */
+  /** Number of the job's attempts that failed in this epoch. */
   failedAttempts(jobId: types.ids.JobId): number;
-  /** Jobs from before the epoch that are held back. */
+  /** Number of jobs from before this epoch that are held back. */
   gatedJobCount(): number;
-  /** Lets them go. */
+  /** Queues the jobs that were held back. */
   releaseGatedJobs(): void;
 }
 
-/** Makes books in which all open jobs are held back. */
+/** Creates a tracker in which all open jobs are held back. */
 export function createTaskTracker(
   options: Pick<schedulerOptions.DomainSchedulerOptions, 'placer' | 'jobs'>,
   onChange: () => void,
--- a/packages/gypsumwall-entry/src/view_ticker.ts
+++ b/packages/gypsumwall-entry/src/view_ticker.ts
@@ -1,27 +1,27 @@
 /**
- * Hands the view on at a steady beat, changed or not: who uses it must know
- * that it is current, and a process that was paused must not act on what it
- * believed before.
+ * Publishes the view at regular intervals, changed or not. Its users must know
+ * that it is current, and a process that was paused must not act on the view
+ * from before the pause.
  */
 import type * as membership from '@gypsumwall/membership';
 import * as types from '@gypsumwall/types';
 
-/** What the ticker needs. */
+/** Options of `tickView`. */
 export interface ViewTickerOptions {
   readonly clock: types.clock.Clock;
   readonly intervalMs: number;
-  /** A longer gap between two beats means that this process was paused. */
+  /** A longer gap between two ticks means that this process was paused. */
   readonly pauseThresholdMs: number;
-  /** Time that a fetch of the list takes at most. */
+  /** Longest time that a fetch of the list takes. */
   readonly maxFetchMs: number;
   readonly view: () => membership.domainView.DomainView;
   readonly onView: (view: membership.domainView.DomainView) => void;
 }
 
 /**
- * Beats until the signal aborts. After a pause the view waits until the list
- * was fetched anew, or could not be: an outage of the list must not stop an
- * entry that is cut off from the platform.
+ * Publishes until the signal aborts. After a pause it holds the view back until
+ * the list was fetched again or the fetch has timed out. The timeout keeps an
+ * entry working that is cut off from the platform.
  */
 export async function tickView(
   options: ViewTickerOptions,
--- a/packages/gypsumwall-entry/src/whole_answer.ts
+++ b/packages/gypsumwall-entry/src/whole_answer.ts
@@ -1,15 +1,15 @@
-/** Reads an upstream's answer to its end, so that a half is never told. */
+/** Reads an upstream's whole answer, so that no caller gets part of one. */
 import * as result from 'true-myth/result';
 import type * as platform from '@gypsumwall/platform';
 import * as types from '@gypsumwall/types';
 
-/** An answer that was read to its end. */
+/** An answer whose body has been read to its end. */
 export interface WholeAnswer {
   readonly contentType: string;
   readonly body: Uint8Array;
 }
 
-/** The whole answer, or why it broke off. */
+/** Returns the whole answer, or why it is incomplete. */
 export async function collect(
   answer: platform.upstream.UpstreamAnswer,
 ): Promise<result.Result<WholeAnswer, string>> {
--- a/packages/gypsumwall-entry/src/worker_attachment.ts
+++ b/packages/gypsumwall-entry/src/worker_attachment.ts
@@ -1,22 +1,22 @@
-/** What a holder keeps of a worker that it is attached to. */
+/** The holder's state of a worker that it is attached to. */
 import type * as platform from '@gypsumwall/platform';
 import * as types from '@gypsumwall/types';
 import * as workerClock from './worker_clock.js';
 
 type MonotonicMs = types.clock.MonotonicMs;
 
-/** One stay of a worker, as this epoch's holder knows it. */
+/** State of one incarnation of a worker. */
 export interface WorkerAttachment {
   readonly call: platform.worker.HolderCall;
   clock: workerClock.WorkerClock;
   /**
-   * Highest end of a lease that was sent, answered or not, on the worker's
-   * clock. Leases of tasks that may run twice do not count.
+   * Latest end of any lease that was sent, answered or not, on the worker's
+   * clock. Leases of tasks whose attempts may overlap do not count.
    */
   latestLeaseEnd: platform.worker.WorkerMs;
 }
 
-/** Makes it of the answer to an attach that arrived at `now`. */
+/** Creates the state from an answer to `attach` that arrived at `now`. */
 export function fromAnswer(
   answer: platform.worker.Attached,
   epoch: number,
@@ -33,7 +33,7 @@
   };
 }
 
-/** Notes a lease before it is sent, since the call may arrive unanswered. */
+/** Call this before sending a lease: the call may arrive and its answer not. */
 export function recordLease(
   attachment: WorkerAttachment,
   leaseUntil: platform.worker.WorkerMs,
@@ -42,7 +42,7 @@
     attachment.latestLeaseEnd = leaseUntil;
 }
 
-/** When the worker has surely stopped by itself whatever must run once. */
+/** When the worker has certainly stopped all tasks that must run only once. */
 export function leasesExpiredAt(
   attachment: WorkerAttachment,
   graceMs: number,
--- a/packages/gypsumwall-entry/src/worker_clock.ts
+++ b/packages/gypsumwall-entry/src/worker_clock.ts
@@ -1,11 +1,11 @@
 /**
- * Translates this process's deadlines to a worker's clock.
+ * Converts this process's deadlines to a worker's clock.
  *
- * Every answer tells the worker's time when it was sent. When it arrives, the
- * worker's clock shows at least that, so a deadline translated from the
- * moment of arrival falls early on the worker's clock, never late. A start
- * that was held up by a pause of this process is thus refused by the worker
- * itself, and clock skew can't stretch a lease.
+ * Every answer carries the worker's time at which it was sent. When it
+ * arrives, the worker's clock shows that time or a later one. A deadline
+ * converted from the moment of arrival is therefore early on the worker's
+ * clock, never late. So the worker itself refuses a start that a pause of this
+ * process has delayed, and clock skew can't extend a lease.
  */
 import type * as platform from '@gypsumwall/platform';
 import type * as types from '@gypsumwall/types';
@@ -13,13 +13,16 @@
 type WorkerMs = platform.worker.WorkerMs;
 type MonotonicMs = types.clock.MonotonicMs;
 
-/** One pair of moments: the worker's, and this process's on its arrival. */
+/** The worker's time in an answer, and this process's time on its arrival. */
 export interface WorkerClock {
   readonly workerTime: WorkerMs;
   readonly arrivedAt: MonotonicMs;
 }
 
-/** The worker's time that surely is not before `moment` has come here. */
+/**
+ * Converts a local moment to the worker's clock. The result is at or before
+ * the time that the worker's clock shows at that moment.
+ */
 export function toWorkerTime(
   clock: WorkerClock,
   moment: MonotonicMs,
@@ -27,7 +30,7 @@
   return (clock.workerTime + (moment - clock.arrivedAt)) as WorkerMs;
 }
 
-/** The moment here by which the worker's clock surely shows `workerTime`. */
+/** The local moment at which the worker's clock has surely reached a time. */
 export function toLatestLocalTime(
   clock: WorkerClock,
   workerTime: WorkerMs,
--- a/packages/gypsumwall-entry/src/worker_pool.ts
+++ b/packages/gypsumwall-entry/src/worker_pool.ts
@@ -1,29 +1,29 @@
-/** The holder's sessions with the workers of its domain, one for each. */
+/** The holder's sessions with the workers of its domain, one per worker. */
 import type * as platform from '@gypsumwall/platform';
 import type * as types from '@gypsumwall/types';
 import type * as schedulerOptions from './scheduler_options.js';
 import * as workerSession from './worker_session.js';
 
-/** What is needed. */
+/** Options of `createWorkerPool`. */
 export interface WorkerPoolOptions {
   readonly scheduler: schedulerOptions.DomainSchedulerOptions;
   readonly mustRunOnce: (taskId: types.ids.TaskId) => boolean;
   readonly sessionEventsOf: (
     workerId: types.ids.WorkerId,
   ) => workerSession.SessionEvents;
-  /** No new work there: it leaves, or is off the list. */
+  /** The worker is leaving or no longer listed, and gets no new tasks. */
   readonly onUnschedulable: (workerId: types.ids.WorkerId) => void;
-  /** Back on the list as live, and attached. */
+  /** The worker is listed as live again, and attached. */
   readonly onSchedulable: (workerId: types.ids.WorkerId) => void;
-  /** Off the list, and nothing runs there any more. */
+  /** The worker is no longer listed and has no tasks left. */
   readonly onRemoved: (workerId: types.ids.WorkerId) => void;
   readonly hasTasks: (workerId: types.ids.WorkerId) => boolean;
   readonly signal: AbortSignal;
 }
 
-/** The sessions. */
+/** Sessions by worker. */
 export interface WorkerPool {
-  /** Workers as the list shows them now. */
+  /** Sets the workers that are on the instance list. */
   setListed(listed: readonly platform.instanceList.ListedWorker[]): void;
   session(
     workerId: types.ids.WorkerId,
@@ -31,11 +31,11 @@
   listed(
     workerId: types.ids.WorkerId,
   ): platform.instanceList.ListedWorker | undefined;
-  /** Ends the session of a worker that is off the list. */
+  /** Ends the session of a worker that is not listed and has no tasks. */
   removeIfUnlisted(workerId: types.ids.WorkerId): void;
   size(): number;
   attachedCount(): number;
-  /** Resolves when no session has a call under way any more. */
+  /** Resolves once no session has a call in flight. */
   sessionsEnded(): Promise<void>;
 }
 
@@ -46,7 +46,7 @@
   isUnlisted: boolean;
 }
 
-/** Makes an empty pool. */
+/** Creates an empty pool. */
 export function createWorkerPool(options: WorkerPoolOptions): WorkerPool {
   const {scheduler} = options;
   const workers = new Map<types.ids.WorkerId, PooledWorker>();
@@ -93,7 +93,7 @@
 
   function markUnlisted(id: types.ids.WorkerId, worker: PooledWorker): void {
     if (!worker.isUnlisted) options.onUnschedulable(id);
-    // Off the list is not stopped: its tasks count until leases lapse.
+    // An unlisted worker may still run its tasks until their leases expire.
     worker.isUnlisted = true;
     removeIfUnlisted(id);
   }
--- a/packages/gypsumwall-entry/src/worker_session.ts
+++ b/packages/gypsumwall-entry/src/worker_session.ts
@@ -1,7 +1,7 @@
 /**
  * The holder's session with one worker: one loop that attaches, sends starts
- * and stops, and renews leases by heartbeats, one call at a time. What
- * happens at the worker is told to the scheduler through `SessionEvents`.
+ * and stops, and renews leases by heartbeats, one call at a time. It reports
+ * what happens at the worker to the scheduler through `SessionEvents`.
  */
 import type * as platform from '@gypsumwall/platform';
 import type * as telemetry from '@gypsumwall/telemetry';
@@ -12,25 +12,25 @@
 
 type MonotonicMs = types.clock.MonotonicMs;
 
-/** What the session tells the scheduler. */
+/** Callbacks of a session, implemented by the scheduler. */
 export interface SessionEvents {
-  /** Attached; the answer tells all that runs or has ended there. */
+  /** The answer lists all attempts that run or have ended on the worker. */
   attached(answer: platform.worker.Attached): void;
   started(order: startOrder.StartOrder): void;
-  /** Proved that the attempt does not run and never will. */
+  /** It is certain that the attempt does not run and never will. */
   notStarted(order: startOrder.StartOrder, message: string): void;
-  /** Ended; acknowledge it with `acknowledge` once that is safe. */
+  /** The attempt ended; call `acknowledge` once its end is recorded. */
   ended(task: platform.worker.FinishedTask): void;
-  /** A stop that was asked for is confirmed. */
+  /** The worker has confirmed a requested stop. */
   stopped(attempt: startOrder.Attempt): void;
   usage(usage: readonly platform.worker.TaskUsage[]): void;
-  /** No answer for a while; takes no new work until `attached` again. */
+  /** A call failed; the worker gets no new work until `attached`. */
   silent(): void;
-  /** All leases there have surely run out, or the worker was restarted. */
+  /** All leases on the worker have certainly expired, or it was restarted. */
   lapsed(): void;
 }
 
-/** What a session needs. */
+/** Options of `createWorkerSession`. */
 export interface WorkerSessionOptions {
   readonly workerId: types.ids.WorkerId;
   readonly worker: platform.worker.Worker;
@@ -41,16 +41,16 @@
   readonly tracer: telemetry.tracing.Tracer;
   readonly metrics: telemetry.metrics.Metrics;
   readonly heartbeatMs: number;
-  /** Lease that heartbeats renew to. */
+  /** Duration of the lease that each heartbeat grants. */
   readonly leaseMs: number;
   readonly graceMs: number;
   /**
-   * Whether two copies of a task would do harm. Only such tasks' leases are
-   * waited out; a service keeps a long lease of its own, so that it outlives
-   * a time without a holder.
+   * Whether two attempts of a task must not overlap. The session waits for the
+   * expiry of such tasks' leases only. Tasks of services have longer leases,
+   * so that they keep running while the domain has no holder.
    */
   readonly mustRunOnce: (taskId: types.ids.TaskId) => boolean;
-  /** Deadline of the claim now; undefined when it is not held any more. */
+  /** Current deadline of the claim; undefined if it is no longer held. */
   readonly claimDeadline: () => MonotonicMs | undefined;
   readonly events: SessionEvents;
 }
@@ -66,10 +66,9 @@
   isAttached(): boolean;
 }
 
-/** Starts sent in one call. */
 const MAX_STARTS_PER_CALL = 256;
 
-/** Makes a session that does nothing before `run`. */
+/** Creates a session; it does nothing until `run` is called. */
 export function createWorkerSession(
   options: WorkerSessionOptions,
 ): WorkerSession {
@@ -81,7 +80,7 @@
   const controls: Array<
     (call: platform.worker.HolderCall) => Promise<unknown>
   > = [];
-  /** Starts whose answer was lost. */
+  /** Starts whose answer was lost, so that the task may or may not run. */
   const inDoubt = new Map<types.ids.AttemptId, startOrder.StartOrder>();
   let attachment: workerAttachment.WorkerAttachment | undefined;
   let hasAttached = false;
@@ -138,7 +137,7 @@
     return true;
   }
 
-  /** Starts wait here until they are sent; a lapsed claim sends none. */
+  /** Sends queued starts, or cancels them if the claim has lapsed. */
   async function sendStarts(
     current: workerAttachment.WorkerAttachment,
   ): Promise<boolean> {
@@ -147,7 +146,9 @@
     const deadline = options.claimDeadline();
     const now = clock.monotonic();
     if (deadline === undefined || deadline <= now) {
-      orders.forEach((order) => events.notStarted(order, 'claim lapsed'));
+      orders.forEach((order) =>
+        events.notStarted(order, 'the claim has lapsed'),
+      );
       return true;
     }
     const tasks = orders.map((order) =>
@@ -230,7 +231,7 @@
     return true;
   }
 
-  /** A start in doubt runs, or is stopped so that it never will. */
+  /** Settles lost starts: those that don't run are stopped for good. */
   function resolveInDoubt(
     running: readonly platform.worker.RunningTask[],
   ): void {
@@ -246,13 +247,15 @@
     }
   }
 
-  /** Tells once that the worker is silent, and once that leases are over. */
+  /** Reports, once each, that the worker is silent and that leases expired. */
   function onCallsFailed(): void {
     if (isReachable) {
       isReachable = false;
       starts
         .splice(0)
-        .forEach((order) => events.notStarted(order, 'worker is silent'));
+        .forEach((order) =>
+          events.notStarted(order, 'the worker does not answer'),
+        );
       logger.warn('worker_silent', {epoch});
       events.silent();
     }
@@ -266,7 +269,7 @@
     resetSession();
   }
 
-  /** Nothing that was sent there runs any more: all is decided anew. */
+  /** Drops all state of the incarnation, none of whose tasks run any more. */
   function resetSession(): void {
     attachment = undefined;
     inDoubt.clear();
