--- a/packages/gypsumwall-entry/src/peer_catch_up.ts
+++ b/packages/gypsumwall-entry/src/peer_catch_up.ts
@@ -63,7 +63,7 @@
   if (peer === undefined) return;
   const answer = await options.clients.at(peer.address).readState({
     stream: stream.name,
-    above: BigInt(stream.follower.minAdoptableOffset()),
+    above: BigInt(stream.follower.adoptableAbove()),
   });
   if (answer.isErr || answer.value.nextOffset === readState.UNKNOWN_OFFSET)
     return;
--- a/packages/gypsumwall-records/src/__fixtures__/memory_log.ts
+++ b/packages/gypsumwall-records/src/__fixtures__/memory_log.ts
@@ -1,28 +1,28 @@
-/** A log in memory whose appends can go wrong in the ways the real one's do. */
+/** An in-memory log whose appends can fail in the ways of the real log. */
 import * as result from 'true-myth/result';
 import type * as platform from '@gypsumwall/platform';
 import * as types from '@gypsumwall/types';
 
-/** What happens to one append. */
+/** A fault of one append. */
 export type AppendFault =
-  /** Takes effect, the answer is lost. */
+  /** The append takes effect, but its answer is lost. */
   | 'lost_answer'
-  /** Never arrives; the producer can't know that. */
+  /** The append never arrives, which the producer can't know. */
   | 'lost_request'
-  /** Is answered with a timeout and arrives when `deliverLate` is called. */
+  /** The append times out, and arrives when `deliverDelayed` is called. */
   | 'late';
 
-/** The log and its faults. */
+/** The log, with controls for its faults. */
 export interface MemoryLog extends platform.platformLog.PlatformLog {
-  /** Strikes the next appends, one each. */
+  /** Applies the faults to the next appends, one each. */
   failNextAppends(...faults: AppendFault[]): void;
   deliverDelayed(): void;
-  /** Drops records below the offset, as retention does. */
+  /** Drops records below the offset, like retention. */
   dropBelow(offset: number): void;
   appends(): number;
 }
 
-/** Makes an empty log of one stream. */
+/** Creates an empty log of one stream. */
 export function createMemoryLog(): MemoryLog {
   let stored: platform.platformLog.LogRecord[] = [];
   let firstOffset = 0;
--- a/packages/gypsumwall-records/src/__fixtures__/open_stream.ts
+++ b/packages/gypsumwall-records/src/__fixtures__/open_stream.ts
@@ -1,4 +1,4 @@
-/** A follower and an appender on one log, as an entry runs them. */
+/** Connects a follower and an appender to one log, as an entry does. */
 import type * as nodeTest from 'node:test';
 import * as telemetry from '@gypsumwall/telemetry';
 import * as types from '@gypsumwall/types';
@@ -8,10 +8,10 @@
 import type * as memoryLog from './memory_log.js';
 import * as recordingFold from './recording_fold.js';
 
-/** Long enough for whatever a test waits for. */
+/** Longer than anything that a test waits for. */
 const TIMEOUT_MS = 5_000;
 
-/** Opens the stream; the test's end closes it. */
+/** Opens the stream, and closes it when the test ends. */
 export function openStream(
   context: nodeTest.TestContext,
   log: memoryLog.MemoryLog,
--- a/packages/gypsumwall-records/src/__fixtures__/recording_fold.ts
+++ b/packages/gypsumwall-records/src/__fixtures__/recording_fold.ts
@@ -1,12 +1,12 @@
-/** A fold that keeps what it was given, in order. */
+/** A fold that stores the names of the applied records, in order. */
 import type * as streamFold from '../stream_fold.js';
 
-/** The fold and what it has taken. */
+/** The fold, with the names of the applied records. */
 export interface RecordingFold extends streamFold.StreamFold {
   readonly applied: string[];
 }
 
-/** Makes an empty one. */
+/** Creates an empty fold. */
 export function createRecordingFold(): RecordingFold {
   const applied: string[] = [];
   return {
--- a/packages/gypsumwall-records/src/config_fold.ts
+++ b/packages/gypsumwall-records/src/config_fold.ts
@@ -1,20 +1,20 @@
 /**
- * The settings tree as the log's order made it. A publish counts only if it
- * was based on the subtree's newest revision: of two operators who race, the
- * first in the log wins and the other is told so.
+ * The settings tree, folded from its stream in log order. A publish takes
+ * effect only if it was based on the subtree's newest revision: of two
+ * concurrent publishes, the first in the log wins and the other is refused.
  */
 import * as settings from '@gypsumwall/settings';
 import type * as configRecords from './config_records.js';
 import type * as streamFold from './stream_fold.js';
 
-/** A subtree in force. */
+/** A subtree in force. Stored in snapshots; the field names must stay. */
 export interface Subtree {
   /** Offset of the record that set it. */
   readonly revision: number;
   readonly value: unknown;
 }
 
-/** What became of the publish record at an offset. */
+/** Result of the publish record at an offset. */
 export type PublishVerdict =
   | {readonly type: 'in_force'}
   | {readonly type: 'conflict'; readonly newest: number}
@@ -30,16 +30,16 @@
   cell(): settings.cellTree.CellPolicy | undefined;
   team(id: string): settings.cellTree.TeamPolicy | undefined;
   teams(): ReadonlyMap<string, settings.cellTree.TeamPolicy>;
-  /** Verdict on the publish at an offset, while it is remembered. */
+  /** Result of the publish at an offset; undefined if it is no longer kept. */
   verdict(offset: number): PublishVerdict | undefined;
 }
 
-/** Revision of a subtree that was never published. */
+/** Revision of a subtree that has never been published. */
 export const NO_REVISION = -1;
-/** Verdicts kept for the publishers that wait for them. */
+/** Verdicts are kept for the publishers that wait for them. */
 const MAX_KEPT_VERDICTS = 1_000;
 
-/** Makes an empty tree; `onChange` is told of each subtree that changed. */
+/** Creates an empty tree; `onChange` is called for each changed subtree. */
 export function createConfigFold(
   onChange: (path: configRecords.SubtreePath) => void = () => undefined,
 ): ConfigFold {
@@ -49,9 +49,9 @@
   let cell: settings.cellTree.CellPolicy | undefined;
 
   function install(path: string, subtree: Subtree): void {
-    // Kept also where this version can't read it: a snapshot written by it
-    // must not drop what a newer version has set. The policy that was in
-    // force here stays in force.
+    // The subtree is kept even if this version can't read it, so that its
+    // snapshots don't drop settings of a newer version. Such a subtree does
+    // not change the policy that is in force here.
     subtrees.set(path, subtree);
     const checked = settings.checkSubtree.checkSubtree(path, subtree.value);
     if (checked.isErr) return;
@@ -130,10 +130,11 @@
 }
 
 /**
- * An operator may write only the own team's subtree, but could copy another
- * team's hash into it. That team's callers would then count as this one's:
- * their work read, cancelled and billed by the wrong team. The first subtree
- * in the log's order keeps the hash.
+ * The problem of a token hash that another subtree already has. An operator may
+ * publish only their own team's subtree, but could copy another team's hash
+ * into it. That team's callers would then be taken for this team, which could
+ * read and cancel their work and be billed for it. The first subtree in log
+ * order keeps the hash.
  */
 function sharedTokenProblem(
   path: string,
@@ -142,7 +143,7 @@
   return {
     path,
     value: '(hidden)',
-    message: `one of its token hashes stands in ${owner} already`,
+    message: `one of its token hashes is already used in ${owner}`,
     remedy: 'Give each team and each operator a token of its own.',
   };
 }
--- a/packages/gypsumwall-records/src/config_records.ts
+++ b/packages/gypsumwall-records/src/config_records.ts
@@ -1,6 +1,6 @@
-/** Records of the stream `config`: what operators published. */
+/** Records of the stream `config`, written when operators publish settings. */
 
-/** A path in the tree: `cell` or `teams/<team>`. */
+/** A path in the settings tree: `cell` or `teams/<team>`. */
 export type SubtreePath = string;
 
 /** A record of the stream. */
@@ -8,11 +8,11 @@
   readonly type: 'publish';
   readonly path: SubtreePath;
   /**
-   * Offset of the record that last set the path, or -1 for none. The record
-   * counts only if that still holds when the log reaches it.
+   * Offset of the record that last set the path, or -1 for none. The publish
+   * takes effect only if no later record before it in the log set the path.
    */
   readonly base: number;
-  /** The subtree, as its schema in `@gypsumwall/settings` checks it. */
+  /** The subtree; its schema is in `@gypsumwall/settings`. */
   readonly value: unknown;
   readonly operator: string;
 }
--- a/packages/gypsumwall-records/src/domain_records.ts
+++ b/packages/gypsumwall-records/src/domain_records.ts
@@ -1,42 +1,42 @@
 /**
  * Records of one failure domain's stream, `domain.<name>`. Their order in the
- * log decides: who holds the domain's claim, which jobs were accepted, how
+ * log decides who holds the domain's claim, which jobs are accepted and how
  * tasks ended.
  */
 import type * as types from '@gypsumwall/types';
 
-/** Offset of a claim's record: its epoch. Higher is newer. */
+/** A claim's epoch: the offset of its record. Newer claims have higher ones. */
 export type Epoch = number;
 
-/** How a taker knows that nobody extended the claim before. */
+/** How a taker knows that the previous claim was not extended. */
 export type Witness =
   /** There was no claim, or its holder released it. */
   | {readonly type: 'vacant'}
-  /** A peer named on the claim, whose promise has run out. */
+  /** A peer named on the claim, whose promise has expired. */
   | {readonly type: 'named_peer'; readonly entryId: types.ids.EntryId}
-  /** The holder's process ended, a ttl ago or longer. */
+  /** The holder's process ended at least one `ttlMs` ago. */
   | {readonly type: 'holder_gone'}
-  /** Neither holder nor any named peer is on the list any more. */
+  /** Neither the holder nor any named peer is on the list any more. */
   | {readonly type: 'all_gone'};
 
-/** Where the peer service of each process named in a record is. */
+/** Address of the peer service of each process named in a record. */
 export type PeerAddresses = Readonly<Record<types.ids.EntryId, string>>;
 
-/** What a claim and each of its renewals say alike. */
+/** Fields that a claim and its renewals share. */
 interface ClaimTerms {
   readonly holder: types.ids.EntryId;
-  /** Peers whose promises together extend the claim without the log. */
+  /** Peers that can together extend the claim by promises, without the log. */
   readonly named: readonly types.ids.EntryId[];
-  /** Of the holder and of all named peers. */
+  /** Addresses of the holder and of all named peers. */
   readonly addresses: PeerAddresses;
-  /** How long it holds, from before the append. */
+  /** How long the claim is valid, counted from before its append. */
   readonly ttlMs: number;
-  /** How long the list must lack holder and named before `all_gone`. */
+  /** How long holder and named peers must be off the list for `all_gone`. */
   readonly allGoneMs: number;
   /**
-   * Offset of the newest claim, renewal or release that counted when this was
-   * written, null for none. The record counts only if that still is the
-   * newest: a late duplicate, or a taker that missed a renewal, falls out.
+   * Offset of the newest valid claim, renewal or release that the writer had
+   * seen, null for none. The record is valid only if that one is still the
+   * newest. This rules out late duplicates and takers that missed a renewal.
    */
   readonly seen: number | null;
 }
@@ -45,7 +45,7 @@
 export type DomainRecord =
   | (ClaimTerms & {
       readonly type: 'claim';
-      /** The claim it replaces; it counts only if that is the newest. */
+      /** Epoch of the replaced claim, which must be the newest one. */
       readonly replaces: Epoch | null;
       readonly witness: Witness;
     })
@@ -58,11 +58,11 @@
   | {
       readonly type: 'job_accepted';
       readonly jobId: types.ids.JobId;
-      /** The caller's key; a second record with it is no new job. */
+      /** The caller's key; further records with the same key are ignored. */
       readonly key: types.ids.IdempotencyKey;
       readonly spec: types.job.JobSpec;
       readonly acceptedAt: types.clock.WallMs;
-      /** W3C trace context of the submission. */
+      /** W3C trace context of the call that submitted the job. */
       readonly traceparent?: string;
     }
   | {
@@ -81,7 +81,7 @@
       readonly end: types.job.TaskEnd;
     };
 
-/** Name of a failure domain's stream. */
+/** Returns the name of a failure domain's stream. */
 export function streamOf(failureDomain: types.ids.FailureDomain): string {
   return `domain.${failureDomain}`;
 }
--- a/packages/gypsumwall-records/src/envelope.ts
+++ b/packages/gypsumwall-records/src/envelope.ts
@@ -1,17 +1,17 @@
 /**
- * The envelope around every record in the log. The version lets an old entry
- * recognise what a newer one wrote: it keeps such a record and says so.
+ * The envelope around every record in the log. Its version lets an older entry
+ * recognise records of a newer one, which it skips and logs.
  */
 
-/** Newest version of records that this code understands. */
+/** Newest record version that this code can read. */
 export const RECORD_VERSION = 1;
 
-/** What a record's body holds. */
+/** Body of a record. Stored as JSON; the field names must stay. */
 export type Envelope =
   | {readonly type: 'record'; readonly v: number; readonly record: unknown}
   /**
-   * Carries nothing. It closes its producer's count: records with a lower
-   * sequence that come after it are void (see `stream_follower.ts`).
+   * Carries no data. It fences its producer's earlier sequences: records with a
+   * lower sequence that arrive later are void (see `producer_sequences.ts`).
    */
   | {readonly type: 'void'; readonly v: number}
   | {
@@ -19,29 +19,29 @@
       readonly v: number;
       /** The state covers all records below this offset. */
       readonly nextOffset: number;
-      /** Which part of the text this is, from 0, and of how many. */
+      /** Index of this part of the text, from 0, and the number of parts. */
       readonly part: number;
       readonly parts: number;
       readonly text: string;
     };
 
-/** A body read back: an envelope, or the reason why it is none. */
+/** A decoded body, or the reason why it can't be decoded. */
 export type ReadEnvelope =
   | {readonly type: 'known'; readonly envelope: Envelope}
   | {readonly type: 'newer'; readonly version: number}
   | {readonly type: 'malformed'; readonly message: string};
 
-/** The body of a record that a fold applies. */
+/** Encodes a record that a fold applies. */
 export function encodeRecord(record: object): string {
   return encode({type: 'record', v: RECORD_VERSION, record});
 }
 
-/** The body of any envelope. */
+/** Encodes any envelope. */
 export function encode(envelope: Envelope): string {
   return JSON.stringify(envelope);
 }
 
-/** Reads a body; never throws, since the log may hold anything. */
+/** Decodes a body. Never throws, because the log may contain anything. */
 export function decode(body: string): ReadEnvelope {
   let parsed: Partial<Envelope> | null;
   try {
--- a/packages/gypsumwall-records/src/job_fold.ts
+++ b/packages/gypsumwall-records/src/job_fold.ts
@@ -1,19 +1,19 @@
 /**
- * The jobs of one failure domain as its stream tells them. What runs where is
- * not here: workers know that, and the domain's holder learns it from them.
+ * The jobs of one failure domain, folded from its stream. It does not contain
+ * which tasks run on which workers: the holder gets that from the workers.
  */
 import * as types from '@gypsumwall/types';
 import type * as domainRecords from './domain_records.js';
 import type * as streamFold from './stream_fold.js';
 
-/** How far a job is. */
+/** State of a job's life cycle. */
 export type JobPhase =
   | {readonly type: 'open'}
   | {readonly type: 'done'}
   | {readonly type: 'cancelled'}
   | {readonly type: 'given_up'; readonly message: string};
 
-/** A job that was accepted. */
+/** An accepted job. Stored in snapshots; the field names must stay. */
 export interface JobState {
   readonly jobId: types.ids.JobId;
   readonly key: types.ids.IdempotencyKey;
@@ -21,11 +21,11 @@
   readonly acceptedAt: types.clock.WallMs;
   readonly traceparent?: string;
   phase: JobPhase;
-  /** Results of the tasks that are done, by index. */
+  /** Results of completed tasks by task index. */
   readonly results: Map<number, string>;
 }
 
-/** What a record changed, for the holder that schedules. */
+/** A change of the jobs that the holder's scheduler must handle. */
 export type JobChange =
   | {readonly type: 'accepted'; readonly job: JobState}
   | {readonly type: 'closed'; readonly job: JobState}
@@ -34,7 +34,7 @@
 /** The jobs of a domain. */
 export interface JobFold extends streamFold.StreamFold {
   job(jobId: types.ids.JobId): JobState | undefined;
-  /** The job that a team's key stands for. */
+  /** The job that was submitted with a team's key. */
   byKey(
     team: types.ids.TeamId,
     key: types.ids.IdempotencyKey,
@@ -43,22 +43,25 @@
   openJobs(): readonly JobState[];
 }
 
-/** Closed jobs kept for readers and for their keys; the oldest go first. */
+/**
+ * Closed jobs are kept so that they can be read and their keys not be reused.
+ * Beyond this number, the oldest are evicted.
+ */
 export const MAX_CLOSED_JOBS = 20_000;
 
-/** Makes a fold without jobs. */
+/** Creates a fold without jobs. */
 export function createJobFold(
   onChange: (change: JobChange) => void = () => undefined,
 ): JobFold {
   const jobs = new Map<types.ids.JobId, JobState>();
   const byKey = new Map<string, JobState>();
   const open = new Set<JobState>();
-  /** In the order of closing. */
+  /** Closed jobs in the order in which they were closed. */
   const closed = new Set<JobState>();
 
   function accept(record: AcceptedRecord): void {
     const name = keyName(record.spec.team, record.key);
-    // The first record for a key is the job; a later one is a repetition.
+    // The first record for a key creates the job; later ones are repetitions.
     if (byKey.has(name) || jobs.has(record.jobId)) return;
     const job: JobState = {
       jobId: record.jobId,
@@ -96,7 +99,7 @@
     const {jobId, index} = types.ids.splitTaskId(record.taskId);
     const job = jobs.get(jobId);
     if (job === undefined || job.phase.type !== 'open') return;
-    // Only `done` is final; the holder starts anything else again.
+    // Only `done` is final; after any other end the holder retries the task.
     if (record.end.type !== 'done') return;
     if (job.spec.shape.kind === 'service') return;
     job.results.set(index, record.end.result);
@@ -166,7 +169,7 @@
   readonly results: Array<[number, string]>;
 };
 
-/** Keys are each team's own: one team can't meet another's job by its key. */
+/** Keys are scoped to a team, so that teams can't see each other's jobs. */
 function keyName(
   team: types.ids.TeamId,
   key: types.ids.IdempotencyKey,
--- a/packages/gypsumwall-records/src/log_appender.ts
+++ b/packages/gypsumwall-records/src/log_appender.ts
@@ -1,12 +1,12 @@
 /**
- * Appends to one stream by group commit: while one append is under way, what
- * comes in the meantime gathers for the next. The log takes hundreds of
- * appends a second, the peak brings thousands of records.
+ * Appends to one stream by group commit: records that arrive while an append is
+ * in flight are batched for the next one. The log accepts hundreds of appends
+ * per second, but peak load brings thousands of records.
  *
- * An append whose answer was lost is never sent again blindly. A void record
- * with a higher sequence is appended until the log confirms it; what then
- * stands before it has taken effect, and what doesn't never will (see
- * `producer_counts.ts`). So a caller is told `not_run` only when it is proved.
+ * An append whose answer was lost is not simply repeated. Instead, void records
+ * with higher sequences are appended until the log confirms one. The records
+ * that are in the log before it have taken effect; the others never will (see
+ * `producer_sequences.ts`). So callers get `not_run` only if it is certain.
  */
 import * as result from 'true-myth/result';
 import type * as platform from '@gypsumwall/platform';
@@ -15,10 +15,10 @@
 import * as envelope from './envelope.js';
 import type * as streamFollower from './stream_follower.js';
 
-/** What the appender needs. */
+/** Options of `createLogAppender`. */
 export interface LogAppenderOptions {
   readonly stream: string;
-  /** Unique to this process: a new process must not go on in an old count. */
+  /** Unique to this process, whose sequence starts at 0. */
   readonly producer: string;
   readonly log: platform.platformLog.PlatformLog;
   readonly clock: types.clock.Clock;
@@ -28,12 +28,12 @@
     'waitFor' | 'restores' | 'lastAnswerAt'
   >;
   /**
-   * Least time between the beginnings of two appends. The log takes some
-   * hundreds of appends a second from all entries together: under load this
-   * fills the batches instead. An append after a pause goes at once.
+   * Minimum time between the starts of two appends. The log accepts some
+   * hundreds of appends per second from all entries together; under load the
+   * gap leads to larger batches. An append after a pause is sent at once.
    */
   readonly minGapMs: number;
-  /** Ends the loops that outlast a caller. */
+  /** Stops the loops that may outlast a call. */
   readonly signal: AbortSignal;
 }
 
@@ -45,25 +45,25 @@
 /** Appends records. */
 export interface LogAppender {
   /**
-   * Resolves at the deadline at the latest. Errors: effect `not_run` when the
-   * record surely does not and will not stand in the log, else `unknown`.
+   * Resolves by the deadline. An error has the effect `not_run` if the record
+   * certainly does not take effect now or later, or else `unknown`.
    */
   append(
     body: string,
     deadline: types.clock.MonotonicMs,
   ): Promise<AppendResult>;
-  /** The follower hands in each record of the stream that counted. */
+  /** The follower must call this for each valid record of the stream. */
   observe(record: platform.platformLog.LogRecord): void;
-  /** Whether an append would be refused at once, and when to come back. */
+  /** Returns when to retry if an append would be refused now. */
   outage(): {readonly retryAfterMs: number} | undefined;
 }
 
 const MAX_BATCH_RECORDS = 512;
 const VOID_RETRY_MS = 300;
-/** Longer than a long poll of the follower and a slow answer to it. */
+/** Longer than the follower's long poll plus a slow answer to it. */
 const MAX_SILENCE_MS = 4_000;
 const RETRY_AFTER_MS = 1_000;
-/** How often the wait for the follower looks whether the process is closing. */
+/** Interval at which the wait for the follower checks for a stop. */
 const FOLLOWER_WAIT_MS = 1_000;
 
 interface PendingAppend {
@@ -79,12 +79,12 @@
   readonly pendings: readonly PendingAppend[];
 }
 
-/** Makes an appender with an empty queue. */
+/** Creates an appender with an empty queue. */
 export function createLogAppender(options: LogAppenderOptions): LogAppender {
   const {stream, producer, log, clock} = options;
   const logger = options.logger.with({stream});
   const queue: PendingAppend[] = [];
-  /** Own records seen by the follower while a batch is in doubt. */
+  /** Offsets, by sequence, of own records that the follower has read. */
   const observed = new Map<number, number>();
   let sequence = 0;
   let isSending = false;
@@ -109,8 +109,8 @@
   }
 
   /**
-   * The log has answered no read for long. An append would wait for its
-   * deadline and then be `unknown`; refused before, it is surely `not_run`.
+   * Whether the log has not answered the follower for a while. An append would
+   * probably time out and be `unknown`; refusing it makes it `not_run`.
    */
   function isLogSilent(): boolean {
     const answeredAt = options.follower.lastAnswerAt();
@@ -164,29 +164,33 @@
 
   async function resolveUnknownBatch(batch: SentBatch): Promise<void> {
     isInDoubt = true;
-    // Whoever waits in the queue was never sent: told so at once.
+    // Queued records were never sent, so they are refused at once.
     for (const pending of queue.splice(0)) {
       settleWithError(pending, 'not_run', 'an earlier append is in doubt');
     }
     const restoresBefore = options.follower.restores();
     const isFollowed = await waitForFollower(await appendVoid());
-    // A snapshot in between covers records without showing them one by one.
+    // If the follower restored a snapshot, it did not see each record.
     const hasSeenEach =
       isFollowed && options.follower.restores() === restoresBefore;
     batch.pendings.forEach((pending, index) => {
       const offset = observed.get(batch.sequence + index);
       if (offset !== undefined) pending.settle(result.ok({offset}));
       else if (hasSeenEach)
-        settleWithError(pending, 'not_run', 'the log did not take it');
+        settleWithError(pending, 'not_run', 'the log did not store the record');
       else
-        settleWithError(pending, 'unknown', 'the log could not be read back');
+        settleWithError(
+          pending,
+          'unknown',
+          'the record could not be read back from the log',
+        );
     });
     observed.clear();
     isInDoubt = false;
     logger.info('append_doubt_resolved', {records: batch.pendings.length});
   }
 
-  /** Waits until the follower has seen the offset; false when closing. */
+  /** Waits until the follower has read the offset; false if closing. */
   async function waitForFollower(offset: number | undefined): Promise<boolean> {
     while (offset !== undefined && !options.signal.aborted) {
       const deadline = types.clock.after(clock.monotonic(), FOLLOWER_WAIT_MS);
@@ -195,7 +199,7 @@
     return false;
   }
 
-  /** Appends void records until one is confirmed; its offset. */
+  /** Appends void records until one is confirmed, and returns its offset. */
   async function appendVoid(): Promise<number | undefined> {
     const body = envelope.encode({type: 'void', v: envelope.RECORD_VERSION});
     while (!options.signal.aborted) {
@@ -245,7 +249,7 @@
       }),
     observe: (record) => {
       if (record.producer !== producer) return;
-      // Kept only until the batch it belongs to is settled.
+      // The offset is needed only until the record's batch is settled.
       if (isSending) observed.set(record.sequence, record.offset);
     },
     outage: () =>
--- a/packages/gypsumwall-records/src/producer_sequences.ts
+++ b/packages/gypsumwall-records/src/producer_sequences.ts
@@ -1,33 +1,33 @@
 /**
- * Which sequence of each producer the stream has reached.
+ * The highest sequence of each producer in a stream.
  *
- * Failure: an append times out, its producer goes on, and the log takes the
- * old append minutes later. Symptom: a record that its caller was told had no
- * effect takes effect. Every reader drops a record whose sequence its
- * producer has already passed, and as all readers see one order they all drop
- * the same ones; so once a later record stands in the log, an earlier one
- * that isn't there never counts any more.
+ * Failure: an append times out, its producer continues, and the log stores the
+ * old append minutes later. Symptom: a record takes effect although its caller
+ * got `not_run`. Every reader therefore drops records whose sequence is not
+ * above their producer's highest one. All readers see the same order, so they
+ * drop the same records. Once a later record is in the log, an earlier one that
+ * is not there can never take effect.
  */
 
-/** Producers kept; the longest unheard are forgotten first. */
+/** Beyond this number, the producers with the oldest records are evicted. */
 const MAX_PRODUCERS = 20_000;
 
-/** Counts of a stream's producers. */
+/** Highest sequences of a stream's producers. */
 export interface ProducerSequences {
-  /** Whether the record counts; remembers it if so. */
+  /** Returns whether the record is valid, and if so stores its sequence. */
   accept(producer: string, sequence: number): boolean;
   entries(): ReadonlyArray<readonly [string, number]>;
   restore(entries: ReadonlyArray<readonly [string, number]>): void;
 }
 
-/** Makes empty counts. */
+/** Creates an instance without producers. */
 export function createProducerSequences(): ProducerSequences {
   let highest = new Map<string, number>();
   return {
     accept: (producer, sequence) => {
       const seen = highest.get(producer);
       if (seen !== undefined && sequence <= seen) return false;
-      // Deleting first keeps the map in order of the latest word.
+      // Deleting first keeps the map ordered by the latest record.
       highest.delete(producer);
       highest.set(producer, sequence);
       if (highest.size > MAX_PRODUCERS) evictOldest(highest);
--- a/packages/gypsumwall-records/src/request_fold.ts
+++ b/packages/gypsumwall-records/src/request_fold.ts
@@ -1,7 +1,7 @@
 /**
- * The requests that may not be repeated, by team and key, as the log's order
- * tells them. The first intent for a key is the only one that may run; a new
- * one counts only after an outcome that proves that nothing ran.
+ * The requests that may not be repeated, by team and key, folded in log order.
+ * Only the first intent for a key may run. A new intent is valid only after an
+ * outcome that proves that nothing ran.
  */
 import * as types from '@gypsumwall/types';
 import type * as requestRecords from './request_records.js';
@@ -10,23 +10,23 @@
 type IntentRecord = Extract<requestRecords.RequestRecord, {type: 'intent'}>;
 type OutcomeRecord = Extract<requestRecords.RequestRecord, {type: 'outcome'}>;
 
-/** What is known of a key. */
+/** State of a key. Stored in snapshots; the field names must stay. */
 export interface KeyState {
   readonly intent: IntentRecord;
   /** Offset of the intent that may run. */
   readonly offset: number;
-  /** Without an outcome by then, the run's end is unknown. */
+  /** If there is no outcome by then, the attempt's outcome is unknown. */
   readonly windowEnds: types.clock.MonotonicMs;
   outcome?: OutcomeRecord;
 }
 
-/** The keys of a cell. */
+/** Keys of all requests that may not be repeated. */
 export interface RequestFold extends streamFold.StreamFold {
   key(
     team: types.ids.TeamId,
     key: types.ids.IdempotencyKey,
   ): KeyState | undefined;
-  /** Resolves when the key has an outcome, or at the deadline. */
+  /** Resolves once the key has an outcome, or at the deadline. */
   waitForOutcome(
     team: types.ids.TeamId,
     key: types.ids.IdempotencyKey,
@@ -35,19 +35,20 @@
   size(): number;
 }
 
-/** Keys kept; the oldest go first. Stated to callers in docs/API.md. */
+/** Beyond this number, the oldest keys are evicted. Stated in docs/API.md. */
 export const MAX_KEYS = 100_000;
 /**
- * Characters of answers kept in all, for callers who ask again. Beyond it the
- * oldest answers go, while their keys stay: what has run is never run again.
+ * Total characters of answers that are stored for repeated calls. Beyond this,
+ * the oldest answers are dropped. Their keys are kept, so that a request that
+ * has run never runs again.
  */
 export const MAX_STORED_ANSWER_CHARS = 32 * 1024 * 1024;
 
-/** Makes a fold without keys. */
+/** Creates a fold without keys. */
 export function createRequestFold(clock: types.clock.Clock): RequestFold {
   const keys = new Map<string, KeyState>();
   const waiters = new Map<string, Set<() => void>>();
-  /** Keys whose answer is kept, in the order of the log. */
+  /** Keys whose answer is stored, in log order. */
   const answered = new Set<KeyState>();
   let answerChars = 0;
 
@@ -96,7 +97,7 @@
   function applyOutcome(record: OutcomeRecord): void {
     const name = keyName(record.team, record.key);
     const known = keys.get(name);
-    // The outcome of a run that was not the key's is nobody's.
+    // An outcome of another intent must not settle the key's first intent.
     if (known?.intent.requestId !== record.requestId) return;
     if (known.outcome !== undefined) return;
     known.outcome = record;
--- a/packages/gypsumwall-records/src/request_records.ts
+++ b/packages/gypsumwall-records/src/request_records.ts
@@ -1,7 +1,6 @@
 /**
- * Records of the stream `requests`: the one run of each request that may not
- * be repeated. The first intent for a key, in log order, is the only one
- * that may run.
+ * Records of the stream `requests`: intents and outcomes of requests that may
+ * not be repeated. Only the first intent for a key, in log order, may run.
  */
 import type * as types from '@gypsumwall/types';
 
@@ -14,9 +13,9 @@
       readonly requestId: string;
       readonly entryId: types.ids.EntryId;
       readonly operation: string;
-      /** SHA-256 of the body: a key may not be used for another request. */
+      /** SHA-256 of the body, to detect a key that is reused with another. */
       readonly bodyHash: string;
-      /** The run ends within this time from the append, or is `unknown`. */
+      /** Without an outcome this long after the append, it is `unknown`. */
       readonly windowMs: number;
       readonly acceptedAt: types.clock.WallMs;
     }
@@ -26,7 +25,7 @@
       readonly key: types.ids.IdempotencyKey;
       readonly requestId: string;
       readonly outcome: types.outcome.Outcome;
-      /** The answer of a `done` request, base64. */
+      /** The answer of a `done` request in base64. */
       readonly answer?: string;
       readonly contentType?: string;
     };
--- a/packages/gypsumwall-records/src/snapshot_text.ts
+++ b/packages/gypsumwall-records/src/snapshot_text.ts
@@ -1,24 +1,25 @@
-/** Snapshots in the stream: one state cut into records of a bounded size. */
+/** Encodes snapshots of a state as records of a limited size. */
 import * as envelope from './envelope.js';
 import type * as producerSequences from './producer_sequences.js';
 import type * as streamFold from './stream_fold.js';
 
-/** Characters of one part; keeps a record well under the log's limit. */
+/** Characters of one part; keeps records well under the log's size limit. */
 const PART_LENGTH = 128 * 1024;
 
-/** A whole snapshot. */
+/** A complete snapshot. */
 export interface Snapshot {
   /** The state covers all records below this offset. */
   readonly nextOffset: number;
   readonly text: string;
 }
 
+/** Stored in the log as JSON; the field names must stay. */
 interface SnapshotBody {
   readonly producers: ReadonlyArray<readonly [string, number]>;
   readonly state: string;
 }
 
-/** The text of a stream's state, its producers' counts included. */
+/** Encodes a stream's state with its producers' sequences. */
 export function writeText(
   sequences: producerSequences.ProducerSequences,
   fold: streamFold.StreamFold,
@@ -30,12 +31,12 @@
   return JSON.stringify(body);
 }
 
-/** The two halves of a snapshot's text. */
+/** Decodes the text of a snapshot. */
 export function readText(text: string): SnapshotBody {
   return JSON.parse(text) as SnapshotBody;
 }
 
-/** The record bodies that carry a snapshot. */
+/** Splits a snapshot into record bodies. */
 export function toBodies(snapshot: Snapshot): string[] {
   const parts = Math.max(1, Math.ceil(snapshot.text.length / PART_LENGTH));
   return Array.from({length: parts}, (_, part) =>
@@ -50,21 +51,21 @@
   );
 }
 
-/** Puts a snapshot's parts together as they are read. */
+/** Assembles snapshots from their parts as they are read. */
 export interface SnapshotCollector {
-  /** The whole snapshot, once its last part has come. */
+  /** Returns the complete snapshot when its last part is added. */
   add(
     producer: string,
     part: Extract<envelope.Envelope, {type: 'snapshot'}>,
   ): Snapshot | undefined;
 }
 
-/** Makes an empty collector. */
+/** Creates an empty collector. */
 export function createSnapshotCollector(): SnapshotCollector {
   const partsByName = new Map<string, string[]>();
   return {
     add: (producer, part) => {
-      // Two entries may write at once; their parts are kept apart.
+      // Entries may write snapshots concurrently, so parts are kept per writer.
       const name = `${producer} ${part.nextOffset}`;
       const texts = part.part === 0 ? [] : partsByName.get(name);
       if (texts === undefined || texts.length !== part.part) return undefined;
--- a/packages/gypsumwall-records/src/stream_fold.ts
+++ b/packages/gypsumwall-records/src/stream_fold.ts
@@ -1,19 +1,19 @@
 /**
- * A state made by applying a stream's records in log order. Every entry that
- * applies the same records holds the same state, so no entry has to ask
- * another what was decided.
+ * A state built by applying a stream's records in log order. Every entry that
+ * applies the same records gets the same state, so entries need not ask each
+ * other what was decided.
  */
 import type * as types from '@gypsumwall/types';
 
-/** One stream's state. */
+/** The state of one stream. */
 export interface StreamFold {
   /**
-   * Applies one record. Must not throw on anything the log may hold, and
-   * must depend on nothing but the records; `readAt` serves deadlines only.
+   * Applies one record. Must not throw for anything that the log may contain,
+   * and must depend on the records alone; `readAt` is for deadlines only.
    */
   apply(offset: number, record: unknown, readAt: types.clock.MonotonicMs): void;
-  /** The whole state as JSON text. */
+  /** Returns the whole state as JSON text. */
   snapshot(): string;
-  /** Replaces the state. */
+  /** Replaces the state with that of a snapshot. */
   restore(text: string, readAt: types.clock.MonotonicMs): void;
 }
--- a/packages/gypsumwall-records/src/stream_follower.ts
+++ b/packages/gypsumwall-records/src/stream_follower.ts
@@ -1,6 +1,6 @@
 /**
- * Follows one stream of the platform's log and folds its records into a
- * state. One loop reads; others ask how far it is or wait for an offset.
+ * Follows one stream of the platform's log and folds its records into a state.
+ * One loop reads; other code can query its position or wait for an offset.
  */
 import * as platform from '@gypsumwall/platform';
 import type * as telemetry from '@gypsumwall/telemetry';
@@ -10,47 +10,47 @@
 import * as snapshotText from './snapshot_text.js';
 import type * as streamFold from './stream_fold.js';
 
-/** What the follower needs. */
+/** Options of `createStreamFollower`. */
 export interface StreamFollowerOptions {
   readonly stream: string;
   readonly log: platform.platformLog.PlatformLog;
   readonly fold: streamFold.StreamFold;
   readonly clock: types.clock.Clock;
   readonly logger: telemetry.logger.Logger;
-  /** Told of each record that counted, after the fold took it. */
+  /** Called for each valid record, after the fold has applied it. */
   readonly onRecord?: (record: platform.platformLog.LogRecord) => void;
-  /** Told after each page that brought something. */
+  /** Called after each page that contained records. */
   readonly onProgress?: () => void;
 }
 
-/** Reads a stream. */
+/** Follows a stream. */
 export interface StreamFollower {
   /** Reads until the signal aborts. */
   run(signal: AbortSignal): Promise<void>;
-  /** Offset after the last record seen. */
+  /** Offset after the last record that was read. */
   nextOffset(): number;
   /** Whether the state was complete at the last read that succeeded. */
   caughtUp(): boolean;
-  /** When the log last answered; undefined before the first time. */
+  /** When the log last answered; undefined before its first answer. */
   lastAnswerAt(): types.clock.MonotonicMs | undefined;
-  /** Resolves true once the record at `offset` was seen, false at deadline. */
+  /** Resolves to true once `offset` has been read, or false at the deadline. */
   waitFor(offset: number, deadline: types.clock.MonotonicMs): Promise<boolean>;
-  /** How often the state was replaced by a snapshot instead of folded. */
+  /** How often the state was replaced with a snapshot. */
   restores(): number;
-  /** Records seen since the last snapshot in the stream. */
+  /** Number of records since the last snapshot in the stream. */
   recordsSinceSnapshot(): number;
-  /** Whether a reader that starts now could rebuild the state from the log. */
+  /** Whether a new reader could rebuild the state from the log. */
   isRebuildable(): boolean;
-  /** A state is of use to this reader only if it goes further than this. */
-  minAdoptableOffset(): number;
-  /** The state now, for a snapshot record or for a peer. */
+  /** Snapshots can be adopted only if their `nextOffset` is above this. */
+  adoptableAbove(): number;
+  /** Returns the current state, for a snapshot record or for a peer. */
   snapshot(): snapshotText.Snapshot;
   /**
-   * Takes a peer's state while the log is out of reach; ignored unless it is
-   * ahead of this one, so that nothing ever goes back.
+   * Adopts a peer's state, for use while the log is unreachable. A state that
+   * is not ahead of this one is ignored, so that the state never goes back.
    */
   adopt(snapshot: snapshotText.Snapshot): boolean;
-  /** A peer that is caught up has read no further than this reader has. */
+  /** Reports that a caught-up peer has read the stream up to `nextOffset`. */
   confirmCaughtUp(nextOffset: number): void;
 }
 
@@ -63,7 +63,7 @@
   readonly resolve: (seen: boolean) => void;
 }
 
-/** Makes a follower; nothing is read before `run`. */
+/** Creates a follower; it reads nothing until `run` is called. */
 export function createStreamFollower(
   options: StreamFollowerOptions,
 ): StreamFollower {
@@ -73,22 +73,22 @@
   const waiters = new Set<Waiter>();
   let nextOffset = 0;
   let isComplete = false;
-  /** Whether the last page went to the stream's end; then reads may wait. */
+  /** Whether the last page reached the stream's end; then reads long-poll. */
   let isAtEnd = false;
   let recordsAfterSnapshot = 0;
-  /** Oldest record that the log still has, as of its last answer. */
+  /** Offset of the oldest record in the log, as of its last answer. */
   let firstRetainedOffset = 0;
-  /** Records below this offset are covered by a snapshot in the stream. */
+  /** A snapshot in the stream covers all records below this offset. */
   let snapshotEndOffset = 0;
   let restoreCount = 0;
   let lastAnsweredAt: types.clock.MonotonicMs | undefined;
   /**
-   * Set while the start of the stream is lost to retention: records wait
-   * here until a snapshot says what came before them.
+   * Set if retention has dropped records that this reader needs. Later records
+   * are buffered here until a snapshot is found that covers the dropped ones.
    */
   let awaitingSnapshot: AwaitingSnapshot | undefined;
 
-  /** What counts is how far it goes: an old snapshot may arrive late. */
+  /** Takes the maximum, because an older snapshot may arrive late. */
   function recordSnapshotPart(
     part: Extract<envelope.Envelope, {readonly type: 'snapshot'}>,
   ): void {
@@ -107,7 +107,7 @@
         });
         return;
       case 'newer':
-        // The log keeps it; an entry of the newer release applies it.
+        // The record stays in the log for entries of the newer release.
         logger.warn('record_from_newer_version', {
           offset: record.offset,
           version: read.version,
@@ -148,7 +148,7 @@
     });
   }
 
-  /** Takes the state that was waited for, and what came after it. */
+  /** Restores the awaited snapshot and applies the records after it. */
   function restoreAndReplay(
     waiting: AwaitingSnapshot,
     found: snapshotText.Snapshot,
@@ -178,8 +178,8 @@
 
   function applyPage(page: platform.platformLog.LogPage): void {
     if (page.firstOffset > nextOffset) {
-      // Retention passed this reader: what was between is gone, so the state
-      // is rebuilt from a snapshot instead of carried on with a hole in it.
+      // Retention has dropped records that this reader had not read yet, so
+      // the state must be rebuilt from a snapshot.
       logger.warn('retention_passed', {
         next: nextOffset,
         first: page.firstOffset,
@@ -192,7 +192,7 @@
       nextOffset = page.firstOffset;
     }
     for (const record of page.records) {
-      // An overlapping page must not apply a record twice.
+      // Pages may overlap; a record must not be applied twice.
       if (record.offset < nextOffset) continue;
       if (awaitingSnapshot === undefined) applyRecord(record);
       else bufferRecord(awaitingSnapshot, record);
@@ -236,7 +236,7 @@
     return seen;
   }
 
-  function minAdoptableOffset(): number {
+  function adoptableAbove(): number {
     return awaitingSnapshot === undefined
       ? nextOffset
       : awaitingSnapshot.firstOffset - 1;
@@ -273,7 +273,7 @@
     restores: () => restoreCount,
     recordsSinceSnapshot: () => recordsAfterSnapshot,
     isRebuildable: () => snapshotEndOffset >= firstRetainedOffset,
-    minAdoptableOffset,
+    adoptableAbove,
     snapshot: () => ({
       nextOffset,
       text: snapshotText.writeText(sequences, fold),
@@ -284,7 +284,7 @@
       }
     },
     adopt: (snapshot) => {
-      if (snapshot.nextOffset <= minAdoptableOffset()) return false;
+      if (snapshot.nextOffset <= adoptableAbove()) return false;
       if (awaitingSnapshot === undefined) restore(snapshot);
       else restoreAndReplay(awaitingSnapshot, snapshot);
       nextOffset = Math.max(nextOffset, snapshot.nextOffset);
