--- a/packages/gypsumwall-entry/src/__tests__/answer_client_fault.test.ts
+++ b/packages/gypsumwall-entry/src/__tests__/answer_client_fault.test.ts
@@ -4,8 +4,8 @@
 import * as nodeTest from 'node:test';
 import * as answerClientFault from '../answer_client_fault.js';
 
-/** What a server with this handler answers to raw bytes. */
-async function answerTo(
+/** Sends raw bytes to a server with this handler and returns its answer. */
+async function sendBytes(
   bytes: string,
   onRequest: http.RequestListener = () => undefined,
 ): Promise<string> {
@@ -28,32 +28,35 @@
   return answer;
 }
 
-nodeTest.test('what is no HTTP is refused as not_run', async () => {
-  const answer = await answerTo('GARBAGE\r\n\r\n');
+nodeTest.test('malformed HTTP is refused with not_run', async () => {
+  const answer = await sendBytes('GARBAGE\r\n\r\n');
   assert.match(answer, /^HTTP\/1\.1 400 /);
   assert.match(answer, /gypsumwall-outcome: not_run/);
   assert.match(answer, /"reason":"invalid"/);
 });
 
 nodeTest.test(
-  'a body that comes too slowly is refused as not_run',
+  'a body that arrives too slowly is refused with not_run',
   async () => {
     const head = 'POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 5\r\n\r\n';
-    const answer = await answerTo(`${head}ab`);
+    const answer = await sendBytes(`${head}ab`);
     assert.match(answer, /^HTTP\/1\.1 408 /);
     assert.match(answer, /"outcome":"not_run"/);
   },
 );
 
-// A caller sends a whole call and then bytes that are no HTTP. The call runs
-// and its answer is under way. A `not_run` now would be read as that answer,
-// so the connection is cut, which a caller must take as `unknown`.
-nodeTest.test('garbage after a call that runs is no answer to it', async () => {
-  let running = 0;
-  const call = 'POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 0\r\n\r\n';
-  const answer = await answerTo(`${call}GARBAGE\r\n\r\n`, () => {
-    running += 1;
-  });
-  assert.equal(running, 1);
-  assert.equal(answer, '');
-});
+// A caller sends a complete call and then bytes that are not HTTP, while the
+// call still runs. The caller would take a `not_run` for the answer to that
+// call, so the connection is closed, which callers must treat as `unknown`.
+nodeTest.test(
+  'invalid bytes after a call that runs get no answer',
+  async () => {
+    let running = 0;
+    const call = 'POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 0\r\n\r\n';
+    const answer = await sendBytes(`${call}GARBAGE\r\n\r\n`, () => {
+      running += 1;
+    });
+    assert.equal(running, 1);
+    assert.equal(answer, '');
+  },
+);
--- a/packages/gypsumwall-entry/src/__tests__/choose_home.test.ts
+++ b/packages/gypsumwall-entry/src/__tests__/choose_home.test.ts
@@ -11,19 +11,19 @@
 const homeOf = (key: types.ids.IdempotencyKey, domains = DOMAINS) =>
   chooseHome.chooseHome(team, key, domains);
 
-nodeTest.test('every entry finds the same home for a key', () => {
+nodeTest.test('a key has the same home at every entry', () => {
   const reversed = [...DOMAINS].reverse();
   for (const key of keys) assert.equal(homeOf(key), homeOf(key, reversed));
 });
 
-nodeTest.test('keys spread over the domains', () => {
+nodeTest.test('keys are spread over the domains', () => {
   for (const domain of DOMAINS) {
     const count = keys.filter((key) => homeOf(key) === domain).length;
     assert.ok(count > 60, `${count} of 300 keys at ${domain}`);
   }
 });
 
-nodeTest.test('a new domain takes keys for itself only', () => {
+nodeTest.test('keys move to a new domain only', () => {
   const more = [...DOMAINS, 'kazanchis-hall'];
   for (const key of keys) {
     const moved = homeOf(key, more);
--- a/packages/gypsumwall-entry/src/__tests__/forward_call.test.ts
+++ b/packages/gypsumwall-entry/src/__tests__/forward_call.test.ts
@@ -9,8 +9,8 @@
 import * as forwarder from '../forwarder.js';
 import * as problem from '../problem.js';
 
-/** Asks a route that hands on to one peer, whose answer has this effect. */
-async function outcomeAfter(
+/** Calls a route that forwards to one peer, which fails with this effect. */
+async function outcomeAfterFailure(
   effect: types.stepError.Effect,
 ): Promise<{outcome: string}> {
   const context = {
@@ -43,13 +43,13 @@
   return res.json();
 }
 
-nodeTest.test('after a lost answer of a peer nothing is not_run', async () => {
-  // The caller is told unknown. The peer took its job and started it, the
-  // peer's answer was lost, and this entry can't reach the log itself: its
-  // own refusal says nothing of what the peer did.
-  assert.equal((await outcomeAfter('unknown')).outcome, 'unknown');
+nodeTest.test("the outcome after a peer's lost answer is unknown", async () => {
+  // The peer has accepted and started the job, but its answer was lost. This
+  // entry can't reach the log and refuses the call itself, but it must not
+  // report `not_run`, because the job may run at the peer.
+  assert.equal((await outcomeAfterFailure('unknown')).outcome, 'unknown');
 });
 
-nodeTest.test('a peer that never had the call leaves it not_run', async () => {
-  assert.equal((await outcomeAfter('not_run')).outcome, 'not_run');
+nodeTest.test('a call that never reached the peer is not_run', async () => {
+  assert.equal((await outcomeAfterFailure('not_run')).outcome, 'not_run');
 });
--- a/packages/gypsumwall-entry/src/__tests__/job_request.test.ts
+++ b/packages/gypsumwall-entry/src/__tests__/job_request.test.ts
@@ -14,13 +14,13 @@
   work: {command: 'build-plans'},
 };
 
-/** What a job with some fields changed is refused with. */
+/** Returns why a job with some changed fields is refused. */
 function refusal(change: Record<string, unknown>): string {
   const checked = jobRequest.checkJobRequest({...JOB, ...change}, TEAM);
   return checked.isErr ? checked.error : '';
 }
 
-nodeTest.test('a sound job gets its team and its deadline', () => {
+nodeTest.test('a valid job gets its team and its deadline', () => {
   const deadline = '2027-03-01T05:00:00+03:00';
   const checked = jobRequest.checkJobRequest({...JOB, deadline}, TEAM);
   assert.ok(checked.isOk);
@@ -28,7 +28,7 @@
   assert.equal(checked.value.deadline, Date.UTC(2027, 2, 1, 2));
 });
 
-nodeTest.test('a bad job is refused with field, value and remedy', () => {
+nodeTest.test('an invalid job is refused with field, value and remedy', () => {
   const size = {...JOB.size, memoryMb: '2GB'};
   assert.match(refusal({size}), /size\/memoryMb = "2GB".*Write 2048 \(mebib/);
   const shape = {kind: 'crowd', tasks: 4};
--- a/packages/gypsumwall-entry/src/__tests__/once_request.test.ts
+++ b/packages/gypsumwall-entry/src/__tests__/once_request.test.ts
@@ -11,24 +11,24 @@
 const team = types.ids.brand<types.ids.TeamId>('filing');
 const key = types.ids.brand<types.ids.IdempotencyKey>('sortie-118');
 
-/** An entry's part over a log in memory; `hangsAt` is the append that hangs. */
-function createHarness(hangsAt = Infinity) {
+/** Runs requests over an in-memory log; append `hangingAppend` never ends. */
+function createHarness(hangingAppend = Infinity) {
   const requests = records.requestFold.createRequestFold(clock);
   let offset = 0;
-  let runs = 0;
-  const put = (record: object) => {
+  let attemptCount = 0;
+  const applyRecord = (record: object) => {
     requests.apply(offset, record, clock.monotonic());
     offset += 1;
     return offset - 1;
   };
   const router = {
     route: () => {
-      runs += 1;
+      attemptCount += 1;
       const body = stream.Readable.from([Buffer.from('filed')]);
       return Promise.resolve(result.ok({contentType: 'text/plain', body}));
     },
   } as unknown as routing.router.Router;
-  let appends = 0;
+  let appendCount = 0;
   const runOnce = onceRequest.createOnceRequest({
     self: types.ids.brand<types.ids.EntryId>('e1'),
     clock,
@@ -41,16 +41,16 @@
       observe: () => undefined,
       outage: () => undefined,
       append: (body) => {
-        appends += 1;
-        if (appends === hangsAt) return new Promise(() => undefined);
+        appendCount += 1;
+        if (appendCount === hangingAppend) return new Promise(() => undefined);
         const {record} = JSON.parse(body) as {record: object};
-        return Promise.resolve(result.ok({offset: put(record)}));
+        return Promise.resolve(result.ok({offset: applyRecord(record)}));
       },
     },
   });
-  const ask = (spanMs = 5_000) =>
+  const send = (timeoutMs = 5_000) =>
     runOnce({
-      requestId: `request-${appends}`,
+      requestId: `request-${appendCount}`,
       team,
       key,
       operation: 'file-plan',
@@ -58,39 +58,38 @@
       idempotent: false,
       estimateMs: 10,
       body: Buffer.from('plan'),
-      deadline: types.clock.after(clock.monotonic(), spanMs),
+      deadline: types.clock.after(clock.monotonic(), timeoutMs),
     });
-  return {ask, put, runs: () => runs};
+  return {send, applyRecord, attempts: () => attemptCount};
 }
 
-nodeTest.test('a repeated call gets the answer of the one run', async () => {
+nodeTest.test('a repeated call gets the answer of the first one', async () => {
   const harness = createHarness();
-  const first = await harness.ask();
-  const second = await harness.ask();
-  assert.equal(harness.runs(), 1);
-  for (const told of [first, second]) {
-    assert.ok(told.isOk);
-    assert.equal(Buffer.from(told.value.body).toString(), 'filed');
+  const first = await harness.send();
+  const second = await harness.send();
+  assert.equal(harness.attempts(), 1);
+  for (const answer of [first, second]) {
+    assert.ok(answer.isOk);
+    assert.equal(Buffer.from(answer.value.body).toString(), 'filed');
   }
 });
 
-nodeTest.test('a log that hangs does not hold the answer back', async () => {
-  // The pilot hears at once that the plan is filed. The log stops answering
-  // between the run and the record of its outcome; the answer is there and
-  // has nothing to wait for.
+nodeTest.test('a log that hangs does not delay the answer', async () => {
+  // The log stops answering after the attempt and before its outcome is
+  // recorded. The answer is available and must be returned without the record.
   const harness = createHarness(2);
   const startedAt = performance.now();
-  const told = await harness.ask();
-  assert.ok(told.isOk);
+  const answer = await harness.send();
+  assert.ok(answer.isOk);
   assert.ok(performance.now() - startedAt < 3_000);
-  assert.equal(harness.runs(), 1);
+  assert.equal(harness.attempts(), 1);
 });
 
-nodeTest.test('an entry that comes second runs nothing', async () => {
-  // The plan is filed once. Another entry's intent stands in the log before
-  // this one's; its entry died, so no outcome comes and the end is unknown.
+nodeTest.test('an entry whose intent is second runs nothing', async () => {
+  // The log has another entry's intent before this one's. That entry crashed,
+  // so there will be no outcome and the result is unknown.
   const harness = createHarness();
-  harness.put({
+  harness.applyRecord({
     type: 'intent',
     team,
     key,
@@ -102,7 +101,7 @@
     windowMs: 20,
     acceptedAt: 0,
   });
-  const told = await harness.ask(200);
-  assert.equal(harness.runs(), 0);
-  assert.equal(told.isErr && told.error.outcome, 'unknown');
+  const answer = await harness.send(200);
+  assert.equal(harness.attempts(), 0);
+  assert.equal(answer.isErr && answer.error.outcome, 'unknown');
 });
--- a/packages/gypsumwall-entry/src/__tests__/openapi.test.ts
+++ b/packages/gypsumwall-entry/src/__tests__/openapi.test.ts
@@ -7,8 +7,8 @@
 import * as httpServer from '../http_server.js';
 import * as problem from '../problem.js';
 
-const NEW_SERVER = 'fastify.initialization';
-const DOCS = new URL('../../../../docs/', import.meta.url);
+const NEW_SERVER_CHANNEL = 'fastify.initialization';
+const DOCS_URL = new URL('../../../../docs/', import.meta.url);
 
 interface OpenApi {
   readonly paths: Readonly<Record<string, Readonly<Record<string, unknown>>>>;
@@ -22,12 +22,12 @@
 }
 
 function readDoc(name: string): string {
-  return fs.readFileSync(new URL(name, DOCS), 'utf8');
+  return fs.readFileSync(new URL(name, DOCS_URL), 'utf8');
 }
 
 const openApi = JSON.parse(readDoc('openapi.json')) as OpenApi;
 
-/** Every reason; the compiler asks for one that is missing here. */
+/** All reasons; the compiler reports one that is missing here. */
 const REASONS: Readonly<Record<problem.ProblemReason, true>> = {
   overloaded: true,
   deadline_unreachable: true,
@@ -48,21 +48,21 @@
   unknown_outcome: true,
 };
 
-/** `METHOD path` of each route, parameters written as `{}`. */
+/** `METHOD path` of each route, with parameters written as `{}`. */
 function servedRoutes(): string[] {
   const routes: string[] = [];
-  // Fastify tells of each new server here, before any route is added.
-  const watch = (message: unknown) => {
+  // Fastify publishes each new server on this channel before it has routes.
+  const recordRoutes = (message: unknown) => {
     const {fastify: app} = message as {fastify: fastify.FastifyInstance};
     app.addHook('onRoute', ({method, path}) => {
       const plain = path.replace(/:[a-zA-Z]+|\*/g, '{}');
       routes.push(...[method].flat().map((name) => `${name} ${plain}`));
     });
   };
-  diagnosticsChannel.subscribe(NEW_SERVER, watch);
-  // Routes are only added here, so none of the entry's parts is asked.
+  diagnosticsChannel.subscribe(NEW_SERVER_CHANNEL, recordRoutes);
+  // The routes are only added, not called, so an empty context is enough.
   httpServer.createHttpServer({} as entryContext.EntryContext);
-  diagnosticsChannel.unsubscribe(NEW_SERVER, watch);
+  diagnosticsChannel.unsubscribe(NEW_SERVER_CHANNEL, recordRoutes);
   return routes.filter((route) => !route.startsWith('HEAD '));
 }
 
@@ -76,7 +76,7 @@
   assert.deepEqual(servedRoutes().sort(), documented.sort());
 });
 
-nodeTest.test('docs/API.md and openapi.json tell every reason', () => {
+nodeTest.test('docs/API.md and openapi.json list every reason', () => {
   const reasons = Object.keys(REASONS) as problem.ProblemReason[];
   const page = readDoc('API.md');
   for (const reason of reasons) {
--- a/packages/gypsumwall-entry/src/authenticate.ts
+++ b/packages/gypsumwall-entry/src/authenticate.ts
@@ -27,7 +27,7 @@
 const MAX_CACHED_IDENTITIES = 10_000;
 
 /** Creates the check against the current settings tree. */
-export function createAuthenticate(
+export function createAuthenticator(
   config: records.configFold.ConfigFold,
   rootOperatorTokenHash: string,
 ): {readonly authenticate: Authenticate; readonly clearCache: () => void} {
--- a/packages/gypsumwall-entry/src/create_entry.ts
+++ b/packages/gypsumwall-entry/src/create_entry.ts
@@ -105,7 +105,7 @@
   // Settings tree
   const config = records.configFold.createConfigFold(() => onConfigChange());
   const configStream = createStream(CONFIG_STREAM, config, CONFIG_MIN_GAP_MS);
-  const authenticator = authenticate.createAuthenticate(
+  const authenticator = authenticate.createAuthenticator(
     config,
     cfg.rootOperatorTokenHash,
   );
@@ -200,7 +200,7 @@
       makeWorker: (listed) => externalClients.makeWorker(listed),
       tracer,
       metrics,
-      append: (record) => domainStream.appendAndApply(record),
+      append: (record) => domainStream.appendAndWait(record),
     },
   });
 
--- a/packages/gypsumwall-entry/src/domain_holder.ts
+++ b/packages/gypsumwall-entry/src/domain_holder.ts
@@ -44,7 +44,7 @@
       epoch,
       hadPredecessor: options.hadPredecessor(),
       placer: options.makePlacer(),
-      claimDeadline: () => deadlineOf(options.claim(), epoch),
+      claimDeadline: () => claimDeadlineOf(options.claim(), epoch),
       nextAttempt: () => {
         attemptCount += 1;
         return types.ids.brand<types.ids.AttemptId>(`${epoch}.${attemptCount}`);
@@ -111,7 +111,7 @@
   };
 }
 
-function deadlineOf(
+function claimDeadlineOf(
   state: membership.domainClaim.ClaimState,
   epoch: number,
 ): types.clock.MonotonicMs | undefined {
--- a/packages/gypsumwall-entry/src/domain_scheduler.ts
+++ b/packages/gypsumwall-entry/src/domain_scheduler.ts
@@ -33,7 +33,7 @@
   /** Number of the job's tasks that are active on workers. */
   running(jobId: types.ids.JobId): number;
   /** Attempts of the job's tasks that failed in this epoch. */
-  failures(jobId: types.ids.JobId): number;
+  failedAttempts(jobId: types.ids.JobId): number;
   /** Why the job waits, as text for its owner. */
   explain(jobId: types.ids.JobId): string;
   /** Returns a refusal if the job can't be accepted now. */
@@ -46,7 +46,7 @@
   close(): Promise<void>;
 }
 
-/** Further decisions are made in the next turn of the event loop. */
+/** Beyond this limit, the cycle continues in the next event loop turn. */
 const MAX_DECISIONS_PER_CYCLE = 500;
 /** Cycles run at least this often, so that deadlines and quarantines apply. */
 const CYCLE_INTERVAL_MS = 200;
@@ -107,8 +107,8 @@
     const decisions = placer.decide(clock.wall(), MAX_DECISIONS_PER_CYCLE);
     const decidedCount = decisions.placements.length;
     if (decidedCount > 0) {
-      const tookMs = clock.monotonic() - startedAt;
-      options.metrics.observe('placementTime', tookMs / decidedCount);
+      const decisionMs = clock.monotonic() - startedAt;
+      options.metrics.observe('placementTime', decisionMs / decidedCount);
     }
     decisions.placements.forEach(startTask);
     decisions.reliefs.forEach(applyRelief);
@@ -196,8 +196,8 @@
       return;
     }
     const job = tracker.jobOf(running.taskId);
-    const isWanted = tracked === undefined && tracker.isNeeded(running.taskId);
-    if (job === undefined || !isWanted) {
+    const isNeeded = tracked === undefined && tracker.isNeeded(running.taskId);
+    if (job === undefined || !isNeeded) {
       pool.session(workerId)?.stop(running);
       return;
     }
@@ -288,7 +288,7 @@
     }
   }
 
-  function onJob(change: records.jobFold.JobChange): void {
+  function handleJobChange(change: records.jobFold.JobChange): void {
     switch (change.type) {
       case 'accepted':
         tracker.enqueueJob(change.job);
@@ -318,9 +318,9 @@
       requestCycle();
     },
     setTeam: (team) => placer.setTeam(team),
-    onJob,
+    onJob: handleJobChange,
     running: (jobId) => tasks.ofJob(jobId).length,
-    failures: (jobId) => tracker.failedAttempts(jobId),
+    failedAttempts: (jobId) => tracker.failedAttempts(jobId),
     explain: (jobId) => placer.explain(jobId),
     admit: (spec) => placer.admit(spec, clock.wall()),
     status: () => ({
--- a/packages/gypsumwall-entry/src/entry_loops.ts
+++ b/packages/gypsumwall-entry/src/entry_loops.ts
@@ -35,7 +35,7 @@
   void options.viewKeeper.run(signal);
   void options.claim.run(signal);
   void reportGauges.reportGauges(context, options.metrics, signal);
-  void viewTicker.tickView(tickerOptions(options), signal);
+  void viewTicker.publishView(tickerOptions(options), signal);
   void snapshotWriter.writeSnapshots(
     {
       streams,
--- a/packages/gypsumwall-entry/src/entry_readiness.ts
+++ b/packages/gypsumwall-entry/src/entry_readiness.ts
@@ -19,7 +19,7 @@
   if (input.config.cell() === undefined) {
     return 'no settings yet: neither the log nor a peer has supplied any';
   }
-  const behind = input.streams.find((stream) => !stream.follower.caughtUp());
+  const behind = input.streams.find((stream) => !stream.follower.isCaughtUp());
   if (behind !== undefined) {
     return `stream "${behind.name}" has not been read to its end yet`;
   }
--- a/packages/gypsumwall-entry/src/entry_stream.ts
+++ b/packages/gypsumwall-entry/src/entry_stream.ts
@@ -33,7 +33,7 @@
    * the scheduler would release an ended task while the job's state still
    * lacks the result, and would start the task a second time.
    */
-  appendAndApply(record: object): Promise<boolean>;
+  appendAndWait(record: object): Promise<boolean>;
   /** Whether the stream was read to its end within the last 2.5 s. */
   isCurrent(): boolean;
 }
@@ -74,14 +74,14 @@
     follower,
     appender,
     append,
-    appendAndApply: async (record) => {
+    appendAndWait: async (record) => {
       const appended = await append(record);
       if (appended.isErr) return false;
       return follower.waitFor(appended.value.offset, appendDeadline());
     },
     isCurrent: () => {
       const answeredAt = follower.lastAnswerAt();
-      if (!follower.caughtUp() || answeredAt === undefined) return false;
+      if (!follower.isCaughtUp() || answeredAt === undefined) return false;
       return clock.monotonic() < types.clock.after(answeredAt, MAX_AGE_MS);
     },
   };
--- a/packages/gypsumwall-entry/src/forward_call.ts
+++ b/packages/gypsumwall-entry/src/forward_call.ts
@@ -74,7 +74,7 @@
       ...forwarder.forwardedHeaders(req.headers),
       ...options.extraHeaders,
     },
-    body: rawBody(req),
+    body: bodyBytesOf(req),
     via,
   };
   let forwarded = NOT_FORWARDED;
@@ -124,7 +124,7 @@
   }
 }
 
-function rawBody(req: fastify.FastifyRequest): Uint8Array {
+function bodyBytesOf(req: fastify.FastifyRequest): Uint8Array {
   if (req.body === undefined || req.body === null) return new Uint8Array();
   if (Buffer.isBuffer(req.body)) return req.body;
   return Buffer.from(JSON.stringify(req.body));
--- a/packages/gypsumwall-entry/src/job_routes.ts
+++ b/packages/gypsumwall-entry/src/job_routes.ts
@@ -25,13 +25,13 @@
   app: fastify.FastifyInstance,
   context: entryContext.EntryContext,
 ): void {
-  app.post('/v1/jobs', (req, res) => submit(context, req, res));
-  app.get('/v1/jobs', (req, res) => list(context, req, res));
+  app.post('/v1/jobs', (req, res) => submitJob(context, req, res));
+  app.get('/v1/jobs', (req, res) => listJobs(context, req, res));
   app.get<{Params: JobParams}>('/v1/jobs/:jobId', (req, res) =>
-    view(context, req, res),
+    showJob(context, req, res),
   );
   app.delete<{Params: JobParams}>('/v1/jobs/:jobId', (req, res) =>
-    cancel(context, req, res),
+    cancelJob(context, req, res),
   );
 }
 
@@ -55,7 +55,7 @@
     );
 }
 
-async function submit(
+async function submitJob(
   context: entryContext.EntryContext,
   req: fastify.FastifyRequest,
   res: fastify.FastifyReply,
@@ -220,7 +220,7 @@
   return problem.notRun('not_ready', detail, RETRY_AFTER_MS);
 }
 
-async function view(
+async function showJob(
   context: entryContext.EntryContext,
   req: JobCall,
   res: fastify.FastifyReply,
@@ -243,7 +243,7 @@
   return problem.send(res, problem.notRun('not_found', `no job "${jobId}"`));
 }
 
-async function list(
+async function listJobs(
   context: entryContext.EntryContext,
   req: fastify.FastifyRequest,
   res: fastify.FastifyReply,
@@ -256,7 +256,7 @@
   });
 }
 
-async function cancel(
+async function cancelJob(
   context: entryContext.EntryContext,
   req: JobCall,
   res: fastify.FastifyReply,
--- a/packages/gypsumwall-entry/src/job_service.ts
+++ b/packages/gypsumwall-entry/src/job_service.ts
@@ -202,7 +202,7 @@
     kind: job.spec.shape.kind,
     tasks: types.job.taskCount(job.spec.shape),
     finished: job.results.size,
-    failed: scheduler?.failures(job.jobId) ?? 0,
+    failed: scheduler?.failedAttempts(job.jobId) ?? 0,
     running,
     message: messageOf(job, scheduler),
     results: isDone
--- a/packages/gypsumwall-entry/src/once_request.ts
+++ b/packages/gypsumwall-entry/src/once_request.ts
@@ -78,7 +78,7 @@
     if (outage !== undefined) {
       return result.err(logProblem.logUnavailable(outage.retryAfterMs));
     }
-    const spanMs = Math.max(0, req.deadline - clock.monotonic());
+    const remainingMs = Math.max(0, req.deadline - clock.monotonic());
     const appended = await appendRecord(
       {
         type: 'intent',
@@ -88,7 +88,7 @@
         entryId: options.self,
         operation: req.operation,
         bodyHash,
-        windowMs: Math.ceil(spanMs) + WINDOW_SLACK_MS,
+        windowMs: Math.ceil(remainingMs) + WINDOW_SLACK_MS,
         acceptedAt: clock.wall(),
       },
       req.deadline,
@@ -126,7 +126,7 @@
       await appendOutcome(req, routed.error);
       return result.err(problem.ofOutcome(routed.error));
     }
-    const whole = await wholeAnswer.collect(routed.value);
+    const whole = await wholeAnswer.readWholeAnswer(routed.value);
     if (whole.isErr) {
       const unknown = unknownOutcome(whole.error);
       await appendOutcome(req, unknown);
@@ -141,8 +141,8 @@
     req: KeyedRequest,
     bodyHash: string,
   ): Answer {
-    const firstIntent = requests.key(req.team, req.key);
-    if (firstIntent === undefined) {
+    const keyState = requests.key(req.team, req.key);
+    if (keyState === undefined) {
       return result.err(
         problem.notRun(
           'key_in_use',
@@ -151,7 +151,7 @@
         ),
       );
     }
-    if (firstIntent.intent.bodyHash !== bodyHash) {
+    if (keyState.intent.bodyHash !== bodyHash) {
       return result.err(
         problem.notRun(
           'key_in_use',
@@ -162,7 +162,7 @@
     }
     const waitUntil = Math.min(
       req.deadline,
-      firstIntent.windowEnds,
+      keyState.windowEnds,
     ) as types.clock.MonotonicMs;
     await requests.waitForOutcome(req.team, req.key, waitUntil);
     return answerFromLog(requests.key(req.team, req.key));
@@ -217,7 +217,7 @@
 }
 
 const ANSWER_NOT_STORED =
-  'the request with this key has already run; its answer is no longer ' +
+  'the request with this key has already run; its answer is not ' +
   'available, because it was too large or is too old';
 
 function answerFromLog(
--- a/packages/gypsumwall-entry/src/peer_catch_up.ts
+++ b/packages/gypsumwall-entry/src/peer_catch_up.ts
@@ -48,7 +48,7 @@
   clock: types.clock.Clock,
 ): boolean {
   const answeredAt = stream.follower.lastAnswerAt();
-  if (answeredAt === undefined || !stream.follower.caughtUp()) return false;
+  if (answeredAt === undefined || !stream.follower.isCaughtUp()) return false;
   return clock.monotonic() < types.clock.after(answeredAt, MAX_LOG_SILENCE_MS);
 }
 
--- a/packages/gypsumwall-entry/src/read_state.ts
+++ b/packages/gypsumwall-entry/src/read_state.ts
@@ -13,7 +13,7 @@
   req: protocol.peer.ReadStateRequest,
 ): {entryId: string; nextOffset: bigint; snapshot?: Uint8Array} {
   const found = streams.find((stream) => stream.name === req.stream);
-  if (found?.follower.caughtUp() !== true) {
+  if (found?.follower.isCaughtUp() !== true) {
     return {entryId: self, nextOffset: UNKNOWN_OFFSET};
   }
   const next = found.follower.nextOffset();
--- a/packages/gypsumwall-entry/src/recovery_gate.ts
+++ b/packages/gypsumwall-entry/src/recovery_gate.ts
@@ -22,23 +22,23 @@
   /** Workers listed at or after `since`. */
   listedSince(since: MonotonicMs): readonly types.ids.WorkerId[];
   /** When the first list was recorded; undefined before that. */
-  watchingSince(): MonotonicMs | undefined;
+  firstRecordedAt(): MonotonicMs | undefined;
 }
 
 /** Creates an empty record of workers. */
 export function createRecentWorkers(): RecentWorkers {
   const lastListed = new Map<types.ids.WorkerId, MonotonicMs>();
-  let since: MonotonicMs | undefined;
+  let firstRecordedAt: MonotonicMs | undefined;
   return {
     note: (ids, now) => {
-      since ??= now;
+      firstRecordedAt ??= now;
       for (const id of ids) lastListed.set(id, now);
     },
     listedSince: (moment) =>
       [...lastListed]
         .filter(([, listedAt]) => listedAt >= moment)
         .map(([id]) => id),
-    watchingSince: () => since,
+    firstRecordedAt: () => firstRecordedAt,
   };
 }
 
@@ -64,7 +64,7 @@
   const leaseBoundMs = input.leaseMs + input.graceMs;
   if (input.now >= types.clock.after(input.heldSince, leaseBoundMs))
     return true;
-  const firstRecordedAt = input.recent.watchingSince();
+  const firstRecordedAt = input.recent.firstRecordedAt();
   const windowStart = types.clock.after(
     input.heldSince,
     -(leaseBoundMs + input.listLagMs),
--- a/packages/gypsumwall-entry/src/settings_routes.ts
+++ b/packages/gypsumwall-entry/src/settings_routes.ts
@@ -29,14 +29,14 @@
     return res.send({subtrees});
   });
   app.get<{Params: PathParams}>('/v1/settings/*', (req, res) =>
-    get(context, req, res),
+    showSubtree(context, req, res),
   );
   app.put<{Params: PathParams}>('/v1/settings/*', (req, res) =>
-    publish(context, req, res),
+    publishSubtree(context, req, res),
   );
 }
 
-async function get(
+async function showSubtree(
   context: entryContext.EntryContext,
   req: SettingsCall,
   res: fastify.FastifyReply,
@@ -57,7 +57,7 @@
   return res.send({path, ...subtree});
 }
 
-async function publish(
+async function publishSubtree(
   context: entryContext.EntryContext,
   req: SettingsCall,
   res: fastify.FastifyReply,
@@ -71,7 +71,7 @@
       `${operator.value.subtrees.join(', ')}, not "${path}"`;
     return problem.send(res, problem.notRun('forbidden', detail));
   }
-  const base = readBase(req);
+  const base = readBaseRevision(req);
   if (base === undefined) {
     const detail =
       'send the header if-match with the revision that the change is based ' +
@@ -93,7 +93,7 @@
   return res.send({path, revision: published.value});
 }
 
-function readBase(req: fastify.FastifyRequest): number | undefined {
+function readBaseRevision(req: fastify.FastifyRequest): number | undefined {
   const text = callContext.headerOf(req, 'if-match')?.replaceAll('"', '');
   const base = Number(text);
   return text !== undefined && Number.isInteger(base) ? base : undefined;
--- a/packages/gypsumwall-entry/src/snapshot_writer.ts
+++ b/packages/gypsumwall-entry/src/snapshot_writer.ts
@@ -51,7 +51,7 @@
         recordCount >= options.intervalRecords ||
         (isIntervalOver && recordCount > 0);
       if (isIntervalOver) dueAt.set(stream, nextDueAt(options));
-      if (isDue && stream.follower.caughtUp())
+      if (isDue && stream.follower.isCaughtUp())
         await writeSnapshot(options, stream);
     }
   }
--- a/packages/gypsumwall-entry/src/status_routes.ts
+++ b/packages/gypsumwall-entry/src/status_routes.ts
@@ -18,7 +18,7 @@
   app.get('/v1/status', (req, res) => {
     const operator = callContext.operatorOf(context, req);
     if (operator.isErr) return problem.send(res, operator.error);
-    return res.send(status(context));
+    return res.send(describeStatus(context));
   });
   app.post('/v1/drain', (req, res) => {
     const operator = callContext.operatorOf(context, req);
@@ -28,27 +28,29 @@
   });
 }
 
-function status(context: entryContext.EntryContext): object {
+function describeStatus(context: entryContext.EntryContext): object {
   const now = context.clock.monotonic();
-  const age = (moment: number | undefined) =>
+  const ageOf = (moment: number | undefined) =>
     moment === undefined ? null : Math.round(now - moment);
   const view = context.view();
-  const stream = (follower: entryContext.EntryContext['configFollower']) => ({
+  const describeStream = (
+    follower: entryContext.EntryContext['configFollower'],
+  ) => ({
     nextOffset: follower.nextOffset(),
-    caughtUp: follower.caughtUp(),
-    lastAnswerAgeMs: age(follower.lastAnswerAt()),
+    caughtUp: follower.isCaughtUp(),
+    lastAnswerAgeMs: ageOf(follower.lastAnswerAt()),
   });
   return {
     id: context.self,
     failureDomain: context.failureDomain,
     leaving: context.isLeaving(),
     notReadyBecause: context.notReadyReason() ?? null,
-    list: {ageMs: age(view.listFetchedAt), peers: view.peers},
+    list: {ageMs: ageOf(view.listFetchedAt), peers: view.peers},
     claim: claimStatus(context),
     streams: {
-      config: stream(context.configFollower),
-      domain: stream(context.domainFollower),
-      requests: stream(context.requestFollower),
+      config: describeStream(context.configFollower),
+      domain: describeStream(context.domainFollower),
+      requests: describeStream(context.requestFollower),
     },
     scheduler: context.scheduler()?.status() ?? null,
     router: context.router.status(),
--- a/packages/gypsumwall-entry/src/view_ticker.ts
+++ b/packages/gypsumwall-entry/src/view_ticker.ts
@@ -23,7 +23,7 @@
  * the list was fetched again or the fetch has timed out. The timeout keeps an
  * entry working that is cut off from the platform.
  */
-export async function tickView(
+export async function publishView(
   options: ViewTickerOptions,
   signal: AbortSignal,
 ): Promise<void> {
--- a/packages/gypsumwall-entry/src/whole_answer.ts
+++ b/packages/gypsumwall-entry/src/whole_answer.ts
@@ -10,7 +10,7 @@
 }
 
 /** Returns the whole answer, or why it is incomplete. */
-export async function collect(
+export async function readWholeAnswer(
   answer: platform.upstream.UpstreamAnswer,
 ): Promise<result.Result<WholeAnswer, string>> {
   const chunks: Buffer[] = [];
--- a/packages/gypsumwall-entry/src/worker_attachment.ts
+++ b/packages/gypsumwall-entry/src/worker_attachment.ts
@@ -17,7 +17,7 @@
 }
 
 /** Creates the state from an answer to `attach` that arrived at `now`. */
-export function fromAnswer(
+export function createAttachment(
   answer: platform.worker.Attached,
   epoch: number,
   now: MonotonicMs,
--- a/packages/gypsumwall-entry/src/worker_session.ts
+++ b/packages/gypsumwall-entry/src/worker_session.ts
@@ -105,7 +105,7 @@
     const isRestarted =
       attachment !== undefined && attachment.call.incarnation !== incarnation;
     if (isRestarted) resetSession();
-    attachment = workerAttachment.fromAnswer(
+    attachment = workerAttachment.createAttachment(
       answer.value,
       epoch,
       clock.monotonic(),
@@ -231,7 +231,7 @@
     return true;
   }
 
-  /** Settles lost starts: those that don't run are stopped for good. */
+  /** Settles starts whose answer was lost; stops those that don't run. */
   function resolveInDoubt(
     running: readonly platform.worker.RunningTask[],
   ): void {
@@ -241,7 +241,7 @@
       if (runningAttempts.has(attempt)) {
         inDoubt.delete(attempt);
         events.started(order);
-      } else if (!stops.some((asked) => asked.attempt === attempt)) {
+      } else if (!stops.some((stop) => stop.attempt === attempt)) {
         stops.push(order);
       }
     }
--- a/packages/gypsumwall-records/src/__fixtures__/memory_log.ts
+++ b/packages/gypsumwall-records/src/__fixtures__/memory_log.ts
@@ -30,7 +30,7 @@
   let appends = 0;
   const faults: AppendFault[] = [];
   const delayed: platform.platformLog.AppendRequest[] = [];
-  const readers = new Set<() => void>();
+  const waitingReads = new Set<() => void>();
 
   function storeRecords(req: platform.platformLog.AppendRequest): number {
     const first = endOffset;
@@ -43,7 +43,7 @@
       });
     });
     endOffset += req.bodies.length;
-    readers.forEach((wake) => wake());
+    waitingReads.forEach((wake) => wake());
     return first;
   }
 
@@ -81,7 +81,8 @@
       }
     },
     read: async ({from, limit, waitMs, signal}) => {
-      if (from >= endOffset && waitMs > 0) await nextAppend(readers, signal);
+      if (from >= endOffset && waitMs > 0)
+        await nextAppend(waitingReads, signal);
       const start = Math.max(from, firstOffset);
       const records = stored
         .filter((record) => record.offset >= start)
@@ -94,15 +95,15 @@
 }
 
 function nextAppend(
-  readers: Set<() => void>,
+  waitingReads: Set<() => void>,
   signal: AbortSignal | undefined,
 ): Promise<void> {
   return new Promise((resolve) => {
     const resolveRead = () => {
-      readers.delete(resolveRead);
+      waitingReads.delete(resolveRead);
       resolve();
     };
-    readers.add(resolveRead);
+    waitingReads.add(resolveRead);
     signal?.addEventListener('abort', resolveRead, {once: true});
   });
 }
--- a/packages/gypsumwall-records/src/__fixtures__/open_stream.ts
+++ b/packages/gypsumwall-records/src/__fixtures__/open_stream.ts
@@ -48,6 +48,6 @@
     follower,
     append: (name: string) =>
       appender.append(envelope.encodeRecord({name}), deadline()),
-    seen: (offset: number) => follower.waitFor(offset, deadline()),
+    waitFor: (offset: number) => follower.waitFor(offset, deadline()),
   };
 }
--- a/packages/gypsumwall-records/src/__tests__/config_fold.test.ts
+++ b/packages/gypsumwall-records/src/__tests__/config_fold.test.ts
@@ -18,9 +18,9 @@
   operator: 'root',
 });
 
-nodeTest.test('of two operators who race, the first wins', () => {
-  // Both are told the truth: one is in force, the other has a conflict.
-  // Both read revision -1; the log puts one publish before the other.
+nodeTest.test('of two concurrent publishes, the first wins', () => {
+  // Both operators have read revision -1. The publish that is first in the log
+  // takes effect, and the other operator is told of the conflict.
   const fold = configFold.createConfigFold();
   fold.apply(7, publish(configFold.NO_REVISION, 2), NOW);
   fold.apply(8, publish(configFold.NO_REVISION, 3), NOW);
@@ -29,7 +29,7 @@
   assert.deepEqual(fold.verdict(8), {type: 'conflict', newest: 7});
 });
 
-nodeTest.test('an older snapshot does not take a subtree back', () => {
+nodeTest.test('an older snapshot does not revert a subtree', () => {
   const fold = configFold.createConfigFold();
   fold.apply(1, publish(configFold.NO_REVISION, 2), NOW);
   const old = fold.snapshot();
@@ -38,7 +38,7 @@
   assert.equal(fold.team('web')?.weight, 5);
 });
 
-nodeTest.test('a value that does not pass the check changes nothing', () => {
+nodeTest.test('an invalid value changes nothing', () => {
   const fold = configFold.createConfigFold();
   fold.apply(1, publish(configFold.NO_REVISION, 2), NOW);
   fold.apply(2, publish(1, -5), NOW);
@@ -46,10 +46,10 @@
   assert.equal(fold.verdict(2)?.type, 'invalid');
 });
 
-// An operator of team `desk` copies the token hash of team `web` into the own
-// subtree. Were it accepted, callers of `web` could count as `desk`, which
-// would read and cancel their jobs. The publish is refused; `web` keeps it,
-// and may itself be published again.
+// An operator of team `desk` copies the token hash of team `web` into their own
+// subtree. If it were accepted, callers of `web` could be taken for `desk`,
+// which could then read and cancel their jobs. The publish is refused; `web`
+// keeps the hash and can still be published.
 nodeTest.test('a token hash of another subtree is refused', () => {
   const fold = configFold.createConfigFold();
   fold.apply(1, publish(configFold.NO_REVISION, 2), NOW);
@@ -61,10 +61,10 @@
   assert.deepEqual(fold.verdict(3), {type: 'in_force'});
 });
 
-nodeTest.test('a subtree of a newer version is kept for others', () => {
-  // An operator's setting is not lost when an old entry writes the snapshot.
-  // A newer release set a key that this one does not know; its snapshot is
-  // restored here and written again.
+nodeTest.test('a subtree of a newer version is kept in snapshots', () => {
+  // A newer release has set a key that this one does not know. This one
+  // restores that release's snapshot and writes one itself: the setting must
+  // not be lost.
   const newer = {revision: 4, value: {...team(2), keyOfLater: true}};
   const fold = configFold.createConfigFold();
   fold.restore(JSON.stringify([['teams/web', newer]]), NOW);
--- a/packages/gypsumwall-records/src/__tests__/log_appender.test.ts
+++ b/packages/gypsumwall-records/src/__tests__/log_appender.test.ts
@@ -3,7 +3,7 @@
 import * as memoryLog from '../__fixtures__/memory_log.js';
 import * as openStream from '../__fixtures__/open_stream.js';
 
-nodeTest.test('records that come together share one append', async (t) => {
+nodeTest.test('concurrent records share one append', async (t) => {
   const log = memoryLog.createMemoryLog();
   const {append} = openStream.openStream(t, log);
   const names = Array.from({length: 100}, (_, index) => `r${index}`);
@@ -12,11 +12,10 @@
   assert.ok(log.appends() <= 2, `${log.appends()} appends for 100 records`);
 });
 
-nodeTest.test('an append whose answer was lost is told as done', async (t) => {
-  // The caller is told ok with the record's offset, once.
-  // The log takes the record and the answer is lost; the appender fences its
-  // count with a void record, and the follower then sees the record before
-  // it. Sending it again blindly would have put it there twice.
+nodeTest.test('an append whose answer was lost succeeds', async (t) => {
+  // The log stores the record, but its answer is lost. The appender fences its
+  // sequence with a void record, and the follower then sees the record before
+  // it. If the append were simply repeated, the record would be stored twice.
   const log = memoryLog.createMemoryLog();
   const {append, fold} = openStream.openStream(t, log);
   log.failNextAppends('lost_answer');
@@ -25,10 +24,10 @@
   assert.deepEqual(fold.applied, ['kept']);
 });
 
-nodeTest.test('an append that was lost is told as not run', async (t) => {
-  // The caller is told not_run, and that stays true.
-  // The request never arrives; the void record does, and what does not stand
-  // before it is void for every reader, whenever it may turn up.
+nodeTest.test('an append that was lost fails with not_run', async (t) => {
+  // The append never arrives, but the void record does. Records that are not in
+  // the log before it are void for every reader, even if they arrive later, so
+  // `not_run` stays true.
   const log = memoryLog.createMemoryLog();
   const {append, fold} = openStream.openStream(t, log);
   log.failNextAppends('lost_request');
@@ -37,12 +36,12 @@
   assert.deepEqual(fold.applied, []);
 });
 
-nodeTest.test('a record that turns up late stays void', async (t) => {
-  // The caller was told not_run; no reader may act on the record afterwards.
-  // The append hangs between the ends, the appender fences and answers, then
-  // the log takes the old append. Readers drop it: its sequence has passed.
+nodeTest.test('a record that arrives late stays void', async (t) => {
+  // The append is delayed in the network, and the appender fences it and fails
+  // with `not_run`. When the log stores the old append after that, readers
+  // must drop it, because its sequence is below that of the void record.
   const log = memoryLog.createMemoryLog();
-  const {append, fold, seen} = openStream.openStream(t, log);
+  const {append, fold, waitFor: seen} = openStream.openStream(t, log);
   log.failNextAppends('late');
   const answer = await append('late');
   assert.equal(answer.isErr && answer.error.effect, 'not_run');
@@ -52,19 +51,25 @@
   assert.deepEqual(fold.applied, ['next']);
 });
 
-nodeTest.test('under load appends keep their distance', async (t) => {
-  // The log is shared by all entries: a busy one fills its batches instead of
-  // sending more of them. Records that come one by one for a while.
-  const gapMs = 30;
-  const log = memoryLog.createMemoryLog();
-  const {append} = openStream.openStream(t, log, 'entry-1', gapMs);
-  const startedAt = performance.now();
-  const answers = [];
-  while (performance.now() < startedAt + 10 * gapMs) {
-    answers.push(append('record'));
-    await new Promise((resolve) => setTimeout(resolve, 1));
-  }
-  await Promise.all(answers);
-  const most = (performance.now() - startedAt) / gapMs + 2;
-  assert.ok(log.appends() <= most, `${log.appends()} appends, at most ${most}`);
-});
+nodeTest.test(
+  'under load the minimum gap between appends applies',
+  async (t) => {
+    // All entries share the log, so a busy entry must send larger batches instead
+    // of more of them. Here records arrive one by one for a while.
+    const gapMs = 30;
+    const log = memoryLog.createMemoryLog();
+    const {append} = openStream.openStream(t, log, 'entry-1', gapMs);
+    const startedAt = performance.now();
+    const answers = [];
+    while (performance.now() < startedAt + 10 * gapMs) {
+      answers.push(append('record'));
+      await new Promise((resolve) => setTimeout(resolve, 1));
+    }
+    await Promise.all(answers);
+    const maxAppends = (performance.now() - startedAt) / gapMs + 2;
+    assert.ok(
+      log.appends() <= maxAppends,
+      `${log.appends()} appends, at most ${maxAppends}`,
+    );
+  },
+);
--- a/packages/gypsumwall-records/src/__tests__/request_fold.test.ts
+++ b/packages/gypsumwall-records/src/__tests__/request_fold.test.ts
@@ -25,9 +25,9 @@
 
 function outcome(
   requestId: string,
-  told: types.outcome.Outcome,
+  value: types.outcome.Outcome,
 ): requestRecords.RequestRecord {
-  return {type: 'outcome', team, key, requestId, outcome: told};
+  return {type: 'outcome', team, key, requestId, outcome: value};
 }
 
 nodeTest.test('only the first intent for a key may run', () => {
@@ -37,7 +37,7 @@
   assert.equal(fold.key(team, key)?.offset, 3);
 });
 
-nodeTest.test('a proof that nothing ran frees the key', () => {
+nodeTest.test('the outcome not_run frees the key', () => {
   const fold = requestFold.createRequestFold(clock);
   fold.apply(3, intent('first'), NOW);
   const refused = {
@@ -50,8 +50,8 @@
   assert.equal(fold.key(team, key)?.offset, 5);
 });
 
-nodeTest.test('an unknown end never frees the key', () => {
-  // A second run after an unknown end could bill a pilot twice.
+nodeTest.test('the outcome unknown never frees the key', () => {
+  // The first attempt may have run, so a second one could bill a customer twice.
   const fold = requestFold.createRequestFold(clock);
   fold.apply(3, intent('first'), NOW);
   fold.apply(4, outcome('first', {type: 'unknown', message: ''}), NOW);
@@ -59,8 +59,8 @@
   assert.equal(fold.key(team, key)?.offset, 3);
 });
 
-nodeTest.test("the outcome of another run is not the key's", () => {
-  // A withdrawn intent that lost the race must not free the winner's key.
+nodeTest.test('the outcome of another intent does not settle the key', () => {
+  // A second intent that is withdrawn must not free the key of the first.
   const fold = requestFold.createRequestFold(clock);
   fold.apply(3, intent('first'), NOW);
   fold.apply(4, intent('second'), NOW);
@@ -73,7 +73,7 @@
   assert.equal(fold.key(team, key)?.outcome, undefined);
 });
 
-nodeTest.test('a restored fold decides as the one it came from', () => {
+nodeTest.test('a restored fold decides like the original', () => {
   const fold = requestFold.createRequestFold(clock);
   fold.apply(3, intent('first'), NOW);
   fold.apply(4, outcome('first', {type: 'done'}), NOW);
@@ -84,9 +84,9 @@
   assert.equal(restored.key(team, key)?.outcome?.outcome.type, 'done');
 });
 
-nodeTest.test('old answers go before their keys do', () => {
-  // Large answers must not fill the entry's memory, and dropping one must not
-  // let its request run a second time.
+nodeTest.test('old answers are dropped, but their keys are kept', () => {
+  // Large answers must not exhaust the entry's memory, but dropping an answer
+  // must not let its request run a second time.
   const fold = requestFold.createRequestFold(clock);
   const answer = 'x'.repeat(requestFold.MAX_STORED_ANSWER_CHARS / 4);
   const keyOf = (n: number) =>
--- a/packages/gypsumwall-records/src/config_fold.ts
+++ b/packages/gypsumwall-records/src/config_fold.ts
@@ -55,13 +55,13 @@
     subtrees.set(path, subtree);
     const checked = settings.checkSubtree.checkSubtree(path, subtree.value);
     if (checked.isErr) return;
-    const found = checked.value;
-    switch (found.type) {
+    const checkedSubtree = checked.value;
+    switch (checkedSubtree.type) {
       case 'cell':
-        cell = found.policy;
+        cell = checkedSubtree.policy;
         break;
       case 'team':
-        teams.set(found.team, found.policy);
+        teams.set(checkedSubtree.team, checkedSubtree.policy);
         break;
     }
     onChange(path);
--- a/packages/gypsumwall-records/src/job_fold.ts
+++ b/packages/gypsumwall-records/src/job_fold.ts
@@ -103,8 +103,8 @@
     if (record.end.type !== 'done') return;
     if (job.spec.shape.kind === 'service') return;
     job.results.set(index, record.end.result);
-    const wanted = types.job.taskCount(job.spec.shape);
-    if (job.results.size >= wanted) close(job, {type: 'done'});
+    const taskCount = types.job.taskCount(job.spec.shape);
+    if (job.results.size >= taskCount) close(job, {type: 'done'});
   }
 
   function apply(record: domainRecords.DomainRecord): void {
--- a/packages/gypsumwall-records/src/request_fold.ts
+++ b/packages/gypsumwall-records/src/request_fold.ts
@@ -102,7 +102,7 @@
     if (known.outcome !== undefined) return;
     known.outcome = record;
     storeAnswer(known);
-    waiters.get(name)?.forEach((wake) => wake());
+    waiters.get(name)?.forEach((notify) => notify());
   }
 
   function apply(
@@ -149,11 +149,11 @@
       const name = keyName(team, key);
       if (keys.get(name)?.outcome !== undefined) return;
       const timer = new AbortController();
-      const wake = () => timer.abort();
+      const notify = () => timer.abort();
       const set = waiters.get(name) ?? new Set();
-      waiters.set(name, set.add(wake));
+      waiters.set(name, set.add(notify));
       await clock.sleepUntil(deadline, timer.signal);
-      set.delete(wake);
+      set.delete(notify);
       if (set.size === 0) waiters.delete(name);
     },
     size: () => keys.size,
--- a/packages/gypsumwall-records/src/stream_follower.ts
+++ b/packages/gypsumwall-records/src/stream_follower.ts
@@ -30,7 +30,7 @@
   /** Offset after the last record that was read. */
   nextOffset(): number;
   /** Whether the state was complete at the last read that succeeded. */
-  caughtUp(): boolean;
+  isCaughtUp(): boolean;
   /** When the log last answered; undefined before its first answer. */
   lastAnswerAt(): types.clock.MonotonicMs | undefined;
   /** Resolves to true once `offset` has been read, or false at the deadline. */
@@ -98,28 +98,28 @@
   }
 
   function applyRecord(record: platform.platformLog.LogRecord): void {
-    const read = envelope.decode(record.body);
-    switch (read.type) {
+    const decoded = envelope.decode(record.body);
+    switch (decoded.type) {
       case 'malformed':
         logger.warn('record_malformed', {
           offset: record.offset,
-          reason: read.message,
+          reason: decoded.message,
         });
         return;
       case 'newer':
         // The record stays in the log for entries of the newer release.
         logger.warn('record_from_newer_version', {
           offset: record.offset,
-          version: read.version,
+          version: decoded.version,
           known: envelope.RECORD_VERSION,
         });
         return;
       case 'known':
         break;
     }
-    if (read.envelope.type === 'snapshot') {
+    if (decoded.envelope.type === 'snapshot') {
       recordsAfterSnapshot = 0;
-      recordSnapshotPart(read.envelope);
+      recordSnapshotPart(decoded.envelope);
       return;
     }
     if (!sequences.accept(record.producer, record.sequence)) {
@@ -131,8 +131,8 @@
       return;
     }
     recordsAfterSnapshot += 1;
-    if (read.envelope.type === 'record') {
-      fold.apply(record.offset, read.envelope.record, clock.monotonic());
+    if (decoded.envelope.type === 'record') {
+      fold.apply(record.offset, decoded.envelope.record, clock.monotonic());
     }
     options.onRecord?.(record);
   }
@@ -156,7 +156,7 @@
     awaitingSnapshot = undefined;
     restore(found);
     waiting.records
-      .filter((kept) => kept.offset >= found.nextOffset)
+      .filter((record) => record.offset >= found.nextOffset)
       .forEach(applyRecord);
   }
 
@@ -164,10 +164,10 @@
     waiting: AwaitingSnapshot,
     record: platform.platformLog.LogRecord,
   ): void {
-    const read = envelope.decode(record.body);
-    if (read.type === 'known' && read.envelope.type === 'snapshot') {
-      recordSnapshotPart(read.envelope);
-      const found = waiting.collector.add(record.producer, read.envelope);
+    const decoded = envelope.decode(record.body);
+    if (decoded.type === 'known' && decoded.envelope.type === 'snapshot') {
+      recordSnapshotPart(decoded.envelope);
+      const found = waiting.collector.add(record.producer, decoded.envelope);
       if (found !== undefined && found.nextOffset >= waiting.firstOffset) {
         restoreAndReplay(waiting, found);
       }
@@ -268,7 +268,7 @@
     run,
     waitFor,
     nextOffset: () => nextOffset,
-    caughtUp: () => isComplete,
+    isCaughtUp: () => isComplete,
     lastAnswerAt: () => lastAnsweredAt,
     restores: () => restoreCount,
     recordsSinceSnapshot: () => recordsAfterSnapshot,
