--- a/packages/gypsumwall-entry/src/domain_scheduler.ts
+++ b/packages/gypsumwall-entry/src/domain_scheduler.ts
@@ -14,7 +14,7 @@
 import * as workerPool from './worker_pool.js';
 import type * as workerSession from './worker_session.js';
 
-/** State shown by the route `/v1/status`. */
+/** State that `/v1/status` returns as JSON; the field names must stay. */
 export interface SchedulerStatus {
   readonly epoch: number;
   readonly recovered: boolean;
--- a/packages/gypsumwall-entry/src/recovery_gate.ts
+++ b/packages/gypsumwall-entry/src/recovery_gate.ts
@@ -28,17 +28,17 @@
 /** Creates an empty record of workers. */
 export function createRecentWorkers(): RecentWorkers {
   const lastListed = new Map<types.ids.WorkerId, MonotonicMs>();
-  let firstRecordedAt: MonotonicMs | undefined;
+  let firstListAt: MonotonicMs | undefined;
   return {
     note: (ids, now) => {
-      firstRecordedAt ??= now;
+      firstListAt ??= now;
       for (const id of ids) lastListed.set(id, now);
     },
     listedSince: (moment) =>
       [...lastListed]
         .filter(([, listedAt]) => listedAt >= moment)
         .map(([id]) => id),
-    firstRecordedAt: () => firstRecordedAt,
+    firstRecordedAt: () => firstListAt,
   };
 }
 
--- a/packages/gypsumwall-entry/src/router_feed.ts
+++ b/packages/gypsumwall-entry/src/router_feed.ts
@@ -48,10 +48,10 @@
 
 /**
  * The entries that share the domain's upstreams, identified by their addresses
- * on the list. Process ids would not do: each entry learns them one by one, so
- * entries could name the same peer differently and divide the slots
- * differently. An entry that isn't listed takes no share, because the others
- * no longer count it.
+ * on the list. Process ids are not suitable: entries learn a peer's id at
+ * different times, so they could name it differently and divide the slots
+ * differently. An entry that isn't listed gets no share, because the others no
+ * longer count it.
  */
 function sharingEntries(
   {failureDomain, address}: RouterFeedOptions,
--- a/packages/gypsumwall-records/src/__tests__/log_appender.test.ts
+++ b/packages/gypsumwall-records/src/__tests__/log_appender.test.ts
@@ -37,7 +37,7 @@
 });
 
 nodeTest.test('a record that arrives late stays void', async (t) => {
-  // The append is delayed in the network, and the appender fences it and fails
+  // The append is delayed in the network. The appender fences it and fails it
   // with `not_run`. When the log stores the old append after that, readers
   // must drop it, because its sequence is below that of the void record.
   const log = memoryLog.createMemoryLog();
@@ -54,8 +54,8 @@
 nodeTest.test(
   'under load the minimum gap between appends applies',
   async (t) => {
-    // All entries share the log, so a busy entry must send larger batches instead
-    // of more of them. Here records arrive one by one for a while.
+    // All entries share the log, so a busy entry must send larger batches
+    // instead of more of them. Here records arrive one by one for a while.
     const gapMs = 30;
     const log = memoryLog.createMemoryLog();
     const {append} = openStream.openStream(t, log, 'entry-1', gapMs);
--- a/packages/gypsumwall-records/src/__tests__/request_fold.test.ts
+++ b/packages/gypsumwall-records/src/__tests__/request_fold.test.ts
@@ -51,7 +51,7 @@
 });
 
 nodeTest.test('the outcome unknown never frees the key', () => {
-  // The first attempt may have run, so a second one could bill a customer twice.
+  // The first attempt may have run, so a second one could bill a pilot twice.
   const fold = requestFold.createRequestFold(clock);
   fold.apply(3, intent('first'), NOW);
   fold.apply(4, outcome('first', {type: 'unknown', message: ''}), NOW);
--- a/packages/gypsumwall-records/src/config_records.ts
+++ b/packages/gypsumwall-records/src/config_records.ts
@@ -3,7 +3,7 @@
 /** A path in the settings tree: `cell` or `teams/<team>`. */
 export type SubtreePath = string;
 
-/** A record of the stream. */
+/** A record of the stream. Stored as JSON; the field names must stay. */
 export interface PublishRecord {
   readonly type: 'publish';
   readonly path: SubtreePath;
--- a/packages/gypsumwall-records/src/domain_records.ts
+++ b/packages/gypsumwall-records/src/domain_records.ts
@@ -1,7 +1,7 @@
 /**
  * Records of one failure domain's stream, `domain.<name>`. Their order in the
  * log decides who holds the domain's claim, which jobs are accepted and how
- * tasks ended.
+ * tasks ended. They are stored as JSON, so the field names must stay.
  */
 import type * as types from '@gypsumwall/types';
 
--- a/packages/gypsumwall-records/src/request_fold.ts
+++ b/packages/gypsumwall-records/src/request_fold.ts
@@ -10,7 +10,7 @@
 type IntentRecord = Extract<requestRecords.RequestRecord, {type: 'intent'}>;
 type OutcomeRecord = Extract<requestRecords.RequestRecord, {type: 'outcome'}>;
 
-/** State of a key. Stored in snapshots; the field names must stay. */
+/** State of a key. All fields but `windowEnds` are stored under their names. */
 export interface KeyState {
   readonly intent: IntentRecord;
   /** Offset of the intent that may run. */
--- a/packages/gypsumwall-records/src/request_records.ts
+++ b/packages/gypsumwall-records/src/request_records.ts
@@ -1,6 +1,7 @@
 /**
  * Records of the stream `requests`: intents and outcomes of requests that may
- * not be repeated. Only the first intent for a key, in log order, may run.
+ * not be repeated. Only the first intent for a key, in log order, may run. The
+ * records are stored as JSON, so the field names must stay.
  */
 import type * as types from '@gypsumwall/types';
 
