--- a/packages/gypsumwall-entry/src/job_routes.ts
+++ b/packages/gypsumwall-entry/src/job_routes.ts
@@ -238,8 +238,8 @@
   if (isHomeElsewhere(context, jobId)) {
     return problem.send(res, homeUnreachable(jobId));
   }
-  const found = context.jobService.view(checked.value.team, jobId);
-  if (found !== undefined) return res.send(found);
+  const job = context.jobService.view(checked.value.team, jobId);
+  if (job !== undefined) return res.send(job);
   return problem.send(res, problem.notRun('not_found', `no job "${jobId}"`));
 }
 
--- a/packages/gypsumwall-entry/src/peer_catch_up.ts
+++ b/packages/gypsumwall-entry/src/peer_catch_up.ts
@@ -73,11 +73,11 @@
     stream.follower.confirmCaughtUp(Number(answer.value.nextOffset));
     return;
   }
-  const adopted = stream.follower.adopt({
+  const isAdopted = stream.follower.adopt({
     nextOffset: Number(answer.value.nextOffset),
     text: Buffer.from(answer.value.snapshot).toString('utf8'),
   });
-  if (!adopted) return;
+  if (!isAdopted) return;
   options.logger.info('state_from_peer', {
     stream: stream.name,
     peer: peer.address,
--- a/packages/gypsumwall-entry/src/read_state.ts
+++ b/packages/gypsumwall-entry/src/read_state.ts
@@ -12,15 +12,15 @@
   streams: readonly entryStream.EntryStream[],
   req: protocol.peer.ReadStateRequest,
 ): {entryId: string; nextOffset: bigint; snapshot?: Uint8Array} {
-  const found = streams.find((stream) => stream.name === req.stream);
-  if (found?.follower.isCaughtUp() !== true) {
+  const requested = streams.find((stream) => stream.name === req.stream);
+  if (requested?.follower.isCaughtUp() !== true) {
     return {entryId: self, nextOffset: UNKNOWN_OFFSET};
   }
-  const next = found.follower.nextOffset();
-  if (next <= Number(req.above)) {
-    return {entryId: self, nextOffset: BigInt(next)};
+  const nextOffset = requested.follower.nextOffset();
+  if (nextOffset <= Number(req.above)) {
+    return {entryId: self, nextOffset: BigInt(nextOffset)};
   }
-  const snapshot = found.follower.snapshot();
+  const snapshot = requested.follower.snapshot();
   return {
     entryId: self,
     nextOffset: BigInt(snapshot.nextOffset),
--- a/packages/gypsumwall-entry/src/settings_service.ts
+++ b/packages/gypsumwall-entry/src/settings_service.ts
@@ -63,8 +63,8 @@
         return result.err(logProblem.ofStepError(appended.error));
       }
       const {offset} = appended.value;
-      const seen = await follower.waitFor(offset, deadline);
-      const verdict = seen ? config.verdict(offset) : undefined;
+      const wasReadBack = await follower.waitFor(offset, deadline);
+      const verdict = wasReadBack ? config.verdict(offset) : undefined;
       if (verdict === undefined) {
         return result.err(
           problem.unknownOutcome(
--- a/packages/gypsumwall-records/src/__tests__/log_appender.test.ts
+++ b/packages/gypsumwall-records/src/__tests__/log_appender.test.ts
@@ -41,13 +41,13 @@
   // with `not_run`. When the log stores the old append after that, readers
   // must drop it, because its sequence is below that of the void record.
   const log = memoryLog.createMemoryLog();
-  const {append, fold, waitFor: seen} = openStream.openStream(t, log);
+  const {append, fold, waitFor} = openStream.openStream(t, log);
   log.failNextAppends('late');
   const answer = await append('late');
   assert.equal(answer.isErr && answer.error.effect, 'not_run');
   log.deliverDelayed();
   const next = await append('next');
-  assert.ok(next.isOk && (await seen(next.value.offset)));
+  assert.ok(next.isOk && (await waitFor(next.value.offset)));
   assert.deepEqual(fold.applied, ['next']);
 });
 
--- a/packages/gypsumwall-records/src/__tests__/stream_follower.test.ts
+++ b/packages/gypsumwall-records/src/__tests__/stream_follower.test.ts
@@ -31,8 +31,8 @@
   const log = memoryLog.createMemoryLog();
   const first = openStream.openStream(t, log);
   await first.append('a');
-  const kept = await first.append('b');
-  assert.ok(kept.isOk);
+  const retained = await first.append('b');
+  assert.ok(retained.isOk);
   log.dropBelow(1);
   const late = openStream.openStream(t, log, 'entry-2');
   while (late.follower.lastAnswerAt() === undefined) {
--- a/packages/gypsumwall-records/src/producer_sequences.ts
+++ b/packages/gypsumwall-records/src/producer_sequences.ts
@@ -25,8 +25,9 @@
   let highest = new Map<string, number>();
   return {
     accept: (producer, sequence) => {
-      const seen = highest.get(producer);
-      if (seen !== undefined && sequence <= seen) return false;
+      const highestSequence = highest.get(producer);
+      if (highestSequence !== undefined && sequence <= highestSequence)
+        return false;
       // Deleting first keeps the map ordered by the latest record.
       highest.delete(producer);
       highest.set(producer, sequence);
--- a/packages/gypsumwall-records/src/stream_follower.ts
+++ b/packages/gypsumwall-records/src/stream_follower.ts
@@ -60,7 +60,7 @@
 
 interface Waiter {
   readonly offset: number;
-  readonly resolve: (seen: boolean) => void;
+  readonly settle: (wasRead: boolean) => void;
 }
 
 /** Creates a follower; it reads nothing until `run` is called. */
@@ -151,12 +151,12 @@
   /** Restores the awaited snapshot and applies the records after it. */
   function restoreAndReplay(
     waiting: AwaitingSnapshot,
-    found: snapshotText.Snapshot,
+    snapshot: snapshotText.Snapshot,
   ): void {
     awaitingSnapshot = undefined;
-    restore(found);
+    restore(snapshot);
     waiting.records
-      .filter((record) => record.offset >= found.nextOffset)
+      .filter((record) => record.offset >= snapshot.nextOffset)
       .forEach(applyRecord);
   }
 
@@ -167,9 +167,12 @@
     const decoded = envelope.decode(record.body);
     if (decoded.type === 'known' && decoded.envelope.type === 'snapshot') {
       recordSnapshotPart(decoded.envelope);
-      const found = waiting.collector.add(record.producer, decoded.envelope);
-      if (found !== undefined && found.nextOffset >= waiting.firstOffset) {
-        restoreAndReplay(waiting, found);
+      const snapshot = waiting.collector.add(record.producer, decoded.envelope);
+      if (
+        snapshot !== undefined &&
+        snapshot.nextOffset >= waiting.firstOffset
+      ) {
+        restoreAndReplay(waiting, snapshot);
       }
       return;
     }
@@ -209,7 +212,7 @@
   function resolveWaiters(): void {
     if (awaitingSnapshot !== undefined) return;
     for (const waiter of waiters) {
-      if (waiter.offset < nextOffset) waiter.resolve(true);
+      if (waiter.offset < nextOffset) waiter.settle(true);
     }
   }
 
@@ -219,10 +222,10 @@
   ): Promise<boolean> {
     if (offset < nextOffset && awaitingSnapshot === undefined) return true;
     const timer = new AbortController();
-    const seen = new Promise<boolean>((resolve) => {
+    const wasRead = new Promise<boolean>((resolve) => {
       const waiter: Waiter = {
         offset,
-        resolve: (value) => {
+        settle: (value) => {
           waiters.delete(waiter);
           timer.abort();
           resolve(value);
@@ -231,9 +234,9 @@
       waiters.add(waiter);
       void clock
         .sleepUntil(deadline, timer.signal)
-        .then(() => waiter.resolve(false));
+        .then(() => waiter.settle(false));
     });
-    return seen;
+    return wasRead;
   }
 
   function adoptableAbove(): number {
