--- a/packages/gypsumwall-entry/src/call_context.ts
+++ b/packages/gypsumwall-entry/src/call_context.ts
@@ -32,7 +32,7 @@
       problem.notRun(
         'deadline_passed',
         `header gypsumwall-timeout-ms "${text}": the deadline has passed; ` +
-          'ask again with time left',
+          'retry with a longer time limit',
       ),
     );
   }
--- a/packages/gypsumwall-entry/src/choose_home.ts
+++ b/packages/gypsumwall-entry/src/choose_home.ts
@@ -28,7 +28,7 @@
     : types.ids.brand<types.ids.FailureDomain>(first);
 }
 
-/** Hexadecimal digits of a job's suffix; enough to rule out collisions. */
+/** Hexadecimal digits of a job's suffix; enough to avoid collisions of keys. */
 const SUFFIX_LENGTH = 24;
 
 /**
--- a/packages/gypsumwall-entry/src/entry_stream.ts
+++ b/packages/gypsumwall-entry/src/entry_stream.ts
@@ -34,7 +34,7 @@
    * lacks the result, and would start the task a second time.
    */
   appendAndWait(record: object): Promise<boolean>;
-  /** Whether the stream was read to its end within the last 2.5 s. */
+  /** Whether the state is complete and the log answered in the last 2.5 s. */
   isCurrent(): boolean;
 }
 
--- a/packages/gypsumwall-entry/src/forward_call.ts
+++ b/packages/gypsumwall-entry/src/forward_call.ts
@@ -1,4 +1,4 @@
-/** Forwards calls that another entry should answer, to the first fit peer. */
+/** Forwards calls to peers that should answer them instead of this entry. */
 import type * as fastify from 'fastify';
 import * as types from '@gypsumwall/types';
 import type * as entryContext from './entry_context.js';
--- a/packages/gypsumwall-records/src/__fixtures__/memory_log.ts
+++ b/packages/gypsumwall-records/src/__fixtures__/memory_log.ts
@@ -43,7 +43,7 @@
       });
     });
     endOffset += req.bodies.length;
-    waitingReads.forEach((wake) => wake());
+    waitingReads.forEach((resolveRead) => resolveRead());
     return first;
   }
 
--- a/packages/gypsumwall-records/src/config_fold.ts
+++ b/packages/gypsumwall-records/src/config_fold.ts
@@ -78,7 +78,7 @@
     return [{type: 'cell', path: 'cell', policy: cell}, ...subtreesInForce];
   }
 
-  function evaluate(
+  function applyPublish(
     offset: number,
     record: configRecords.PublishRecord,
   ): PublishVerdict {
@@ -107,7 +107,7 @@
     apply: (offset, body) => {
       const record = body as configRecords.PublishRecord;
       if (record.type !== 'publish') return;
-      verdicts.set(offset, evaluate(offset, record));
+      verdicts.set(offset, applyPublish(offset, record));
       if (verdicts.size > MAX_KEPT_VERDICTS) {
         verdicts.delete(Math.min(...verdicts.keys()));
       }
--- a/packages/gypsumwall-records/src/log_appender.ts
+++ b/packages/gypsumwall-records/src/log_appender.ts
@@ -18,7 +18,7 @@
 /** Options of `createLogAppender`. */
 export interface LogAppenderOptions {
   readonly stream: string;
-  /** Unique to this process, whose sequence starts at 0. */
+  /** Unique to this process: a new one must not continue an old sequence. */
   readonly producer: string;
   readonly log: platform.platformLog.PlatformLog;
   readonly clock: types.clock.Clock;
--- a/packages/gypsumwall-records/src/request_fold.ts
+++ b/packages/gypsumwall-records/src/request_fold.ts
@@ -142,7 +142,7 @@
         keys.set(keyName(intent.team, intent.key), state);
         storeAnswer(state);
       }
-      waiters.forEach((set) => set.forEach((wake) => wake()));
+      waiters.forEach((set) => set.forEach((notify) => notify()));
     },
     key: (team, key) => keys.get(keyName(team, key)),
     waitForOutcome: async (team, key, deadline) => {
