--- a/packages/gypsumwall-entry/src/entry_readiness.ts
+++ b/packages/gypsumwall-entry/src/entry_readiness.ts
@@ -23,7 +23,7 @@
   if (behind !== undefined) {
     return `stream "${behind.name}" has not been read to its end yet`;
   }
-  // An empty list has not been fetched yet. An entry that reported ready with
+  // An empty list has not been filled yet. An entry that reported ready with
   // it would receive calls that it can't serve.
   if (isEmpty(input.view)) return 'the instance list is still empty';
   if (input.view.upstreams.length === 0 || input.ownSlots > 0) return undefined;
