--- a/packages/gypsumwall-entry/src/call_telemetry.ts
+++ b/packages/gypsumwall-entry/src/call_telemetry.ts
@@ -1,9 +1,9 @@
-/** A span, a counter and a log line for each call of a caller or a peer. */
+/** Records a span, a counter and a log line for each call. */
 import type * as fastify from 'fastify';
 import type * as telemetry from '@gypsumwall/telemetry';
 import type * as types from '@gypsumwall/types';
 
-/** What is needed. */
+/** Options of `addCallTelemetry`. */
 export interface CallTelemetryOptions {
   readonly clock: types.clock.Clock;
   readonly logger: telemetry.logger.Logger;
@@ -11,37 +11,37 @@
   readonly tracer: telemetry.tracing.Tracer;
 }
 
-interface CallUnderWay {
+interface CallInProgress {
   readonly span: telemetry.tracing.Span;
   readonly arrivedAt: types.clock.MonotonicMs;
 }
 
-/** Routes that a balancer asks all the time; they would drown the rest. */
-const QUIET_ROUTES = new Set(['/healthz', '/readyz']);
-const SERVER_FAULT = 500;
+/** Health checks are so frequent that their records would bury all others. */
+const UNRECORDED_ROUTES = new Set(['/healthz', '/readyz']);
+const SERVER_ERROR_STATUS = 500;
 
-/** Adds the hooks. A route finds its span's context in `traceparent`. */
+/** Adds the hooks; they set the header `traceparent` to the call's own span. */
 export function addCallTelemetry(
   app: fastify.FastifyInstance,
   options: CallTelemetryOptions,
 ): void {
   const {clock, logger, metrics, tracer} = options;
-  const underWay = new WeakMap<fastify.FastifyRequest, CallUnderWay>();
+  const callsInProgress = new WeakMap<fastify.FastifyRequest, CallInProgress>();
 
   app.addHook('onRequest', (req, _res, done) => {
     const route = req.routeOptions.url ?? 'none';
-    if (!QUIET_ROUTES.has(route)) {
-      const given = req.headers.traceparent;
-      const parent = typeof given === 'string' ? given : undefined;
+    if (!UNRECORDED_ROUTES.has(route)) {
+      const header = req.headers.traceparent;
+      const parent = typeof header === 'string' ? header : undefined;
       const span = tracer.startSpan('entry.call', parent, {route});
       req.headers.traceparent = span.traceparent;
-      underWay.set(req, {span, arrivedAt: clock.monotonic()});
+      callsInProgress.set(req, {span, arrivedAt: clock.monotonic()});
     }
     done();
   });
 
   app.addHook('onResponse', (req, res, done) => {
-    const call = underWay.get(req);
+    const call = callsInProgress.get(req);
     if (call !== undefined) {
       const outcome = String(res.getHeader('gypsumwall-outcome') ?? 'none');
       const tookMs = clock.monotonic() - call.arrivedAt;
@@ -62,8 +62,8 @@
       });
       call.span.setAttribute('status', res.statusCode);
       call.span.setAttribute('outcome', outcome);
-      const fault = res.statusCode >= SERVER_FAULT;
-      call.span.end(fault ? `status ${res.statusCode}` : undefined);
+      const isServerError = res.statusCode >= SERVER_ERROR_STATUS;
+      call.span.end(isServerError ? `status ${res.statusCode}` : undefined);
     }
     done();
   });
--- a/packages/gypsumwall-entry/src/create_entry.ts
+++ b/packages/gypsumwall-entry/src/create_entry.ts
@@ -1,4 +1,4 @@
-/** Puts the parts of an entry together and runs them. */
+/** Creates an entry from its parts and starts it. */
 import * as crypto from 'node:crypto';
 import * as membership from '@gypsumwall/membership';
 import * as placement from '@gypsumwall/placement';
@@ -25,45 +25,46 @@
 import * as recoveryGate from './recovery_gate.js';
 import * as routerFeed from './router_feed.js';
 
-/** What an entry is made of; the same code runs on another clock or seed. */
+/** Options of an entry. Tests pass their own clock and random source. */
 export interface EntryOptions {
   readonly settings: settings.entrySettings.EntrySettings;
   readonly clock: types.clock.Clock;
   readonly random: types.random.Random;
   readonly logger: telemetry.logger.Logger;
-  /** Made from the settings where absent. */
+  /** Defaults to a tracer made from the settings. */
   readonly tracer?: telemetry.tracing.Tracer;
-  /** Made from the settings where absent. */
+  /** Defaults to metrics made from the settings. */
   readonly metrics?: telemetry.metrics.Metrics;
 }
 
 /** A running entry. */
 export interface Entry {
   readonly id: types.ids.EntryId;
-  /** Where callers reach it, `http://ip:port`. */
+  /** Address for callers, `http://ip:port`. */
   readonly address: string;
-  /** Where other entries reach it. */
+  /** Address of the peer service, for other entries. */
   readonly peerAddress: string;
-  /** Takes nothing new, hands the claim over, finishes what is in flight. */
+  /** Refuses new calls, releases the claim and finishes calls in flight. */
   drain(): Promise<void>;
-  /** Ends at once. */
+  /** Stops at once and cuts off calls in flight. */
   close(): Promise<void>;
 }
 
-const PEER_TIMEOUT_MS = 2_000;
-/** A busy holder's ends of tasks: 20 appends a second, however many. */
-const DOMAIN_GAP_MS = 50;
-/** A caller waits for each of these. */
-const REQUESTS_GAP_MS = 10;
-const CONFIG_GAP_MS = 10;
+const PEER_CALL_TIMEOUT_MS = 2_000;
+/** Limits a busy holder, which records each task's end, to 20 appends/s. */
+const DOMAIN_MIN_GAP_MS = 50;
+/** Short, because a caller waits for each append to these two streams. */
+const REQUESTS_MIN_GAP_MS = 10;
+const CONFIG_MIN_GAP_MS = 10;
 const CONFIG_STREAM = 'config';
 const REQUESTS_STREAM = 'requests';
 
-/** Starts an entry; resolves once it listens. */
+/** Starts an entry; resolves once it accepts calls. */
 export async function createEntry(options: EntryOptions): Promise<Entry> {
   const {clock, random} = options;
   const cfg = options.settings;
-  // Every process is a new entry to its peers: it remembers no promise.
+  // Each process gets a new id, because a restarted process has lost the
+  // promises that it gave to peers.
   const self = types.ids.brand<types.ids.EntryId>(
     `${cfg.id}-${crypto.randomBytes(4).toString('hex')}`,
   );
@@ -75,16 +76,17 @@
   const metrics = options.metrics ?? entryTelemetry.makeMetrics(cfg, logger);
   const closing = new AbortController();
   const {signal} = closing;
-  let leaving = false;
+  let isLeaving = false;
 
-  const outside = entryClients.createEntryClients({
+  const externalClients = entryClients.createEntryClients({
     settings: cfg,
     clock,
     metrics,
     tracer,
   });
-  const clients = membership.peerClients.createPeerClients(PEER_TIMEOUT_MS);
-  const streamOf = (
+  const peerClients =
+    membership.peerClients.createPeerClients(PEER_CALL_TIMEOUT_MS);
+  const createStream = (
     stream: string,
     fold: records.streamFold.StreamFold,
     minGapMs: number,
@@ -92,7 +94,7 @@
     entryStream.createEntryStream({
       stream,
       self,
-      log: outside.log,
+      log: externalClients.log,
       fold,
       minGapMs,
       clock,
@@ -100,19 +102,23 @@
       signal,
     });
 
-  // Settings tree.
-  const config = records.configFold.createConfigFold(() => onConfig());
-  const configStream = streamOf(CONFIG_STREAM, config, CONFIG_GAP_MS);
-  const identities = authenticate.createAuthenticate(
+  // Settings tree
+  const config = records.configFold.createConfigFold(() => onConfigChange());
+  const configStream = createStream(CONFIG_STREAM, config, CONFIG_MIN_GAP_MS);
+  const authenticator = authenticate.createAuthenticator(
     config,
     cfg.rootOperatorTokenHash,
   );
 
-  // Requests that may not be repeated.
+  // Requests that may not be repeated
   const requests = records.requestFold.createRequestFold(clock);
-  const requestStream = streamOf(REQUESTS_STREAM, requests, REQUESTS_GAP_MS);
+  const requestStream = createStream(
+    REQUESTS_STREAM,
+    requests,
+    REQUESTS_MIN_GAP_MS,
+  );
 
-  // Peers. The server listens first, since its address is part of the view.
+  // Peers. The server starts first, because its address is part of the view.
   const forwardMark = forwarder.createForwardMark();
   const peerServer = await membership.peerServer.createPeerServer({
     self,
@@ -139,8 +145,8 @@
     address: peerServer.address,
     clock,
     logger,
-    list: outside.list,
-    clients,
+    list: externalClients.list,
+    clients: peerClients,
     listPollMs: cfg.listPollMs,
     listLagMs: cfg.listLagMs,
     heartbeatMs: cfg.peerHeartbeatMs,
@@ -148,8 +154,10 @@
     ownState,
   });
 
-  // The domain: its jobs, its claim, and the holder's part.
-  const jobs = records.jobFold.createJobFold((change) => holder.onJob(change));
+  // The failure domain: its jobs, its claim and the holder's scheduler
+  const jobs = records.jobFold.createJobFold((change) =>
+    holder.onJobChange(change),
+  );
   const claim = membership.claimKeeper.createClaimKeeper({
     self,
     failureDomain,
@@ -162,13 +170,13 @@
     appendRecord: (record) => domainStream.append(record),
     caughtUp: () => domainStream.isCurrent(),
     view: () => viewKeeper.current(),
-    peers: membership.claimCalls.createClaimCalls(clients),
-    onChange: (state) => holder.onClaim(state),
+    peers: membership.claimCalls.createClaimCalls(peerClients),
+    onChange: (state) => holder.onClaimChange(state),
   });
-  const domainStream = streamOf(
+  const domainStream = createStream(
     records.domainRecords.streamOf(failureDomain),
     domainFold.createDomainFold(jobs, claim),
-    DOMAIN_GAP_MS,
+    DOMAIN_MIN_GAP_MS,
   );
   const holder = domainHolder.createDomainHolder({
     claim: () => claim.state(),
@@ -189,14 +197,14 @@
       logger,
       jobs,
       recentWorkers,
-      makeWorker: (listed) => outside.makeWorker(listed),
+      makeWorker: (listed) => externalClients.makeWorker(listed),
       tracer,
       metrics,
-      append: (record) => domainStream.appendAndApply(record),
+      append: (record) => domainStream.appendAndWait(record),
     },
   });
 
-  // Quick requests.
+  // Quick requests
   const router = routing.createRouter.createRouter({
     entryId: peerServer.address,
     clock,
@@ -205,7 +213,7 @@
     listLagMs: cfg.listLagMs,
     defaults: settings.cellTree.TEAM_DEFAULTS,
     makeUpstream: (listed, connections) =>
-      outside.makeUpstream(listed, connections),
+      externalClients.makeUpstream(listed, connections),
   });
 
   const feed = routerFeed.createRouterFeed({
@@ -222,7 +230,7 @@
     logger,
     metrics,
     tracer,
-    authenticate: identities.authenticate,
+    authenticate: authenticator.authenticate,
     config,
     configFollower: configStream.follower,
     domainFollower: domainStream.follower,
@@ -235,7 +243,7 @@
       self,
       failureDomain,
       clock,
-      log: outside.log,
+      log: externalClients.log,
       config,
       configStream,
       requests,
@@ -246,20 +254,20 @@
       router,
     }),
     sendToPeer: peerForwarding.createSendToPeer({
-      clients,
+      clients: peerClients,
       clock,
       tracer,
     }),
     forwardMark,
-    isReady: () =>
-      entryReadiness.notReadyBecause({
-        leaving,
+    notReadyReason: () =>
+      entryReadiness.notReadyReason({
+        isLeaving,
         config,
         streams: streams(),
         view: viewKeeper.current(),
         ownSlots: feed.ownSlots(),
       }),
-    isLeaving: () => leaving,
+    isLeaving: () => isLeaving,
     hasSlots: () => feed.ownSlots() > 0,
     startDrain: () => void stop.drain(),
   };
@@ -269,15 +277,15 @@
     const state = claim.state();
     return {
       configOffset: configStream.follower.nextOffset(),
-      leaving,
+      leaving: isLeaving,
       heldEpoch: state.type === 'held' ? state.epoch : undefined,
     };
   }
 
-  function onConfig(): void {
-    identities.forget();
+  function onConfigChange(): void {
+    authenticator.clearCache();
     feed.onTeams(config.teams());
-    holder.onTeams();
+    holder.onTeamsChange();
   }
 
   function onView(view: membership.domainView.DomainView): void {
@@ -302,13 +310,13 @@
     router,
     app,
     peerServer,
-    peerClients: clients,
-    outside,
+    peerClients,
+    externalClients,
     tracer,
     metrics,
     closing,
     onLeaving: () => {
-      leaving = true;
+      isLeaving = true;
     },
   });
 
@@ -320,7 +328,7 @@
     viewKeeper,
     claim,
     onView,
-    peerClients: clients,
+    peerClients,
     config: configStream,
     requests: requestStream,
     domain: domainStream,
--- a/packages/gypsumwall-entry/src/domain_holder.ts
+++ b/packages/gypsumwall-entry/src/domain_holder.ts
@@ -1,4 +1,4 @@
-/** Runs a scheduler while, and only while, this entry holds its domain. */
+/** Runs a scheduler for as long as this entry holds its domain's claim. */
 import type * as membership from '@gypsumwall/membership';
 import type * as records from '@gypsumwall/records';
 import type * as settings from '@gypsumwall/settings';
@@ -6,7 +6,7 @@
 import * as domainScheduler from './domain_scheduler.js';
 import type * as schedulerOptions from './scheduler_options.js';
 
-/** What the holder needs; the rest of a scheduler's options stay the same. */
+/** Options of the holder; `scheduler` has those that all epochs share. */
 export interface DomainHolderOptions {
   readonly scheduler: Omit<
     schedulerOptions.DomainSchedulerOptions,
@@ -19,51 +19,51 @@
   readonly teams: () => ReadonlyMap<string, settings.cellTree.TeamPolicy>;
 }
 
-/** This entry's part as holder. */
+/** Opens and closes this entry's scheduler as the claim changes. */
 export interface DomainHolder {
   current(): domainScheduler.DomainScheduler | undefined;
-  onClaim(state: membership.domainClaim.ClaimState): void;
+  onClaimChange(state: membership.domainClaim.ClaimState): void;
   onView(view: membership.domainView.DomainView): void;
-  onJob(change: records.jobFold.JobChange): void;
-  onTeams(): void;
-  /** Starts nothing more; resolves when no start is on its way. */
+  onJobChange(change: records.jobFold.JobChange): void;
+  onTeamsChange(): void;
+  /** Closes the scheduler for good; resolves once no start is in flight. */
   close(): Promise<void>;
 }
 
-/** Makes the part; it does nothing until the claim is held. */
+/** Creates a holder without a scheduler; one is opened with the claim. */
 export function createDomainHolder(options: DomainHolderOptions): DomainHolder {
-  let held: domainScheduler.DomainScheduler | undefined;
-  let heldEpoch: number | undefined;
-  let closed = false;
-  let attempts = 0;
+  let scheduler: domainScheduler.DomainScheduler | undefined;
+  let schedulerEpoch: number | undefined;
+  let isClosed = false;
+  let attemptCount = 0;
 
-  function open(epoch: number): void {
-    heldEpoch = epoch;
-    held = domainScheduler.createDomainScheduler({
+  function openScheduler(epoch: number): void {
+    schedulerEpoch = epoch;
+    scheduler = domainScheduler.createDomainScheduler({
       ...options.scheduler,
       epoch,
       hadPredecessor: options.hadPredecessor(),
       placer: options.makePlacer(),
-      claimDeadline: () => deadlineOf(options.claim(), epoch),
+      claimDeadline: () => claimDeadlineOf(options.claim(), epoch),
       nextAttempt: () => {
-        attempts += 1;
-        return types.ids.brand<types.ids.AttemptId>(`${epoch}.${attempts}`);
+        attemptCount += 1;
+        return types.ids.brand<types.ids.AttemptId>(`${epoch}.${attemptCount}`);
       },
     });
     setTeams();
-    held.setWorkers(options.view().workers);
+    scheduler.setWorkers(options.view().workers);
   }
 
-  async function shut(): Promise<void> {
-    const last = held;
-    held = undefined;
-    heldEpoch = undefined;
-    await last?.close();
+  async function closeScheduler(): Promise<void> {
+    const previous = scheduler;
+    scheduler = undefined;
+    schedulerEpoch = undefined;
+    await previous?.close();
   }
 
   function setTeams(): void {
     for (const [id, policy] of options.teams()) {
-      held?.setTeam({
+      scheduler?.setTeam({
         id: types.ids.brand<types.ids.TeamId>(id),
         weight: policy.weight,
         quota: policy.quota,
@@ -73,45 +73,45 @@
   }
 
   return {
-    current: () => held,
-    onClaim: (state) => {
+    current: () => scheduler,
+    onClaimChange: (state) => {
       switch (state.type) {
         case 'none':
         case 'held_by_other':
-          void shut();
+          void closeScheduler();
           return;
         case 'lapsed':
-          // Nobody may have taken over; the same epoch can be renewed yet.
-          if (state.epoch !== heldEpoch) void shut();
+          // The same epoch can still be renewed if nobody has taken over.
+          if (state.epoch !== schedulerEpoch) void closeScheduler();
           return;
         case 'held':
-          if (closed || state.epoch === heldEpoch) return;
-          void shut();
-          open(state.epoch);
+          if (isClosed || state.epoch === schedulerEpoch) return;
+          void closeScheduler();
+          openScheduler(state.epoch);
           return;
       }
     },
-    onView: (view) => held?.setWorkers(view.workers),
-    onJob: (change) => {
-      if (change.type !== 'restored' || heldEpoch === undefined) {
-        held?.onJob(change);
+    onView: (view) => scheduler?.setWorkers(view.workers),
+    onJobChange: (change) => {
+      if (change.type !== 'restored' || schedulerEpoch === undefined) {
+        scheduler?.onJob(change);
         return;
       }
-      // The books were kept record by record; after a jump they are made
-      // anew from the jobs and from what the workers tell.
-      const epoch = heldEpoch;
-      void shut();
-      open(epoch);
+      // The scheduler tracks tasks record by record. After a restore it is
+      // replaced by a new one, built from the jobs and the workers' reports.
+      const epoch = schedulerEpoch;
+      void closeScheduler();
+      openScheduler(epoch);
     },
-    onTeams: setTeams,
+    onTeamsChange: setTeams,
     close: () => {
-      closed = true;
-      return shut();
+      isClosed = true;
+      return closeScheduler();
     },
   };
 }
 
-function deadlineOf(
+function claimDeadlineOf(
   state: membership.domainClaim.ClaimState,
   epoch: number,
 ): types.clock.MonotonicMs | undefined {
--- a/packages/gypsumwall-entry/src/domain_scheduler.ts
+++ b/packages/gypsumwall-entry/src/domain_scheduler.ts
@@ -1,7 +1,7 @@
 /**
  * Places the tasks of one failure domain while this entry holds its claim.
- * One scheduler lives for one epoch; what it needs to know it takes from the
- * jobs in the log and from the workers themselves.
+ * Each epoch has a scheduler of its own, which builds its state from the jobs
+ * in the log and from the workers' reports.
  */
 import type * as placement from '@gypsumwall/placement';
 import type * as platform from '@gypsumwall/platform';
@@ -9,12 +9,12 @@
 import * as types from '@gypsumwall/types';
 import * as recoveryGate from './recovery_gate.js';
 import type * as schedulerOptions from './scheduler_options.js';
-import * as taskBooks from './task_books.js';
-import * as taskEnds from './task_ends.js';
+import * as taskTracker from './task_tracker.js';
+import * as taskEndHandler from './task_end_handler.js';
 import * as workerPool from './worker_pool.js';
 import type * as workerSession from './worker_session.js';
 
-/** State for `status`. */
+/** State that `/v1/status` returns as JSON; the field names must stay. */
 export interface SchedulerStatus {
   readonly epoch: number;
   readonly recovered: boolean;
@@ -26,29 +26,32 @@
 
 /** The scheduler of a domain. */
 export interface DomainScheduler {
-  /** Workers as the list shows them now. */
+  /** Sets the workers that are on the instance list. */
   setWorkers(listed: readonly platform.instanceList.ListedWorker[]): void;
   setTeam(team: placement.placer.PlacerTeam): void;
   onJob(change: records.jobFold.JobChange): void;
+  /** Number of the job's tasks that are active on workers. */
   running(jobId: types.ids.JobId): number;
-  /** Runs of its tasks that failed while this entry has held the domain. */
-  failures(jobId: types.ids.JobId): number;
+  /** Attempts of the job's tasks that failed in this epoch. */
+  failedAttempts(jobId: types.ids.JobId): number;
+  /** Why the job waits, as text for its owner. */
   explain(jobId: types.ids.JobId): string;
+  /** Returns a refusal if the job can't be accepted now. */
   admit(spec: types.job.JobSpec): placement.placer.PlacementRefusal | undefined;
   status(): SchedulerStatus;
   /**
-   * Ends all sessions; tasks go on under their leases. Resolves when no start
-   * is on its way any more: only then may the claim be given up.
+   * Closes all worker sessions; tasks keep running under their leases.
+   * Resolves once no start is in flight: only then may the claim be released.
    */
   close(): Promise<void>;
 }
 
-/** Decisions of one round; more wait for the next turn of the event loop. */
-const ROUND_LIMIT = 500;
-/** A round is due at least this often, for deadlines and quarantines. */
-const ROUND_EVERY_MS = 200;
+/** Beyond this limit, the cycle continues in the next event loop turn. */
+const MAX_DECISIONS_PER_CYCLE = 500;
+/** Cycles run at least this often, so that deadlines and quarantines apply. */
+const CYCLE_INTERVAL_MS = 200;
 
-/** Makes the scheduler of an epoch and starts its loops. */
+/** Creates the scheduler of an epoch and starts its loops. */
 export function createDomainScheduler(
   options: schedulerOptions.DomainSchedulerOptions,
 ): DomainScheduler {
@@ -56,66 +59,66 @@
   const logger = options.logger.with({epoch});
   const heldSince = clock.monotonic();
   const closing = new AbortController();
-  /** Attached at some time in this epoch: older holders are fenced there. */
-  const fenced = new Set<types.ids.WorkerId>();
+  /** Workers attached at some time in this epoch; they refuse older holders. */
+  const fencedWorkers = new Set<types.ids.WorkerId>();
   const capacities = new Map<types.ids.WorkerId, types.resources.Resources>();
-  const books = taskBooks.createTaskBooks(options, scheduleRound);
-  const {tasks} = books;
+  const tracker = taskTracker.createTaskTracker(options, requestCycle);
+  const {tasks} = tracker;
   const pool = workerPool.createWorkerPool({
     scheduler: {...options, logger},
-    runsOnce: (taskId) => books.runsOnce(taskId),
-    eventsOf,
-    onClosed: (id) => {
+    mustRunOnce: (taskId) => tracker.mustRunOnce(taskId),
+    sessionEventsOf,
+    onUnschedulable: (id) => {
       placer.closeWorker(id);
       evacuate(id);
     },
-    onReopened: openWorker,
-    onForgotten: (id) => {
+    onSchedulable: updatePlacerWorker,
+    onRemoved: (id) => {
       capacities.delete(id);
       placer.removeWorker(id);
     },
-    hasTasks: (id) => tasks.at(id).length > 0,
+    hasTasks: (id) => tasks.onWorker(id).length > 0,
     signal: closing.signal,
   });
-  const onTaskEnd = taskEnds.createTaskEnds({
+  const onTaskEnd = taskEndHandler.createTaskEndHandler({
     clock,
     append: options.append,
-    books,
+    tracker,
     heldSince,
     acknowledge: (id, attempt) => pool.session(id)?.acknowledge(attempt),
   });
-  let recovered = false;
-  let roundDue = false;
+  let isRecovered = false;
+  let isCycleRequested = false;
 
-  function scheduleRound(): void {
-    if (roundDue || closing.signal.aborted) return;
-    roundDue = true;
+  function requestCycle(): void {
+    if (isCycleRequested || closing.signal.aborted) return;
+    isCycleRequested = true;
     setImmediate(() => {
-      roundDue = false;
-      if (!closing.signal.aborted) round();
+      isCycleRequested = false;
+      if (!closing.signal.aborted) runCycle();
     });
   }
 
-  function round(): void {
-    if (!recovered) openGateWhenSafe();
+  function runCycle(): void {
+    if (!isRecovered) openGateWhenSafe();
     const deadline = options.claimDeadline();
     if (deadline === undefined || deadline <= clock.monotonic()) return;
     const startedAt = clock.monotonic();
-    const decisions = placer.decide(clock.wall(), ROUND_LIMIT);
-    const decided = decisions.placements.length;
-    if (decided > 0) {
-      const tookMs = clock.monotonic() - startedAt;
-      options.metrics.observe('placementTime', tookMs / decided);
+    const decisions = placer.decide(clock.wall(), MAX_DECISIONS_PER_CYCLE);
+    const decidedCount = decisions.placements.length;
+    if (decidedCount > 0) {
+      const decisionMs = clock.monotonic() - startedAt;
+      options.metrics.observe('placementTime', decisionMs / decidedCount);
     }
     decisions.placements.forEach(startTask);
-    decisions.reliefs.forEach(relieve);
+    decisions.reliefs.forEach(applyRelief);
     placer.takeGivenUp().forEach(giveUpJob);
-    if (decided >= ROUND_LIMIT) scheduleRound();
+    if (decidedCount >= MAX_DECISIONS_PER_CYCLE) requestCycle();
   }
 
   function startTask(decided: placement.placer.Placement): void {
     const {taskId, size} = decided;
-    const job = books.jobOf(taskId);
+    const job = tracker.jobOf(taskId);
     const session = pool.session(decided.workerId);
     if (job === undefined || session === undefined) {
       placer.release(taskId, {type: 'not_started'});
@@ -126,20 +129,20 @@
     const waitMs = clock.wall() - job.acceptedAt;
     options.metrics.observe('taskWait', waitMs, {urgency});
     const startedAt = clock.monotonic();
-    tasks.put({...decided, attempt, phase: 'starting', startedAt});
+    tasks.add({...decided, attempt, phase: 'starting', startedAt});
     session.start({
       taskId,
       attempt,
       size,
       work,
       traceparent: job.traceparent,
-      leaseMs: books.runsOnce(taskId)
+      leaseMs: tracker.mustRunOnce(taskId)
         ? spans.taskLeaseMs
         : spans.serviceLeaseMs,
     });
   }
 
-  function relieve(relief: placement.placer.Relief): void {
+  function applyRelief(relief: placement.placer.Relief): void {
     const task = tasks.get(relief.taskId);
     const session = task && pool.session(task.workerId);
     if (task === undefined || session === undefined) return;
@@ -153,16 +156,16 @@
     }
   }
 
-  function giveUpJob(given: {
+  function giveUpJob(failure: {
     readonly jobId: types.ids.JobId;
     readonly message: string;
   }): void {
-    logger.warn('job_given_up', {job: given.jobId, reason: given.message});
-    void options.append({type: 'job_given_up', ...given});
+    logger.warn('job_given_up', {job: failure.jobId, reason: failure.message});
+    void options.append({type: 'job_given_up', ...failure});
   }
 
   function openGateWhenSafe(): void {
-    recovered = recoveryGate.isOpen({
+    isRecovered = recoveryGate.isOpen({
       now: clock.monotonic(),
       hadPredecessor: options.hadPredecessor,
       heldSince,
@@ -170,59 +173,60 @@
       graceMs: spans.leaseGraceMs,
       listLagMs: spans.listLagMs,
       recent: options.recentWorkers,
-      fenced,
+      fenced: fencedWorkers,
     });
-    if (!recovered) return;
+    if (!isRecovered) return;
     logger.info('domain_recovered', {
       after_ms: Math.round(clock.monotonic() - heldSince),
       active: tasks.size(),
-      gated_jobs: books.gatedJobs(),
+      gated_jobs: tracker.gatedJobCount(),
     });
-    books.openGate();
+    tracker.releaseGatedJobs();
   }
 
-  /** Takes over a task that runs, or stops it if nobody wants it there. */
-  function adopt(
+  /** Tracks a task that a worker reports as running, or stops it. */
+  function reconcileRunningTask(
     workerId: types.ids.WorkerId,
     running: platform.worker.RunningTask,
   ): void {
-    const known = tasks.get(running.taskId);
-    if (known?.attempt === running.attempt) {
-      // A cancelled task that is being stopped stays so.
-      if (known.phase === 'starting') known.phase = 'running';
+    const tracked = tasks.get(running.taskId);
+    if (tracked?.attempt === running.attempt) {
+      // The phase `stopping` of a cancelled task must not change back.
+      if (tracked.phase === 'starting') tracked.phase = 'running';
       return;
     }
-    const job = books.jobOf(running.taskId);
-    const isWanted = known === undefined && books.isWanted(running.taskId);
-    if (job === undefined || !isWanted) {
+    const job = tracker.jobOf(running.taskId);
+    const isNeeded = tracked === undefined && tracker.isNeeded(running.taskId);
+    if (job === undefined || !isNeeded) {
       pool.session(workerId)?.stop(running);
       return;
     }
-    books.hold(running, workerId, job, clock.monotonic());
+    tracker.track(running, workerId, job, clock.monotonic());
   }
 
   function onAttached(
     id: types.ids.WorkerId,
     answer: platform.worker.Attached,
   ): void {
-    fenced.add(id);
+    fencedWorkers.add(id);
     capacities.set(id, answer.capacity);
-    const told = new Set([
+    const reportedAttempts = new Set([
       ...answer.running.map((task) => task.attempt),
       ...answer.finished.map((task) => task.attempt),
     ]);
-    for (const task of tasks.at(id)) {
-      // Starts under way are settled by their own answer.
-      if (task.phase === 'starting' || told.has(task.attempt)) continue;
-      books.release(task, {type: 'stopped'});
+    for (const task of tasks.onWorker(id)) {
+      // The answer to the start call settles starts in flight.
+      if (task.phase === 'starting' || reportedAttempts.has(task.attempt))
+        continue;
+      tracker.release(task, {type: 'stopped'});
     }
-    openWorker(id);
-    answer.running.forEach((task) => adopt(id, task));
+    updatePlacerWorker(id);
+    answer.running.forEach((task) => reconcileRunningTask(id, task));
     if (pool.listed(id)?.state === 'leaving') evacuate(id);
-    scheduleRound();
+    requestCycle();
   }
 
-  function openWorker(id: types.ids.WorkerId): void {
+  function updatePlacerWorker(id: types.ids.WorkerId): void {
     const listed = pool.listed(id);
     const capacity = capacities.get(id);
     if (listed === undefined || capacity === undefined) return;
@@ -231,102 +235,105 @@
   }
 
   /**
-   * A worker that leaves takes its tasks with it when it goes. Those that can
-   * go on elsewhere save their progress and move now; a gang would have to
-   * move whole and is left to end.
+   * Moves tasks off a worker that is leaving, before it goes and they are
+   * lost: a checkpoint saves their progress for the next attempt. Gang tasks
+   * stay until they end, because a gang can only move as a whole.
    */
   function evacuate(id: types.ids.WorkerId): void {
     const session = pool.session(id);
     if (session?.isAttached() !== true) return;
-    for (const task of tasks.at(id)) {
-      const kind = books.jobOf(task.taskId)?.spec.shape.kind;
+    for (const task of tasks.onWorker(id)) {
+      const kind = tracker.jobOf(task.taskId)?.spec.shape.kind;
       if (task.phase !== 'running' || kind === 'gang') continue;
       session.checkpoint(task.attempt);
     }
   }
 
-  function eventsOf(id: types.ids.WorkerId): workerSession.SessionEvents {
+  function sessionEventsOf(
+    id: types.ids.WorkerId,
+  ): workerSession.SessionEvents {
     return {
       attached: (answer) => onAttached(id, answer),
       started: (order) => {
-        const task = tasks.attempt(order.taskId, order.attempt);
+        const task = tasks.getAttempt(order.taskId, order.attempt);
         if (task?.phase === 'starting') task.phase = 'running';
       },
       notStarted: (order, message) => {
         logger.info('task_not_started', {task: order.taskId, reason: message});
-        const task = tasks.attempt(order.taskId, order.attempt);
-        if (task !== undefined) books.release(task, {type: 'not_started'});
+        const task = tasks.getAttempt(order.taskId, order.attempt);
+        if (task !== undefined) tracker.release(task, {type: 'not_started'});
       },
       ended: (ended) => onTaskEnd(id, ended),
       stopped: (stopped) => {
-        const task = tasks.attempt(stopped.taskId, stopped.attempt);
-        if (task !== undefined) books.release(task, {type: 'stopped'});
+        const task = tasks.getAttempt(stopped.taskId, stopped.attempt);
+        if (task !== undefined) tracker.release(task, {type: 'stopped'});
       },
       usage: (usage) => {
         for (const {taskId, used} of usage) placer.reportUsage(taskId, used);
       },
       silent: () => placer.closeWorker(id),
       lapsed: () => {
-        for (const task of tasks.at(id)) books.release(task, {type: 'stopped'});
-        pool.forgetIfGone(id);
+        for (const task of tasks.onWorker(id))
+          tracker.release(task, {type: 'stopped'});
+        pool.removeIfUnlisted(id);
       },
     };
   }
 
   function stopTasksOf(job: records.jobFold.JobState): void {
-    for (const task of tasks.of(job.jobId)) {
+    for (const task of tasks.ofJob(job.jobId)) {
       if (task.phase === 'recording') continue;
       task.phase = 'stopping';
       pool.session(task.workerId)?.stop(task);
     }
   }
 
-  function onJob(change: records.jobFold.JobChange): void {
+  function handleJobChange(change: records.jobFold.JobChange): void {
     switch (change.type) {
       case 'accepted':
-        books.enqueueJob(change.job);
+        tracker.enqueueJob(change.job);
         return;
       case 'closed':
-        books.closeJob(change.job);
+        tracker.dropJob(change.job);
         stopTasksOf(change.job);
         return;
       case 'restored':
-        // The holder makes a new scheduler; see `domain_holder.ts`.
+        // The domain holder replaces this scheduler; see `domain_holder.ts`.
         return;
     }
   }
 
-  async function tick(): Promise<void> {
+  async function requestCyclesPeriodically(): Promise<void> {
     while (!closing.signal.aborted) {
-      scheduleRound();
-      const next = types.clock.after(clock.monotonic(), ROUND_EVERY_MS);
+      requestCycle();
+      const next = types.clock.after(clock.monotonic(), CYCLE_INTERVAL_MS);
       await clock.sleepUntil(next, closing.signal);
     }
   }
-  void tick();
+  void requestCyclesPeriodically();
 
   return {
     setWorkers: (listed) => {
       pool.setListed(listed);
-      scheduleRound();
+      requestCycle();
     },
     setTeam: (team) => placer.setTeam(team),
-    onJob,
-    running: (jobId) => tasks.of(jobId).length,
-    failures: (jobId) => books.failures(jobId),
+    onJob: handleJobChange,
+    running: (jobId) => tasks.ofJob(jobId).length,
+    failedAttempts: (jobId) => tracker.failedAttempts(jobId),
     explain: (jobId) => placer.explain(jobId),
     admit: (spec) => placer.admit(spec, clock.wall()),
     status: () => ({
       epoch,
-      recovered,
+      recovered: isRecovered,
       workers: pool.size(),
-      attachedWorkers: pool.attached(),
+      attachedWorkers: pool.attachedCount(),
       activeTasks: tasks.size(),
       waitingTasks: placer.waitingTasks(),
     }),
     close: () => {
       closing.abort();
-      return pool.ended();
+      return pool.sessionsEnded();
     },
   };
 }
--- a/packages/gypsumwall-entry/src/entry_stop.ts
+++ b/packages/gypsumwall-entry/src/entry_stop.ts
@@ -1,4 +1,7 @@
-/** How an entry ends: a planned stop that cuts nothing off, or at once. */
+/**
+ * Stops an entry: either a planned stop, which lets calls in flight finish, or
+ * an immediate one.
+ */
 import type * as fastify from 'fastify';
 import type * as membership from '@gypsumwall/membership';
 import type * as routing from '@gypsumwall/routing';
@@ -8,7 +11,7 @@
 import type * as domainHolder from './domain_holder.js';
 import type * as entryClients from './entry_clients.js';
 
-/** What is stopped. */
+/** Dependencies of `createEntryStop`. */
 export interface EntryStopOptions {
   readonly settings: settings.entrySettings.EntrySettings;
   readonly clock: types.clock.Clock;
@@ -19,24 +22,24 @@
   readonly app: fastify.FastifyInstance;
   readonly peerServer: membership.peerServer.PeerServer;
   readonly peerClients: membership.peerClients.PeerClients;
-  readonly outside: entryClients.EntryClients;
+  readonly externalClients: entryClients.EntryClients;
   readonly tracer: telemetry.tracing.Tracer;
   readonly metrics: telemetry.metrics.Metrics;
-  /** Ends the entry's loops. */
+  /** Stops the entry's loops. */
   readonly closing: AbortController;
-  /** Not ready to the balancer from now on. */
+  /** Called when the stop begins; readiness must fail from then on. */
   readonly onLeaving: () => void;
 }
 
-/** Both ways to end; the first call of each decides. */
+/** Both ways to stop; repeated calls return the first call's promise. */
 export interface EntryStop {
   drain(): Promise<void>;
   close(): Promise<void>;
 }
 
-const PEER_CLOSE_MS = 1_000;
+const PEER_CLOSE_TIMEOUT_MS = 1_000;
 
-/** Makes the stop of an entry that runs. */
+/** Creates the stop functions of a running entry. */
 export function createEntryStop(options: EntryStopOptions): EntryStop {
   const {clock, logger, app, router, closing} = options;
   const cfg = options.settings;
@@ -49,9 +52,12 @@
     const deadline = types.clock.after(clock.monotonic(), cfg.drainTimeoutMs);
     await options.holder.close();
     await options.claim.release();
-    // Until the balancer has seen it, calls still come: they are handed over.
-    const noticed = types.clock.after(clock.monotonic(), cfg.drainNoticeMs);
-    await clock.sleepUntil(noticed, closing.signal);
+    // Calls arrive until the balancer notices; they are forwarded to peers.
+    const noticeEndsAt = types.clock.after(
+      clock.monotonic(),
+      cfg.drainNoticeMs,
+    );
+    await clock.sleepUntil(noticeEndsAt, closing.signal);
     const timer = new AbortController();
     await Promise.race([
       router.drain().then(() => app.close()),
@@ -72,13 +78,13 @@
     options.onLeaving();
     closing.abort();
     void options.holder.close();
-    // After a drain nothing is left; past its deadline, waiting has an end.
+    // After a drain no calls are left; past its deadline, the rest is cut off.
     app.server.closeAllConnections();
     await app.close();
     await router.close();
-    await options.peerServer.close(PEER_CLOSE_MS);
+    await options.peerServer.close(PEER_CLOSE_TIMEOUT_MS);
     options.peerClients.close();
-    await options.outside.close();
+    await options.externalClients.close();
     await options.tracer.close();
     await options.metrics.close();
   }
--- a/packages/gypsumwall-entry/src/forward_call.ts
+++ b/packages/gypsumwall-entry/src/forward_call.ts
@@ -1,14 +1,14 @@
-/** Chooses a peer for a call that this entry should not answer itself. */
+/** Forwards calls to peers that should answer them instead of this entry. */
 import type * as fastify from 'fastify';
 import * as types from '@gypsumwall/types';
 import type * as entryContext from './entry_context.js';
 import * as forwarder from './forwarder.js';
 import * as problem from './problem.js';
 
-/** Addresses of peers to try, the best first. */
+/** Addresses of peers to try, in order. */
 export type PeerChoice = readonly string[];
 
-/** Living entries of another failure domain. */
+/** Addresses of a failure domain's entries, without silent ones. */
 export function peersOfDomain(
   context: entryContext.EntryContext,
   domain: types.ids.FailureDomain,
@@ -20,7 +20,7 @@
     .map((peer) => peer.address);
 }
 
-/** The holder of this domain, unless it is this entry or unknown. */
+/** Address of this domain's holder; empty if it is this entry or unknown. */
 export function holderOfDomain(context: entryContext.EntryContext): PeerChoice {
   const claim = context.claim();
   if (claim.type !== 'held_by_other') return [];
@@ -31,7 +31,7 @@
     .map((peer) => peer.address);
 }
 
-/** Whether this call may be handed on once more. */
+/** Whether the call may be forwarded once more. */
 export function mayForward(
   context: entryContext.EntryContext,
   req: fastify.FastifyRequest,
@@ -39,21 +39,21 @@
   return context.forwardMark.read(req.headers).length < forwarder.MAX_HOPS;
 }
 
-/** What became of handing a call on. */
-export type Handed =
-  /** A peer's answer was passed on to the caller. */
+/** Result of forwarding a call. */
+export type ForwardResult =
+  /** A peer's answer was sent to the caller. */
   | {readonly type: 'answered'; readonly reply: fastify.FastifyReply}
-  /** No peer has had it. */
+  /** No peer has received the call. */
   | {readonly type: 'not_taken'}
-  /** A peer may have done it, but its answer is lost. */
+  /** A peer may have served the call, but its answer was lost. */
   | {readonly type: 'in_doubt'; readonly detail: string};
 
-/** A call that no peer was asked to take. */
-export const NOT_TAKEN: Handed = {type: 'not_taken'};
+/** Result for a call that was not sent to any peer. */
+export const NOT_FORWARDED: ForwardResult = {type: 'not_taken'};
 
 /**
- * Hands the call to the first peer that answers. Once a peer may have taken
- * it, no other one is tried, unless the call is idempotent.
+ * Forwards the call to the peers in order until one answers. After a peer that
+ * may have served it, further peers are tried only if the call is idempotent.
  */
 export async function forwardCall(
   context: entryContext.EntryContext,
@@ -65,19 +65,19 @@
     readonly idempotent: boolean;
     readonly extraHeaders?: Readonly<Record<string, string>>;
   },
-): Promise<Handed> {
+): Promise<ForwardResult> {
   const via = [...context.forwardMark.read(req.headers), context.self];
   const call: forwarder.ForwardedCall = {
     method: req.method,
     path: req.url,
     headers: {
-      ...forwarder.carriedHeaders(req.headers),
+      ...forwarder.forwardedHeaders(req.headers),
       ...options.extraHeaders,
     },
-    body: rawBody(req),
+    body: bodyBytesOf(req),
     via,
   };
-  let handed = NOT_TAKEN;
+  let forwarded = NOT_FORWARDED;
   for (const address of options.peers) {
     const answer = await context.sendToPeer(address, call, options.deadline);
     if (answer.isOk) {
@@ -92,36 +92,39 @@
       reason: error.message,
     });
     if (error.effect === 'unknown') {
-      handed = {type: 'in_doubt', detail: types.stepError.describeError(error)};
-      if (!options.idempotent) return handed;
+      forwarded = {
+        type: 'in_doubt',
+        detail: types.stepError.describeError(error),
+      };
+      if (!options.idempotent) return forwarded;
     }
   }
-  return handed;
+  return forwarded;
 }
 
 /**
- * Tells the caller of a call that no peer has answered.
+ * Sends the failure of a call that no peer has answered.
  *
- * Failure: a peer takes the call and its answer is lost; this entry then
- * finds itself unable to serve the call. Symptom: the caller is told `not_run`
- * of work that ran. After a lost answer only `unknown` is true.
+ * Failure: a peer serves the call but its answer is lost, and this entry then
+ * can't serve the call itself. Symptom: the caller gets `not_run` for work
+ * that ran. After a lost answer, `unknown` is the only correct outcome.
  */
-export function sendAfter(
-  handed: Handed,
+export function sendForwardFailure(
+  forwarded: ForwardResult,
   res: fastify.FastifyReply,
-  told: problem.Problem,
+  failure: problem.Problem,
 ): fastify.FastifyReply {
-  switch (handed.type) {
+  switch (forwarded.type) {
     case 'answered':
-      return handed.reply;
+      return forwarded.reply;
     case 'not_taken':
-      return problem.send(res, told);
+      return problem.send(res, failure);
     case 'in_doubt':
-      return problem.send(res, problem.unknownOutcome(handed.detail));
+      return problem.send(res, problem.unknownOutcome(forwarded.detail));
   }
 }
 
-function rawBody(req: fastify.FastifyRequest): Uint8Array {
+function bodyBytesOf(req: fastify.FastifyRequest): Uint8Array {
   if (req.body === undefined || req.body === null) return new Uint8Array();
   if (Buffer.isBuffer(req.body)) return req.body;
   return Buffer.from(JSON.stringify(req.body));
--- a/packages/gypsumwall-entry/src/job_service.ts
+++ b/packages/gypsumwall-entry/src/job_service.ts
@@ -1,7 +1,7 @@
 /**
  * Accepts, shows and cancels the jobs whose home is this entry's failure
- * domain. A job is accepted once its record stands in the log; any entry of
- * the domain can do that, the domain's holder then places it.
+ * domain. A job is accepted once its record is in the log. Any entry of the
+ * domain can accept a job; the domain's holder then places its tasks.
  */
 import * as crypto from 'node:crypto';
 import * as result from 'true-myth/result';
@@ -13,7 +13,7 @@
 import * as logProblem from './log_problem.js';
 import * as problem from './problem.js';
 
-/** What the service needs. */
+/** Options of `createJobService`. */
 export interface JobServiceOptions {
   readonly failureDomain: types.ids.FailureDomain;
   readonly clock: types.clock.Clock;
@@ -22,14 +22,14 @@
   readonly appender: records.logAppender.LogAppender;
   /** The scheduler, while this entry holds the domain. */
   readonly scheduler: () => domainScheduler.DomainScheduler | undefined;
-  /** For jobs whose home is another failure domain. */
+  /** Used to submit jobs whose home is another failure domain. */
   readonly log: platform.platformLog.PlatformLog;
   readonly self: types.ids.EntryId;
 }
 
 type Answer<Value> = Promise<result.Result<Value, problem.Problem>>;
 
-/** The jobs of this domain. */
+/** Job calls of one failure domain. */
 export interface JobService {
   submit(
     spec: types.job.JobSpec,
@@ -38,11 +38,11 @@
     traceparent?: string,
   ): Answer<types.ids.JobId>;
   /**
-   * Appends the job to the stream of its home, no entry of which can be
-   * reached. What the home knows of the key is not seen from here: a key that
-   * stands for another job already keeps to that one.
+   * Appends the job directly to the stream of its home, for use when none of
+   * the home's entries is reachable. This entry can't see which keys the home
+   * has accepted: if the key already belongs to a job, that job remains.
    */
-  submitElsewhere(
+  submitToHome(
     home: types.ids.FailureDomain,
     spec: types.job.JobSpec,
     key: types.ids.IdempotencyKey,
@@ -60,7 +60,7 @@
   ): Answer<void>;
 }
 
-/** Makes the service. */
+/** Creates the service. */
 export function createJobService(options: JobServiceOptions): JobService {
   const {jobs, clock, appender, follower} = options;
 
@@ -70,7 +70,7 @@
   ): Answer<number> {
     const outage = appender.outage();
     if (outage !== undefined)
-      return result.err(logProblem.logDown(outage.retryAfterMs));
+      return result.err(logProblem.logUnavailable(outage.retryAfterMs));
     const appended = await appender.append(
       records.envelope.encodeRecord(record),
       deadline,
@@ -80,7 +80,9 @@
     const {offset} = appended.value;
     if (!(await follower.waitFor(offset, deadline))) {
       return result.err(
-        problem.unknownOutcome('the log took it, but can not be read back'),
+        problem.unknownOutcome(
+          'the record is in the log, but could not be read back',
+        ),
       );
     }
     return result.ok(offset);
@@ -88,8 +90,8 @@
 
   return {
     submit: async (spec, key, deadline, traceparent) => {
-      const before = jobs.byKey(spec.team, key);
-      if (before !== undefined) return sameJob(before, spec);
+      const existing = jobs.byKey(spec.team, key);
+      if (existing !== undefined) return checkSameJob(existing, spec);
       const refusal = options.scheduler()?.admit(spec);
       if (refusal !== undefined) {
         return result.err(
@@ -114,20 +116,22 @@
       if (appended.isErr) return result.err(appended.error);
       const accepted = jobs.byKey(spec.team, key);
       if (accepted === undefined) {
-        return result.err(problem.unknownOutcome('the record was not taken'));
+        return result.err(
+          problem.unknownOutcome('the record was read back, but not applied'),
+        );
       }
-      return sameJob(accepted, spec);
+      return checkSameJob(accepted, spec);
     },
-    submitElsewhere: async (home, spec, key, traceparent) => {
+    submitToHome: async (home, spec, key, traceparent) => {
       const outage = appender.outage();
       if (outage !== undefined)
-        return result.err(logProblem.logDown(outage.retryAfterMs));
+        return result.err(logProblem.logUnavailable(outage.retryAfterMs));
       const suffix = chooseHome.suffixOfKey(spec.team, key);
       const jobId = types.ids.makeJobId(home, suffix);
       const appended = await options.log.append({
         stream: records.domainRecords.streamOf(home),
-        // A producer of its own: in one count, two appends under way at once
-        // could pass each other, and the earlier one would be void.
+        // Each append has a producer id of its own. If concurrent appends
+        // shared one, the later could overtake the earlier and make it void.
         producer: `${options.self}-${crypto.randomUUID()}`,
         sequence: 0,
         bodies: [
@@ -147,15 +151,15 @@
     },
     view: (team, jobId) => {
       const job = jobs.job(jobId);
-      // Another team's job is as good as none: not even its being is told.
+      // Callers must not learn that another team's job exists.
       if (job?.spec.team !== team) return undefined;
-      return viewOf(job, options.scheduler());
+      return toJobView(job, options.scheduler());
     },
     list: (team, limit) =>
       [...jobs.jobs()]
         .filter((job) => job.spec.team === team)
         .slice(-limit)
-        .map((job) => viewOf(job, options.scheduler())),
+        .map((job) => toJobView(job, options.scheduler())),
     cancel: async (team, jobId, deadline) => {
       const job = jobs.job(jobId);
       if (job?.spec.team !== team) {
@@ -168,8 +172,8 @@
   };
 }
 
-/** A key stands for one job; another body under it is the caller's mistake. */
-function sameJob(
+/** Returns the job's id, or a refusal if the key was used for another spec. */
+function checkSameJob(
   job: records.jobFold.JobState,
   spec: types.job.JobSpec,
 ): result.Result<types.ids.JobId, problem.Problem> {
@@ -179,18 +183,18 @@
   return result.err(
     problem.notRun(
       'key_in_use',
-      `idempotency-key "${job.key}" already stands for job "${job.jobId}" ` +
+      `idempotency-key "${job.key}" was already used for job "${job.jobId}" ` +
         'with another body: use a new key for a new job',
     ),
   );
 }
 
-function viewOf(
+function toJobView(
   job: records.jobFold.JobState,
   scheduler: domainScheduler.DomainScheduler | undefined,
 ): types.job.JobView {
   const running = scheduler?.running(job.jobId) ?? 0;
-  const closedWell = job.phase.type === 'done';
+  const isDone = job.phase.type === 'done';
   return {
     jobId: job.jobId,
     team: job.spec.team,
@@ -198,10 +202,10 @@
     kind: job.spec.shape.kind,
     tasks: types.job.taskCount(job.spec.shape),
     finished: job.results.size,
-    failed: scheduler?.failures(job.jobId) ?? 0,
+    failed: scheduler?.failedAttempts(job.jobId) ?? 0,
     running,
     message: messageOf(job, scheduler),
-    results: closedWell
+    results: isDone
       ? [...job.results].sort(([a], [b]) => a - b).map(([, text]) => text)
       : [],
   };
--- a/packages/gypsumwall-entry/src/once_request.ts
+++ b/packages/gypsumwall-entry/src/once_request.ts
@@ -1,9 +1,9 @@
 /**
- * Runs a request that may not be repeated: at most one attempt, ever, for a
- * team's key. The log decides: an intent is appended first, and only the
- * entry whose intent is the key's first in log order sends anything. An entry
- * that dies in between leaves an intent without an outcome, and the key's
- * answer is then `unknown`, never a second run.
+ * Runs a request that may not be repeated: at most one attempt, ever, per team
+ * and idempotency key. Each entry first appends an intent to the log, and only
+ * the entry whose intent is the key's first in log order sends the request. If
+ * that entry crashes, its intent stays without an outcome: further calls with
+ * the key get `unknown`, never a second attempt.
  */
 import * as result from 'true-myth/result';
 import * as records from '@gypsumwall/records';
@@ -14,7 +14,7 @@
 import * as problem from './problem.js';
 import * as wholeAnswer from './whole_answer.js';
 
-/** What is needed to run such a request. */
+/** Options of `createOnceRequest`. */
 export interface OnceRequestOptions {
   readonly self: types.ids.EntryId;
   readonly clock: types.clock.Clock;
@@ -24,24 +24,24 @@
   readonly router: routing.router.Router;
 }
 
-/** A request with its key. */
+/** A request with its idempotency key. */
 export type KeyedRequest = routing.router.RoutedRequest & {
   readonly key: types.ids.IdempotencyKey;
 };
 
-/** Time kept back to record the outcome, in milliseconds. */
-const RECORD_MS = 10_000;
-/** Time that a caller's answer waits for the record of its outcome. */
-const RECORD_PATIENCE_MS = 200;
-/** Added to the window, so that an outcome on its way still counts. */
+/** Deadline for the append of an outcome. */
+const OUTCOME_APPEND_TIMEOUT_MS = 10_000;
+/** Longest time that an answer is delayed until its outcome is recorded. */
+const OUTCOME_WAIT_MS = 200;
+/** Added to the window, so that an outcome whose append is in flight counts. */
 const WINDOW_SLACK_MS = 5_000;
-const COME_BACK_MS = 1_000;
-/** Bytes of the largest answer that is kept for a repeated call. */
-const LARGEST_KEPT_ANSWER = 64 * 1024;
+const RETRY_AFTER_MS = 1_000;
+/** Larger answers are not stored for repeated calls. */
+const MAX_STORED_ANSWER_BYTES = 64 * 1024;
 
 type Answer = Promise<result.Result<wholeAnswer.WholeAnswer, problem.Problem>>;
 
-/** Makes the function that runs such requests. */
+/** Creates the function that runs such requests. */
 export function createOnceRequest(
   options: OnceRequestOptions,
 ): (req: KeyedRequest) => Answer {
@@ -51,15 +51,19 @@
     const known = requests.key(req.team, req.key);
     const bodyHash = authenticate.sha256(req.body);
     if (known !== undefined && known.outcome?.outcome.type !== 'not_run') {
-      return answerOfOther(req, bodyHash);
+      return answerOfFirstIntent(req, bodyHash);
     }
     const intent = await appendIntent(req, bodyHash);
     if (intent.isErr) return result.err(intent.error);
-    const first = requests.key(req.team, req.key);
-    if (first?.offset !== intent.value) return answerOfOther(req, bodyHash);
-    // Waiting for the log took time, and a paused process wakes up late.
+    const current = requests.key(req.team, req.key);
+    if (current?.offset !== intent.value)
+      return answerOfFirstIntent(req, bodyHash);
+    // The wait for the log or a pause of this process may have taken too long.
     if (clock.monotonic() >= req.deadline) {
-      const late = notRun('deadline_passed', 'the log took too long');
+      const late = notRun(
+        'deadline_passed',
+        'the request was not recorded in time',
+      );
       await appendOutcome(req, late);
       return result.err(problem.ofOutcome(late));
     }
@@ -72,9 +76,9 @@
   ): Promise<result.Result<number, problem.Problem>> {
     const outage = appender.outage();
     if (outage !== undefined) {
-      return result.err(logProblem.logDown(outage.retryAfterMs));
+      return result.err(logProblem.logUnavailable(outage.retryAfterMs));
     }
-    const spanMs = Math.max(0, req.deadline - clock.monotonic());
+    const remainingMs = Math.max(0, req.deadline - clock.monotonic());
     const appended = await appendRecord(
       {
         type: 'intent',
@@ -84,30 +88,33 @@
         entryId: options.self,
         operation: req.operation,
         bodyHash,
-        windowMs: Math.ceil(spanMs) + WINDOW_SLACK_MS,
+        windowMs: Math.ceil(remainingMs) + WINDOW_SLACK_MS,
         acceptedAt: clock.wall(),
       },
       req.deadline,
     );
-    // Nothing is sent before the intent is seen to be the first, so whatever
-    // became of the append, this request did not run.
+    // The request is sent only after its intent has been read back as the
+    // first one. So it did not run, whether or not the append took effect.
     if (appended.isErr) {
       const message = types.stepError.describeError(appended.error);
       if (appended.error.effect === 'unknown') void withdraw(req, message);
       return result.err(
-        problem.notRun('log_unavailable', message, COME_BACK_MS),
+        problem.notRun('log_unavailable', message, RETRY_AFTER_MS),
       );
     }
     const {offset} = appended.value;
     if (await follower.waitFor(offset, req.deadline)) return result.ok(offset);
-    const message = 'the log can not be read back';
+    const message = 'the intent could not be read back from the log';
     void withdraw(req, message);
-    return result.err(problem.notRun('log_unavailable', message, COME_BACK_MS));
+    return result.err(
+      problem.notRun('log_unavailable', message, RETRY_AFTER_MS),
+    );
   }
 
   /**
-   * An intent that nobody acts on would hold its key until the window ends
-   * and then read as `unknown`; its withdrawal frees the key for a retry.
+   * Records that the intent will never run, which frees its key for a retry.
+   * Otherwise the key would be blocked until the window ends, and its outcome
+   * would be `unknown` after that.
    */
   function withdraw(req: KeyedRequest, message: string): Promise<void> {
     return appendOutcome(req, notRun('log_unavailable', message));
@@ -119,9 +126,9 @@
       await appendOutcome(req, routed.error);
       return result.err(problem.ofOutcome(routed.error));
     }
-    const whole = await wholeAnswer.collect(routed.value);
+    const whole = await wholeAnswer.readWholeAnswer(routed.value);
     if (whole.isErr) {
-      const unknown = unknownEnd(whole.error);
+      const unknown = unknownOutcome(whole.error);
       await appendOutcome(req, unknown);
       return result.err(problem.ofOutcome(unknown));
     }
@@ -129,19 +136,22 @@
     return result.ok(whole.value);
   }
 
-  /** The answer of the run that the key stands for. */
-  async function answerOfOther(req: KeyedRequest, bodyHash: string): Answer {
-    const other = requests.key(req.team, req.key);
-    if (other === undefined) {
+  /** Waits for the outcome of the key's first intent and returns its answer. */
+  async function answerOfFirstIntent(
+    req: KeyedRequest,
+    bodyHash: string,
+  ): Answer {
+    const keyState = requests.key(req.team, req.key);
+    if (keyState === undefined) {
       return result.err(
         problem.notRun(
           'key_in_use',
           `key "${req.key}" is in use`,
-          COME_BACK_MS,
+          RETRY_AFTER_MS,
         ),
       );
     }
-    if (other.intent.bodyHash !== bodyHash) {
+    if (keyState.intent.bodyHash !== bodyHash) {
       return result.err(
         problem.notRun(
           'key_in_use',
@@ -150,12 +160,12 @@
         ),
       );
     }
-    const until = Math.min(
+    const waitUntil = Math.min(
       req.deadline,
-      other.windowEnds,
+      keyState.windowEnds,
     ) as types.clock.MonotonicMs;
-    await requests.waitForOutcome(req.team, req.key, until);
-    return toldOutcome(requests.key(req.team, req.key));
+    await requests.waitForOutcome(req.team, req.key, waitUntil);
+    return answerFromLog(requests.key(req.team, req.key));
   }
 
   async function appendRecord(
@@ -166,17 +176,21 @@
   }
 
   /**
-   * Records how the run ended. Usually that takes milliseconds and is waited
-   * for, so that a repeated call finds it. A log that is slow or down must not
-   * hold back the caller's answer: the record is then left to itself, and
-   * should it be lost, a repeated call is told `unknown`, which is true.
+   * Records the outcome of the attempt. The append usually takes milliseconds,
+   * and the answer waits for it, so that a repeated call finds the outcome. A
+   * log that is slow or down must not delay the caller's answer: the append
+   * then continues in the background. If it fails, a repeated call gets
+   * `unknown`, which is correct.
    */
   async function appendOutcome(
     req: KeyedRequest,
     outcome: types.outcome.Outcome,
     answer?: wholeAnswer.WholeAnswer,
   ): Promise<void> {
-    const deadline = types.clock.after(clock.monotonic(), RECORD_MS);
+    const deadline = types.clock.after(
+      clock.monotonic(),
+      OUTCOME_APPEND_TIMEOUT_MS,
+    );
     const recorded = appendRecord(
       {
         type: 'outcome',
@@ -184,7 +198,7 @@
         key: req.key,
         requestId: req.requestId,
         outcome,
-        ...(answer === undefined || answer.body.length > LARGEST_KEPT_ANSWER
+        ...(answer === undefined || answer.body.length > MAX_STORED_ANSWER_BYTES
           ? {}
           : {
               answer: Buffer.from(answer.body).toString('base64'),
@@ -193,41 +207,41 @@
       },
       deadline,
     );
-    const patience = new AbortController();
-    const until = types.clock.after(clock.monotonic(), RECORD_PATIENCE_MS);
-    await Promise.race([recorded, clock.sleepUntil(until, patience.signal)]);
-    patience.abort();
+    const timer = new AbortController();
+    const waitUntil = types.clock.after(clock.monotonic(), OUTCOME_WAIT_MS);
+    await Promise.race([recorded, clock.sleepUntil(waitUntil, timer.signal)]);
+    timer.abort();
   }
 
   return runOnce;
 }
 
-const ANSWER_NOT_KEPT =
-  'the request has run once, as its key asks; its answer was too large, or ' +
-  'is too old, to be kept';
+const ANSWER_NOT_STORED =
+  'the request with this key has already run; its answer is not ' +
+  'available, because it was too large or is too old';
 
-function toldOutcome(
+function answerFromLog(
   known: records.requestFold.KeyState | undefined,
 ): result.Result<wholeAnswer.WholeAnswer, problem.Problem> {
-  const told = known?.outcome;
-  if (told === undefined) {
+  const recorded = known?.outcome;
+  if (recorded === undefined) {
     return result.err(
       problem.unknownOutcome(
-        'the one attempt for this key has no recorded end: it may have run',
+        'the only attempt for this key has no recorded end: it may have run',
       ),
     );
   }
-  switch (told.outcome.type) {
+  switch (recorded.outcome.type) {
     case 'done':
-      return told.answer === undefined
-        ? result.err(problem.unknownOutcome(ANSWER_NOT_KEPT))
+      return recorded.answer === undefined
+        ? result.err(problem.unknownOutcome(ANSWER_NOT_STORED))
         : result.ok({
-            contentType: told.contentType ?? 'application/octet-stream',
-            body: Buffer.from(told.answer, 'base64'),
+            contentType: recorded.contentType ?? 'application/octet-stream',
+            body: Buffer.from(recorded.answer, 'base64'),
           });
     case 'not_run':
     case 'unknown':
-      return result.err(problem.ofOutcome(told.outcome));
+      return result.err(problem.ofOutcome(recorded.outcome));
   }
 }
 
@@ -235,10 +249,10 @@
   reason: types.outcome.RefusalReason,
   message: string,
 ): Extract<types.outcome.Outcome, {type: 'not_run'}> {
-  return {type: 'not_run', reason, message, retryAfterMs: COME_BACK_MS};
+  return {type: 'not_run', reason, message, retryAfterMs: RETRY_AFTER_MS};
 }
 
-function unknownEnd(
+function unknownOutcome(
   message: string,
 ): Extract<types.outcome.Outcome, {type: 'unknown'}> {
   return {type: 'unknown', message};
--- a/packages/gypsumwall-entry/src/peer_catch_up.ts
+++ b/packages/gypsumwall-entry/src/peer_catch_up.ts
@@ -1,6 +1,6 @@
 /**
- * Learns from peers what the log can't tell for now: a new entry, or one that
- * is cut off from the log, takes the newest state that a peer holds.
+ * Reads stream states from peers while the log can't supply them: an entry that
+ * is new, or cut off from the log, adopts a peer's newer state.
  */
 import type * as membership from '@gypsumwall/membership';
 import type * as telemetry from '@gypsumwall/telemetry';
@@ -8,9 +8,9 @@
 import type * as entryStream from './entry_stream.js';
 import * as readState from './read_state.js';
 
-/** What is needed. */
+/** Options of `catchUpFromPeers`. */
 export interface PeerCatchUpOptions {
-  /** Streams with the peers that follow them too. */
+  /** Streams, each with the peers that also follow it. */
   readonly streams: ReadonlyArray<{
     readonly stream: entryStream.EntryStream;
     readonly peers: () => readonly membership.domainView.PeerEntry[];
@@ -21,61 +21,63 @@
   readonly logger: telemetry.logger.Logger;
 }
 
-const LOOK_EVERY_MS = 1_000;
-/** A log unheard for this long counts as out of reach. */
-const LOG_SILENCE_MS = 3_000;
+const POLL_INTERVAL_MS = 1_000;
+/** After this time without an answer, the log counts as unreachable. */
+const MAX_LOG_SILENCE_MS = 3_000;
 
-/** Asks peers until the signal aborts. */
+/** Polls peers until the signal aborts. */
 export async function catchUpFromPeers(
   options: PeerCatchUpOptions,
   signal: AbortSignal,
 ): Promise<void> {
   const {clock} = options;
   while (!signal.aborted) {
-    const lookAt = types.clock.after(clock.monotonic(), LOOK_EVERY_MS);
-    await clock.sleepUntil(lookAt, signal);
+    const pollAt = types.clock.after(clock.monotonic(), POLL_INTERVAL_MS);
+    await clock.sleepUntil(pollAt, signal);
     for (const {stream, peers} of options.streams) {
       if (signal.aborted) return;
-      if (logSuffices(stream, clock)) continue;
-      await askOne(options, stream, peers());
+      if (isLogSufficient(stream, clock)) continue;
+      await readFromPeer(options, stream, peers());
     }
   }
 }
 
-/** Whether the log has answered lately, and with all that is needed. */
-function logSuffices(
+/** Whether the log answered recently and the stream was read to its end. */
+function isLogSufficient(
   stream: entryStream.EntryStream,
   clock: types.clock.Clock,
 ): boolean {
-  const last = stream.follower.lastAnswerAt();
-  if (last === undefined || !stream.follower.caughtUp()) return false;
-  return clock.monotonic() < types.clock.after(last, LOG_SILENCE_MS);
+  const answeredAt = stream.follower.lastAnswerAt();
+  if (answeredAt === undefined || !stream.follower.isCaughtUp()) return false;
+  return clock.monotonic() < types.clock.after(answeredAt, MAX_LOG_SILENCE_MS);
 }
 
-async function askOne(
+async function readFromPeer(
   options: PeerCatchUpOptions,
   stream: entryStream.EntryStream,
   peers: readonly membership.domainView.PeerEntry[],
 ): Promise<void> {
-  const living = peers.filter((peer) => peer.state !== 'silent');
-  if (living.length === 0) return;
-  const peer = living[options.random.integer(0, living.length - 1)];
+  const reachable = peers.filter((peer) => peer.state !== 'silent');
+  if (reachable.length === 0) return;
+  const peer = reachable[options.random.integer(0, reachable.length - 1)];
   if (peer === undefined) return;
   const answer = await options.clients.at(peer.address).readState({
     stream: stream.name,
-    above: BigInt(stream.follower.wantsAbove()),
+    above: BigInt(stream.follower.adoptableAbove()),
   });
-  if (answer.isErr || answer.value.nextOffset === readState.NOT_KNOWN) return;
+  if (answer.isErr || answer.value.nextOffset === readState.UNKNOWN_OFFSET)
+    return;
   if (answer.value.snapshot.length === 0) {
-    // A stream may well be empty: the word that it is counts as much.
-    stream.follower.noteAsFarAsPeer(Number(answer.value.nextOffset));
+    // The peer has no newer state. For an empty stream, which has no state to
+    // adopt, this answer is what shows that this entry is caught up.
+    stream.follower.confirmCaughtUp(Number(answer.value.nextOffset));
     return;
   }
-  const adopted = stream.follower.adopt({
+  const isAdopted = stream.follower.adopt({
     nextOffset: Number(answer.value.nextOffset),
     text: Buffer.from(answer.value.snapshot).toString('utf8'),
   });
-  if (!adopted) return;
+  if (!isAdopted) return;
   options.logger.info('state_from_peer', {
     stream: stream.name,
     peer: peer.address,
--- a/packages/gypsumwall-entry/src/read_state.ts
+++ b/packages/gypsumwall-entry/src/read_state.ts
@@ -1,26 +1,26 @@
-/** Serves a peer that can't reach the log with a stream's state. */
+/** Serves a stream's state to a peer that can't read it from the log. */
 import type * as protocol from '@gypsumwall/protocol';
 import type * as types from '@gypsumwall/types';
 import type * as entryStream from './entry_stream.js';
 
-/** Said of a stream that this entry has not read to its end itself. */
-export const NOT_KNOWN = -1n;
+/** Returned for a stream that this entry has not read to its end itself. */
+export const UNKNOWN_OFFSET = -1n;
 
-/** The state of the asked stream, if it goes further than the asker's. */
+/** Returns the requested stream's state if it is newer than the peer's. */
 export function readState(
   self: types.ids.EntryId,
   streams: readonly entryStream.EntryStream[],
   req: protocol.peer.ReadStateRequest,
 ): {entryId: string; nextOffset: bigint; snapshot?: Uint8Array} {
-  const found = streams.find((stream) => stream.name === req.stream);
-  if (found?.follower.caughtUp() !== true) {
-    return {entryId: self, nextOffset: NOT_KNOWN};
+  const requested = streams.find((stream) => stream.name === req.stream);
+  if (requested?.follower.isCaughtUp() !== true) {
+    return {entryId: self, nextOffset: UNKNOWN_OFFSET};
   }
-  const next = found.follower.nextOffset();
-  if (next <= Number(req.above)) {
-    return {entryId: self, nextOffset: BigInt(next)};
+  const nextOffset = requested.follower.nextOffset();
+  if (nextOffset <= Number(req.above)) {
+    return {entryId: self, nextOffset: BigInt(nextOffset)};
   }
-  const snapshot = found.follower.snapshot();
+  const snapshot = requested.follower.snapshot();
   return {
     entryId: self,
     nextOffset: BigInt(snapshot.nextOffset),
--- a/packages/gypsumwall-entry/src/settings_routes.ts
+++ b/packages/gypsumwall-entry/src/settings_routes.ts
@@ -1,4 +1,4 @@
-/** The settings tree: read by operators, published subtree by subtree. */
+/** Routes that let operators read and publish subtrees of the settings tree. */
 import type * as fastify from 'fastify';
 import * as records from '@gypsumwall/records';
 import * as authenticate from './authenticate.js';
@@ -14,7 +14,7 @@
 
 type SettingsCall = fastify.FastifyRequest<{Params: PathParams}>;
 
-/** Adds the routes. */
+/** Adds the settings routes. */
 export function addSettingsRoutes(
   app: fastify.FastifyInstance,
   context: entryContext.EntryContext,
@@ -29,14 +29,14 @@
     return res.send({subtrees});
   });
   app.get<{Params: PathParams}>('/v1/settings/*', (req, res) =>
-    get(context, req, res),
+    showSubtree(context, req, res),
   );
   app.put<{Params: PathParams}>('/v1/settings/*', (req, res) =>
-    publish(context, req, res),
+    publishSubtree(context, req, res),
   );
 }
 
-async function get(
+async function showSubtree(
   context: entryContext.EntryContext,
   req: SettingsCall,
   res: fastify.FastifyReply,
@@ -48,13 +48,16 @@
   if (subtree === undefined) {
     return problem.send(
       res,
-      problem.notRun('not_found', `nothing is published at "${path}"`),
+      problem.notRun(
+        'not_found',
+        `no settings have been published at "${path}"`,
+      ),
     );
   }
   return res.send({path, ...subtree});
 }
 
-async function publish(
+async function publishSubtree(
   context: entryContext.EntryContext,
   req: SettingsCall,
   res: fastify.FastifyReply,
@@ -68,7 +71,7 @@
       `${operator.value.subtrees.join(', ')}, not "${path}"`;
     return problem.send(res, problem.notRun('forbidden', detail));
   }
-  const base = readBase(req);
+  const base = readBaseRevision(req);
   if (base === undefined) {
     const detail =
       'send the header if-match with the revision that the change is based ' +
@@ -90,7 +93,7 @@
   return res.send({path, revision: published.value});
 }
 
-function readBase(req: fastify.FastifyRequest): number | undefined {
+function readBaseRevision(req: fastify.FastifyRequest): number | undefined {
   const text = callContext.headerOf(req, 'if-match')?.replaceAll('"', '');
   const base = Number(text);
   return text !== undefined && Number.isInteger(base) ? base : undefined;
--- a/packages/gypsumwall-entry/src/status_routes.ts
+++ b/packages/gypsumwall-entry/src/status_routes.ts
@@ -1,24 +1,24 @@
-/** Health for the balancer, and what this entry believes, for operators. */
+/** Routes for the balancer's health checks and for operators. */
 import type * as fastify from 'fastify';
 import * as callContext from './call_context.js';
 import type * as entryContext from './entry_context.js';
 import * as problem from './problem.js';
 
-/** Adds the routes. */
+/** Adds the status routes. */
 export function addStatusRoutes(
   app: fastify.FastifyInstance,
   context: entryContext.EntryContext,
 ): void {
   app.get('/healthz', (_req, res) => res.send({alive: true}));
   app.get('/readyz', (_req, res) => {
-    const reason = context.isReady();
+    const reason = context.notReadyReason();
     if (reason === undefined) return res.send({ready: true});
     return problem.send(res, problem.notRun('not_ready', reason, 1_000));
   });
   app.get('/v1/status', (req, res) => {
     const operator = callContext.operatorOf(context, req);
     if (operator.isErr) return problem.send(res, operator.error);
-    return res.send(status(context));
+    return res.send(describeStatus(context));
   });
   app.post('/v1/drain', (req, res) => {
     const operator = callContext.operatorOf(context, req);
@@ -28,34 +28,39 @@
   });
 }
 
-function status(context: entryContext.EntryContext): object {
+function describeStatus(context: entryContext.EntryContext): object {
   const now = context.clock.monotonic();
-  const age = (moment: number | undefined) =>
+  const ageOf = (moment: number | undefined) =>
     moment === undefined ? null : Math.round(now - moment);
   const view = context.view();
-  const stream = (follower: entryContext.EntryContext['configFollower']) => ({
+  const describeStream = (
+    follower: entryContext.EntryContext['configFollower'],
+  ) => ({
     nextOffset: follower.nextOffset(),
-    caughtUp: follower.caughtUp(),
-    lastAnswerAgeMs: age(follower.lastAnswerAt()),
+    caughtUp: follower.isCaughtUp(),
+    lastAnswerAgeMs: ageOf(follower.lastAnswerAt()),
   });
   return {
     id: context.self,
     failureDomain: context.failureDomain,
     leaving: context.isLeaving(),
-    notReadyBecause: context.isReady() ?? null,
-    list: {ageMs: age(view.listFetchedAt), peers: view.peers},
+    notReadyBecause: context.notReadyReason() ?? null,
+    list: {ageMs: ageOf(view.listFetchedAt), peers: view.peers},
     claim: claimStatus(context),
     streams: {
-      config: stream(context.configFollower),
-      domain: stream(context.domainFollower),
-      requests: stream(context.requestFollower),
+      config: describeStream(context.configFollower),
+      domain: describeStream(context.domainFollower),
+      requests: describeStream(context.requestFollower),
     },
     scheduler: context.scheduler()?.status() ?? null,
     router: context.router.status(),
   };
 }
 
-/** The claim; a deadline on this process's clock says nothing to a reader. */
+/**
+ * The claim with the time left instead of its deadline, which is on this
+ * process's monotonic clock and means nothing to a reader.
+ */
 function claimStatus(context: entryContext.EntryContext): object {
   const claim = context.claim();
   if (claim.type !== 'held') return claim;
--- a/packages/gypsumwall-entry/src/task_table.ts
+++ b/packages/gypsumwall-entry/src/task_table.ts
@@ -1,32 +1,33 @@
-/** What the holder knows of each task that may run: where, and how far. */
+/** Tasks that occupy resources on workers, with their worker and phase. */
 import type * as types from '@gypsumwall/types';
 
-/** A task that holds room on a worker. */
+/** A task that occupies resources on a worker. */
 export interface ActiveTask {
   readonly taskId: types.ids.TaskId;
   readonly attempt: types.ids.AttemptId;
   readonly workerId: types.ids.WorkerId;
   readonly size: types.resources.Resources;
+  /** `recording`: it has ended, and its result is being appended to the log. */
   phase: 'starting' | 'running' | 'stopping' | 'recording';
   startedAt: types.clock.MonotonicMs;
 }
 
-/** Active tasks by id and by worker. */
+/** Active tasks by id, worker and job. */
 export interface TaskTable {
   get(taskId: types.ids.TaskId): ActiveTask | undefined;
-  /** The task, if this very attempt is the active one. */
-  attempt(
+  /** The task, if the given attempt is its active one. */
+  getAttempt(
     taskId: types.ids.TaskId,
     attempt: types.ids.AttemptId,
   ): ActiveTask | undefined;
-  put(task: ActiveTask): void;
+  add(task: ActiveTask): void;
   remove(task: ActiveTask): void;
-  at(workerId: types.ids.WorkerId): readonly ActiveTask[];
-  of(jobId: types.ids.JobId): readonly ActiveTask[];
+  onWorker(workerId: types.ids.WorkerId): readonly ActiveTask[];
+  ofJob(jobId: types.ids.JobId): readonly ActiveTask[];
   size(): number;
 }
 
-/** Makes an empty table. */
+/** Creates an empty table. */
 export function createTaskTable(
   jobOf: (taskId: types.ids.TaskId) => types.ids.JobId,
 ): TaskTable {
@@ -35,11 +36,11 @@
   const byJob = new Map<types.ids.JobId, Set<ActiveTask>>();
   return {
     get: (taskId) => byId.get(taskId),
-    attempt: (taskId, attempt) => {
+    getAttempt: (taskId, attempt) => {
       const task = byId.get(taskId);
       return task?.attempt === attempt ? task : undefined;
     },
-    put: (task) => {
+    add: (task) => {
       byId.set(task.taskId, task);
       addTo(byWorker, task.workerId, task);
       addTo(byJob, jobOf(task.taskId), task);
@@ -49,8 +50,8 @@
       removeFrom(byWorker, task.workerId, task);
       removeFrom(byJob, jobOf(task.taskId), task);
     },
-    at: (workerId) => [...(byWorker.get(workerId) ?? [])],
-    of: (jobId) => [...(byJob.get(jobId) ?? [])],
+    onWorker: (workerId) => [...(byWorker.get(workerId) ?? [])],
+    ofJob: (jobId) => [...(byJob.get(jobId) ?? [])],
     size: () => byId.size,
   };
 }
--- a/packages/gypsumwall-entry/src/task_books.ts
+++ b/packages/gypsumwall-entry/src/task_tracker.ts
@@ -1,6 +1,7 @@
 /**
- * The holder's books: which tasks are active and which wait. The policy keeps
- * books of room; these keep attempts, and move a task from one to the other.
+ * Tracks which tasks of the domain are active and which are queued. The placer
+ * accounts for resources; the tracker accounts for attempts, and moves tasks
+ * between the queue and the active ones.
  */
 import type * as placement from '@gypsumwall/placement';
 import type * as platform from '@gypsumwall/platform';
@@ -11,52 +12,52 @@
 
 type JobState = records.jobFold.JobState;
 
-/** The books of one epoch. */
-export interface TaskBooks {
+/** The tasks of one epoch. */
+export interface TaskTracker {
   readonly tasks: taskTable.TaskTable;
   jobOf(taskId: types.ids.TaskId): JobState | undefined;
-  /** Whether two copies of the task would do harm. */
-  runsOnce(taskId: types.ids.TaskId): boolean;
-  /** Whether the task's job still wants it to run. */
-  isWanted(taskId: types.ids.TaskId): boolean;
-  /** Queues all of a job's tasks that neither run nor are done. */
+  /** Whether two attempts of the task must not overlap. */
+  mustRunOnce(taskId: types.ids.TaskId): boolean;
+  /** Whether the task's job is open and still lacks the task's result. */
+  isNeeded(taskId: types.ids.TaskId): boolean;
+  /** Queues all tasks of a job that are neither active nor done. */
   enqueueJob(job: JobState): void;
-  /** Drops what waits of a job that is closed. */
-  closeJob(job: JobState): void;
-  /** Books a task that was found at a worker. */
-  hold(
+  /** Removes the queued tasks of a closed job. */
+  dropJob(job: JobState): void;
+  /** Adds a task that a worker reported, and its resources. */
+  track(
     task: Pick<platform.worker.RunningTask, 'taskId' | 'attempt' | 'size'>,
     workerId: types.ids.WorkerId,
     job: JobState,
     startedAt: types.clock.MonotonicMs,
   ): taskTable.ActiveTask;
-  /** Gives a task's room back; it waits again if its job still wants it. */
+  /** Frees a task's resources; queues it again if it is still needed. */
   release(task: taskTable.ActiveTask, report: placement.placer.RunReport): void;
-  /** Runs of a job's tasks that failed in this epoch. */
-  failures(jobId: types.ids.JobId): number;
-  /** Jobs from before the epoch that are held back. */
-  gatedJobs(): number;
-  /** Lets them go. */
-  openGate(): void;
+  /** Number of the job's attempts that failed in this epoch. */
+  failedAttempts(jobId: types.ids.JobId): number;
+  /** Number of jobs from before this epoch that are held back. */
+  gatedJobCount(): number;
+  /** Queues the jobs that were held back. */
+  releaseGatedJobs(): void;
 }
 
-/** Makes books in which all open jobs are held back. */
-export function createTaskBooks(
+/** Creates a tracker in which all open jobs are held back. */
+export function createTaskTracker(
   options: Pick<schedulerOptions.DomainSchedulerOptions, 'placer' | 'jobs'>,
   onChange: () => void,
-): TaskBooks {
+): TaskTracker {
   const {placer, jobs} = options;
   const tasks = taskTable.createTaskTable(
     (taskId) => types.ids.splitTaskId(taskId).jobId,
   );
-  const gated = new Set<JobState>(jobs.openJobs());
+  const gatedJobs = new Set<JobState>(jobs.openJobs());
   const failures = new Map<types.ids.JobId, number>();
 
   function jobOf(taskId: types.ids.TaskId): JobState | undefined {
     return jobs.job(types.ids.splitTaskId(taskId).jobId);
   }
 
-  function isWanted(taskId: types.ids.TaskId): boolean {
+  function isNeeded(taskId: types.ids.TaskId): boolean {
     const job = jobOf(taskId);
     if (job?.phase.type !== 'open') return false;
     const {index} = types.ids.splitTaskId(taskId);
@@ -64,7 +65,7 @@
     return index < count && !job.results.has(index);
   }
 
-  function waitingIndexes(job: JobState): number[] {
+  function indexesToQueue(job: JobState): number[] {
     const waiting: number[] = [];
     const count = types.job.taskCount(job.spec.shape);
     for (let index = 0; index < count; index++) {
@@ -92,7 +93,7 @@
     if (report.type === 'failed' && job?.phase.type === 'open') {
       failures.set(job.jobId, (failures.get(job.jobId) ?? 0) + 1);
     }
-    if (job !== undefined && !gated.has(job) && isWanted(task.taskId)) {
+    if (job !== undefined && !gatedJobs.has(job) && isNeeded(task.taskId)) {
       enqueue(job, [types.ids.splitTaskId(task.taskId).index]);
     }
     onChange();
@@ -101,17 +102,17 @@
   return {
     tasks,
     jobOf,
-    isWanted,
+    isNeeded,
     release,
-    runsOnce: (taskId) => jobOf(taskId)?.spec.shape.kind !== 'service',
-    enqueueJob: (job) => enqueue(job, waitingIndexes(job)),
-    closeJob: (job) => {
+    mustRunOnce: (taskId) => jobOf(taskId)?.spec.shape.kind !== 'service',
+    enqueueJob: (job) => enqueue(job, indexesToQueue(job)),
+    dropJob: (job) => {
       placer.cancel(job.jobId);
-      gated.delete(job);
+      gatedJobs.delete(job);
       failures.delete(job.jobId);
     },
-    hold: ({taskId, attempt, size}, workerId, job, startedAt) => {
-      const held: taskTable.ActiveTask = {
+    track: ({taskId, attempt, size}, workerId, job, startedAt) => {
+      const tracked: taskTable.ActiveTask = {
         taskId,
         attempt,
         workerId,
@@ -119,16 +120,16 @@
         phase: 'running',
         startedAt,
       };
-      tasks.put(held);
+      tasks.add(tracked);
       placer.adopt({taskId, spec: job.spec, workerId, size});
-      return held;
+      return tracked;
     },
-    failures: (jobId) => failures.get(jobId) ?? 0,
-    gatedJobs: () => gated.size,
-    openGate: () => {
-      const waiting = [...gated].filter((job) => job.phase.type === 'open');
-      gated.clear();
-      for (const job of waiting) enqueue(job, waitingIndexes(job));
+    failedAttempts: (jobId) => failures.get(jobId) ?? 0,
+    gatedJobCount: () => gatedJobs.size,
+    releaseGatedJobs: () => {
+      const waiting = [...gatedJobs].filter((job) => job.phase.type === 'open');
+      gatedJobs.clear();
+      for (const job of waiting) enqueue(job, indexesToQueue(job));
     },
   };
 }
--- a/packages/gypsumwall-entry/src/worker_attachment.ts
+++ b/packages/gypsumwall-entry/src/worker_attachment.ts
@@ -1,51 +1,55 @@
-/** What a holder keeps of a worker that it is attached to. */
+/** The holder's state of a worker that it is attached to. */
 import type * as platform from '@gypsumwall/platform';
 import * as types from '@gypsumwall/types';
 import * as workerClock from './worker_clock.js';
 
 type MonotonicMs = types.clock.MonotonicMs;
 
-/** One stay of a worker, as this epoch's holder knows it. */
+/** State of one incarnation of a worker. */
 export interface WorkerAttachment {
   readonly call: platform.worker.HolderCall;
   clock: workerClock.WorkerClock;
   /**
-   * Highest end of a lease that was sent, answered or not, on the worker's
-   * clock. Leases of tasks that may run twice do not count.
+   * Latest end of any lease that was sent, answered or not, on the worker's
+   * clock. Leases of tasks whose attempts may overlap do not count.
    */
-  longestLease: platform.worker.WorkerMs;
+  latestLeaseEnd: platform.worker.WorkerMs;
 }
 
-/** Makes it of the answer to an attach that arrived at `now`. */
-export function fromAnswer(
+/** Creates the state from an answer to `attach` that arrived at `now`. */
+export function createAttachment(
   answer: platform.worker.Attached,
   epoch: number,
   now: MonotonicMs,
-  runsOnce: (taskId: types.ids.TaskId) => boolean,
+  mustRunOnce: (taskId: types.ids.TaskId) => boolean,
 ): WorkerAttachment {
   const leases = answer.running
-    .filter((task) => runsOnce(task.taskId))
+    .filter((task) => mustRunOnce(task.taskId))
     .map((task) => task.leaseUntil);
   return {
     call: {epoch, incarnation: answer.incarnation},
     clock: {workerTime: answer.now, arrivedAt: now},
-    longestLease: Math.max(answer.now, ...leases) as platform.worker.WorkerMs,
+    latestLeaseEnd: Math.max(answer.now, ...leases) as platform.worker.WorkerMs,
   };
 }
 
-/** Notes a lease before it is sent, since the call may arrive unanswered. */
-export function noteLease(
-  held: WorkerAttachment,
+/** Call this before sending a lease: the call may arrive and its answer not. */
+export function recordLease(
+  attachment: WorkerAttachment,
   leaseUntil: platform.worker.WorkerMs,
 ): void {
-  if (leaseUntil > held.longestLease) held.longestLease = leaseUntil;
+  if (leaseUntil > attachment.latestLeaseEnd)
+    attachment.latestLeaseEnd = leaseUntil;
 }
 
-/** When the worker has surely stopped by itself whatever must run once. */
-export function leasesOverAt(
-  held: WorkerAttachment,
+/** When the worker has certainly stopped all tasks that must run only once. */
+export function leasesExpiredAt(
+  attachment: WorkerAttachment,
   graceMs: number,
 ): MonotonicMs {
-  const over = workerClock.surelyPassedAt(held.clock, held.longestLease);
-  return types.clock.after(over, graceMs);
+  const expiredAt = workerClock.toLatestLocalTime(
+    attachment.clock,
+    attachment.latestLeaseEnd,
+  );
+  return types.clock.after(expiredAt, graceMs);
 }
--- a/packages/gypsumwall-entry/src/worker_pool.ts
+++ b/packages/gypsumwall-entry/src/worker_pool.ts
@@ -1,29 +1,29 @@
-/** The holder's sessions with the workers of its domain, one for each. */
+/** The holder's sessions with the workers of its domain, one per worker. */
 import type * as platform from '@gypsumwall/platform';
 import type * as types from '@gypsumwall/types';
 import type * as schedulerOptions from './scheduler_options.js';
 import * as workerSession from './worker_session.js';
 
-/** What is needed. */
+/** Options of `createWorkerPool`. */
 export interface WorkerPoolOptions {
   readonly scheduler: schedulerOptions.DomainSchedulerOptions;
-  readonly runsOnce: (taskId: types.ids.TaskId) => boolean;
-  readonly eventsOf: (
+  readonly mustRunOnce: (taskId: types.ids.TaskId) => boolean;
+  readonly sessionEventsOf: (
     workerId: types.ids.WorkerId,
   ) => workerSession.SessionEvents;
-  /** No new work there: it leaves, or is off the list. */
-  readonly onClosed: (workerId: types.ids.WorkerId) => void;
-  /** Back on the list as live, and attached. */
-  readonly onReopened: (workerId: types.ids.WorkerId) => void;
-  /** Off the list, and nothing runs there any more. */
-  readonly onForgotten: (workerId: types.ids.WorkerId) => void;
+  /** The worker is leaving or no longer listed, and gets no new tasks. */
+  readonly onUnschedulable: (workerId: types.ids.WorkerId) => void;
+  /** The worker is listed as live again, and attached. */
+  readonly onSchedulable: (workerId: types.ids.WorkerId) => void;
+  /** The worker is no longer listed and has no tasks left. */
+  readonly onRemoved: (workerId: types.ids.WorkerId) => void;
   readonly hasTasks: (workerId: types.ids.WorkerId) => boolean;
   readonly signal: AbortSignal;
 }
 
-/** The sessions. */
+/** Sessions by worker. */
 export interface WorkerPool {
-  /** Workers as the list shows them now. */
+  /** Sets the workers that are on the instance list. */
   setListed(listed: readonly platform.instanceList.ListedWorker[]): void;
   session(
     workerId: types.ids.WorkerId,
@@ -31,28 +31,28 @@
   listed(
     workerId: types.ids.WorkerId,
   ): platform.instanceList.ListedWorker | undefined;
-  /** Ends the session of a worker that is off the list. */
-  forgetIfGone(workerId: types.ids.WorkerId): void;
+  /** Ends the session of a worker that is not listed and has no tasks. */
+  removeIfUnlisted(workerId: types.ids.WorkerId): void;
   size(): number;
-  attached(): number;
-  /** Resolves when no session has a call under way any more. */
-  ended(): Promise<void>;
+  attachedCount(): number;
+  /** Resolves once no session has a call in flight. */
+  sessionsEnded(): Promise<void>;
 }
 
 interface PooledWorker {
   readonly session: workerSession.WorkerSession;
   readonly abort: AbortController;
   listed: platform.instanceList.ListedWorker;
-  gone: boolean;
+  isUnlisted: boolean;
 }
 
-/** Makes an empty pool. */
+/** Creates an empty pool. */
 export function createWorkerPool(options: WorkerPoolOptions): WorkerPool {
   const {scheduler} = options;
   const workers = new Map<types.ids.WorkerId, PooledWorker>();
   const loops = new Set<Promise<void>>();
 
-  function add(listed: platform.instanceList.ListedWorker): void {
+  function addWorker(listed: platform.instanceList.ListedWorker): void {
     const abort = new AbortController();
     const {spans} = scheduler;
     const session = workerSession.createWorkerSession({
@@ -67,65 +67,65 @@
       heartbeatMs: spans.workerHeartbeatMs,
       leaseMs: spans.taskLeaseMs,
       graceMs: spans.leaseGraceMs,
-      runsOnce: options.runsOnce,
+      mustRunOnce: options.mustRunOnce,
       claimDeadline: scheduler.claimDeadline,
-      events: options.eventsOf(listed.id),
+      events: options.sessionEventsOf(listed.id),
     });
-    workers.set(listed.id, {listed, session, abort, gone: false});
+    workers.set(listed.id, {listed, session, abort, isUnlisted: false});
     const loop = session.run(AbortSignal.any([abort.signal, options.signal]));
     loops.add(loop);
     void loop.finally(() => loops.delete(loop));
   }
 
-  function update(
+  function updateWorker(
     worker: PooledWorker,
     listed: platform.instanceList.ListedWorker,
   ): void {
-    const wasOpen = !worker.gone && worker.listed.state === 'live';
+    const wasSchedulable = !worker.isUnlisted && worker.listed.state === 'live';
     worker.listed = listed;
-    worker.gone = false;
-    const isOpen = listed.state === 'live';
-    if (wasOpen && !isOpen) options.onClosed(listed.id);
-    if (!wasOpen && isOpen && worker.session.isAttached()) {
-      options.onReopened(listed.id);
+    worker.isUnlisted = false;
+    const isSchedulable = listed.state === 'live';
+    if (wasSchedulable && !isSchedulable) options.onUnschedulable(listed.id);
+    if (!wasSchedulable && isSchedulable && worker.session.isAttached()) {
+      options.onSchedulable(listed.id);
     }
   }
 
-  function drop(id: types.ids.WorkerId, worker: PooledWorker): void {
-    if (!worker.gone) options.onClosed(id);
-    // Off the list is not stopped: its tasks count until leases lapse.
-    worker.gone = true;
-    forgetIfGone(id);
+  function markUnlisted(id: types.ids.WorkerId, worker: PooledWorker): void {
+    if (!worker.isUnlisted) options.onUnschedulable(id);
+    // An unlisted worker may still run its tasks until their leases expire.
+    worker.isUnlisted = true;
+    removeIfUnlisted(id);
   }
 
-  function forgetIfGone(id: types.ids.WorkerId): void {
+  function removeIfUnlisted(id: types.ids.WorkerId): void {
     const worker = workers.get(id);
-    if (worker?.gone !== true || options.hasTasks(id)) return;
+    if (worker?.isUnlisted !== true || options.hasTasks(id)) return;
     worker.abort.abort();
     workers.delete(id);
-    options.onForgotten(id);
+    options.onRemoved(id);
   }
 
   return {
-    forgetIfGone,
+    removeIfUnlisted,
     setListed: (listed) => {
       const present = new Set(listed.map((worker) => worker.id));
       for (const worker of listed) {
         const known = workers.get(worker.id);
-        if (known === undefined) add(worker);
-        else update(known, worker);
+        if (known === undefined) addWorker(worker);
+        else updateWorker(known, worker);
       }
       for (const [id, worker] of workers) {
-        if (!present.has(id)) drop(id, worker);
+        if (!present.has(id)) markUnlisted(id, worker);
       }
     },
     session: (id) => workers.get(id)?.session,
     listed: (id) => workers.get(id)?.listed,
-    ended: async () => {
+    sessionsEnded: async () => {
       await Promise.all(loops);
     },
     size: () => workers.size,
-    attached: () =>
+    attachedCount: () =>
       [...workers.values()].filter((worker) => worker.session.isAttached())
         .length,
   };
--- a/packages/gypsumwall-records/src/__fixtures__/memory_log.ts
+++ b/packages/gypsumwall-records/src/__fixtures__/memory_log.ts
@@ -1,41 +1,41 @@
-/** A log in memory whose appends can go wrong in the ways the real one's do. */
+/** An in-memory log whose appends can fail in the ways of the real log. */
 import * as result from 'true-myth/result';
 import type * as platform from '@gypsumwall/platform';
 import * as types from '@gypsumwall/types';
 
-/** What happens to one append. */
+/** A fault of one append. */
 export type AppendFault =
-  /** Takes effect, the answer is lost. */
+  /** The append takes effect, but its answer is lost. */
   | 'lost_answer'
-  /** Never arrives; the producer can't know that. */
+  /** The append never arrives, which the producer can't know. */
   | 'lost_request'
-  /** Is answered with a timeout and arrives when `deliverLate` is called. */
+  /** The append times out, and arrives when `deliverDelayed` is called. */
   | 'late';
 
-/** The log and its faults. */
+/** The log, with controls for its faults. */
 export interface MemoryLog extends platform.platformLog.PlatformLog {
-  /** Strikes the next appends, one each. */
-  strike(...faults: AppendFault[]): void;
-  deliverLate(): void;
-  /** Drops records below the offset, as retention does. */
+  /** Applies the faults to the next appends, one each. */
+  failNextAppends(...faults: AppendFault[]): void;
+  deliverDelayed(): void;
+  /** Drops records below the offset, like retention. */
   dropBelow(offset: number): void;
   appends(): number;
 }
 
-/** Makes an empty log of one stream. */
+/** Creates an empty log of one stream. */
 export function createMemoryLog(): MemoryLog {
-  let kept: platform.platformLog.LogRecord[] = [];
+  let stored: platform.platformLog.LogRecord[] = [];
   let firstOffset = 0;
   let endOffset = 0;
   let appends = 0;
   const faults: AppendFault[] = [];
-  const late: platform.platformLog.AppendRequest[] = [];
-  const readers = new Set<() => void>();
+  const delayed: platform.platformLog.AppendRequest[] = [];
+  const waitingReads = new Set<() => void>();
 
-  function take(req: platform.platformLog.AppendRequest): number {
+  function storeRecords(req: platform.platformLog.AppendRequest): number {
     const first = endOffset;
     req.bodies.forEach((body, index) => {
-      kept.push({
+      stored.push({
         offset: first + index,
         producer: req.producer,
         sequence: req.sequence + index,
@@ -43,7 +43,7 @@
       });
     });
     endOffset += req.bodies.length;
-    readers.forEach((wake) => wake());
+    waitingReads.forEach((resolveRead) => resolveRead());
     return first;
   }
 
@@ -57,11 +57,11 @@
     });
 
   return {
-    strike: (...more) => void faults.push(...more),
-    deliverLate: () => late.splice(0).forEach(take),
+    failNextAppends: (...more) => void faults.push(...more),
+    deliverDelayed: () => delayed.splice(0).forEach(storeRecords),
     dropBelow: (offset) => {
       firstOffset = offset;
-      kept = kept.filter((record) => record.offset >= offset);
+      stored = stored.filter((record) => record.offset >= offset);
     },
     appends: () => appends,
     append: async (req) => {
@@ -69,21 +69,22 @@
       await Promise.resolve();
       switch (faults.shift()) {
         case undefined:
-          return result.ok({firstOffset: take(req)});
+          return result.ok({firstOffset: storeRecords(req)});
         case 'lost_answer':
-          take(req);
+          storeRecords(req);
           return timeout();
         case 'lost_request':
           return timeout();
         case 'late':
-          late.push(req);
+          delayed.push(req);
           return timeout();
       }
     },
     read: async ({from, limit, waitMs, signal}) => {
-      if (from >= endOffset && waitMs > 0) await nextAppend(readers, signal);
+      if (from >= endOffset && waitMs > 0)
+        await nextAppend(waitingReads, signal);
       const start = Math.max(from, firstOffset);
-      const records = kept
+      const records = stored
         .filter((record) => record.offset >= start)
         .slice(0, limit);
       const last = records.at(-1);
@@ -94,15 +95,15 @@
 }
 
 function nextAppend(
-  readers: Set<() => void>,
+  waitingReads: Set<() => void>,
   signal: AbortSignal | undefined,
 ): Promise<void> {
   return new Promise((resolve) => {
-    const wake = () => {
-      readers.delete(wake);
+    const resolveRead = () => {
+      waitingReads.delete(resolveRead);
       resolve();
     };
-    readers.add(wake);
-    signal?.addEventListener('abort', wake, {once: true});
+    waitingReads.add(resolveRead);
+    signal?.addEventListener('abort', resolveRead, {once: true});
   });
 }
--- a/packages/gypsumwall-records/src/__fixtures__/recording_fold.ts
+++ b/packages/gypsumwall-records/src/__fixtures__/recording_fold.ts
@@ -1,22 +1,22 @@
-/** A fold that keeps what it was given, in order. */
+/** A fold that stores the names of the applied records, in order. */
 import type * as streamFold from '../stream_fold.js';
 
-/** The fold and what it has taken. */
+/** The fold, with the names of the applied records. */
 export interface RecordingFold extends streamFold.StreamFold {
-  readonly taken: string[];
+  readonly applied: string[];
 }
 
-/** Makes an empty one. */
+/** Creates an empty fold. */
 export function createRecordingFold(): RecordingFold {
-  const taken: string[] = [];
+  const applied: string[] = [];
   return {
-    taken,
+    applied,
     apply: (_offset, record) => {
-      taken.push((record as {name: string}).name);
+      applied.push((record as {name: string}).name);
     },
-    snapshot: () => JSON.stringify(taken),
+    snapshot: () => JSON.stringify(applied),
     restore: (text) => {
-      taken.splice(0, taken.length, ...(JSON.parse(text) as string[]));
+      applied.splice(0, applied.length, ...(JSON.parse(text) as string[]));
     },
   };
 }
--- a/packages/gypsumwall-records/src/config_fold.ts
+++ b/packages/gypsumwall-records/src/config_fold.ts
@@ -1,20 +1,20 @@
 /**
- * The settings tree as the log's order made it. A publish counts only if it
- * was based on the subtree's newest revision: of two operators who race, the
- * first in the log wins and the other is told so.
+ * The settings tree, folded from its stream in log order. A publish takes
+ * effect only if it was based on the subtree's newest revision: of two
+ * concurrent publishes, the first in the log wins and the other is refused.
  */
 import * as settings from '@gypsumwall/settings';
 import type * as configRecords from './config_records.js';
 import type * as streamFold from './stream_fold.js';
 
-/** A subtree in force. */
+/** A subtree in force. Stored in snapshots; the field names must stay. */
 export interface Subtree {
   /** Offset of the record that set it. */
   readonly revision: number;
   readonly value: unknown;
 }
 
-/** What became of the publish record at an offset. */
+/** Result of the publish record at an offset. */
 export type PublishVerdict =
   | {readonly type: 'in_force'}
   | {readonly type: 'conflict'; readonly newest: number}
@@ -30,16 +30,16 @@
   cell(): settings.cellTree.CellPolicy | undefined;
   team(id: string): settings.cellTree.TeamPolicy | undefined;
   teams(): ReadonlyMap<string, settings.cellTree.TeamPolicy>;
-  /** Verdict on the publish at an offset, while it is remembered. */
+  /** Result of the publish at an offset; undefined if it is no longer kept. */
   verdict(offset: number): PublishVerdict | undefined;
 }
 
-/** Revision of a subtree that was never published. */
+/** Revision of a subtree that has never been published. */
 export const NO_REVISION = -1;
-/** Verdicts kept for the publishers that wait for them. */
-const KEPT_VERDICTS = 1_000;
+/** Verdicts are kept for the publishers that wait for them. */
+const MAX_KEPT_VERDICTS = 1_000;
 
-/** Makes an empty tree; `onChange` is told of each subtree that changed. */
+/** Creates an empty tree; `onChange` is called for each changed subtree. */
 export function createConfigFold(
   onChange: (path: configRecords.SubtreePath) => void = () => undefined,
 ): ConfigFold {
@@ -49,36 +49,36 @@
   let cell: settings.cellTree.CellPolicy | undefined;
 
   function install(path: string, subtree: Subtree): void {
-    // Kept also where this version can't read it: a snapshot written by it
-    // must not drop what a newer version has set. The policy that was in
-    // force here stays in force.
+    // The subtree is kept even if this version can't read it, so that its
+    // snapshots don't drop settings of a newer version. Such a subtree does
+    // not change the policy that is in force here.
     subtrees.set(path, subtree);
     const checked = settings.checkSubtree.checkSubtree(path, subtree.value);
     if (checked.isErr) return;
-    const found = checked.value;
-    switch (found.type) {
+    const checkedSubtree = checked.value;
+    switch (checkedSubtree.type) {
       case 'cell':
-        cell = found.policy;
+        cell = checkedSubtree.policy;
         break;
       case 'team':
-        teams.set(found.team, found.policy);
+        teams.set(checkedSubtree.team, checkedSubtree.policy);
         break;
     }
     onChange(path);
   }
 
-  function inForce(): settings.checkSubtree.CheckedSubtree[] {
-    const found = [...teams].map(([team, policy]) => ({
+  function currentSubtrees(): settings.checkSubtree.CheckedSubtree[] {
+    const subtreesInForce = [...teams].map(([team, policy]) => ({
       type: 'team' as const,
       path: `teams/${team}`,
       team,
       policy,
     }));
-    if (cell === undefined) return found;
-    return [{type: 'cell', path: 'cell', policy: cell}, ...found];
+    if (cell === undefined) return subtreesInForce;
+    return [{type: 'cell', path: 'cell', policy: cell}, ...subtreesInForce];
   }
 
-  function judge(
+  function applyPublish(
     offset: number,
     record: configRecords.PublishRecord,
   ): PublishVerdict {
@@ -89,11 +89,14 @@
       record.value,
     );
     if (checked.isErr) return {type: 'invalid', problems: checked.error};
-    const owner = settings.tokenHashes.otherOwner(checked.value, inForce());
+    const owner = settings.tokenHashes.otherOwner(
+      checked.value,
+      currentSubtrees(),
+    );
     if (owner !== undefined) {
       return {
         type: 'invalid',
-        problems: [sharedToken(record.path, owner.path)],
+        problems: [sharedTokenProblem(record.path, owner.path)],
       };
     }
     install(record.path, {revision: offset, value: record.value});
@@ -104,8 +107,8 @@
     apply: (offset, body) => {
       const record = body as configRecords.PublishRecord;
       if (record.type !== 'publish') return;
-      verdicts.set(offset, judge(offset, record));
-      if (verdicts.size > KEPT_VERDICTS) {
+      verdicts.set(offset, applyPublish(offset, record));
+      if (verdicts.size > MAX_KEPT_VERDICTS) {
         verdicts.delete(Math.min(...verdicts.keys()));
       }
     },
@@ -113,8 +116,8 @@
     restore: (text) => {
       const entries = JSON.parse(text) as Array<[string, Subtree]>;
       for (const [path, subtree] of entries) {
-        const held = subtrees.get(path)?.revision ?? NO_REVISION;
-        if (subtree.revision > held) install(path, subtree);
+        const currentRevision = subtrees.get(path)?.revision ?? NO_REVISION;
+        if (subtree.revision > currentRevision) install(path, subtree);
       }
     },
     subtree: (path) => subtrees.get(path),
@@ -127,19 +130,20 @@
 }
 
 /**
- * An operator may write only the own team's subtree, but could copy another
- * team's hash into it. That team's callers would then count as this one's:
- * their work read, cancelled and billed by the wrong team. The first subtree
- * in the log's order keeps the hash.
+ * The problem of a token hash that another subtree already has. An operator may
+ * publish only their own team's subtree, but could copy another team's hash
+ * into it. That team's callers would then be taken for this team, which could
+ * read and cancel their work and be billed for it. The first subtree in log
+ * order keeps the hash.
  */
-function sharedToken(
+function sharedTokenProblem(
   path: string,
   owner: string,
 ): settings.settingsProblem.SettingsProblem {
   return {
     path,
     value: '(hidden)',
-    message: `one of its token hashes stands in ${owner} already`,
+    message: `one of its token hashes is already used in ${owner}`,
     remedy: 'Give each team and each operator a token of its own.',
   };
 }
--- a/packages/gypsumwall-records/src/log_appender.ts
+++ b/packages/gypsumwall-records/src/log_appender.ts
@@ -1,12 +1,12 @@
 /**
- * Appends to one stream by group commit: while one append is under way, what
- * comes in the meantime gathers for the next. The log takes hundreds of
- * appends a second, the peak brings thousands of records.
+ * Appends to one stream by group commit: records that arrive while an append is
+ * in flight are batched for the next one. The log accepts hundreds of appends
+ * per second, but peak load brings thousands of records.
  *
- * An append whose answer was lost is never sent again blindly. A void record
- * with a higher sequence is appended until the log confirms it; what then
- * stands before it has taken effect, and what doesn't never will (see
- * `producer_counts.ts`). So a caller is told `not_run` only when it is proved.
+ * An append whose answer was lost is not simply repeated. Instead, void records
+ * with higher sequences are appended until the log confirms one. The records
+ * that are in the log before it have taken effect; the others never will (see
+ * `producer_sequences.ts`). So callers get `not_run` only if it is certain.
  */
 import * as result from 'true-myth/result';
 import type * as platform from '@gypsumwall/platform';
@@ -15,10 +15,10 @@
 import * as envelope from './envelope.js';
 import type * as streamFollower from './stream_follower.js';
 
-/** What the appender needs. */
+/** Options of `createLogAppender`. */
 export interface LogAppenderOptions {
   readonly stream: string;
-  /** Unique to this process: a new process must not go on in an old count. */
+  /** Unique to this process: a new one must not continue an old sequence. */
   readonly producer: string;
   readonly log: platform.platformLog.PlatformLog;
   readonly clock: types.clock.Clock;
@@ -28,12 +28,12 @@
     'waitFor' | 'restores' | 'lastAnswerAt'
   >;
   /**
-   * Least time between the beginnings of two appends. The log takes some
-   * hundreds of appends a second from all entries together: under load this
-   * fills the batches instead. An append after a pause goes at once.
+   * Minimum time between the starts of two appends. The log accepts some
+   * hundreds of appends per second from all entries together; under load the
+   * gap leads to larger batches. An append after a pause is sent at once.
    */
   readonly minGapMs: number;
-  /** Ends the loops that outlast a caller. */
+  /** Stops the loops that may outlast a call. */
   readonly signal: AbortSignal;
 }
 
@@ -45,54 +45,54 @@
 /** Appends records. */
 export interface LogAppender {
   /**
-   * Resolves at the deadline at the latest. Errors: effect `not_run` when the
-   * record surely does not and will not stand in the log, else `unknown`.
+   * Resolves by the deadline. An error has the effect `not_run` if the record
+   * certainly does not take effect now or later, or else `unknown`.
    */
   append(
     body: string,
     deadline: types.clock.MonotonicMs,
   ): Promise<AppendResult>;
-  /** The follower hands in each record of the stream that counted. */
+  /** The follower must call this for each valid record of the stream. */
   observe(record: platform.platformLog.LogRecord): void;
-  /** Whether an append would be refused at once, and when to come back. */
+  /** Returns when to retry if an append would be refused now. */
   outage(): {readonly retryAfterMs: number} | undefined;
 }
 
-const MAX_BATCH = 512;
-const RESOLVE_RETRY_MS = 300;
-/** Longer than a long poll of the follower and a slow answer to it. */
-const SILENCE_MS = 4_000;
-const COME_BACK_MS = 1_000;
-/** How often the wait for the follower looks whether the process is closing. */
-const FOLLOW_MS = 1_000;
+const MAX_BATCH_RECORDS = 512;
+const VOID_RETRY_MS = 300;
+/** Longer than the follower's long poll plus a slow answer to it. */
+const MAX_SILENCE_MS = 4_000;
+const RETRY_AFTER_MS = 1_000;
+/** Interval at which the wait for the follower checks for a stop. */
+const FOLLOWER_WAIT_MS = 1_000;
 
-interface Pending {
+interface PendingAppend {
   readonly body: string;
   readonly deadline: types.clock.MonotonicMs;
   /** Settles the caller's promise; later calls have no effect. */
   readonly settle: (answer: AppendResult) => void;
-  settled: boolean;
+  isSettled: boolean;
 }
 
 interface SentBatch {
   readonly sequence: number;
-  readonly pendings: readonly Pending[];
+  readonly pendings: readonly PendingAppend[];
 }
 
-/** Makes an appender with an empty queue. */
+/** Creates an appender with an empty queue. */
 export function createLogAppender(options: LogAppenderOptions): LogAppender {
   const {stream, producer, log, clock} = options;
   const logger = options.logger.with({stream});
-  const queue: Pending[] = [];
-  /** Own records seen by the follower while a batch is in doubt. */
+  const queue: PendingAppend[] = [];
+  /** Offsets, by sequence, of own records that the follower has read. */
   const observed = new Map<number, number>();
   let sequence = 0;
-  let sending = false;
+  let isSending = false;
   let nextAppendAt = clock.monotonic();
-  let inDoubt = false;
+  let isInDoubt = false;
 
-  function refuse(
-    pending: Pending,
+  function settleWithError(
+    pending: PendingAppend,
     effect: types.stepError.Effect,
     message: string,
   ): void {
@@ -103,36 +103,36 @@
         peer: stream,
         effect,
         message,
-        retryAfterMs: RESOLVE_RETRY_MS * 2,
+        retryAfterMs: VOID_RETRY_MS * 2,
       }),
     );
   }
 
   /**
-   * The log has answered no read for long. An append would wait for its
-   * deadline and then be `unknown`; refused before, it is surely `not_run`.
+   * Whether the log has not answered the follower for a while. An append would
+   * probably time out and be `unknown`; refusing it makes it `not_run`.
    */
-  function isSilent(): boolean {
-    const last = options.follower.lastAnswerAt();
-    if (last === undefined) return true;
-    return clock.monotonic() > types.clock.after(last, SILENCE_MS);
+  function isLogSilent(): boolean {
+    const answeredAt = options.follower.lastAnswerAt();
+    if (answeredAt === undefined) return true;
+    return clock.monotonic() > types.clock.after(answeredAt, MAX_SILENCE_MS);
   }
 
   async function sendAll(): Promise<void> {
-    if (sending) return;
-    sending = true;
+    if (isSending) return;
+    isSending = true;
     while (queue.length > 0) {
       await clock.sleepUntil(nextAppendAt, options.signal);
       nextAppendAt = types.clock.after(clock.monotonic(), options.minGapMs);
       const pendings = queue
-        .splice(0, MAX_BATCH)
-        .filter((pending) => !pending.settled);
+        .splice(0, MAX_BATCH_RECORDS)
+        .filter((pending) => !pending.isSettled);
       if (pendings.length > 0) await sendBatch(pendings);
     }
-    sending = false;
+    isSending = false;
   }
 
-  async function sendBatch(pendings: readonly Pending[]): Promise<void> {
+  async function sendBatch(pendings: readonly PendingAppend[]): Promise<void> {
     const batch: SentBatch = {sequence, pendings};
     observed.clear();
     sequence += pendings.length;
@@ -155,44 +155,51 @@
     });
     if (answer.error.effect === 'not_run') {
       for (const pending of pendings) {
-        refuse(pending, 'not_run', answer.error.message);
+        settleWithError(pending, 'not_run', answer.error.message);
       }
       return;
     }
-    await resolveDoubt(batch);
+    await resolveUnknownBatch(batch);
   }
 
-  async function resolveDoubt(batch: SentBatch): Promise<void> {
-    inDoubt = true;
-    // Whoever waits in the queue was never sent: told so at once.
+  async function resolveUnknownBatch(batch: SentBatch): Promise<void> {
+    isInDoubt = true;
+    // Queued records were never sent, so they are refused at once.
     for (const pending of queue.splice(0)) {
-      refuse(pending, 'not_run', 'an earlier append is in doubt');
+      settleWithError(pending, 'not_run', 'an earlier append is in doubt');
     }
     const restoresBefore = options.follower.restores();
-    const seen = await followTo(await appendVoid());
-    // A snapshot in between covers records without showing them one by one.
-    const sawEach = seen && options.follower.restores() === restoresBefore;
+    const isFollowed = await waitForFollower(await appendVoid());
+    // If the follower restored a snapshot, it did not see each record.
+    const hasSeenEach =
+      isFollowed && options.follower.restores() === restoresBefore;
     batch.pendings.forEach((pending, index) => {
       const offset = observed.get(batch.sequence + index);
       if (offset !== undefined) pending.settle(result.ok({offset}));
-      else if (sawEach) refuse(pending, 'not_run', 'the log did not take it');
-      else refuse(pending, 'unknown', 'the log could not be read back');
+      else if (hasSeenEach)
+        settleWithError(pending, 'not_run', 'the log did not store the record');
+      else
+        settleWithError(
+          pending,
+          'unknown',
+          'the record could not be read back from the log',
+        );
     });
     observed.clear();
-    inDoubt = false;
+    isInDoubt = false;
     logger.info('append_doubt_resolved', {records: batch.pendings.length});
   }
 
-  /** Waits until the follower has seen the offset; false when closing. */
-  async function followTo(offset: number | undefined): Promise<boolean> {
+  /** Waits until the follower has read the offset; false if closing. */
+  async function waitForFollower(offset: number | undefined): Promise<boolean> {
     while (offset !== undefined && !options.signal.aborted) {
-      const deadline = types.clock.after(clock.monotonic(), FOLLOW_MS);
+      const deadline = types.clock.after(clock.monotonic(), FOLLOWER_WAIT_MS);
       if (await options.follower.waitFor(offset, deadline)) return true;
     }
     return false;
   }
 
-  /** Appends void records until one is confirmed; its offset. */
+  /** Appends void records until one is confirmed, and returns its offset. */
   async function appendVoid(): Promise<number | undefined> {
     const body = envelope.encode({type: 'void', v: envelope.RECORD_VERSION});
     while (!options.signal.aborted) {
@@ -204,7 +211,7 @@
       });
       sequence += 1;
       if (answer.isOk) return answer.value.firstOffset;
-      const retryAt = types.clock.after(clock.monotonic(), RESOLVE_RETRY_MS);
+      const retryAt = types.clock.after(clock.monotonic(), VOID_RETRY_MS);
       await clock.sleepUntil(retryAt, options.signal);
     }
     return undefined;
@@ -214,27 +221,27 @@
     append: (body, deadline) =>
       new Promise<AppendResult>((resolve) => {
         const timer = new AbortController();
-        const pending: Pending = {
+        const pending: PendingAppend = {
           body,
           deadline,
-          settled: false,
+          isSettled: false,
           settle: (answer) => {
-            if (pending.settled) return;
-            pending.settled = true;
+            if (pending.isSettled) return;
+            pending.isSettled = true;
             timer.abort();
             resolve(answer);
           },
         };
-        if (inDoubt) {
-          refuse(pending, 'not_run', 'the log does not answer');
+        if (isInDoubt) {
+          settleWithError(pending, 'not_run', 'the log does not answer');
           return;
         }
         queue.push(pending);
         void clock.sleepUntil(deadline, timer.signal).then(() => {
-          const unsent = queue.includes(pending);
-          refuse(
+          const isUnsent = queue.includes(pending);
+          settleWithError(
             pending,
-            unsent ? 'not_run' : 'unknown',
+            isUnsent ? 'not_run' : 'unknown',
             'the log did not answer in time',
           );
         });
@@ -242,10 +249,10 @@
       }),
     observe: (record) => {
       if (record.producer !== producer) return;
-      // Kept only until the batch it belongs to is settled.
-      if (sending) observed.set(record.sequence, record.offset);
+      // The offset is needed only until the record's batch is settled.
+      if (isSending) observed.set(record.sequence, record.offset);
     },
     outage: () =>
-      inDoubt || isSilent() ? {retryAfterMs: COME_BACK_MS} : undefined,
+      isInDoubt || isLogSilent() ? {retryAfterMs: RETRY_AFTER_MS} : undefined,
   };
 }
--- a/packages/gypsumwall-records/src/request_fold.ts
+++ b/packages/gypsumwall-records/src/request_fold.ts
@@ -1,7 +1,7 @@
 /**
- * The requests that may not be repeated, by team and key, as the log's order
- * tells them. The first intent for a key is the only one that may run; a new
- * one counts only after an outcome that proves that nothing ran.
+ * The requests that may not be repeated, by team and key, folded in log order.
+ * Only the first intent for a key may run. A new intent is valid only after an
+ * outcome that proves that nothing ran.
  */
 import * as types from '@gypsumwall/types';
 import type * as requestRecords from './request_records.js';
@@ -10,23 +10,23 @@
 type IntentRecord = Extract<requestRecords.RequestRecord, {type: 'intent'}>;
 type OutcomeRecord = Extract<requestRecords.RequestRecord, {type: 'outcome'}>;
 
-/** What is known of a key. */
+/** State of a key. All fields but `windowEnds` are stored under their names. */
 export interface KeyState {
   readonly intent: IntentRecord;
   /** Offset of the intent that may run. */
   readonly offset: number;
-  /** Without an outcome by then, the run's end is unknown. */
+  /** If there is no outcome by then, the attempt's outcome is unknown. */
   readonly windowEnds: types.clock.MonotonicMs;
   outcome?: OutcomeRecord;
 }
 
-/** The keys of a cell. */
+/** Keys of all requests that may not be repeated. */
 export interface RequestFold extends streamFold.StreamFold {
   key(
     team: types.ids.TeamId,
     key: types.ids.IdempotencyKey,
   ): KeyState | undefined;
-  /** Resolves when the key has an outcome, or at the deadline. */
+  /** Resolves once the key has an outcome, or at the deadline. */
   waitForOutcome(
     team: types.ids.TeamId,
     key: types.ids.IdempotencyKey,
@@ -35,19 +35,20 @@
   size(): number;
 }
 
-/** Keys kept; the oldest go first. Stated to callers in docs/API.md. */
-export const KEPT_KEYS = 100_000;
+/** Beyond this number, the oldest keys are evicted. Stated in docs/API.md. */
+export const MAX_KEYS = 100_000;
 /**
- * Characters of answers kept in all, for callers who ask again. Beyond it the
- * oldest answers go, while their keys stay: what has run is never run again.
+ * Total characters of answers that are stored for repeated calls. Beyond this,
+ * the oldest answers are dropped. Their keys are kept, so that a request that
+ * has run never runs again.
  */
-export const KEPT_ANSWER_CHARS = 32 * 1024 * 1024;
+export const MAX_STORED_ANSWER_CHARS = 32 * 1024 * 1024;
 
-/** Makes a fold without keys. */
+/** Creates a fold without keys. */
 export function createRequestFold(clock: types.clock.Clock): RequestFold {
   const keys = new Map<string, KeyState>();
   const waiters = new Map<string, Set<() => void>>();
-  /** Keys whose answer is kept, in the order of the log. */
+  /** Keys whose answer is stored, in log order. */
   const answered = new Set<KeyState>();
   let answerChars = 0;
 
@@ -58,16 +59,16 @@
   ): void {
     const name = keyName(intent.team, intent.key);
     const known = keys.get(name);
-    const free =
+    const isFree =
       known === undefined || known.outcome?.outcome.type === 'not_run';
-    if (!free) return;
+    if (!isFree) return;
     keys.delete(name);
     const windowEnds = types.clock.after(readAt, intent.windowMs);
     keys.set(name, {intent, offset, windowEnds});
-    if (keys.size > KEPT_KEYS) forgetOldest();
+    if (keys.size > MAX_KEYS) evictOldest();
   }
 
-  function forgetOldest(): void {
+  function evictOldest(): void {
     const oldest = keys.keys().next();
     if (oldest.done === true) return;
     const state = keys.get(oldest.value);
@@ -75,13 +76,13 @@
     keys.delete(oldest.value);
   }
 
-  function keepAnswer(state: KeyState): void {
+  function storeAnswer(state: KeyState): void {
     const chars = state.outcome?.answer?.length ?? 0;
     if (chars === 0) return;
     answered.add(state);
     answerChars += chars;
     for (const oldest of answered) {
-      if (answerChars <= KEPT_ANSWER_CHARS) return;
+      if (answerChars <= MAX_STORED_ANSWER_CHARS) return;
       dropAnswer(oldest);
     }
   }
@@ -96,12 +97,12 @@
   function applyOutcome(record: OutcomeRecord): void {
     const name = keyName(record.team, record.key);
     const known = keys.get(name);
-    // The outcome of a run that was not the key's is nobody's.
+    // An outcome of another intent must not settle the key's first intent.
     if (known?.intent.requestId !== record.requestId) return;
     if (known.outcome !== undefined) return;
     known.outcome = record;
-    keepAnswer(known);
-    waiters.get(name)?.forEach((wake) => wake());
+    storeAnswer(known);
+    waiters.get(name)?.forEach((notify) => notify());
   }
 
   function apply(
@@ -139,20 +140,20 @@
         const windowEnds = types.clock.after(readAt, intent.windowMs);
         const state = {...saved, windowEnds};
         keys.set(keyName(intent.team, intent.key), state);
-        keepAnswer(state);
+        storeAnswer(state);
       }
-      waiters.forEach((set) => set.forEach((wake) => wake()));
+      waiters.forEach((set) => set.forEach((notify) => notify()));
     },
     key: (team, key) => keys.get(keyName(team, key)),
     waitForOutcome: async (team, key, deadline) => {
       const name = keyName(team, key);
       if (keys.get(name)?.outcome !== undefined) return;
       const timer = new AbortController();
-      const wake = () => timer.abort();
+      const notify = () => timer.abort();
       const set = waiters.get(name) ?? new Set();
-      waiters.set(name, set.add(wake));
+      waiters.set(name, set.add(notify));
       await clock.sleepUntil(deadline, timer.signal);
-      set.delete(wake);
+      set.delete(notify);
       if (set.size === 0) waiters.delete(name);
     },
     size: () => keys.size,
--- a/packages/gypsumwall-records/src/stream_follower.ts
+++ b/packages/gypsumwall-records/src/stream_follower.ts
@@ -1,57 +1,57 @@
 /**
- * Follows one stream of the platform's log and folds its records into a
- * state. One loop reads; others ask how far it is or wait for an offset.
+ * Follows one stream of the platform's log and folds its records into a state.
+ * One loop reads; other code can query its position or wait for an offset.
  */
 import * as platform from '@gypsumwall/platform';
 import type * as telemetry from '@gypsumwall/telemetry';
 import * as types from '@gypsumwall/types';
 import * as envelope from './envelope.js';
-import * as producerCounts from './producer_counts.js';
+import * as producerSequences from './producer_sequences.js';
 import * as snapshotText from './snapshot_text.js';
 import type * as streamFold from './stream_fold.js';
 
-/** What the follower needs. */
+/** Options of `createStreamFollower`. */
 export interface StreamFollowerOptions {
   readonly stream: string;
   readonly log: platform.platformLog.PlatformLog;
   readonly fold: streamFold.StreamFold;
   readonly clock: types.clock.Clock;
   readonly logger: telemetry.logger.Logger;
-  /** Told of each record that counted, after the fold took it. */
+  /** Called for each valid record, after the fold has applied it. */
   readonly onRecord?: (record: platform.platformLog.LogRecord) => void;
-  /** Told after each page that brought something. */
+  /** Called after each page that contained records. */
   readonly onProgress?: () => void;
 }
 
-/** Reads a stream. */
+/** Follows a stream. */
 export interface StreamFollower {
   /** Reads until the signal aborts. */
   run(signal: AbortSignal): Promise<void>;
-  /** Offset after the last record seen. */
+  /** Offset after the last record that was read. */
   nextOffset(): number;
   /** Whether the state was complete at the last read that succeeded. */
-  caughtUp(): boolean;
-  /** When the log last answered; undefined before the first time. */
+  isCaughtUp(): boolean;
+  /** When the log last answered; undefined before its first answer. */
   lastAnswerAt(): types.clock.MonotonicMs | undefined;
-  /** Resolves true once the record at `offset` was seen, false at deadline. */
+  /** Resolves to true once `offset` has been read, or false at the deadline. */
   waitFor(offset: number, deadline: types.clock.MonotonicMs): Promise<boolean>;
-  /** How often the state was replaced by a snapshot instead of folded. */
+  /** How often the state was replaced with a snapshot. */
   restores(): number;
-  /** Records seen since the last snapshot in the stream. */
+  /** Number of records since the last snapshot in the stream. */
   recordsSinceSnapshot(): number;
-  /** Whether a reader that starts now could rebuild the state from the log. */
+  /** Whether a new reader could rebuild the state from the log. */
   isRebuildable(): boolean;
-  /** A state is of use to this reader only if it goes further than this. */
-  wantsAbove(): number;
-  /** The state now, for a snapshot record or for a peer. */
+  /** Snapshots can be adopted only if their `nextOffset` is above this. */
+  adoptableAbove(): number;
+  /** Returns the current state, for a snapshot record or for a peer. */
   snapshot(): snapshotText.Snapshot;
   /**
-   * Takes a peer's state while the log is out of reach; ignored unless it is
-   * ahead of this one, so that nothing ever goes back.
+   * Adopts a peer's state, for use while the log is unreachable. A state that
+   * is not ahead of this one is ignored, so that the state never goes back.
    */
   adopt(snapshot: snapshotText.Snapshot): boolean;
-  /** A peer that is caught up has read no further than this reader has. */
-  noteAsFarAsPeer(nextOffset: number): void;
+  /** Reports that a caught-up peer has read the stream up to `nextOffset`. */
+  confirmCaughtUp(nextOffset: number): void;
 }
 
 const PAGE_LIMIT = 2_000;
@@ -60,68 +60,69 @@
 
 interface Waiter {
   readonly offset: number;
-  readonly resolve: (seen: boolean) => void;
+  readonly settle: (wasRead: boolean) => void;
 }
 
-/** Makes a follower; nothing is read before `run`. */
+/** Creates a follower; it reads nothing until `run` is called. */
 export function createStreamFollower(
   options: StreamFollowerOptions,
 ): StreamFollower {
   const {stream, log, fold, clock} = options;
   const logger = options.logger.with({stream});
-  const counts = producerCounts.createProducerCounts();
+  const sequences = producerSequences.createProducerSequences();
   const waiters = new Set<Waiter>();
-  let next = 0;
-  let complete = false;
-  /** Whether the last page went to the stream's end; then reads may wait. */
-  let atEnd = false;
-  let sinceSnapshot = 0;
-  /** Oldest record that the log still has, as of its last answer. */
-  let oldest = 0;
-  /** Records below this offset are covered by a snapshot in the stream. */
-  let covered = 0;
-  let restores = 0;
-  let lastAnswer: types.clock.MonotonicMs | undefined;
+  let nextOffset = 0;
+  let isComplete = false;
+  /** Whether the last page reached the stream's end; then reads long-poll. */
+  let isAtEnd = false;
+  let recordsAfterSnapshot = 0;
+  /** Offset of the oldest record in the log, as of its last answer. */
+  let firstRetainedOffset = 0;
+  /** A snapshot in the stream covers all records below this offset. */
+  let snapshotEndOffset = 0;
+  let restoreCount = 0;
+  let lastAnsweredAt: types.clock.MonotonicMs | undefined;
   /**
-   * Set while the start of the stream is lost to retention: records wait
-   * here until a snapshot says what came before them.
+   * Set if retention has dropped records that this reader needs. Later records
+   * are buffered here until a snapshot is found that covers the dropped ones.
    */
   let awaitingSnapshot: AwaitingSnapshot | undefined;
 
-  /** What counts is how far it goes: an old snapshot may arrive late. */
-  function noteCovered(
+  /** Takes the maximum, because an older snapshot may arrive late. */
+  function recordSnapshotPart(
     part: Extract<envelope.Envelope, {readonly type: 'snapshot'}>,
   ): void {
-    const isWhole = part.part === part.parts - 1;
-    if (isWhole) covered = Math.max(covered, part.nextOffset);
+    const isLastPart = part.part === part.parts - 1;
+    if (isLastPart)
+      snapshotEndOffset = Math.max(snapshotEndOffset, part.nextOffset);
   }
 
   function applyRecord(record: platform.platformLog.LogRecord): void {
-    const read = envelope.decode(record.body);
-    switch (read.type) {
+    const decoded = envelope.decode(record.body);
+    switch (decoded.type) {
       case 'malformed':
         logger.warn('record_malformed', {
           offset: record.offset,
-          reason: read.message,
+          reason: decoded.message,
         });
         return;
       case 'newer':
-        // The log keeps it; an entry of the newer release applies it.
+        // The record stays in the log for entries of the newer release.
         logger.warn('record_from_newer_version', {
           offset: record.offset,
-          version: read.version,
+          version: decoded.version,
           known: envelope.RECORD_VERSION,
         });
         return;
       case 'known':
         break;
     }
-    if (read.envelope.type === 'snapshot') {
-      sinceSnapshot = 0;
-      noteCovered(read.envelope);
+    if (decoded.envelope.type === 'snapshot') {
+      recordsAfterSnapshot = 0;
+      recordSnapshotPart(decoded.envelope);
       return;
     }
-    if (!counts.take(record.producer, record.sequence)) {
+    if (!sequences.accept(record.producer, record.sequence)) {
       logger.info('record_void', {
         offset: record.offset,
         producer: record.producer,
@@ -129,17 +130,17 @@
       });
       return;
     }
-    sinceSnapshot += 1;
-    if (read.envelope.type === 'record') {
-      fold.apply(record.offset, read.envelope.record, clock.monotonic());
+    recordsAfterSnapshot += 1;
+    if (decoded.envelope.type === 'record') {
+      fold.apply(record.offset, decoded.envelope.record, clock.monotonic());
     }
     options.onRecord?.(record);
   }
 
   function restore(snapshot: snapshotText.Snapshot): void {
     const body = snapshotText.readText(snapshot.text);
-    restores += 1;
-    counts.restore(body.producers);
+    restoreCount += 1;
+    sequences.restore(body.producers);
     fold.restore(body.state, clock.monotonic());
     logger.info('snapshot_restored', {
       next_offset: snapshot.nextOffset,
@@ -147,65 +148,71 @@
     });
   }
 
-  /** Takes the state that was waited for, and what came after it. */
-  function resume(
+  /** Restores the awaited snapshot and applies the records after it. */
+  function restoreAndReplay(
     waiting: AwaitingSnapshot,
-    found: snapshotText.Snapshot,
+    snapshot: snapshotText.Snapshot,
   ): void {
     awaitingSnapshot = undefined;
-    restore(found);
+    restore(snapshot);
     waiting.records
-      .filter((kept) => kept.offset >= found.nextOffset)
+      .filter((record) => record.offset >= snapshot.nextOffset)
       .forEach(applyRecord);
   }
 
-  function collect(
+  function bufferRecord(
     waiting: AwaitingSnapshot,
     record: platform.platformLog.LogRecord,
   ): void {
-    const read = envelope.decode(record.body);
-    if (read.type === 'known' && read.envelope.type === 'snapshot') {
-      noteCovered(read.envelope);
-      const found = waiting.collector.add(record.producer, read.envelope);
-      if (found !== undefined && found.nextOffset >= waiting.firstOffset) {
-        resume(waiting, found);
+    const decoded = envelope.decode(record.body);
+    if (decoded.type === 'known' && decoded.envelope.type === 'snapshot') {
+      recordSnapshotPart(decoded.envelope);
+      const snapshot = waiting.collector.add(record.producer, decoded.envelope);
+      if (
+        snapshot !== undefined &&
+        snapshot.nextOffset >= waiting.firstOffset
+      ) {
+        restoreAndReplay(waiting, snapshot);
       }
       return;
     }
     waiting.records.push(record);
   }
 
-  function takePage(page: platform.platformLog.LogPage): void {
-    if (page.firstOffset > next) {
-      // Retention passed this reader: what was between is gone, so the state
-      // is rebuilt from a snapshot instead of carried on with a hole in it.
-      logger.warn('retention_passed', {next, first: page.firstOffset});
+  function applyPage(page: platform.platformLog.LogPage): void {
+    if (page.firstOffset > nextOffset) {
+      // Retention has dropped records that this reader had not read yet, so
+      // the state must be rebuilt from a snapshot.
+      logger.warn('retention_passed', {
+        next: nextOffset,
+        first: page.firstOffset,
+      });
       awaitingSnapshot = {
         firstOffset: page.firstOffset,
         records: [],
         collector: snapshotText.createSnapshotCollector(),
       };
-      next = page.firstOffset;
+      nextOffset = page.firstOffset;
     }
     for (const record of page.records) {
-      // An overlapping page must not apply a record twice.
-      if (record.offset < next) continue;
+      // Pages may overlap; a record must not be applied twice.
+      if (record.offset < nextOffset) continue;
       if (awaitingSnapshot === undefined) applyRecord(record);
-      else collect(awaitingSnapshot, record);
-      next = record.offset + 1;
+      else bufferRecord(awaitingSnapshot, record);
+      nextOffset = record.offset + 1;
     }
-    atEnd = next >= page.endOffset;
-    oldest = page.firstOffset;
-    complete = awaitingSnapshot === undefined && atEnd;
-    lastAnswer = clock.monotonic();
-    wakeWaiters();
+    isAtEnd = nextOffset >= page.endOffset;
+    firstRetainedOffset = page.firstOffset;
+    isComplete = awaitingSnapshot === undefined && isAtEnd;
+    lastAnsweredAt = clock.monotonic();
+    resolveWaiters();
     if (page.records.length > 0) options.onProgress?.();
   }
 
-  function wakeWaiters(): void {
+  function resolveWaiters(): void {
     if (awaitingSnapshot !== undefined) return;
     for (const waiter of waiters) {
-      if (waiter.offset < next) waiter.resolve(true);
+      if (waiter.offset < nextOffset) waiter.settle(true);
     }
   }
 
@@ -213,12 +220,12 @@
     offset: number,
     deadline: types.clock.MonotonicMs,
   ): Promise<boolean> {
-    if (offset < next && awaitingSnapshot === undefined) return true;
+    if (offset < nextOffset && awaitingSnapshot === undefined) return true;
     const timer = new AbortController();
-    const seen = new Promise<boolean>((resolve) => {
+    const wasRead = new Promise<boolean>((resolve) => {
       const waiter: Waiter = {
         offset,
-        resolve: (value) => {
+        settle: (value) => {
           waiters.delete(waiter);
           timer.abort();
           resolve(value);
@@ -227,14 +234,14 @@
       waiters.add(waiter);
       void clock
         .sleepUntil(deadline, timer.signal)
-        .then(() => waiter.resolve(false));
+        .then(() => waiter.settle(false));
     });
-    return seen;
+    return wasRead;
   }
 
-  function wantsAbove(): number {
+  function adoptableAbove(): number {
     return awaitingSnapshot === undefined
-      ? next
+      ? nextOffset
       : awaitingSnapshot.firstOffset - 1;
   }
 
@@ -242,14 +249,14 @@
     while (!signal.aborted) {
       const page = await log.read({
         stream,
-        from: next,
+        from: nextOffset,
         limit: PAGE_LIMIT,
-        waitMs: atEnd ? LONG_POLL_MS : 0,
+        waitMs: isAtEnd ? LONG_POLL_MS : 0,
         signal,
       });
       if (signal.aborted) return;
       if (page.isOk) {
-        takePage(page.value);
+        applyPage(page.value);
         continue;
       }
       logger.debug('log_read_failed', {
@@ -263,29 +270,29 @@
   return {
     run,
     waitFor,
-    nextOffset: () => next,
-    caughtUp: () => complete,
-    lastAnswerAt: () => lastAnswer,
-    restores: () => restores,
-    recordsSinceSnapshot: () => sinceSnapshot,
-    isRebuildable: () => covered >= oldest,
-    wantsAbove,
+    nextOffset: () => nextOffset,
+    isCaughtUp: () => isComplete,
+    lastAnswerAt: () => lastAnsweredAt,
+    restores: () => restoreCount,
+    recordsSinceSnapshot: () => recordsAfterSnapshot,
+    isRebuildable: () => snapshotEndOffset >= firstRetainedOffset,
+    adoptableAbove,
     snapshot: () => ({
-      nextOffset: next,
-      text: snapshotText.writeText(counts, fold),
+      nextOffset,
+      text: snapshotText.writeText(sequences, fold),
     }),
-    noteAsFarAsPeer: (nextOffset) => {
-      if (awaitingSnapshot === undefined && nextOffset === next) {
-        complete = true;
+    confirmCaughtUp: (nextOffset) => {
+      if (awaitingSnapshot === undefined && nextOffset === nextOffset) {
+        isComplete = true;
       }
     },
     adopt: (snapshot) => {
-      if (snapshot.nextOffset <= wantsAbove()) return false;
+      if (snapshot.nextOffset <= adoptableAbove()) return false;
       if (awaitingSnapshot === undefined) restore(snapshot);
-      else resume(awaitingSnapshot, snapshot);
-      next = Math.max(next, snapshot.nextOffset);
-      complete = true;
-      wakeWaiters();
+      else restoreAndReplay(awaitingSnapshot, snapshot);
+      nextOffset = Math.max(nextOffset, snapshot.nextOffset);
+      isComplete = true;
+      resolveWaiters();
       options.onProgress?.();
       return true;
     },
