--- a/packages/gypsumwall-entry/src/domain_holder.ts
+++ b/packages/gypsumwall-entry/src/domain_holder.ts
@@ -94,7 +94,7 @@
     onView: (view) => scheduler?.setWorkers(view.workers),
     onJobChange: (change) => {
       if (change.type !== 'restored' || schedulerEpoch === undefined) {
-        scheduler?.onJob(change);
+        scheduler?.onJobChange(change);
         return;
       }
       // The scheduler tracks tasks record by record. After a restore it is
--- a/packages/gypsumwall-entry/src/domain_scheduler.ts
+++ b/packages/gypsumwall-entry/src/domain_scheduler.ts
@@ -29,9 +29,9 @@
   /** Sets the workers that are on the instance list. */
   setWorkers(listed: readonly platform.instanceList.ListedWorker[]): void;
   setTeam(team: placement.placer.PlacerTeam): void;
-  onJob(change: records.jobFold.JobChange): void;
+  onJobChange(change: records.jobFold.JobChange): void;
   /** Number of the job's tasks that are active on workers. */
-  running(jobId: types.ids.JobId): number;
+  activeTaskCount(jobId: types.ids.JobId): number;
   /** Attempts of the job's tasks that failed in this epoch. */
   failedAttempts(jobId: types.ids.JobId): number;
   /** Why the job waits, as text for its owner. */
@@ -55,7 +55,7 @@
 export function createDomainScheduler(
   options: schedulerOptions.DomainSchedulerOptions,
 ): DomainScheduler {
-  const {clock, placer, spans, epoch} = options;
+  const {clock, placer, durations, epoch} = options;
   const logger = options.logger.with({epoch});
   const heldSince = clock.monotonic();
   const closing = new AbortController();
@@ -137,8 +137,8 @@
       work,
       traceparent: job.traceparent,
       leaseMs: tracker.mustRunOnce(taskId)
-        ? spans.taskLeaseMs
-        : spans.serviceLeaseMs,
+        ? durations.taskLeaseMs
+        : durations.serviceLeaseMs,
     });
   }
 
@@ -169,9 +169,9 @@
       now: clock.monotonic(),
       hadPredecessor: options.hadPredecessor,
       heldSince,
-      leaseMs: spans.taskLeaseMs,
-      graceMs: spans.leaseGraceMs,
-      listLagMs: spans.listLagMs,
+      leaseMs: durations.taskLeaseMs,
+      graceMs: durations.leaseGraceMs,
+      listLagMs: durations.listLagMs,
       recent: options.recentWorkers,
       fenced: fencedWorkers,
     });
@@ -318,8 +318,8 @@
       requestCycle();
     },
     setTeam: (team) => placer.setTeam(team),
-    onJob: handleJobChange,
-    running: (jobId) => tasks.ofJob(jobId).length,
+    onJobChange: handleJobChange,
+    activeTaskCount: (jobId) => tasks.ofJob(jobId).length,
     failedAttempts: (jobId) => tracker.failedAttempts(jobId),
     explain: (jobId) => placer.explain(jobId),
     admit: (spec) => placer.admit(spec, clock.wall()),
--- a/packages/gypsumwall-entry/src/job_service.ts
+++ b/packages/gypsumwall-entry/src/job_service.ts
@@ -193,7 +193,7 @@
   job: records.jobFold.JobState,
   scheduler: domainScheduler.DomainScheduler | undefined,
 ): types.job.JobView {
-  const running = scheduler?.running(job.jobId) ?? 0;
+  const running = scheduler?.activeTaskCount(job.jobId) ?? 0;
   const isDone = job.phase.type === 'done';
   return {
     jobId: job.jobId,
--- a/packages/gypsumwall-entry/src/recovery_gate.ts
+++ b/packages/gypsumwall-entry/src/recovery_gate.ts
@@ -18,7 +18,7 @@
 /** When each worker was last on the list, since this process started. */
 export interface RecentWorkers {
   /** Records the workers of a list that was just fetched. */
-  note(ids: Iterable<types.ids.WorkerId>, now: MonotonicMs): void;
+  record(ids: Iterable<types.ids.WorkerId>, now: MonotonicMs): void;
   /** Workers listed at or after `since`. */
   listedSince(since: MonotonicMs): readonly types.ids.WorkerId[];
   /** When the first list was recorded; undefined before that. */
@@ -30,7 +30,7 @@
   const lastListed = new Map<types.ids.WorkerId, MonotonicMs>();
   let firstListAt: MonotonicMs | undefined;
   return {
-    note: (ids, now) => {
+    record: (ids, now) => {
       firstListAt ??= now;
       for (const id of ids) lastListed.set(id, now);
     },
