--- a/packages/gypsumwall-platform/src/http_call.ts
+++ b/packages/gypsumwall-platform/src/http_call.ts
@@ -1,14 +1,15 @@
 /**
- * One JSON call over HTTP by undici, with a deadline and typed errors. Every
- * client of the platform goes through here.
+ * Sends one JSON request over HTTP with undici, with a timeout and typed
+ * errors. All clients of the platform's log, instance list and workers use
+ * these errors.
  */
 import * as result from 'true-myth/result';
 import * as undici from 'undici';
 import * as types from '@gypsumwall/types';
 
-/** One call. */
+/** One HTTP call with JSON bodies. */
 export interface JsonCall {
-  /** Dotted name for errors, such as `log.append`. */
+  /** Dotted name of the step for errors, such as `log.append`. */
   readonly step: string;
   readonly peer: string;
   readonly method: 'GET' | 'POST';
@@ -19,7 +20,7 @@
   readonly signal?: AbortSignal;
 }
 
-/** What the other end answers when it refuses. */
+/** Body of an answer whose status is not 2xx. */
 interface RefusalBody {
   readonly error?: string;
   readonly message?: string;
@@ -27,8 +28,8 @@
 }
 
 /**
- * Errors of undici after which surely no byte of the request was written.
- * Anything else may have reached the other end.
+ * Error codes of undici and Node that prove that no byte of the request was
+ * written. After any other error the request may have reached the server.
  */
 const NEVER_SENT_CODES = new Set([
   'ECONNREFUSED',
@@ -44,7 +45,7 @@
   invalid: 'invalid',
 };
 
-/** Does the call; a 2xx answer's body is returned as it was parsed. */
+/** Sends the request; the parsed body of a 2xx answer is not validated. */
 export async function callJson<Value>(
   call: JsonCall,
 ): Promise<result.Result<Value, types.stepError.StepError>> {
@@ -54,37 +55,37 @@
       dispatcher: call.dispatcher,
       headers: {'content-type': 'application/json'},
       body: call.body === undefined ? null : JSON.stringify(call.body),
-      signal: joinSignals(call),
+      signal: combineSignals(call),
     });
     const text = await res.body.text();
     if (res.statusCode >= 200 && res.statusCode < 300) {
-      return result.ok(parse<Value>(text));
+      return result.ok(parseBody<Value>(text));
     }
-    return result.err(refusal(call, res.statusCode, text));
+    return result.err(createRefusalError(call, res.statusCode, text));
   } catch (thrown) {
     return result.err(transportError(call, thrown));
   }
 }
 
-function joinSignals(call: JsonCall): AbortSignal {
+function combineSignals(call: JsonCall): AbortSignal {
   const timeout = AbortSignal.timeout(Math.max(1, call.timeoutMs));
   if (call.signal === undefined) return timeout;
   return AbortSignal.any([timeout, call.signal]);
 }
 
-function parse<Value>(text: string): Value {
+function parseBody<Value>(text: string): Value {
   return (text === '' ? undefined : JSON.parse(text)) as Value;
 }
 
-/** Reads a refusal in the wire form of docs/PLATFORM.md. */
-export function refusal(
+/** Creates the error for a refusal in the wire format of docs/PLATFORM.md. */
+export function createRefusalError(
   call: Pick<JsonCall, 'step' | 'peer'>,
   status: number,
   text: string,
 ): types.stepError.StepError {
   let body: RefusalBody = {};
   try {
-    body = parse<RefusalBody>(text) ?? {};
+    body = parseBody<RefusalBody>(text) ?? {};
   } catch {
     body = {message: text.slice(0, 200)};
   }
@@ -92,14 +93,15 @@
     kind: REFUSAL_KINDS[body.error ?? ''] ?? 'refused',
     step: call.step,
     peer: call.peer,
-    // A 5xx may be a failure halfway through; a 4xx refuses before any effect.
+    // A 5xx may have failed partway through; a 4xx was refused before it had
+    // any effect.
     effect: status < 500 || body.error === 'not_run' ? 'not_run' : 'unknown',
-    message: `status ${status}: ${body.message ?? body.error ?? 'no reason'}`,
+    message: `status ${status}: ${body.message ?? body.error ?? 'no reason given'}`,
     retryAfterMs: body.retryAfterMs,
   };
 }
 
-/** Turns what a transport threw into a step error. */
+/** Creates the step error for an exception thrown by the HTTP client. */
 export function transportError(
   call: Pick<JsonCall, 'step' | 'peer'>,
   thrown: unknown,
@@ -116,7 +118,7 @@
   };
 }
 
-/** The error code of whatever was thrown, or an empty string. */
+/** Error code of a thrown value or of its cause; empty if there is none. */
 export function codeOf(thrown: unknown): string {
   if (!(thrown instanceof Error)) return '';
   const code = (thrown as NodeJS.ErrnoException).code;
--- a/packages/gypsumwall-platform/src/http_instance_list.ts
+++ b/packages/gypsumwall-platform/src/http_instance_list.ts
@@ -1,10 +1,10 @@
-/** The platform's instance list over HTTP. */
+/** Client of the platform's instance list over HTTP. */
 import * as result from 'true-myth/result';
 import * as undici from 'undici';
 import * as httpCall from './http_call.js';
 import type * as instanceList from './instance_list.js';
 
-/** Where the list is and how long a call may take. */
+/** Address of the instance list and timeout of a call. */
 export interface HttpInstanceListOptions {
   readonly url: string;
   readonly timeoutMs: number;
@@ -14,50 +14,59 @@
   readonly instances: readonly instanceList.ListedInstance[];
 }
 
-/** The last answer, by the tag that the platform gave it. */
+/** The last list received, with its entity tag. */
 interface TaggedList {
   readonly etag: string;
   readonly instances: readonly instanceList.ListedInstance[];
 }
 
 const STEP = 'list.fetch';
-const OK = 200;
-const NOT_MODIFIED = 304;
+const STATUS_OK = 200;
+const STATUS_NOT_MODIFIED = 304;
 
 /**
- * Makes a client of the list. It asks with the tag of the last answer: a list
- * of 31,000 workers is megabytes, and mostly the same as a moment ago. While
- * it is, the very same array is given again.
+ * Creates a client of the instance list. A list of 31,000 workers takes
+ * megabytes and rarely changes between two polls, so each request carries the
+ * entity tag of the last answer. While the list is unchanged, `fetch` returns
+ * the same array object.
  */
 export function createHttpInstanceList(
   options: HttpInstanceListOptions,
 ): instanceList.InstanceList {
   const {url, timeoutMs} = options;
   const dispatcher = new undici.Agent({connections: 2});
-  const where = {step: STEP, peer: url};
-  let last: TaggedList | undefined;
+  const errorContext = {step: STEP, peer: url};
+  let lastList: TaggedList | undefined;
 
   async function fetchList(): ReturnType<instanceList.InstanceList['fetch']> {
-    const asked = last;
+    const previousList = lastList;
     try {
       const res = await undici.request(`${url}/v1/instances`, {
         dispatcher,
-        headers: asked === undefined ? {} : {'if-none-match': asked.etag},
+        headers:
+          previousList === undefined
+            ? {}
+            : {'if-none-match': previousList.etag},
         signal: AbortSignal.timeout(timeoutMs),
       });
       const text = await res.body.text();
-      if (res.statusCode === NOT_MODIFIED && asked !== undefined) {
-        return result.ok(asked.instances);
+      if (
+        res.statusCode === STATUS_NOT_MODIFIED &&
+        previousList !== undefined
+      ) {
+        return result.ok(previousList.instances);
       }
-      if (res.statusCode !== OK) {
-        return result.err(httpCall.refusal(where, res.statusCode, text));
+      if (res.statusCode !== STATUS_OK) {
+        return result.err(
+          httpCall.createRefusalError(errorContext, res.statusCode, text),
+        );
       }
       const {instances} = JSON.parse(text) as ListBody;
       const {etag} = res.headers;
-      last = typeof etag === 'string' ? {etag, instances} : undefined;
+      lastList = typeof etag === 'string' ? {etag, instances} : undefined;
       return result.ok(instances);
     } catch (thrown) {
-      return result.err(httpCall.transportError(where, thrown));
+      return result.err(httpCall.transportError(errorContext, thrown));
     }
   }
 
--- a/packages/gypsumwall-platform/src/http_platform_log.ts
+++ b/packages/gypsumwall-platform/src/http_platform_log.ts
@@ -1,15 +1,15 @@
-/** The platform's log over HTTP. */
+/** Client of the platform's log over HTTP. */
 import * as undici from 'undici';
 import * as httpCall from './http_call.js';
 import type * as platformLog from './platform_log.js';
 
-/** Where the log is and how long a call may take. */
+/** Address of the log and timeout of a call. */
 export interface HttpPlatformLogOptions {
   readonly url: string;
   readonly timeoutMs: number;
 }
 
-/** Makes a client of the log. */
+/** Creates a client of the log. */
 export function createHttpPlatformLog(
   options: HttpPlatformLogOptions,
 ): platformLog.PlatformLog {
--- a/packages/gypsumwall-platform/src/http_worker.ts
+++ b/packages/gypsumwall-platform/src/http_worker.ts
@@ -1,11 +1,11 @@
-/** One worker over HTTP. */
+/** Client of one worker over HTTP. */
 import type * as result from 'true-myth/result';
 import * as undici from 'undici';
 import type * as types from '@gypsumwall/types';
 import * as httpCall from './http_call.js';
 import type * as worker from './worker.js';
 
-/** Which worker, and how long a call may take. */
+/** Identity and address of one worker, and the timeout of a call. */
 export interface HttpWorkerOptions {
   readonly id: types.ids.WorkerId;
   readonly address: string;
@@ -13,7 +13,7 @@
   readonly dispatcher: undici.Dispatcher;
 }
 
-/** Makes a client of one worker. */
+/** Creates a client of one worker. */
 export function createHttpWorker(options: HttpWorkerOptions): worker.Worker {
   const call = <Value>(
     name: string,
--- a/packages/gypsumwall-platform/src/instance_list.ts
+++ b/packages/gypsumwall-platform/src/instance_list.ts
@@ -1,4 +1,7 @@
-/** The platform's lagging list of instances. Wire form: docs/PLATFORM.md. */
+/**
+ * The platform's list of instances. It lags behind their actual state. The wire
+ * format is in docs/PLATFORM.md.
+ */
 import type * as result from 'true-myth/result';
 import type * as types from '@gypsumwall/types';
 
@@ -9,7 +12,10 @@
   readonly state: 'live' | 'leaving';
 }
 
-/** An entry instance on the list; its process id is learned by heartbeat. */
+/**
+ * An entry instance on the list. The list does not contain the entry id of its
+ * process; heartbeats carry it.
+ */
 export interface ListedEntry extends ListedBase {
   readonly kind: 'entry';
   readonly id: string;
@@ -34,7 +40,7 @@
 /** An instance on the list. */
 export type ListedInstance = ListedEntry | ListedWorker | ListedUpstream;
 
-/** Reads the list. */
+/** Client of the instance list. */
 export interface InstanceList {
   fetch(): Promise<
     result.Result<readonly ListedInstance[], types.stepError.StepError>
--- a/packages/gypsumwall-platform/src/platform_log.ts
+++ b/packages/gypsumwall-platform/src/platform_log.ts
@@ -1,30 +1,31 @@
 /**
- * The platform's append-only log, as this product needs it. The wire form is
- * in docs/PLATFORM.md. The log does not remove duplicates: an append whose
- * answer was lost is resolved by reading back (see `durable_append.ts`).
+ * Interface of the platform's append-only log. The wire format is in
+ * docs/PLATFORM.md. The log does not remove duplicates: an append whose answer
+ * was lost is resolved by reading the stream back (see `log_appender.ts`).
  */
 import type * as result from 'true-myth/result';
 import type * as types from '@gypsumwall/types';
 
-/** A record as the log holds it. */
+/** A record in the log. */
 export interface LogRecord {
   readonly offset: number;
-  /** Who appended it, and its number in that producer's own count. */
+  /** Id of the process that appended the record. */
   readonly producer: string;
+  /** Number of the record among the records of its producer. */
   readonly sequence: number;
   readonly body: string;
 }
 
-/** One append: its records get offsets without a gap. */
+/** One append; its records get consecutive offsets. */
 export interface AppendRequest {
   readonly stream: string;
   readonly producer: string;
-  /** Number of the first record; the others follow by ones. */
+  /** Sequence number of the first record; each next record adds 1. */
   readonly sequence: number;
   readonly bodies: readonly string[];
 }
 
-/** Where an append's records stand. */
+/** Offset that the log gave to the first record of an append. */
 export interface Appended {
   readonly firstOffset: number;
 }
@@ -32,27 +33,30 @@
 /** A page of a stream. */
 export interface LogPage {
   readonly records: readonly LogRecord[];
-  /** Where the next read goes on. */
+  /** Offset at which the next read starts. */
   readonly nextOffset: number;
-  /** Oldest offset still kept; above the asked one when retention passed. */
+  /**
+   * Oldest offset that the log still has. It is above the requested offset if
+   * the records there were removed at the end of their retention.
+   */
   readonly firstOffset: number;
-  /** Offset that the stream's next record will get. */
+  /** Offset that the next record of the stream will get. */
   readonly endOffset: number;
 }
 
-/** What to read. */
+/** One read of a stream. */
 export interface ReadRequest {
   readonly stream: string;
   readonly from: number;
   readonly limit: number;
-  /** How long the log may hold an empty answer back. */
+  /** How long the log may wait for a record before it answers; milliseconds. */
   readonly waitMs: number;
   readonly signal?: AbortSignal;
 }
 
-/** Appends to and reads from the platform's log. */
+/** Client of the platform's log. */
 export interface PlatformLog {
-  /** Errors: effect `unknown` unless the log surely took nothing. */
+  /** An error has the effect `unknown` unless nothing was appended for sure. */
   append(
     req: AppendRequest,
   ): Promise<result.Result<Appended, types.stepError.StepError>>;
--- a/packages/gypsumwall-platform/src/upstream.ts
+++ b/packages/gypsumwall-platform/src/upstream.ts
@@ -1,4 +1,7 @@
-/** An upstream (executor) that answers requests. Wire form: docs/PLATFORM.md. */
+/**
+ * Interface of an upstream, which the platform calls an executor. The wire
+ * format is in docs/PLATFORM.md.
+ */
 import type * as stream from 'node:stream';
 import type * as result from 'true-myth/result';
 import type * as types from '@gypsumwall/types';
@@ -9,18 +12,19 @@
   readonly team: types.ids.TeamId;
   /** Kind of request, such as `airspace-check`. */
   readonly operation: string;
-  /** Absent for a request that may be repeated. */
+  /** Absent for an idempotent request, which may be sent again. */
   readonly key?: types.ids.IdempotencyKey;
   readonly body: Uint8Array;
   readonly deadline: types.clock.MonotonicMs;
   readonly signal?: AbortSignal;
-  /** W3C trace context of the hop. */
+  /** W3C trace context of this call. */
   readonly traceparent?: string;
 }
 
 /**
- * An answer on its way. `body` fails with an error when the answer ends
- * before its declared length, so that a half is never taken for the whole.
+ * An answer whose body is still being received. `body` fails with an error if
+ * the answer ends before its declared length, so that a truncated answer is
+ * never taken for a complete one.
  */
 export interface UpstreamAnswer {
   readonly contentType: string;
@@ -28,13 +32,14 @@
   readonly body: stream.Readable;
 }
 
-/** Calls to one upstream; its connections are bounded by the share. */
+/** Client of one upstream; this entry's share bounds its connections. */
 export interface Upstream {
-  /** Errors tell by their effect whether the request may have run. */
+  /** The effect of an error says whether the request may have run. */
   execute(
     req: UpstreamRequest,
   ): Promise<result.Result<UpstreamAnswer, types.stepError.StepError>>;
-  /** At most this many connections from now on. */
+  /** Sets the maximum number of connections, idle and in use. */
   setConnections(connections: number): void;
+  /** Resolves when the requests in progress have ended. */
   close(): Promise<void>;
 }
--- a/packages/gypsumwall-platform/src/upstream_connections.ts
+++ b/packages/gypsumwall-platform/src/upstream_connections.ts
@@ -1,11 +1,12 @@
 /**
- * The connections to one upstream: never more than the share allows, counting
- * those that still carry a request, and each replaceable by itself.
+ * Pool of connections to one upstream. The limit counts idle connections and
+ * those in use; no connection is opened above it. Each connection can be
+ * replaced without affecting the others.
  */
 import * as undici from 'undici';
 import type * as types from '@gypsumwall/types';
 
-/** Where to, how many, and by which clock. */
+/** Address of the upstream, connection limit, and clock. */
 export interface UpstreamConnectionsOptions {
   readonly address: string;
   readonly limit: number;
@@ -15,84 +16,91 @@
 /** One connection; it carries one request at a time. */
 export interface UpstreamConnection {
   readonly client: undici.Client;
-  /** When it last carried something. */
-  usedAt: types.clock.MonotonicMs;
-  /** How many times it was opened: undici opens a closed one again. */
-  opened: number;
+  /** When its last request ended, or when it was created. */
+  lastUsedAt: types.clock.MonotonicMs;
+  /**
+   * How many times the connection was established. It can be more than once,
+   * because undici reconnects a closed client.
+   */
+  connectCount: number;
 }
 
-/** All connections to one upstream. */
+/** Pool of the connections to one upstream. */
 export interface UpstreamConnections {
   /**
-   * A connection that carries nothing, opened on use; undefined when the
-   * limit is in use. One idle for longer than `maxIdleMs` is replaced.
+   * Returns an idle connection or a new one, which connects on first use.
+   * Returns undefined if the limit is reached and none is idle. Connections
+   * idle for longer than `maxIdleMs` are closed first.
    */
-  take(maxIdleMs: number): UpstreamConnection | undefined;
-  /** Keeps it for the next request, or closes it when above the limit. */
-  giveBack(connection: UpstreamConnection): void;
-  /** Closes every connection that carries nothing. */
-  dropIdle(): void;
+  acquire(maxIdleMs: number): UpstreamConnection | undefined;
+  /**
+   * Makes the connection available to the next request. If there are more
+   * connections than the limit, closes the one that was released first.
+   */
+  release(connection: UpstreamConnection): void;
+  /** Closes all idle connections. */
+  closeIdle(): void;
   setLimit(limit: number): void;
-  /** Resolves when what is carried has ended. */
+  /** Resolves when the requests in progress have ended. */
   close(): Promise<void>;
 }
 
-/** A connection that isn't made within this is refused as not run. */
+/** A request that gets no connection within this time fails as not run. */
 const CONNECT_TIMEOUT_MS = 1_000;
 
-/** Makes a set without connections. */
+/** Creates an empty pool. */
 export function createUpstreamConnections(
   options: UpstreamConnectionsOptions,
 ): UpstreamConnections {
   let {limit} = options;
-  let open = 0;
+  let openCount = 0;
   const idle: UpstreamConnection[] = [];
-  let allClosed: () => void = () => undefined;
+  let onAllClosed: () => void = () => undefined;
 
   const destroy = (connection: UpstreamConnection) => {
-    open -= 1;
+    openCount -= 1;
     void connection.client.destroy();
-    if (open === 0) allClosed();
+    if (openCount === 0) onAllClosed();
   };
   const closeAboveLimit = () => {
-    while (open > limit) {
+    while (openCount > limit) {
       const oldest = idle.shift();
       if (oldest === undefined) return;
       destroy(oldest);
     }
   };
-  const dropIdle = () => idle.splice(0).forEach(destroy);
-  const dropIdleSince = (moment: number) => {
-    // The one used last comes last.
-    while ((idle[0]?.usedAt ?? Infinity) < moment) {
+  const closeIdle = () => idle.splice(0).forEach(destroy);
+  const closeIdleSince = (moment: number) => {
+    // Sorted by the time of last use, the oldest first.
+    while ((idle[0]?.lastUsedAt ?? Infinity) < moment) {
       idle.splice(0, 1).forEach(destroy);
     }
   };
 
   return {
-    take: (maxIdleMs) => {
-      dropIdleSince(options.clock.monotonic() - maxIdleMs);
-      const warm = idle.pop();
-      if (warm !== undefined) return warm;
-      if (open >= limit) return undefined;
-      open += 1;
+    acquire: (maxIdleMs) => {
+      closeIdleSince(options.clock.monotonic() - maxIdleMs);
+      const lastUsed = idle.pop();
+      if (lastUsed !== undefined) return lastUsed;
+      if (openCount >= limit) return undefined;
+      openCount += 1;
       return connect(options);
     },
-    giveBack: (connection) => {
-      connection.usedAt = options.clock.monotonic();
+    release: (connection) => {
+      connection.lastUsedAt = options.clock.monotonic();
       idle.push(connection);
       closeAboveLimit();
     },
-    dropIdle,
+    closeIdle,
     setLimit: (wanted) => {
       limit = wanted;
       closeAboveLimit();
     },
     close: async () => {
       limit = 0;
-      dropIdle();
-      if (open === 0) return;
-      await new Promise<void>((resolve) => (allClosed = resolve));
+      closeIdle();
+      if (openCount === 0) return;
+      await new Promise<void>((resolve) => (onAllClosed = resolve));
     },
   };
 }
@@ -101,12 +109,16 @@
   const client = new undici.Client(options.address, {
     pipelining: 1,
     connect: {timeout: CONNECT_TIMEOUT_MS},
-    // The deadline of each request is the only bound on its silence.
+    // The deadline of each request bounds the wait for its answer instead.
     headersTimeout: 0,
     bodyTimeout: 0,
   });
   const usedAt = options.clock.monotonic();
-  const connection: UpstreamConnection = {client, usedAt, opened: 0};
-  client.on('connect', () => (connection.opened += 1));
+  const connection: UpstreamConnection = {
+    client,
+    lastUsedAt: usedAt,
+    connectCount: 0,
+  };
+  client.on('connect', () => (connection.connectCount += 1));
   return connection;
 }
--- a/packages/gypsumwall-platform/src/worker.ts
+++ b/packages/gypsumwall-platform/src/worker.ts
@@ -1,10 +1,11 @@
 /**
- * A worker, as this product needs it. Wire form: docs/PLATFORM.md.
+ * Interface of a worker. The wire format is in docs/PLATFORM.md.
  *
- * Two things of the worker carry the safety of placement. It refuses every
- * call whose epoch is below the highest it has seen, so a holder that was
- * replaced can start nothing more there. And all times in calls are on the
- * worker's own clock, which answers tell, so clock skew can't stretch a lease.
+ * The safety of placement depends on two properties of the worker. It refuses
+ * every call whose epoch is below the highest that it has seen, so a fenced
+ * holder can start nothing more there. And all times in calls are on the
+ * worker's own clock, which its answers carry, so clock skew between holder
+ * and worker can't extend a lease.
  */
 import type * as result from 'true-myth/result';
 import type * as types from '@gypsumwall/types';
@@ -12,7 +13,7 @@
 /** A moment on the worker's clock, in milliseconds. */
 export type WorkerMs = number & {readonly __unit: 'WorkerMs'};
 
-/** A task that runs at the worker. */
+/** A task that runs on the worker. */
 export interface RunningTask {
   readonly taskId: types.ids.TaskId;
   readonly attempt: types.ids.AttemptId;
@@ -20,21 +21,21 @@
   readonly leaseUntil: WorkerMs;
 }
 
-/** A task that ended and whose end was not yet acknowledged. */
+/** A task that has ended; the holder has not acknowledged its end yet. */
 export interface FinishedTask {
   readonly taskId: types.ids.TaskId;
   readonly attempt: types.ids.AttemptId;
   readonly end: types.job.TaskEnd;
 }
 
-/** What a task used, as reported with a lag. */
+/** Resource usage of a task; the report lags behind. */
 export interface TaskUsage {
   readonly taskId: types.ids.TaskId;
   readonly attempt: types.ids.AttemptId;
   readonly used: types.resources.Resources;
 }
 
-/** What the worker knows when a holder attaches. */
+/** State of the worker when a holder attaches. */
 export interface Attached {
   readonly incarnation: types.ids.WorkerIncarnation;
   readonly now: WorkerMs;
@@ -49,17 +50,20 @@
   readonly attempt: types.ids.AttemptId;
   readonly size: types.resources.Resources;
   readonly work: types.job.Work;
-  /** The worker stops the task then, unless the lease is renewed. */
+  /** The worker stops the task at this time unless the lease is renewed. */
   readonly leaseUntil: WorkerMs;
 }
 
-/** What the worker did with one start. */
+/** Answer of the worker to one start. */
 export type StartAnswer =
   | {readonly type: 'started'}
-  /** Proved not run: over capacity, stopped before, or already there. */
+  /**
+   * The task was not started by this call: it exceeds the capacity, was
+   * stopped before, or is already there.
+   */
   | {readonly type: 'refused'; readonly message: string};
 
-/** What a heartbeat brings back. */
+/** Answer of the worker to a heartbeat. */
 export interface HeartbeatAnswer {
   readonly now: WorkerMs;
   readonly running: readonly RunningTask[];
@@ -67,7 +71,7 @@
   readonly usage: readonly TaskUsage[];
 }
 
-/** Which holder speaks, to which stay of the worker. */
+/** Epoch of the calling holder and the incarnation of the worker it means. */
 export interface HolderCall {
   readonly epoch: number;
   readonly incarnation: types.ids.WorkerIncarnation;
@@ -75,22 +79,28 @@
 
 type Answer<Value> = Promise<result.Result<Value, types.stepError.StepError>>;
 
-/** Calls to one worker. A `stale_epoch` error is final for the holder. */
+/** Client of one worker. The error `stale_epoch` says the holder is fenced. */
 export interface Worker {
   attach(epoch: number, holder: types.ids.EntryId): Answer<Attached>;
-  /** Refused as a whole after `startBy`. Answers stand in the asked order. */
+  /**
+   * Starts tasks. The worker refuses the whole call after `startBy`. The
+   * answers have the order of `tasks`.
+   */
   start(
     call: HolderCall,
     startBy: WorkerMs,
     tasks: readonly StartTask[],
   ): Answer<readonly StartAnswer[]>;
-  /** Renews the leases of all the holder's tasks and acknowledges ends. */
+  /** Renews the leases of all tasks of the holder; acknowledges ended ones. */
   heartbeat(
     call: HolderCall,
     leaseUntil: WorkerMs,
     acknowledged: readonly types.ids.AttemptId[],
   ): Answer<HeartbeatAnswer>;
-  /** Idempotent; once answered, these attempts never start any more. */
+  /**
+   * Stops attempts; idempotent. Once the worker has answered, these attempts
+   * can't be started any more.
+   */
   stop(
     call: HolderCall,
     attempts: ReadonlyArray<{
@@ -98,12 +108,12 @@
       readonly attempt: types.ids.AttemptId;
     }>,
   ): Answer<void>;
-  /** Limits a task's processors; 0 lifts the limit. */
+  /** Limits a task to thousandths of a core; 0 removes the limit. */
   throttle(
     call: HolderCall,
     attempt: types.ids.AttemptId,
     cpuMillis: number,
   ): Answer<void>;
-  /** Saves the task's progress and stops it. */
+  /** Saves a checkpoint of the task and stops it. */
   checkpoint(call: HolderCall, attempt: types.ids.AttemptId): Answer<void>;
 }
