--- a/packages/gypsumwall-telemetry/src/__tests__/bounded_lines.test.ts
+++ b/packages/gypsumwall-telemetry/src/__tests__/bounded_line_sink.test.ts
@@ -1,6 +1,6 @@
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
-import * as boundedLines from '../bounded_lines.js';
+import * as boundedLineSink from '../bounded_line_sink.js';
 import * as logger from '../logger.js';
 import * as textMetrics from '../text_metrics.js';
 
@@ -20,7 +20,7 @@
 
 test('lines above the limit are left out, and the log says how many', () => {
   const target = stream();
-  const sink = boundedLines.createBoundedLines(target, 30);
+  const sink = boundedLineSink.createBoundedLineSink(target, 30);
   for (let nth = 0; nth < 5; nth++) sink.write(`line ${nth}`);
   sink.flush();
   assert.equal(sink.dropped(), 2);
@@ -31,7 +31,7 @@
 test('a stream that is full loses lines and holds nobody up', () => {
   const target = stream();
   target.writableNeedDrain = true;
-  const sink = boundedLines.createBoundedLines(target, 30);
+  const sink = boundedLineSink.createBoundedLineSink(target, 30);
   sink.write('lost');
   sink.flush();
   target.writableNeedDrain = false;
@@ -44,7 +44,7 @@
 
 test('events are counted by name and outcome, and their times kept', () => {
   const metrics = textMetrics.createTextMetrics();
-  const counted = metrics.counting(logger.createLogger('silent'));
+  const counted = metrics.wrapLogger(logger.createLogger('silent'));
   counted.info('job_submitted', {outcome: 'stored', tookMs: 12});
   counted.with({a: 1}).info('job_submitted', {outcome: 'stored', tookMs: 14});
   const text = metrics.render({jobs: 3});
--- a/packages/gypsumwall-telemetry/src/bounded_lines.ts
+++ b/packages/gypsumwall-telemetry/src/bounded_line_sink.ts
@@ -20,41 +20,44 @@
 }
 
 /** One write to the stream for what this many milliseconds bring. */
-const GATHER_MS = 100;
+const FLUSH_INTERVAL_MS = 100;
 
 /** Creates a sink with a limit in lines a second. */
-export function createBoundedLines(
+export function createBoundedLineSink(
   stream: LineStream,
   linesPerSecond: number,
 ): LineSink {
-  const mostInGather = Math.max(1, (linesPerSecond * GATHER_MS) / 1_000);
-  let lines: string[] = [];
+  const maxBufferedLines = Math.max(
+    1,
+    (linesPerSecond * FLUSH_INTERVAL_MS) / 1_000,
+  );
+  let bufferedLines: string[] = [];
   let dropped = 0;
-  let told = 0;
+  let reportedDropped = 0;
   let timer: NodeJS.Timeout | undefined;
 
   function flush(): void {
     clearTimeout(timer);
     timer = undefined;
-    if (lines.length === 0) return;
+    if (bufferedLines.length === 0) return;
     if (stream.writableNeedDrain) {
-      dropped += lines.length;
-      lines = [];
+      dropped += bufferedLines.length;
+      bufferedLines = [];
       return;
     }
-    if (dropped > told) {
-      lines.push(`level=warn event=log_lines_dropped total=${dropped}`);
-      told = dropped;
+    if (dropped > reportedDropped) {
+      bufferedLines.push(`level=warn event=log_lines_dropped total=${dropped}`);
+      reportedDropped = dropped;
     }
-    stream.write(lines.join('\n') + '\n');
-    lines = [];
+    stream.write(bufferedLines.join('\n') + '\n');
+    bufferedLines = [];
   }
 
   return {
     write(line) {
-      if (lines.length >= mostInGather) dropped++;
-      else lines.push(line);
-      timer ??= setTimeout(flush, GATHER_MS).unref();
+      if (bufferedLines.length >= maxBufferedLines) dropped++;
+      else bufferedLines.push(line);
+      timer ??= setTimeout(flush, FLUSH_INTERVAL_MS).unref();
     },
     dropped: () => dropped,
     flush,
--- a/packages/gypsumwall-telemetry/src/index.ts
+++ b/packages/gypsumwall-telemetry/src/index.ts
@@ -1,4 +1,4 @@
-export * as boundedLines from './bounded_lines.js';
+export * as boundedLineSink from './bounded_line_sink.js';
 export * as logger from './logger.js';
 export * as metricTable from './metric_table.js';
 export * as metrics from './metrics.js';
--- a/packages/gypsumwall-telemetry/src/logger.ts
+++ b/packages/gypsumwall-telemetry/src/logger.ts
@@ -34,11 +34,11 @@
   const sink = loglevel.default.getLogger(`gypsumwall-${level}`);
   sink.methodFactory = () => (line: unknown) => write(String(line));
   sink.setLevel(level, false);
-  return bind(sink, base);
+  return bindFields(sink, base);
 }
 
-function bind(sink: loglevel.Logger, base: LogFields): Logger {
-  const line = (level: string, event: string, fields: LogFields = {}) =>
+function bindFields(sink: loglevel.Logger, base: LogFields): Logger {
+  const formatEvent = (level: string, event: string, fields: LogFields = {}) =>
     formatLine({
       time: new Date().toISOString(),
       level,
@@ -47,11 +47,11 @@
       ...fields,
     });
   return {
-    debug: (event, fields) => sink.debug(line('debug', event, fields)),
-    info: (event, fields) => sink.info(line('info', event, fields)),
-    warn: (event, fields) => sink.warn(line('warn', event, fields)),
-    error: (event, fields) => sink.error(line('error', event, fields)),
-    with: (fields) => bind(sink, {...base, ...fields}),
+    debug: (event, fields) => sink.debug(formatEvent('debug', event, fields)),
+    info: (event, fields) => sink.info(formatEvent('info', event, fields)),
+    warn: (event, fields) => sink.warn(formatEvent('warn', event, fields)),
+    error: (event, fields) => sink.error(formatEvent('error', event, fields)),
+    with: (fields) => bindFields(sink, {...base, ...fields}),
   };
 }
 
--- a/packages/gypsumwall-telemetry/src/metrics.ts
+++ b/packages/gypsumwall-telemetry/src/metrics.ts
@@ -40,9 +40,9 @@
 }
 
 /** How long metrics are gathered into one packet, in milliseconds. */
-const BUFFER_MS = 500;
+const FLUSH_INTERVAL_MS = 500;
 /** Fits into one Ethernet frame, in bytes. */
-const PACKET_BYTES = 1_400;
+const MAX_PACKET_BYTES = 1_400;
 
 /** Metrics that go to a StatsD daemon. */
 export function createMetrics(options: MetricsOptions): Metrics {
@@ -52,18 +52,18 @@
     prefix: metricTable.METRIC_PREFIX,
     globalTags: {...options.tags},
     errorHandler: options.onError,
-    maxBufferSize: PACKET_BYTES,
-    bufferFlushInterval: BUFFER_MS,
+    maxBufferSize: MAX_PACKET_BYTES,
+    bufferFlushInterval: FLUSH_INTERVAL_MS,
     includeDatadogTelemetry: false,
     includeDataDogTags: false,
   });
   return {
     count: (name, tags, by = 1) =>
-      client.increment(wireName(name), by, plainTags(tags)),
+      client.increment(toWireName(name), by, dropAbsentTags(tags)),
     gauge: (name, value, tags) =>
-      client.gauge(wireName(name), value, plainTags(tags)),
+      client.gauge(toWireName(name), value, dropAbsentTags(tags)),
     observe: (name, value, tags) =>
-      client.histogram(wireName(name), value, plainTags(tags)),
+      client.histogram(toWireName(name), value, dropAbsentTags(tags)),
     close: () => new Promise((resolve) => client.close(() => resolve())),
   };
 }
@@ -78,11 +78,11 @@
   };
 }
 
-function wireName(name: metricTable.MetricName): string {
+function toWireName(name: metricTable.MetricName): string {
   return metricTable.METRICS[name].name;
 }
 
-function plainTags(tags: object = {}): Record<string, string> {
+function dropAbsentTags(tags: object = {}): Record<string, string> {
   return Object.fromEntries(
     Object.entries(tags).filter(
       (pair): pair is [string, string] => typeof pair[1] === 'string',
--- a/packages/gypsumwall-telemetry/src/span_recorder.ts
+++ b/packages/gypsumwall-telemetry/src/span_recorder.ts
@@ -27,11 +27,11 @@
   exporter.shutdown = () => Promise.resolve();
   return {
     exporter,
-    spans: () => exporter.getFinishedSpans().map(recordedSpan),
+    spans: () => exporter.getFinishedSpans().map(toRecordedSpan),
   };
 }
 
-function recordedSpan(span: otelSdk.ReadableSpan): RecordedSpan {
+function toRecordedSpan(span: otelSdk.ReadableSpan): RecordedSpan {
   const {traceId, spanId} = span.spanContext();
   return {
     name: span.name,
--- a/packages/gypsumwall-telemetry/src/text_metrics.ts
+++ b/packages/gypsumwall-telemetry/src/text_metrics.ts
@@ -12,64 +12,70 @@
 /** Metrics of a process. */
 export interface TextMetrics {
   /** A logger that counts what goes through it. */
-  counting(target: logger.Logger): logger.Logger;
+  wrapLogger(target: logger.Logger): logger.Logger;
   /** In the exposition format of Prometheus; gauges are given by the caller. */
   render(gauges: Readonly<Record<string, number>>): string;
 }
 
 const Histogram = histogramFactory.constructorFromBucketSize(32);
-const LOWEST_MS = 1;
+const MIN_LATENCY_MS = 1;
 const SIGNIFICANT_DIGITS = 2;
 /** Longest latency that is told apart; milliseconds. */
-const LONGEST_MS = 120_000;
+const MAX_LATENCY_MS = 120_000;
 const QUANTILES = [0.5, 0.95, 0.99];
-const PREFIX = 'gypsumwall';
+const NAME_PREFIX = 'gypsumwall';
 
 /** Creates empty metrics. */
 export function createTextMetrics(): TextMetrics {
   const counters = new Map<string, number>();
   const histograms = new Map<string, hdr.Histogram>();
 
-  function note(event: string, fields: logger.LogFields = {}): void {
+  function recordEvent(event: string, fields: logger.LogFields = {}): void {
     const outcome = String(fields.outcome ?? '').slice(0, 40);
     const key = `event="${event}",outcome="${outcome.replace(/["\\\n]/g, '_')}"`;
     counters.set(key, (counters.get(key) ?? 0) + 1);
-    if (typeof fields.tookMs === 'number') observe(event, fields.tookMs);
+    if (typeof fields.tookMs === 'number') recordLatency(event, fields.tookMs);
   }
 
-  function observe(event: string, ms: number): void {
+  function recordLatency(event: string, ms: number): void {
     let histogram = histograms.get(event);
     if (histogram === undefined) {
-      histogram = new Histogram(LOWEST_MS, LONGEST_MS, SIGNIFICANT_DIGITS);
+      histogram = new Histogram(
+        MIN_LATENCY_MS,
+        MAX_LATENCY_MS,
+        SIGNIFICANT_DIGITS,
+      );
       histograms.set(event, histogram);
     }
-    histogram.recordValue(Math.min(LONGEST_MS, Math.max(0, Math.round(ms))));
+    histogram.recordValue(
+      Math.min(MAX_LATENCY_MS, Math.max(0, Math.round(ms))),
+    );
   }
 
-  function counting(target: logger.Logger): logger.Logger {
+  function wrapLogger(target: logger.Logger): logger.Logger {
     return {
       debug: (event, fields) => {
-        note(event, fields);
+        recordEvent(event, fields);
         target.debug(event, fields);
       },
       info: (event, fields) => {
-        note(event, fields);
+        recordEvent(event, fields);
         target.info(event, fields);
       },
       warn: (event, fields) => {
-        note(event, fields);
+        recordEvent(event, fields);
         target.warn(event, fields);
       },
       error: (event, fields) => {
-        note(event, fields);
+        recordEvent(event, fields);
         target.error(event, fields);
       },
-      with: (fields) => counting(target.with(fields)),
+      with: (fields) => wrapLogger(target.with(fields)),
     };
   }
 
-  function latencyLines(event: string, histogram: hdr.Histogram): string[] {
-    const name = `${PREFIX}_latency_ms`;
+  function formatLatency(event: string, histogram: hdr.Histogram): string[] {
+    const name = `${NAME_PREFIX}_latency_ms`;
     const lines = QUANTILES.map((quantile) => {
       const value = histogram.getValueAtPercentile(quantile * 100);
       return `${name}{event="${event}",quantile="${quantile}"} ${value}`;
@@ -79,17 +85,17 @@
   }
 
   return {
-    counting,
+    wrapLogger,
     render(gauges) {
       const lines: string[] = [];
       for (const [key, count] of counters) {
-        lines.push(`${PREFIX}_events_total{${key}} ${count}`);
+        lines.push(`${NAME_PREFIX}_events_total{${key}} ${count}`);
       }
       for (const [event, histogram] of histograms) {
-        lines.push(...latencyLines(event, histogram));
+        lines.push(...formatLatency(event, histogram));
       }
       for (const [name, value] of Object.entries(gauges)) {
-        lines.push(`${PREFIX}_${name} ${value}`);
+        lines.push(`${NAME_PREFIX}_${name} ${value}`);
       }
       return lines.join('\n') + '\n';
     },
--- a/packages/gypsumwall-telemetry/src/tracing.ts
+++ b/packages/gypsumwall-telemetry/src/tracing.ts
@@ -48,24 +48,24 @@
   readonly onError?: (message: string) => void;
 }
 
-const EXPORT_TIMEOUT_MS = 2_000;
-const EXPORT_DELAY_MS = 500;
+const DEFAULT_EXPORT_TIMEOUT_MS = 2_000;
+const EXPORT_INTERVAL_MS = 500;
 /** Spans that wait for an export; more are dropped. */
-const QUEUE_SPANS = 2_048;
-const BATCH_SPANS = 512;
+const MAX_QUEUED_SPANS = 2_048;
+const MAX_BATCH_SPANS = 512;
 /** Lets a closing tracer export its whole queue, beside one under way. */
-const CONCURRENT_EXPORTS = QUEUE_SPANS / BATCH_SPANS + 1;
+const MAX_CONCURRENT_EXPORTS = MAX_QUEUED_SPANS / MAX_BATCH_SPANS + 1;
 /** Keeps one absurd value from filling the queue's memory, in characters. */
-const LONGEST_ATTRIBUTE = 256;
+const MAX_ATTRIBUTE_CHARACTERS = 256;
 
-const TRACEPARENT = 'traceparent';
+const TRACEPARENT_HEADER = 'traceparent';
 
 /**
  * A tracer. Without collector and recorder it still makes trace ids, for logs
  * and for the next hop, and keeps the caller's decision to sample.
  */
 export function createTracer(options: TracerOptions): Tracer {
-  if (options.onError !== undefined) reportFaults(options.onError);
+  if (options.onError !== undefined) reportExporterErrors(options.onError);
   const processors = createProcessors(options);
   const provider = new otelSdk.NodeTracerProvider({
     spanProcessors: processors,
@@ -75,7 +75,7 @@
           ? new otelSdk.AlwaysOnSampler()
           : new otelSdk.AlwaysOffSampler(),
     }),
-    spanLimits: {attributeValueLengthLimit: LONGEST_ATTRIBUTE},
+    spanLimits: {attributeValueLengthLimit: MAX_ATTRIBUTE_CHARACTERS},
   });
   // Makes the W3C propagator known; spans find their parents by hand.
   provider.register({contextManager: null});
@@ -94,7 +94,7 @@
 }
 
 /** OpenTelemetry tells faults of its exporters to one logger per process. */
-function reportFaults(onError: (message: string) => void): void {
+function reportExporterErrors(onError: (message: string) => void): void {
   const ignore = () => undefined;
   otelApi.diag.setLogger(
     {
@@ -118,18 +118,18 @@
  */
 function createProcessors(options: TracerOptions): otelSdk.SpanProcessor[] {
   const processors: otelSdk.SpanProcessor[] = [];
-  const exportTimeoutMs = options.exportTimeoutMs ?? EXPORT_TIMEOUT_MS;
+  const exportTimeoutMs = options.exportTimeoutMs ?? DEFAULT_EXPORT_TIMEOUT_MS;
   if (options.collectorUrl !== undefined) {
     const exporter = new otlpExporter.OTLPTraceExporter({
       url: options.collectorUrl,
       timeoutMillis: exportTimeoutMs,
-      concurrencyLimit: CONCURRENT_EXPORTS,
+      concurrencyLimit: MAX_CONCURRENT_EXPORTS,
     });
     processors.push(
       new otelSdk.BatchSpanProcessor(exporter, {
-        maxQueueSize: QUEUE_SPANS,
-        maxExportBatchSize: BATCH_SPANS,
-        scheduledDelayMillis: EXPORT_DELAY_MS,
+        maxQueueSize: MAX_QUEUED_SPANS,
+        maxExportBatchSize: MAX_BATCH_SPANS,
+        scheduledDelayMillis: EXPORT_INTERVAL_MS,
         exportTimeoutMillis: exportTimeoutMs,
       }),
     );
@@ -150,12 +150,12 @@
   const context =
     parent === undefined
       ? root
-      : otelApi.propagation.extract(root, {[TRACEPARENT]: parent});
+      : otelApi.propagation.extract(root, {[TRACEPARENT_HEADER]: parent});
   const span = tracer.startSpan(name, {attributes}, context);
   const carrier: Record<string, string> = {};
   otelApi.propagation.inject(otelApi.trace.setSpan(context, span), carrier);
   return {
-    traceparent: carrier[TRACEPARENT] ?? '',
+    traceparent: carrier[TRACEPARENT_HEADER] ?? '',
     traceId: span.spanContext().traceId,
     setAttribute: (key, value) => {
       span.setAttribute(key, value);
