--- a/packages/gypsumwall-types/src/__tests__/ids.test.ts
+++ b/packages/gypsumwall-types/src/__tests__/ids.test.ts
@@ -2,12 +2,15 @@
 import * as nodeTest from 'node:test';
 import * as ids from '../ids.js';
 
-nodeTest.test('a job id names its home, whatever the domain is called', () => {
-  const home = ids.brand<ids.FailureDomain>('ayt.c-2');
-  assert.equal(ids.homeOfJob(ids.makeJobId(home, 'k3')), home);
-});
+nodeTest.test(
+  'the home domain of a job id is found, even if its name has a dot',
+  () => {
+    const home = ids.brand<ids.FailureDomain>('ayt.c-2');
+    assert.equal(ids.homeOfJob(ids.makeJobId(home, 'k3')), home);
+  },
+);
 
-nodeTest.test('a task id splits into the job and index it was made of', () => {
+nodeTest.test('a task id is split into its job and index', () => {
   const home = ids.brand<ids.FailureDomain>('bkk-a');
   const jobId = ids.makeJobId(home, 'k3');
   assert.deepEqual(ids.splitTaskId(ids.makeTaskId(jobId, 12)), {
--- a/packages/gypsumwall-types/src/clock.ts
+++ b/packages/gypsumwall-types/src/clock.ts
@@ -1,6 +1,6 @@
 /**
- * Clocks and waiting are handed in, so that a test or another bench can drive
- * the same code on a time of its own.
+ * Interface of the clock. Code gets its clock as an argument, so that tests and
+ * benchmarks can run it on a virtual clock.
  */
 
 /** A moment on this process's monotonic clock, in milliseconds. */
@@ -9,17 +9,23 @@
 /** A moment on the wall clock, in milliseconds since the Unix epoch. */
 export type WallMs = number & {readonly __unit: 'WallMs'};
 
-/** Reads time and waits. */
+/** Source of the current time, and of delays. */
 export interface Clock {
-  /** Never runs backwards; says nothing to another process. */
+  /**
+   * Monotonic time, for deadlines and durations. It can't be compared with that
+   * of another process.
+   */
   monotonic(): MonotonicMs;
-  /** For people and for job deadlines; never for safety. */
+  /**
+   * Wall-clock time, for display and for job deadlines. No safety property may
+   * depend on it.
+   */
   wall(): WallMs;
   /** Resolves at the deadline, or at once when `signal` aborts. */
   sleepUntil(deadline: MonotonicMs, signal?: AbortSignal): Promise<void>;
 }
 
-/** The moment `spanMs` after another on the same clock. */
+/** Returns the moment `spanMs` after `from`, on the same clock. */
 export function after<Moment extends number>(
   from: Moment,
   spanMs: number,
@@ -27,7 +33,7 @@
   return (from + spanMs) as Moment;
 }
 
-/** Waits for a span from now, or less when the signal aborts. */
+/** Waits for `spanMs`, or until the signal aborts. */
 export function pause(
   clock: Clock,
   spanMs: number,
@@ -36,7 +42,7 @@
   return clock.sleepUntil(after(clock.monotonic(), spanMs), signal);
 }
 
-/** The real clock of this process. */
+/** Creates a clock that reads the real time of this process. */
 export function createSystemClock(): Clock {
   return {
     monotonic: () => performance.now() as MonotonicMs,
@@ -45,8 +51,8 @@
   };
 }
 
-/** Timers above this many milliseconds overflow in Node and fire at once. */
-const LONGEST_TIMER_MS = 2 ** 31 - 1;
+/** Node fires a timer with a longer delay at once, because it overflows. */
+const MAX_TIMER_MS = 2 ** 31 - 1;
 
 function sleepUntil(deadline: MonotonicMs, signal?: AbortSignal) {
   return new Promise<void>((resolve) => {
@@ -60,7 +66,7 @@
       signal?.removeEventListener('abort', finish);
       resolve();
     };
-    const timer = setTimeout(finish, Math.min(spanMs, LONGEST_TIMER_MS));
+    const timer = setTimeout(finish, Math.min(spanMs, MAX_TIMER_MS));
     signal?.addEventListener('abort', finish, {once: true});
   });
 }
--- a/packages/gypsumwall-types/src/ids.ts
+++ b/packages/gypsumwall-types/src/ids.ts
@@ -1,11 +1,11 @@
 /**
- * Branded ids: a string that has been checked or made at one place and can't
- * be mixed up with another kind of id afterwards.
+ * Branded types for ids. A string gets its brand where it is validated or
+ * created; the compiler then distinguishes it from other kinds of ids.
  */
 
 type Brand<Name extends string> = string & {readonly __brand: Name};
 
-/** One process of an entry instance; a restarted process has a new id. */
+/** A process of an entry instance; each restart of it gets a new id. */
 export type EntryId = Brand<'EntryId'>;
 /** A worker instance, as the platform's list names it. */
 export type WorkerId = Brand<'WorkerId'>;
@@ -17,18 +17,24 @@
 export type RackId = Brand<'RackId'>;
 /** A team: the owner of jobs, quotas and a settings subtree. */
 export type TeamId = Brand<'TeamId'>;
-/** A job: `<failure domain>.<suffix>`, so that any entry can route it. */
+/**
+ * A job: `<home domain>.<suffix>`. Any entry can forward a call about a job to
+ * its home domain, the failure domain that schedules it.
+ */
 export type JobId = Brand<'JobId'>;
 /** A task of a job: `<job id>/<index>`. */
 export type TaskId = Brand<'TaskId'>;
-/** One run of a task: `<epoch>.<n>`; unique for the task. */
+/** An attempt to run a task: `<epoch>.<n>`, unique within the task. */
 export type AttemptId = Brand<'AttemptId'>;
 /** The caller's idempotency key, unique within its team. */
 export type IdempotencyKey = Brand<'IdempotencyKey'>;
-/** One stay of a worker process; its tasks end with it. */
+/**
+ * An incarnation of a worker: one lifetime of its process. Its tasks end with
+ * it.
+ */
 export type WorkerIncarnation = Brand<'WorkerIncarnation'>;
 
-/** Brands a string whose shape the caller has checked or which it made. */
+/** Brands a string that the caller has validated or created. */
 export function brand<Id extends string>(text: string): Id {
   return text as Id;
 }
@@ -36,27 +42,29 @@
 const JOB_ID_SEPARATOR = '.';
 const TASK_ID_SEPARATOR = '/';
 
-/** Makes the id of a job whose home is the given failure domain. */
+/** Creates the id of a job with the given home domain. */
 export function makeJobId(home: FailureDomain, suffix: string): JobId {
   return brand<JobId>(`${home}${JOB_ID_SEPARATOR}${suffix}`);
 }
 
-/** The failure domain that a job id names as its home. */
+/** Returns the home domain in a job id; empty if the id contains none. */
 export function homeOfJob(jobId: JobId): FailureDomain {
-  const cut = jobId.lastIndexOf(JOB_ID_SEPARATOR);
-  return brand<FailureDomain>(cut < 0 ? '' : jobId.slice(0, cut));
+  const separatorIndex = jobId.lastIndexOf(JOB_ID_SEPARATOR);
+  return brand<FailureDomain>(
+    separatorIndex < 0 ? '' : jobId.slice(0, separatorIndex),
+  );
 }
 
-/** Makes the id of the task at `index` (from 0) of a job. */
+/** Creates the id of the task of a job at `index`, which counts from 0. */
 export function makeTaskId(jobId: JobId, index: number): TaskId {
   return brand<TaskId>(`${jobId}${TASK_ID_SEPARATOR}${index}`);
 }
 
-/** The job that a task belongs to, and the task's place in it. */
+/** Splits the id of a task into its job and its index in the job. */
 export function splitTaskId(taskId: TaskId): {jobId: JobId; index: number} {
-  const cut = taskId.lastIndexOf(TASK_ID_SEPARATOR);
+  const separatorIndex = taskId.lastIndexOf(TASK_ID_SEPARATOR);
   return {
-    jobId: brand<JobId>(taskId.slice(0, cut)),
-    index: Number(taskId.slice(cut + 1)),
+    jobId: brand<JobId>(taskId.slice(0, separatorIndex)),
+    index: Number(taskId.slice(separatorIndex + 1)),
   };
 }
--- a/packages/gypsumwall-types/src/job.ts
+++ b/packages/gypsumwall-types/src/job.ts
@@ -1,42 +1,51 @@
-/** What a team asks for, and what becomes of it. */
+/** Types of a job as its team submits it, and of its state. */
 import type * as clock from './clock.js';
 import type * as ids from './ids.js';
 import type * as resources from './resources.js';
 
-/** How soon work must start; the order in which queues are shed. */
+/**
+ * How soon work must start. Under overload, the least urgent work is refused
+ * first.
+ */
 export type Urgency = 'urgent' | 'normal' | 'overnight';
 
-/** The shape of a job: each kind has a policy of its own. */
+/** Kind and size of a job. Each kind is scheduled by its own policy. */
 export type JobShape =
   | {readonly kind: 'batch'; readonly tasks: number}
-  /** All tasks start together or none does. */
+  /** All tasks start together, or none of them. */
   | {readonly kind: 'gang'; readonly tasks: number}
-  /** Stays up: a replica that ends is started again. */
+  /** Runs until it is cancelled: a replica that ends is started again. */
   | {readonly kind: 'service'; readonly replicas: number};
 
-/** What a task runs; opaque to the scheduler, handed to the worker. */
+/** What a task runs. The scheduler passes it to the worker unchanged. */
 export interface Work {
   readonly command: string;
   readonly args: Readonly<Record<string, string | number | boolean>>;
 }
 
-/** A job as its team declared it. */
+/** A job as its team submitted it. */
 export interface JobSpec {
   readonly team: ids.TeamId;
   readonly shape: JobShape;
-  /** Class of like jobs, under which sizes and run times are learned. */
+  /**
+   * Class of similar jobs. Actual sizes and run times are learned for each
+   * class.
+   */
   readonly jobClass: string;
   readonly urgency: Urgency;
-  /** Declared need of each task; often far off. */
+  /** Resources of each task as the team declared them; often inaccurate. */
   readonly size: resources.Resources;
-  /** Declared run time of each task, in milliseconds; often far off. */
+  /**
+   * Run time of each task as the team declared it, in milliseconds; often
+   * inaccurate.
+   */
   readonly estimateMs: number;
-  /** Must be finished by then; absent when any time will do. */
+  /** When the job must be finished; absent if it has no deadline. */
   readonly deadline?: clock.WallMs;
   readonly work: Work;
 }
 
-/** How many tasks a job has at most at one time. */
+/** Returns the maximum number of tasks that a job runs at the same time. */
 export function taskCount(shape: JobShape): number {
   switch (shape.kind) {
     case 'batch':
@@ -47,14 +56,14 @@
   }
 }
 
-/** How a task ended at its worker. */
+/** How a task ended on its worker. */
 export type TaskEnd =
   | {readonly type: 'done'; readonly result: string}
   | {readonly type: 'failed'; readonly message: string}
-  /** Stopped on request or because its lease ran out. */
+  /** Stopped on request or because its lease expired. */
   | {readonly type: 'stopped'; readonly message: string};
 
-/** What a caller reads about a job. */
+/** State of a job as callers see it. */
 export interface JobView {
   readonly jobId: ids.JobId;
   readonly team: ids.TeamId;
@@ -62,11 +71,14 @@
   readonly kind: JobShape['kind'];
   readonly tasks: number;
   readonly finished: number;
-  /** Failed runs of an open job, as its domain's holder has seen them. */
+  /**
+   * Number of failed attempts of a job that has not ended, as the holder of its
+   * domain knows it.
+   */
   readonly failed: number;
   readonly running: number;
-  /** Why it waits or failed, for a person. */
+  /** Human-readable reason why the job waits or has failed. */
   readonly message: string;
-  /** Results of finished tasks by index; empty until the job is done. */
+  /** Results of the tasks by index; empty until the job is done. */
   readonly results: readonly string[];
 }
--- a/packages/gypsumwall-types/src/outcome.ts
+++ b/packages/gypsumwall-types/src/outcome.ts
@@ -1,9 +1,9 @@
 /**
- * The three outcomes a caller can be told. They are never blurred: `not_run`
- * is a proof that nothing ran, `unknown` an admission that it may have.
+ * The three outcomes of a request. A caller can rely on the difference:
+ * `not_run` is proven, while after `unknown` the request may have run.
  */
 
-/** Why work was refused; each is explained in docs/API.md. */
+/** Why work was refused; docs/API.md explains each reason. */
 export type RefusalReason =
   | 'overloaded'
   | 'deadline_unreachable'
@@ -18,14 +18,14 @@
   | 'invalid'
   | 'cancelled';
 
-/** What became of a request. */
+/** Outcome of a request. */
 export type Outcome =
   | {readonly type: 'done'}
   | {
       readonly type: 'not_run';
       readonly reason: RefusalReason;
       readonly message: string;
-      /** When to come back, in milliseconds; absent when it is of no use. */
+      /** Delay before a retry in milliseconds; absent if a retry is useless. */
       readonly retryAfterMs?: number;
     }
   | {readonly type: 'unknown'; readonly message: string};
--- a/packages/gypsumwall-types/src/random.ts
+++ b/packages/gypsumwall-types/src/random.ts
@@ -1,15 +1,18 @@
-/** Random numbers are handed in, so that a run can be repeated from a seed. */
+/**
+ * Interface of random numbers. Code gets its source as an argument, so that a
+ * run can be repeated with the same seed.
+ */
 import * as pureRand from 'pure-rand';
 
 /** A source of random numbers. */
 export interface Random {
-  /** At least 0, below 1. */
+  /** Returns a number from 0, inclusive, to 1, exclusive. */
   next(): number;
-  /** A whole number from `low` to `high`, both included. */
+  /** Returns an integer from `low` to `high`, both inclusive. */
   integer(low: number, high: number): number;
 }
 
-/** A source that gives the same numbers for the same seed. */
+/** Creates a source that returns the same sequence for the same seed. */
 export function createRandom(seed: number): Random {
   const generator = pureRand.xoroshiro128plus(seed);
   const integer = (low: number, high: number) =>
--- a/packages/gypsumwall-types/src/resources.ts
+++ b/packages/gypsumwall-types/src/resources.ts
@@ -1,6 +1,6 @@
-/** Amounts of what a worker has and a task needs. */
+/** Amounts of resources, and arithmetic with them. */
 
-/** Processors, memory and accelerators, in whole units. */
+/** Amounts of processors, memory and accelerators; integers. */
 export interface Resources {
   /** Thousandths of a core. */
   readonly cpuMillis: number;
@@ -9,14 +9,14 @@
   readonly accelerators: number;
 }
 
-/** Nothing at all. */
+/** Zero of each resource. */
 export const NO_RESOURCES: Resources = {
   cpuMillis: 0,
   memoryMb: 0,
   accelerators: 0,
 };
 
-/** The sum of two amounts. */
+/** Adds two amounts. */
 export function add(left: Resources, right: Resources): Resources {
   return {
     cpuMillis: left.cpuMillis + right.cpuMillis,
@@ -25,7 +25,7 @@
   };
 }
 
-/** What is left when the second amount is taken from the first. */
+/** Subtracts `right` from `left`; the result may be negative. */
 export function subtract(left: Resources, right: Resources): Resources {
   return {
     cpuMillis: left.cpuMillis - right.cpuMillis,
@@ -34,7 +34,7 @@
   };
 }
 
-/** An amount `count` times over. */
+/** Multiplies an amount by `count`. */
 export function times(amount: Resources, count: number): Resources {
   return {
     cpuMillis: amount.cpuMillis * count,
@@ -43,7 +43,7 @@
   };
 }
 
-/** Whether `need` fits into `free` on every dimension. */
+/** Whether `need` is at most `free` in each resource. */
 export function fits(need: Resources, free: Resources): boolean {
   return (
     need.cpuMillis <= free.cpuMillis &&
--- a/packages/gypsumwall-types/src/step_error.ts
+++ b/packages/gypsumwall-types/src/step_error.ts
@@ -1,16 +1,16 @@
 /**
- * The error of every step that can fail. It carries where it arose: the step
- * and the peer, so that one log line tells what to look at.
+ * Error type of all steps that can fail. It names the step and the peer, so
+ * that one log line is enough to locate the failure.
  */
 
 /**
- * What the failed step did to the world.
- * - `not_run`: proved to have had no effect.
- * - `unknown`: may have taken effect.
+ * Whether a failed step had an effect.
+ * - `not_run`: it is proven that it had none.
+ * - `unknown`: it may have had one.
  */
 export type Effect = 'not_run' | 'unknown';
 
-/** What kind of failure it was. */
+/** Kind of a failure. */
 export type StepErrorKind =
   | 'timeout'
   | 'unreachable'
@@ -27,25 +27,25 @@
   readonly kind: StepErrorKind;
   /** Dotted name of the step, such as `log.append`. */
   readonly step: string;
-  /** Id or address of the other end. */
+  /** Id or address of the peer or service that the step called. */
   readonly peer: string;
   readonly effect: Effect;
   readonly message: string;
-  /** When another try makes sense, in milliseconds from now. */
+  /** Delay after which a retry makes sense, in milliseconds. */
   readonly retryAfterMs?: number;
 }
 
-/** Makes a step error; the message should quote the offending value. */
+/** Creates a step error; the message should quote the invalid value. */
 export function stepError(fields: StepError): StepError {
   return fields;
 }
 
-/** One line for logs and for people. */
+/** Formats an error as one line for logs and error messages. */
 export function describeError(err: StepError): string {
   return `${err.step} at ${err.peer}: ${err.message} (${err.kind}, ${err.effect})`;
 }
 
-/** The text of anything that was thrown. */
+/** Returns the message of a thrown value of any type. */
 export function messageOf(thrown: unknown): string {
   return thrown instanceof Error ? thrown.message : String(thrown);
 }
--- a/packages/gypsumwall-types/src/virtual_clock.ts
+++ b/packages/gypsumwall-types/src/virtual_clock.ts
@@ -1,23 +1,29 @@
-/** A clock on which a run takes as long as its processor time, no longer. */
+/**
+ * Virtual clock for tests and simulations. Time advances without waiting, so a
+ * run takes only its processor time.
+ */
 import * as timers from 'node:timers/promises';
 import type * as clock from './clock.js';
 
-/** A clock that jumps to the next moment for which anything waits. */
+/** A clock that advances directly to the earliest deadline waited for. */
 export interface VirtualClock extends clock.Clock {
-  /** Runs until the moment, or until nothing waits. */
+  /**
+   * Advances to `end`. Resumes all waits with a deadline up to then, in the
+   * order of their deadlines.
+   */
   runUntil(end: number): Promise<void>;
 }
 
-interface Sleeper {
+interface Waiter {
   readonly at: number;
-  readonly wake: () => void;
+  readonly resume: () => void;
 }
 
-/** Makes a clock at time 0. */
+/** Creates a virtual clock at time 0. */
 export function createVirtualClock(): VirtualClock {
   let now = 0;
-  /** Sorted, the earliest last. */
-  const sleepers: Sleeper[] = [];
+  /** Sorted by deadline, the earliest last. */
+  const waiters: Waiter[] = [];
 
   const sleepUntil = (deadline: number, signal?: AbortSignal) =>
     new Promise<void>((resolve) => {
@@ -25,18 +31,21 @@
         resolve();
         return;
       }
-      const wake = () => {
-        signal?.removeEventListener('abort', leave);
+      const resume = () => {
+        signal?.removeEventListener('abort', onAbort);
         resolve();
       };
-      const sleeper = {at: deadline, wake};
-      const leave = () => {
-        const index = sleepers.indexOf(sleeper, placeFor(sleepers, deadline));
-        if (index >= 0) sleepers.splice(index, 1);
-        wake();
+      const waiter = {at: deadline, resume};
+      const onAbort = () => {
+        const index = waiters.indexOf(
+          waiter,
+          findInsertionIndex(waiters, deadline),
+        );
+        if (index >= 0) waiters.splice(index, 1);
+        resume();
       };
-      sleepers.splice(placeFor(sleepers, deadline), 0, sleeper);
-      signal?.addEventListener('abort', leave, {once: true});
+      waiters.splice(findInsertionIndex(waiters, deadline), 0, waiter);
+      signal?.addEventListener('abort', onAbort, {once: true});
     });
 
   return {
@@ -44,14 +53,14 @@
     wall: () => now as clock.WallMs,
     sleepUntil,
     runUntil: async (end) => {
-      // Everything that follows from the last moment happens before the next.
+      // Lets all work that is due at the current time run before it advances.
       await timers.setImmediate();
       for (;;) {
-        const next = sleepers.at(-1);
+        const next = waiters.at(-1);
         if (next === undefined || next.at > end) break;
-        sleepers.pop();
+        waiters.pop();
         now = next.at;
-        next.wake();
+        next.resume();
         await timers.setImmediate();
       }
       now = Math.max(now, end);
@@ -59,13 +68,16 @@
   };
 }
 
-/** First place whose sleeper is not later, so that equal ones keep order. */
-function placeFor(sleepers: readonly Sleeper[], at: number): number {
+/**
+ * First index whose waiter is not later than `at`. Waiters with the same
+ * deadline are thereby resumed in the order in which they were added.
+ */
+function findInsertionIndex(waiters: readonly Waiter[], at: number): number {
   let low = 0;
-  let high = sleepers.length;
+  let high = waiters.length;
   while (low < high) {
     const middle = (low + high) >> 1;
-    if ((sleepers[middle]?.at ?? -Infinity) > at) low = middle + 1;
+    if ((waiters[middle]?.at ?? -Infinity) > at) low = middle + 1;
     else high = middle;
   }
   return low;
