--- a/packages/gypsumwall-telemetry/src/__tests__/bounded_line_sink.test.ts
+++ b/packages/gypsumwall-telemetry/src/__tests__/bounded_line_sink.test.ts
@@ -18,7 +18,7 @@
   };
 }
 
-test('lines above the limit are left out, and the log says how many', () => {
+test('lines above the limit are dropped, and the log says how many', () => {
   const target = stream();
   const sink = boundedLineSink.createBoundedLineSink(target, 30);
   for (let nth = 0; nth < 5; nth++) sink.write(`line ${nth}`);
@@ -27,8 +27,9 @@
   assert.match(target.written.join(''), /line 2\n.*dropped total=2/);
 });
 
-// Whoever reads the log stops reading. Waiting for it would stop the process.
-test('a stream that is full loses lines and holds nobody up', () => {
+// Guards against a process that blocks because the reader of its log has
+// stopped.
+test('a full stream drops lines and does not block the writer', () => {
   const target = stream();
   target.writableNeedDrain = true;
   const sink = boundedLineSink.createBoundedLineSink(target, 30);
@@ -42,7 +43,7 @@
   ]);
 });
 
-test('events are counted by name and outcome, and their times kept', () => {
+test('events are counted by name and outcome, and their latencies recorded', () => {
   const metrics = textMetrics.createTextMetrics();
   const counted = metrics.wrapLogger(logger.createLogger('silent'));
   counted.info('job_submitted', {outcome: 'stored', tookMs: 12});
--- a/packages/gypsumwall-telemetry/src/__tests__/metrics.test.ts
+++ b/packages/gypsumwall-telemetry/src/__tests__/metrics.test.ts
@@ -34,7 +34,7 @@
   ]);
 });
 
-nodeTest.test('a daemon that is gone throws nothing', async () => {
+nodeTest.test('an unreachable daemon causes no exception', async () => {
   const sender = metrics.createMetrics({
     host: '127.0.0.1',
     port: 9,
@@ -45,7 +45,7 @@
   await sender.close();
 });
 
-nodeTest.test('docs/METRICS.md shows the table in code', () => {
+nodeTest.test('docs/METRICS.md has the same table as the code', () => {
   const page = fs.readFileSync(METRICS_PAGE, 'utf8');
   const rows = page.split('\n').filter((line) => line.startsWith('| `gyp'));
   const expected = Object.values<metricTable.MetricDefinition>(
--- a/packages/gypsumwall-telemetry/src/__tests__/tracing.test.ts
+++ b/packages/gypsumwall-telemetry/src/__tests__/tracing.test.ts
@@ -5,7 +5,7 @@
 import * as spanRecorder from '../span_recorder.js';
 import * as tracing from '../tracing.js';
 
-/** Listens on a port that the kernel gives; the address of the server. */
+/** Listens on a port that the kernel chooses; returns the URL of the server. */
 async function listen(server: net.Server): Promise<string> {
   await new Promise<void>((resolve) => {
     server.listen(0, '127.0.0.1', resolve);
@@ -15,7 +15,7 @@
 }
 
 nodeTest.test(
-  'one trace holds the spans of all hops, each below its parent',
+  'one trace contains the spans of all hops, each as a child of the previous',
   async () => {
     const recorder = spanRecorder.createSpanRecorder();
     const entry = tracing.createTracer({instance: 'bole-1', recorder});
@@ -45,7 +45,7 @@
   },
 );
 
-nodeTest.test('a bad traceparent starts a new trace', async () => {
+nodeTest.test('an invalid traceparent starts a new trace', async () => {
   const tracer = tracing.createTracer({instance: 'bole-1'});
   const span = tracer.startSpan('entry.request', 'no-trace');
   assert.match(span.traceparent, /^00-[0-9a-f]{32}-[0-9a-f]{16}-00$/);
@@ -54,11 +54,11 @@
   await tracer.close();
 });
 
-// A collector takes connections and never answers. A caller must see nothing
-// of it: spans beyond the queue are dropped, no span waits for an export, and
-// closing the tracer ends with the export timeout, not with the collector.
+// Guards against a collector that accepts connections and never answers, and so
+// delays callers. Spans that exceed the queue are dropped, no span waits for an
+// export, and closing the tracer ends after the export timeout.
 nodeTest.test(
-  'a collector that hangs slows neither spans nor the end',
+  'a collector that does not answer delays neither spans nor close',
   async () => {
     const silent = net.createServer(() => undefined);
     const collectorUrl = await listen(silent);
@@ -86,7 +86,7 @@
   },
 );
 
-nodeTest.test('a collector gets the spans', async () => {
+nodeTest.test('spans are exported to the collector', async () => {
   const bodies: string[] = [];
   const collector = http.createServer((req, res) => {
     req.setEncoding('utf8');
--- a/packages/gypsumwall-telemetry/src/bounded_line_sink.ts
+++ b/packages/gypsumwall-telemetry/src/bounded_line_sink.ts
@@ -1,28 +1,29 @@
 /**
- * Writes log lines to a stream without ever waiting for it: lines are gathered
- * for a moment, at most so many a second, and none while the stream is full.
- * What is left out is counted, and the next line that gets through says so.
+ * Writes log lines to a stream without waiting for it. Lines are buffered and
+ * written at a fixed interval, up to a limit per second. Lines above the limit,
+ * and all lines while the stream's buffer is full, are dropped. The number of
+ * dropped lines is logged with the next lines written.
  */
 
-/** The part of a stream that is used. */
+/** The members of a writable stream that the sink uses. */
 export interface LineStream {
   write(text: string): boolean;
   readonly writableNeedDrain: boolean;
 }
 
-/** Takes lines. */
+/** Accepts log lines. */
 export interface LineSink {
   write(line: string): void;
-  /** Lines left out since the start. */
+  /** Number of lines dropped since the sink was created. */
   dropped(): number;
-  /** Writes what is gathered; for the end of a process. */
+  /** Writes the buffered lines; call it before the process exits. */
   flush(): void;
 }
 
-/** One write to the stream for what this many milliseconds bring. */
+/** Interval between writes to the stream, in milliseconds. */
 const FLUSH_INTERVAL_MS = 100;
 
-/** Creates a sink with a limit in lines a second. */
+/** Creates a sink that writes at most `linesPerSecond`. */
 export function createBoundedLineSink(
   stream: LineStream,
   linesPerSecond: number,
--- a/packages/gypsumwall-telemetry/src/logger.ts
+++ b/packages/gypsumwall-telemetry/src/logger.ts
@@ -1,16 +1,17 @@
 /**
- * The one logger: a line of key=value pairs for each event, through loglevel.
- * Field `event` comes first; values with blanks or quotes are quoted.
+ * Structured logger on top of loglevel. Each event is one line of key=value
+ * pairs; values that are empty or contain whitespace, quotes or equals signs
+ * are quoted.
  */
 import * as loglevel from 'loglevel';
 
-/** Values a log line may carry. */
+/** Type of the values in a log line. */
 export type LogValue = string | number | boolean | undefined;
 
-/** Pairs of one log line. */
+/** Names and values of one log line. */
 export type LogFields = Readonly<Record<string, LogValue>>;
 
-/** How loud a logger is. */
+/** Lowest severity that a logger writes; `silent` writes nothing. */
 export type LogLevel = 'debug' | 'info' | 'warn' | 'error' | 'silent';
 
 /** Writes events as lines. */
@@ -19,11 +20,11 @@
   info(event: string, fields?: LogFields): void;
   warn(event: string, fields?: LogFields): void;
   error(event: string, fields?: LogFields): void;
-  /** A logger whose lines all carry the given pairs too. */
+  /** Returns a logger that adds the given fields to each line. */
   with(fields: LogFields): Logger;
 }
 
-/** Makes a logger; lines go to standard error unless a sink is given. */
+/** Creates a logger; lines go to standard error unless `write` is given. */
 export function createLogger(
   level: LogLevel,
   base: LogFields = {},
@@ -55,7 +56,7 @@
   };
 }
 
-/** One line of key=value pairs; undefined values are left out. */
+/** Formats fields as key=value pairs; fields that are undefined are omitted. */
 export function formatLine(fields: LogFields): string {
   return Object.entries(fields)
     .filter(([, value]) => value !== undefined)
--- a/packages/gypsumwall-telemetry/src/metric_table.ts
+++ b/packages/gypsumwall-telemetry/src/metric_table.ts
@@ -1,23 +1,26 @@
 /**
- * Every metric by its name in code. docs/METRICS.md shows the same table, and
- * a test holds the two together.
+ * All metrics, by their names in code. docs/METRICS.md has the same table; a
+ * test compares the two.
  */
 
-/** What can be done with a metric. */
+/** Type of a metric. */
 export type MetricKind = 'counter' | 'gauge' | 'histogram';
 
-/** One metric. */
+/** Definition of one metric. */
 export interface MetricDefinition {
   readonly kind: MetricKind;
-  /** Name on the wire; the prefix `gypsumwall.` is put before it. */
+  /** Name on the wire, without the prefix `gypsumwall.`. */
   readonly name: string;
   readonly unit: string;
-  /** Tags; each takes few values, so that no caller can make up series. */
+  /**
+   * Names of the tags. Each must have few possible values, so that callers
+   * can't create an unbounded number of time series.
+   */
   readonly tags: readonly string[];
   readonly meaning: string;
 }
 
-/** Put before every name. */
+/** Prefix of all names on the wire. */
 export const METRIC_PREFIX = 'gypsumwall.';
 
 /** All metrics. */
@@ -129,10 +132,10 @@
   },
 } as const satisfies Record<string, MetricDefinition>;
 
-/** Name of a metric in code. */
+/** Name in code of any metric. */
 export type MetricName = keyof typeof METRICS;
 
-/** Names of the metrics of one kind. */
+/** Names in code of the metrics of one kind. */
 export type MetricOf<Kind extends MetricKind> = {
   [Name in MetricName]: (typeof METRICS)[Name]['kind'] extends Kind
     ? Name
--- a/packages/gypsumwall-telemetry/src/metrics.ts
+++ b/packages/gypsumwall-telemetry/src/metrics.ts
@@ -1,25 +1,25 @@
 /**
- * Sends metrics to a StatsD daemon over UDP, through hot-shots. UDP never
- * waits for the other end, so a daemon that is gone costs the path nothing.
+ * Sends metrics to a StatsD daemon over UDP, through hot-shots. UDP does not
+ * wait for the receiver, so an unreachable daemon does not delay the caller.
  */
 import * as hotShots from 'hot-shots';
 import * as metricTable from './metric_table.js';
 
 /** Sends the metrics of one process. */
 export interface Metrics {
-  /** Adds to a counter; 1 where `by` is left out. */
+  /** Adds `by` to a counter; 1 by default. */
   count<Name extends metricTable.MetricOf<'counter'>>(
     name: Name,
     tags?: metricTable.TagsOf<Name>,
     by?: number,
   ): void;
-  /** States what a gauge reads now. */
+  /** Sets the current value of a gauge. */
   gauge<Name extends metricTable.MetricOf<'gauge'>>(
     name: Name,
     value: number,
     tags?: metricTable.TagsOf<Name>,
   ): void;
-  /** Adds one value, in the metric's unit, to a distribution. */
+  /** Adds a value in the metric's unit to a histogram. */
   observe<Name extends metricTable.MetricOf<'histogram'>>(
     name: Name,
     value: number,
@@ -29,22 +29,22 @@
   close(): Promise<void>;
 }
 
-/** Where metrics go. */
+/** Address of the daemon, and what all metrics have in common. */
 export interface MetricsOptions {
   readonly host: string;
   readonly port: number;
-  /** Tags on every metric, such as the entry's id. */
+  /** Tags of all metrics, such as the entry id. */
   readonly tags: Readonly<Record<string, string>>;
-  /** Told of faults of the socket; they are never thrown. */
+  /** Receives the errors of the socket, which are never thrown. */
   readonly onError: (err: Error) => void;
 }
 
-/** How long metrics are gathered into one packet, in milliseconds. */
+/** Interval at which buffered metrics are sent, in milliseconds. */
 const FLUSH_INTERVAL_MS = 500;
-/** Fits into one Ethernet frame, in bytes. */
+/** Maximum size of a packet, in bytes; it fits into one Ethernet frame. */
 const MAX_PACKET_BYTES = 1_400;
 
-/** Metrics that go to a StatsD daemon. */
+/** Creates metrics that are sent to a StatsD daemon. */
 export function createMetrics(options: MetricsOptions): Metrics {
   const client = new hotShots.StatsD({
     host: options.host,
@@ -68,7 +68,7 @@
   };
 }
 
-/** Metrics that go nowhere, for a process without a daemon. */
+/** Creates metrics that are discarded, for a process without a daemon. */
 export function createSilentMetrics(): Metrics {
   return {
     count: () => undefined,
--- a/packages/gypsumwall-telemetry/src/span_recorder.ts
+++ b/packages/gypsumwall-telemetry/src/span_recorder.ts
@@ -1,4 +1,4 @@
-/** Keeps ended spans in memory, so that a test can follow a request. */
+/** Records ended spans in memory, so that a test can follow a request. */
 import * as otelSdk from '@opentelemetry/sdk-trace-node';
 
 /** A span that has ended. */
@@ -6,24 +6,25 @@
   readonly name: string;
   readonly traceId: string;
   readonly spanId: string;
-  /** Absent for the first span of a trace. */
+  /** Absent for the root span of a trace. */
   readonly parentSpanId?: string;
   readonly attributes: Readonly<Record<string, unknown>>;
-  /** Present if the step failed. */
+  /** Error message; present if the step failed. */
   readonly error?: string;
 }
 
-/** Memory of ended spans; several tracers may share one. */
+/** Recorder of ended spans; several tracers may share one. */
 export interface SpanRecorder {
   readonly exporter: otelSdk.SpanExporter;
-  /** Ended spans, in the order in which they ended. */
+  /** Returns the ended spans, in the order in which they ended. */
   spans(): RecordedSpan[];
 }
 
-/** An empty recorder. */
+/** Creates an empty recorder. */
 export function createSpanRecorder(): SpanRecorder {
   const exporter = new otelSdk.InMemorySpanExporter();
-  // A tracer that closes would empty what the others recorded.
+  // The original method deletes all spans. With several tracers, the first one
+  // to close would delete the spans of the others.
   exporter.shutdown = () => Promise.resolve();
   return {
     exporter,
--- a/packages/gypsumwall-telemetry/src/text_metrics.ts
+++ b/packages/gypsumwall-telemetry/src/text_metrics.ts
@@ -1,31 +1,32 @@
 /**
- * Counters and latency histograms of one process, rendered as text for
- * whoever asks. They are fed by the log: every event is counted by its name
- * and outcome, also where its line is dropped, and every event that says how
- * long it took goes into a histogram.
+ * Counters and latency histograms of one process in the text format of
+ * Prometheus. They are derived from log events: each event is counted by its
+ * name and outcome, even if its line is dropped, and the `tookMs` field of an
+ * event is added to a histogram.
  */
 import type * as hdr from 'hdr-histogram-js';
-// The package's index loads log writers, formatters and compression as well.
+// Imported directly because the index of the package also loads log writers,
+// formatters and compression.
 import * as histogramFactory from 'hdr-histogram-js/dist/JsHistogramFactory.js';
 import type * as logger from './logger.js';
 
-/** Metrics of a process. */
+/** Metrics of one process. */
 export interface TextMetrics {
-  /** A logger that counts what goes through it. */
+  /** Returns a logger that counts its events and passes them to `target`. */
   wrapLogger(target: logger.Logger): logger.Logger;
-  /** In the exposition format of Prometheus; gauges are given by the caller. */
+  /** Formats the metrics and the given gauges in the format of Prometheus. */
   render(gauges: Readonly<Record<string, number>>): string;
 }
 
 const Histogram = histogramFactory.constructorFromBucketSize(32);
 const MIN_LATENCY_MS = 1;
 const SIGNIFICANT_DIGITS = 2;
-/** Longest latency that is told apart; milliseconds. */
+/** Longer latencies are recorded as this value; milliseconds. */
 const MAX_LATENCY_MS = 120_000;
 const QUANTILES = [0.5, 0.95, 0.99];
 const NAME_PREFIX = 'gypsumwall';
 
-/** Creates empty metrics. */
+/** Creates metrics without any events. */
 export function createTextMetrics(): TextMetrics {
   const counters = new Map<string, number>();
   const histograms = new Map<string, hdr.Histogram>();
--- a/packages/gypsumwall-telemetry/src/tracing.ts
+++ b/packages/gypsumwall-telemetry/src/tracing.ts
@@ -1,7 +1,8 @@
 /**
- * Traces through OpenTelemetry. The context goes from hop to hop as a W3C
- * `traceparent`: caller, entry, peer entry, upstream or worker. It is handed
- * on by value, so that one reads in the code which span is whose parent.
+ * Tracing with OpenTelemetry. The trace context is propagated as a W3C
+ * `traceparent` from the caller through entry and peer entry to the upstream or
+ * worker. Within a process it is passed as an argument, so the code shows the
+ * parent of each span.
  */
 import * as otelApi from '@opentelemetry/api';
 import * as otlpExporter from '@opentelemetry/exporter-trace-otlp-http';
@@ -9,60 +10,67 @@
 import * as types from '@gypsumwall/types';
 import type * as spanRecorder from './span_recorder.js';
 
-/** Values an attribute may have. */
+/** Type of the values of attributes. */
 export type AttributeValue = string | number | boolean;
 
-/** Attributes of a span. Never a token, a key or a body. */
+/** Attributes of a span; must not contain tokens, keys or bodies. */
 export type SpanAttributes = Readonly<Record<string, AttributeValue>>;
 
-/** One step under way. */
+/** A span that has not ended. */
 export interface Span {
-  /** To be sent to the next hop, as the header of this name. */
+  /** Value of the `traceparent` header for the next hop. */
   readonly traceparent: string;
-  /** For log lines. */
+  /** Id of the trace, for log lines. */
   readonly traceId: string;
   setAttribute(key: string, value: AttributeValue): void;
-  /** Ends the step; with a message if it failed. */
+  /** Ends the span; `error` is the message of a failed step. */
   end(error?: string): void;
 }
 
-/** Starts spans. */
+/** Creates spans. */
 export interface Tracer {
-  /** A span below `parent`, or a new trace where that is absent or bad. */
+  /**
+   * Starts a span as a child of the `traceparent` in `parent`, or a new trace
+   * if it is absent or invalid.
+   */
   startSpan(name: string, parent?: string, attributes?: SpanAttributes): Span;
-  /** Sends what is queued, for as long as the export timeout at most. */
+  /** Exports the queued spans; stops at the export timeout. */
   close(): Promise<void>;
 }
 
-/** Who traces, and where to. */
+/** Identity of the process, and where its spans are sent. */
 export interface TracerOptions {
   /** Id of this process; an attribute of every span. */
   readonly instance: string;
   /** OTLP/HTTP collector, such as `http://10.0.0.9:4318/v1/traces`. */
   readonly collectorUrl?: string;
-  /** Keeps spans in memory, for tests. */
+  /** Records spans in memory, for tests. */
   readonly recorder?: spanRecorder.SpanRecorder;
-  /** How long one export may take, in milliseconds. */
+  /** Timeout of one export, in milliseconds. */
   readonly exportTimeoutMs?: number;
-  /** Told of spans that could not be exported; nothing is thrown. */
+  /** Receives the errors of failed exports, which are never thrown. */
   readonly onError?: (message: string) => void;
 }
 
 const DEFAULT_EXPORT_TIMEOUT_MS = 2_000;
 const EXPORT_INTERVAL_MS = 500;
-/** Spans that wait for an export; more are dropped. */
+/** Further spans are dropped while this many wait for an export. */
 const MAX_QUEUED_SPANS = 2_048;
 const MAX_BATCH_SPANS = 512;
-/** Lets a closing tracer export its whole queue, beside one under way. */
+/**
+ * Lets a closing tracer export its whole queue at once, in addition to an
+ * export in progress.
+ */
 const MAX_CONCURRENT_EXPORTS = MAX_QUEUED_SPANS / MAX_BATCH_SPANS + 1;
-/** Keeps one absurd value from filling the queue's memory, in characters. */
+/** Limits the memory that a very long attribute takes in the queue. */
 const MAX_ATTRIBUTE_CHARACTERS = 256;
 
 const TRACEPARENT_HEADER = 'traceparent';
 
 /**
- * A tracer. Without collector and recorder it still makes trace ids, for logs
- * and for the next hop, and keeps the caller's decision to sample.
+ * Creates a tracer. Without a collector and a recorder it still creates trace
+ * ids for logs and for the next hop, and propagates the caller's sampling
+ * decision.
  */
 export function createTracer(options: TracerOptions): Tracer {
   if (options.onError !== undefined) reportExporterErrors(options.onError);
@@ -77,7 +85,8 @@
     }),
     spanLimits: {attributeValueLengthLimit: MAX_ATTRIBUTE_CHARACTERS},
   });
-  // Makes the W3C propagator known; spans find their parents by hand.
+  // Registers the W3C propagator. There is no context manager because parents
+  // are passed explicitly.
   provider.register({contextManager: null});
   const tracer = provider.getTracer('gypsumwall');
   return {
@@ -93,7 +102,7 @@
   };
 }
 
-/** OpenTelemetry tells faults of its exporters to one logger per process. */
+/** Sets the one logger per process to which exporters report errors. */
 function reportExporterErrors(onError: (message: string) => void): void {
   const ignore = () => undefined;
   otelApi.diag.setLogger(
@@ -112,9 +121,10 @@
 }
 
 /**
- * A collector that hangs would hold every span until memory is gone, or slow
- * the path if one waited for it. The queue is bounded and drops what doesn't
- * fit, exports run beside the path, and each ends at its timeout.
+ * Creates the processors that export ended spans. A collector that does not
+ * answer must neither exhaust the memory nor delay requests: the queue is
+ * bounded and drops further spans, exports run in the background, and each
+ * export has a timeout.
  */
 function createProcessors(options: TracerOptions): otelSdk.SpanProcessor[] {
   const processors: otelSdk.SpanProcessor[] = [];
