--- a/packages/gypsumwall-settings/src/__tests__/check_settings.test.ts
+++ b/packages/gypsumwall-settings/src/__tests__/check_settings.test.ts
@@ -35,14 +35,14 @@
   return checked.isErr ? checked.error : [];
 }
 
-/** The only problem of the entry settings with some fields changed. */
+/** Returns the only problem of the entry settings with the changed fields. */
 function entryProblem(change: Record<string, unknown>) {
   const problems = entryProblems(JSON.stringify({...ENTRY, ...change}));
   assert.equal(problems.length, 1, JSON.stringify(problems));
   return problems[0]!;
 }
 
-/** The only problem of a team's subtree with some fields changed. */
+/** Returns the only problem of a team's subtree with the changed fields. */
 function teamProblem(change: Record<string, unknown>) {
   const checked = checkSubtree.checkSubtree('teams/night-plans', {
     ...TEAM,
@@ -59,7 +59,7 @@
   return checked.isErr ? checked.error : [];
 }
 
-nodeTest.test('sound entry settings get their defaults', () => {
+nodeTest.test('defaults are added to valid entry settings', () => {
   const text = `\uFEFF// entry of Bole\n${JSON.stringify(ENTRY)}`;
   const checked = checkEntrySettings.checkEntrySettings(text, 'entry.jsonc');
   assert.ok(checked.isOk);
@@ -71,29 +71,32 @@
   assert.match(entryProblems(utf16)[0]!.message, /not in UTF-8/);
 });
 
-nodeTest.test('a syntax error has its line and column', () => {
+nodeTest.test('the problem for a syntax error has its line and column', () => {
   const problem = entryProblems('{\n  "id": ,\n}')[0]!;
   assert.deepEqual([problem.line, problem.column], [2, 9]);
   assert.match(problem.message, /syntax error/);
 });
 
-nodeTest.test('a key that stands twice is refused', () => {
+nodeTest.test('a duplicate key is refused', () => {
   const problem = entryProblems('{\n"id": "a",\n"id": "b"}')[0]!;
   assert.equal(problem.line, 3);
   assert.match(problem.message, /twice/);
 });
 
-nodeTest.test('an unknown key names the key that was meant', () => {
+nodeTest.test('the remedy for an unknown key names a similar key', () => {
   const problem = entryProblem({taskLeaseSeconds: 15});
   assert.equal(problem.path, 'taskLeaseSeconds');
   assert.match(problem.remedy, /taskLeaseMs \(milliseconds\)/);
 });
 
-nodeTest.test('a wrong unit gets the number that was meant', () => {
-  const problem = entryProblem({peerSilenceMs: '3s'});
-  assert.equal(problem.value, '"3s"');
-  assert.equal(problem.remedy, 'Write 3000 (milliseconds).');
-});
+nodeTest.test(
+  'the remedy for a value with another unit is the converted number',
+  () => {
+    const problem = entryProblem({peerSilenceMs: '3s'});
+    assert.equal(problem.value, '"3s"');
+    assert.equal(problem.remedy, 'Write 3000 (milliseconds).');
+  },
+);
 
 nodeTest.test('contradictory spans are refused', () => {
   const pairs = {
@@ -111,23 +114,23 @@
   }
 });
 
-nodeTest.test('problems of a subtree carry path, value and remedy', () => {
+nodeTest.test('problems of a subtree have path, value and remedy', () => {
   const memory = teamProblem({quota: {...TEAM.quota, memoryMb: '64GB'}});
   assert.equal(memory.path, 'teams/night-plans/quota/memoryMb');
   assert.equal(memory.remedy, 'Write 65536 (mebibytes).');
   const weight = teamProblem({weight: -1});
   assert.deepEqual([weight.value, weight.remedy], ['-1', 'Use more than 0.']);
-  const late = teamProblem({operations: {file: {estimateMs: 5_000}}});
-  assert.equal(late.path, 'teams/night-plans/operations/file/timeoutMs');
+  const timeout = teamProblem({operations: {file: {estimateMs: 5_000}}});
+  assert.equal(timeout.path, 'teams/night-plans/operations/file/timeoutMs');
 });
 
-nodeTest.test('a token that stands in the place of its hash is hidden', () => {
+nodeTest.test('a token that was written instead of its hash is hidden', () => {
   const problem = teamProblem({tokenHashes: ['my-secret-token']});
   const line = settingsProblem.describeProblem(problem);
   assert.doesNotMatch(line, /my-secret-token/);
 });
 
-nodeTest.test('a subtree outside the tree is refused', () => {
+nodeTest.test('an unknown subtree is refused', () => {
   for (const path of ['', 'cells', 'teams', 'teams/', 'teams/a/b', 'teams/A']) {
     assert.ok(checkSubtree.checkSubtree(path, TEAM).isErr, path);
   }
@@ -137,21 +140,21 @@
   assert.ok(!subtreePath.mayPublish(['teams/a'], 'cell'));
 });
 
-nodeTest.test('a tree is checked across its subtrees', () => {
+nodeTest.test('a tree is checked for faults between its subtrees', () => {
   const tree = {cell: CELL, teams: {'night-plans': TEAM}};
   assert.deepEqual(treeProblems(tree), []);
-  const lone = treeProblems({cell: CELL, teams: {'day-desk': TEAM}});
-  assert.equal(lone[0]!.path, 'cell/operators/abeba/subtrees/0');
-  assert.equal(lone[0]!.value, '"teams/night-plans"');
-  assert.ok(lone[0]!.line! > 1);
-  const shared = treeProblems({
+  const missingTeam = treeProblems({cell: CELL, teams: {'day-desk': TEAM}});
+  assert.equal(missingTeam[0]!.path, 'cell/operators/abeba/subtrees/0');
+  assert.equal(missingTeam[0]!.value, '"teams/night-plans"');
+  assert.ok(missingTeam[0]!.line! > 1);
+  const sharedToken = treeProblems({
     cell: CELL,
     teams: {'night-plans': TEAM, 'day-desk': TEAM},
   });
-  assert.match(shared[0]!.message, /same token hash/);
+  assert.match(sharedToken[0]!.message, /same token hash/);
 });
 
-nodeTest.test('two operators of a cell may not share a token', () => {
+nodeTest.test('two operators of a cell must not share a token', () => {
   const abeba = CELL.operators.abeba;
   const operators = {abeba, selam: abeba};
   const checked = checkSubtree.checkSubtree('cell', {...CELL, operators});
@@ -159,7 +162,7 @@
   assert.equal(checked.error[0]!.path, 'cell/operators/selam/tokenHash');
 });
 
-nodeTest.test('a difference names each leaf that changed', () => {
+nodeTest.test('a comparison returns each leaf that changed', () => {
   const after = {...TEAM, weight: 2, quota: {...TEAM.quota, memoryMb: 1}};
   assert.deepEqual(settingsDiff.diffSettings(TEAM, after), [
     {path: 'quota/memoryMb', before: '65536', after: '1'},
--- a/packages/gypsumwall-settings/src/__tests__/settings_page.test.ts
+++ b/packages/gypsumwall-settings/src/__tests__/settings_page.test.ts
@@ -7,7 +7,7 @@
 
 const PAGE = new URL('../../../../docs/SETTINGS.md', import.meta.url);
 
-/** Keys and defaults of a schema, as the page writes them. */
+/** Returns the keys and defaults of a schema in the format of the page. */
 function rowsOf(schema: zod.ZodObject): [string, string][] {
   return Object.entries(schema.shape).map(([key, field]) => {
     const parsed = (field as zod.ZodType).safeParse(undefined);
@@ -18,7 +18,7 @@
   });
 }
 
-/** First two columns of the table below a heading. */
+/** Returns the first two columns of the table below a heading. */
 function rowsBelow(page: string, heading: string): string[][] {
   const [, section = ''] = page.split(`\n${heading}\n`);
   const [part = ''] = section.split('\n#');
--- a/packages/gypsumwall-settings/src/cell_tree.ts
+++ b/packages/gypsumwall-settings/src/cell_tree.ts
@@ -1,12 +1,12 @@
 /**
- * The tree that operators publish through the platform's log. `cell` holds
- * for all; `teams/<team>` is one team's own subtree. A publish replaces one
- * of these subtrees whole.
+ * Schema of the settings tree that operators publish through the platform's
+ * log. `cell` applies to the whole cell, `teams/<team>` to one team. Each
+ * publish replaces one of these subtrees as a whole.
  */
 import * as zod from 'zod';
 import * as subtreePath from './subtree_path.js';
 
-/** What is used where a team's subtree says nothing. */
+/** Defaults of the optional fields of a team's subtree. */
 export const TEAM_DEFAULTS = {
   weight: 1,
   packing: 0.5,
@@ -15,7 +15,7 @@
   retryBudget: 0.1,
 } as const;
 
-/** What is used where an operation says nothing. */
+/** Defaults of the fields of an operation. */
 export const OPERATION_DEFAULTS = {
   idempotent: true,
   urgency: 'urgent',
@@ -23,56 +23,59 @@
   estimateMs: 50,
 } as const;
 
-/** Bounds that only a wrong unit goes over, such as bytes for mebibytes. */
-const MOST_CPU_MILLIS = 100_000_000_000;
-const MOST_MEMORY_MB = 100_000_000_000;
-const MOST_ACCELERATORS = 1_000_000;
-/** A day, in milliseconds. */
-const LONGEST_SPAN_MS = 86_400_000;
+/**
+ * Upper bounds that are only exceeded if a value is in the wrong unit, such as
+ * bytes instead of mebibytes.
+ */
+const MAX_CPU_MILLIS = 100_000_000_000;
+const MAX_MEMORY_MB = 100_000_000_000;
+const MAX_ACCELERATORS = 1_000_000;
+/** One day. */
+const MAX_SPAN_MS = 86_400_000;
 
-/** Names that stand in URLs, ids and paths of the tree. */
-const OPERATION_NAME = /^[a-zA-Z0-9._-]+$/;
-const DOMAIN_NAME = /^[a-z0-9-]+$/;
+/** Names that are used in URLs, ids and paths of the tree. */
+const OPERATION_NAME_PATTERN = /^[a-zA-Z0-9._-]+$/;
+const DOMAIN_NAME_PATTERN = /^[a-z0-9-]+$/;
 
 const sha256 = zod.string().regex(/^[0-9a-f]{64}$/, 'not a SHA-256 in hex');
 
 const resources = zod.strictObject({
-  cpuMillis: zod.number().int().min(0).max(MOST_CPU_MILLIS),
-  memoryMb: zod.number().int().min(0).max(MOST_MEMORY_MB),
-  accelerators: zod.number().int().min(0).max(MOST_ACCELERATORS),
+  cpuMillis: zod.number().int().min(0).max(MAX_CPU_MILLIS),
+  memoryMb: zod.number().int().min(0).max(MAX_MEMORY_MB),
+  accelerators: zod.number().int().min(0).max(MAX_ACCELERATORS),
 });
 
 /** Policy of one kind of request, such as `airspace-check`. */
 export const operationSchema = zod.strictObject({
-  /** False: runs at most once, and needs an idempotency key. */
+  /** If false, a request runs at most once and needs an idempotency key. */
   idempotent: zod.boolean().default(OPERATION_DEFAULTS.idempotent),
   urgency: zod
     .enum(['urgent', 'normal', 'overnight'])
     .default(OPERATION_DEFAULTS.urgency),
-  /** Longest time an answer may take, in milliseconds. */
+  /** Maximum time until the answer, in milliseconds. */
   timeoutMs: zod
     .number()
     .int()
     .positive()
-    .max(LONGEST_SPAN_MS)
+    .max(MAX_SPAN_MS)
     .default(OPERATION_DEFAULTS.timeoutMs),
-  /** Usual time an upstream needs, in milliseconds. */
+  /** Typical processing time of an upstream, in milliseconds. */
   estimateMs: zod
     .number()
     .int()
     .positive()
-    .max(LONGEST_SPAN_MS)
+    .max(MAX_SPAN_MS)
     .default(OPERATION_DEFAULTS.estimateMs),
 });
 
 /** A team's subtree. */
 export const teamSchema = zod.strictObject({
   tokenHashes: zod.array(sha256).min(1),
-  /** Share of contended capacity, relative to other teams. */
+  /** Weight of the team when capacity is shared between teams. */
   weight: zod.number().positive().max(1_000).default(TEAM_DEFAULTS.weight),
-  /** Most that the team's tasks may hold at one time. */
+  /** Maximum resources that the team's tasks may use at the same time. */
   quota: resources,
-  /** 0: shortest wait first; 1: tightest packing first. */
+  /** Goal of placement, from 0 (shortest wait) to 1 (tightest packing). */
   packing: zod.number().min(0).max(1).default(TEAM_DEFAULTS.packing),
   maxQueuedTasks: zod
     .number()
@@ -84,38 +87,41 @@
     .int()
     .positive()
     .default(TEAM_DEFAULTS.maxQueuedRequests),
-  /** Retries allowed, as a share of first tries. */
+  /** Maximum ratio of retries to first attempts. */
   retryBudget: zod.number().min(0).max(1).default(TEAM_DEFAULTS.retryBudget),
   operations: zod
-    .record(zod.string().regex(OPERATION_NAME), operationSchema)
+    .record(zod.string().regex(OPERATION_NAME_PATTERN), operationSchema)
     .default({}),
 });
 
-/** An operator who may publish some subtrees. */
+/** An operator, and the subtrees that the operator may publish. */
 export const operatorSchema = zod.strictObject({
   tokenHash: sha256,
-  /** Paths such as `cell` or `teams/night-plans`; `*` is the whole tree. */
+  /** Paths such as `cell` or `teams/night-plans`; `*` allows all subtrees. */
   subtrees: zod.array(zod.string()).min(1),
 });
 
-/** What holds for the whole cell. */
+/** The `cell` subtree: settings of the whole cell. */
 export const cellSchema = zod.strictObject({
   name: zod.string().min(1),
-  failureDomains: zod.array(zod.string().regex(DOMAIN_NAME)).min(1),
+  failureDomains: zod.array(zod.string().regex(DOMAIN_NAME_PATTERN)).min(1),
   operators: zod.record(zod.string(), operatorSchema).default({}),
 });
 
-/** The whole tree, as a file for `settings publish` holds it. */
+/** The whole tree, as in a file for `settings publish`. */
 export const cellTreeSchema = zod.strictObject({
   cell: cellSchema,
-  teams: zod.record(zod.string().regex(subtreePath.TEAM_NAME), teamSchema),
+  teams: zod.record(
+    zod.string().regex(subtreePath.TEAM_NAME_PATTERN),
+    teamSchema,
+  ),
 });
 
-/** Checked policy of one operation. */
+/** Validated policy of one operation. */
 export type OperationPolicy = zod.infer<typeof operationSchema>;
-/** Checked subtree of a team. */
+/** Validated subtree of a team. */
 export type TeamPolicy = zod.infer<typeof teamSchema>;
-/** Checked `cell` subtree. */
+/** Validated `cell` subtree. */
 export type CellPolicy = zod.infer<typeof cellSchema>;
-/** Checked tree. */
+/** Validated tree. */
 export type CellTree = zod.infer<typeof cellTreeSchema>;
--- a/packages/gypsumwall-settings/src/check_cell_tree.ts
+++ b/packages/gypsumwall-settings/src/check_cell_tree.ts
@@ -1,4 +1,4 @@
-/** Checks a file that holds the whole tree of a cell. */
+/** Validates a file with the whole settings tree of a cell. */
 import * as result from 'true-myth/result';
 import * as cellTree from './cell_tree.js';
 import * as explainIssue from './explain_issue.js';
@@ -6,7 +6,7 @@
 import * as readJsonc from './read_jsonc.js';
 import type * as settingsProblem from './settings_problem.js';
 
-/** The tree in `text`, or every problem found; `file` names its origin. */
+/** Returns the tree in `text`, or all problems; `file` is shown in them. */
 export function checkCellTree(
   text: string,
   file: string,
@@ -25,9 +25,9 @@
       ),
     );
   }
-  const faults = policyFaults.treeFaults(parsed.data);
+  const faults = policyFaults.findTreeFaults(parsed.data);
   if (faults.length === 0) return result.ok(parsed.data);
   return result.err(
-    faults.map((fault) => explainIssue.problemOf(fault, source)),
+    faults.map((fault) => explainIssue.toProblem(fault, source)),
   );
 }
--- a/packages/gypsumwall-settings/src/check_entry_settings.ts
+++ b/packages/gypsumwall-settings/src/check_entry_settings.ts
@@ -1,4 +1,4 @@
-/** Checks the settings file of an entry process. */
+/** Validates the settings file of an entry process. */
 import * as result from 'true-myth/result';
 import * as entrySettings from './entry_settings.js';
 import * as explainIssue from './explain_issue.js';
@@ -11,7 +11,7 @@
   'port',
 ];
 
-/** The settings in `text`, or every problem found; `file` names its origin. */
+/** Returns the settings in `text`, or all problems; `file` is shown in them. */
 export function checkEntrySettings(
   text: string,
   file: string,
@@ -29,10 +29,10 @@
       explainIssue.explainIssues(parsed.error.issues, source, KNOWN_KEYS),
     );
   }
-  const faults = contradictions(parsed.data);
+  const faults = findContradictions(parsed.data);
   if (faults.length === 0) return result.ok(parsed.data);
   return result.err(
-    faults.map((fault) => explainIssue.problemOf(fault, source)),
+    faults.map((fault) => explainIssue.toProblem(fault, source)),
   );
 }
 
@@ -42,63 +42,67 @@
     : never;
 }[keyof entrySettings.EntrySettings];
 
-/** `longer` must be more than `times` times `shorter`, or `symptom` follows. */
+/**
+ * `longer` must be more than `factor` times `shorter`; otherwise there would be
+ * the `consequence`.
+ */
 interface SpanRule {
   readonly longer: SpanKey;
-  readonly times: number;
+  readonly factor: number;
   readonly shorter: SpanKey;
-  readonly symptom: string;
+  readonly consequence: string;
 }
 
 const SPAN_RULES: readonly SpanRule[] = [
   {
     longer: 'peerSilenceMs',
-    times: 1,
+    factor: 1,
     shorter: 'peerHeartbeatMs',
-    symptom: 'every live peer would count as silent',
+    consequence: 'all live peers would count as silent',
   },
   {
     longer: 'taskLeaseMs',
-    times: 2,
+    factor: 2,
     shorter: 'workerHeartbeatMs',
-    symptom: 'one lost heartbeat would stop running tasks',
+    consequence: 'a single lost heartbeat would stop running tasks',
   },
   {
     longer: 'serviceLeaseMs',
-    times: 2,
+    factor: 2,
     shorter: 'workerHeartbeatMs',
-    symptom: 'one lost heartbeat would stop running services',
+    consequence: 'a single lost heartbeat would stop running services',
   },
   {
     longer: 'claimTtlMs',
-    times: 2,
+    factor: 2,
     shorter: 'peerHeartbeatMs',
-    symptom: 'a claim would lapse between two renewals',
+    consequence: 'a claim would expire between two renewals',
   },
   {
     longer: 'claimTtlMs',
-    times: 1,
+    factor: 1,
     shorter: 'platformTimeoutMs',
-    symptom: 'one slow call of the log would let a claim lapse',
+    consequence: 'a claim would expire during one slow call to the log',
   },
   {
     longer: 'listLagMs',
-    times: 1,
+    factor: 1,
     shorter: 'listPollMs',
-    symptom: 'the list would count as too old between two polls',
+    consequence: 'the list would count as too old between two polls',
   },
   {
     longer: 'drainTimeoutMs',
-    times: 2,
+    factor: 2,
     shorter: 'drainNoticeMs',
-    symptom: 'a planned stop would cut off calls that came during the notice',
+    consequence:
+      'a planned stop would abort calls that arrived during the notice',
   },
 ];
 
-function contradictions(
+function findContradictions(
   settings: entrySettings.EntrySettings,
 ): explainIssue.Fault[] {
-  const faults = SPAN_RULES.flatMap((rule) => spanFault(settings, rule));
+  const faults = SPAN_RULES.flatMap((rule) => checkSpanRule(settings, rule));
   if (settings.port !== 0 && settings.port === settings.peerPort) {
     faults.push({
       path: ['peerPort'],
@@ -109,18 +113,18 @@
   return faults;
 }
 
-function spanFault(
+function checkSpanRule(
   settings: entrySettings.EntrySettings,
   rule: SpanRule,
 ): explainIssue.Fault[] {
-  const least = rule.times * settings[rule.shorter];
-  if (settings[rule.longer] > least) return [];
-  const times = rule.times === 1 ? '' : `${rule.times} x `;
+  const bound = rule.factor * settings[rule.shorter];
+  if (settings[rule.longer] > bound) return [];
+  const factorText = rule.factor === 1 ? '' : `${rule.factor} x `;
   return [
     {
       path: [rule.longer],
-      message: `contradicts ${rule.shorter} = ${settings[rule.shorter]}: ${rule.symptom}`,
-      remedy: `Use more than ${times}${rule.shorter}, that is more than ${least} (milliseconds).`,
+      message: `contradicts ${rule.shorter} = ${settings[rule.shorter]}: ${rule.consequence}`,
+      remedy: `Use more than ${factorText}${rule.shorter}, that is more than ${bound} (milliseconds).`,
     },
   ];
 }
--- a/packages/gypsumwall-settings/src/check_subtree.ts
+++ b/packages/gypsumwall-settings/src/check_subtree.ts
@@ -1,6 +1,6 @@
 /**
- * Checks one subtree as it is published, and again when its record is read
- * from the log: another version of the product may have written it.
+ * Validates one subtree when it is published, and again when its record is read
+ * from the log, because another version of the product may have written it.
  */
 import * as result from 'true-myth/result';
 import type * as zod from 'zod';
@@ -10,7 +10,7 @@
 import type * as settingsProblem from './settings_problem.js';
 import * as subtreePath from './subtree_path.js';
 
-/** A subtree that was found to be sound. */
+/** A validated subtree. */
 export type CheckedSubtree =
   | {
       readonly type: 'cell';
@@ -26,24 +26,27 @@
 
 type Checked<T> = result.Result<T, settingsProblem.SettingsProblem[]>;
 
-/** The file that a subtree was read from. */
+/** The file from which a subtree was read. */
 export type SubtreeOrigin = Pick<explainIssue.Source, 'file' | 'placeOf'>;
 
-/** The checked subtree at `path` (`cell` or `teams/<team>`), or its problems. */
+/**
+ * Returns the validated subtree at `path` (`cell` or `teams/<team>`), or
+ * its problems.
+ */
 export function checkSubtree(
   path: string,
   value: unknown,
   origin: SubtreeOrigin = {},
 ): Checked<CheckedSubtree> {
-  const place = subtreePath.parseSubtreePath(path);
-  if (place === undefined) return result.err([unknownPath(path)]);
+  const parsedPath = subtreePath.parseSubtreePath(path);
+  if (parsedPath === undefined) return result.err([describeUnknownPath(path)]);
   const source = {...origin, value, prefix: path.split('/')};
-  switch (place.type) {
+  switch (parsedPath.type) {
     case 'cell': {
       const checked = checkPolicy(
         cellTree.cellSchema,
         source,
-        policyFaults.cellFaults,
+        policyFaults.findCellFaults,
       );
       return checked.map((policy) => ({type: 'cell', path, policy}));
     }
@@ -51,9 +54,9 @@
       const checked = checkPolicy(
         cellTree.teamSchema,
         source,
-        policyFaults.teamFaults,
+        policyFaults.findTeamFaults,
       );
-      const {team} = place;
+      const {team} = parsedPath;
       return checked.map((policy) => ({type: 'team', path, team, policy}));
     }
   }
@@ -62,7 +65,7 @@
 function checkPolicy<Policy>(
   schema: zod.ZodType<Policy>,
   source: explainIssue.Source,
-  faultsOf: (policy: Policy) => explainIssue.Fault[],
+  findFaults: (policy: Policy) => explainIssue.Fault[],
 ): Checked<Policy> {
   const parsed = schema.safeParse(source.value);
   if (!parsed.success) {
@@ -74,18 +77,18 @@
       ),
     );
   }
-  const faults = faultsOf(parsed.data);
+  const faults = findFaults(parsed.data);
   if (faults.length === 0) return result.ok(parsed.data);
   return result.err(
-    faults.map((fault) => explainIssue.problemOf(fault, source)),
+    faults.map((fault) => explainIssue.toProblem(fault, source)),
   );
 }
 
-function unknownPath(path: string): settingsProblem.SettingsProblem {
+function describeUnknownPath(path: string): settingsProblem.SettingsProblem {
   return {
     path,
     value: JSON.stringify(path),
-    message: 'the tree has no such subtree',
+    message: 'there is no such subtree',
     remedy: 'Use cell or teams/TEAM, with a team of a-z, 0-9 and hyphens.',
   };
 }
--- a/packages/gypsumwall-settings/src/entry_settings.ts
+++ b/packages/gypsumwall-settings/src/entry_settings.ts
@@ -1,45 +1,46 @@
 /**
- * Settings of one entry process, read from a file at its start: who it is and
- * where its surroundings are. What the cell agrees on is in `cell_tree.ts`.
+ * Schema of the settings of one entry process, which it reads from a file at
+ * its start: its identity, addresses and timeouts. Settings shared by the whole
+ * cell are in `cell_tree.ts`.
  */
 import * as zod from 'zod';
 
-/** What is used where the file says nothing. All spans are milliseconds. */
+/** Defaults of the optional fields. All durations are in milliseconds. */
 export const ENTRY_DEFAULTS = {
   host: '127.0.0.1',
-  /** 0 lets the kernel choose. */
+  /** With 0, the kernel chooses a port. */
   port: 0,
   peerPort: 0,
   logLevel: 'info',
   platformTimeoutMs: 2_000,
   listPollMs: 500,
-  /** How old the list may be at worst. */
+  /** Maximum lag of the instance list behind the actual state. */
   listLagMs: 5_000,
   peerHeartbeatMs: 500,
-  /** A peer unheard for this long counts as silent. */
+  /** A peer counts as silent after this time without a heartbeat. */
   peerSilenceMs: 2_000,
   claimTtlMs: 6_000,
   workerHeartbeatMs: 1_000,
   taskLeaseMs: 15_000,
-  /** Long, so that a service outlives a time without a holder. */
+  /** Long enough that services keep running while there is no holder. */
   serviceLeaseMs: 3_600_000,
-  /** Added to a lease before its task counts as stopped. */
+  /** Time after the end of a lease until its task counts as stopped. */
   leaseGraceMs: 2_000,
-  /** Keep it well under the log's retention. */
+  /** Must be well below the retention of the log. */
   snapshotEveryMs: 300_000,
   snapshotEveryRecords: 20_000,
-  /** How long a leaving entry still hands over what comes. */
+  /** How long a leaving entry still forwards the calls that arrive. */
   drainNoticeMs: 2_000,
   drainTimeoutMs: 30_000,
 } as const;
 
-/** A day: a longer span has the wrong unit. */
-const LONGEST_SPAN_MS = 86_400_000;
+/** One day; a longer duration must be in the wrong unit. */
+const MAX_SPAN_MS = 86_400_000;
 
 const records = zod.number().int().positive();
-const span = zod.number().int().positive().max(LONGEST_SPAN_MS);
+const span = zod.number().int().positive().max(MAX_SPAN_MS);
 
-/** Shape of the file. Unknown keys are refused. */
+/** Schema of the file; unknown keys are refused. */
 export const entrySettingsSchema = zod.strictObject({
   id: zod.string().min(1),
   failureDomain: zod.string().min(1),
@@ -53,7 +54,7 @@
     .default(ENTRY_DEFAULTS.peerPort),
   logUrl: zod.url(),
   listUrl: zod.url(),
-  /** SHA-256, hex, of the token that may publish anywhere in the tree. */
+  /** Hexadecimal SHA-256 of the token that may publish all subtrees. */
   rootOperatorTokenHash: zod.string().regex(/^[0-9a-f]{64}$/),
   logLevel: zod
     .enum(['debug', 'info', 'warn', 'error', 'silent'])
@@ -61,7 +62,7 @@
   statsd: zod
     .strictObject({host: zod.string(), port: zod.number().int()})
     .optional(),
-  /** OTLP/HTTP collector of traces. */
+  /** URL of the OTLP/HTTP collector for traces. */
   tracesUrl: zod.url().optional(),
   platformTimeoutMs: span.default(ENTRY_DEFAULTS.platformTimeoutMs),
   listPollMs: span.default(ENTRY_DEFAULTS.listPollMs),
@@ -79,5 +80,5 @@
   drainTimeoutMs: span.default(ENTRY_DEFAULTS.drainTimeoutMs),
 });
 
-/** Checked settings of an entry process. */
+/** Validated settings of an entry process. */
 export type EntrySettings = zod.infer<typeof entrySettingsSchema>;
--- a/packages/gypsumwall-settings/src/explain_issue.ts
+++ b/packages/gypsumwall-settings/src/explain_issue.ts
@@ -1,39 +1,39 @@
-/** Turns what the schema library found into problems with a remedy. */
+/** Converts issues of the schema library to problems with a remedy. */
 import type * as zod from 'zod';
 import type * as readJsonc from './read_jsonc.js';
 import * as settingsProblem from './settings_problem.js';
 import * as units from './units.js';
 
-/** Where the checked value came from. */
+/** A value to validate, and where it came from. */
 export interface Source {
   readonly value: unknown;
-  /** Absent for a value that came over the wire. */
+  /** Absent for a value that was not read from a file. */
   readonly file?: string;
   readonly placeOf?: readJsonc.JsoncDocument['placeOf'];
-  /** Put before every path, such as `teams/night-plans`. */
+  /** Path of the value in the tree, such as `teams/night-plans`. */
   readonly prefix?: readonly string[];
 }
 
-/** A fault at a path below the source's root. */
+/** A fault; its path is relative to the value of the source. */
 export interface Fault {
   readonly path: readonly PropertyKey[];
   readonly message: string;
   readonly remedy: string;
 }
 
-/** All problems behind the issues of one check. */
+/** Converts all issues of one validation to problems. */
 export function explainIssues(
   issues: readonly zod.core.$ZodIssue[],
   source: Source,
   knownKeys: readonly string[],
 ): settingsProblem.SettingsProblem[] {
   return issues
-    .flatMap((issue) => faultsOf(issue, source, knownKeys))
-    .map((fault) => problemOf(fault, source));
+    .flatMap((issue) => toFaults(issue, source, knownKeys))
+    .map((fault) => toProblem(fault, source));
 }
 
-/** A problem from a fault, with its file, place, path and value. */
-export function problemOf(
+/** Adds file, position, full path and value to a fault. */
+export function toProblem(
   fault: Fault,
   source: Source,
 ): settingsProblem.SettingsProblem {
@@ -41,14 +41,17 @@
   return {
     file: source.file,
     ...source.placeOf?.(fault.path),
-    path: settingsProblem.showPath(path),
-    value: settingsProblem.showValue(path, valueAt(source.value, fault.path)),
+    path: settingsProblem.formatPath(path),
+    value: settingsProblem.formatValue(
+      path,
+      readValueAt(source.value, fault.path),
+    ),
     message: fault.message,
     remedy: fault.remedy,
   };
 }
 
-function valueAt(root: unknown, path: readonly PropertyKey[]): unknown {
+function readValueAt(root: unknown, path: readonly PropertyKey[]): unknown {
   let value = root;
   for (const key of path) {
     if (typeof value !== 'object' || value === null) return undefined;
@@ -57,42 +60,44 @@
   return value;
 }
 
-function faultsOf(
+function toFaults(
   issue: zod.core.$ZodIssue,
   source: Source,
   knownKeys: readonly string[],
 ): Fault[] {
   if (issue.code === 'unrecognized_keys') {
-    return issue.keys.map((key) => unknownKey(issue.path, key, knownKeys));
+    return issue.keys.map((key) =>
+      toUnknownKeyFault(issue.path, key, knownKeys),
+    );
   }
   if (issue.code === 'invalid_key') {
     const remedy =
       issue.issues[0]?.message ?? 'Use letters, digits and hyphens.';
     return [{path: issue.path, message: 'the name is not allowed', remedy}];
   }
-  const value = valueAt(source.value, issue.path);
+  const value = readValueAt(source.value, issue.path);
   const message = value === undefined ? 'the value is missing' : issue.message;
-  return [{path: issue.path, message, remedy: remedyFor(issue, value)}];
+  return [{path: issue.path, message, remedy: suggestRemedy(issue, value)}];
 }
 
-function unknownKey(
+function toUnknownKeyFault(
   path: readonly PropertyKey[],
   key: string,
   knownKeys: readonly string[],
 ): Fault {
-  const near = units.nearestKey(key, knownKeys);
+  const nearestKey = units.findNearestKey(key, knownKeys);
   const remedy =
-    near === undefined
-      ? 'Take it out, or look it up in docs/SETTINGS.md.'
-      : `Did you mean ${near}${units.unitPhrase(near)}?`;
+    nearestKey === undefined
+      ? 'Remove it, or see docs/SETTINGS.md for the known keys.'
+      : `Did you mean ${nearestKey}${units.describeUnit(nearestKey)}?`;
   return {path: [...path, key], message: 'the key is unknown', remedy};
 }
 
-function remedyFor(issue: zod.core.$ZodIssue, value: unknown): string {
+function suggestRemedy(issue: zod.core.$ZodIssue, value: unknown): string {
   const key = String(issue.path.at(-1) ?? '');
-  const converted = units.convert(key, value);
+  const converted = units.convertToKeyUnit(key, value);
   if (converted !== undefined) {
-    return `Write ${converted}${units.unitPhrase(key)}.`;
+    return `Write ${converted}${units.describeUnit(key)}.`;
   }
   if (issue.code === 'too_small') {
     const bound = issue.inclusive === false ? 'more than' : 'at least';
@@ -103,13 +108,13 @@
     return `Use one of ${issue.values.map(String).join(', ')}.`;
   }
   if (issue.code === 'invalid_type') {
-    return `Write ${typePhrase(issue.expected)}${units.unitPhrase(key)}.`;
+    return `Write ${describeType(issue.expected)}${units.describeUnit(key)}.`;
   }
-  if (issue.code === 'invalid_union') return unionRemedy(issue);
-  return `Write ${formatPhrase(issue)}.`;
+  if (issue.code === 'invalid_union') return suggestUnionRemedy(issue);
+  return `Write ${describeFormat(issue)}.`;
 }
 
-function unionRemedy(issue: zod.core.$ZodIssueInvalidUnion): string {
+function suggestUnionRemedy(issue: zod.core.$ZodIssueInvalidUnion): string {
   const {options = []} = issue as {options?: readonly unknown[]};
   if (options.length > 0) return `Use one of ${options.join(', ')}.`;
   const types = issue.errors
@@ -118,17 +123,17 @@
   return `Write a value of type ${[...new Set(types)].join(' or ')}.`;
 }
 
-function typePhrase(expected: string): string {
+function describeType(expected: string): string {
   if (expected === 'int') return 'a whole number';
   if (expected === 'record' || expected === 'object') return 'an object';
   if (expected === 'array') return 'a list';
   return `a ${expected}`;
 }
 
-function formatPhrase(issue: zod.core.$ZodIssue): string {
-  if (issue.code !== 'invalid_format') return 'a value that fits';
+function describeFormat(issue: zod.core.$ZodIssue): string {
+  if (issue.code !== 'invalid_format') return 'a valid value';
   if (issue.format === 'datetime') {
-    return 'a moment with its zone, such as 2027-03-01T05:00:00+03:00';
+    return 'a time with its zone, such as 2027-03-01T05:00:00+03:00';
   }
   if (issue.format === 'url') return 'a URL such as http://10.0.0.1:7000';
   return `a text that matches ${issue.pattern ?? issue.format}`;
--- a/packages/gypsumwall-settings/src/policy_faults.ts
+++ b/packages/gypsumwall-settings/src/policy_faults.ts
@@ -1,11 +1,14 @@
-/** Faults that one field alone doesn't show: values that contradict. */
+/**
+ * Finds faults that the schema can't express: contradictions between values and
+ * references to missing subtrees.
+ */
 import * as cellTree from './cell_tree.js';
 import type * as explainIssue from './explain_issue.js';
 import * as subtreePath from './subtree_path.js';
 
 type Fault = explainIssue.Fault;
 
-/** Every key a tree may hold, for the remedy of a misspelt one. */
+/** All keys of the tree, to suggest one for a misspelt key. */
 export const KNOWN_KEYS: readonly string[] = [
   ...Object.keys(cellTree.cellTreeSchema.shape),
   ...Object.keys(cellTree.cellSchema.shape),
@@ -15,54 +18,61 @@
   ...Object.keys(cellTree.operationSchema.shape),
 ];
 
-/** Contradictions in the whole tree. */
-export function treeFaults(tree: cellTree.CellTree): Fault[] {
+/** Finds the faults in the whole tree. */
+export function findTreeFaults(tree: cellTree.CellTree): Fault[] {
   const teams = Object.entries(tree.teams).flatMap(([team, policy]) =>
-    teamFaults(policy).map((fault) => below(['teams', team], fault)),
+    findTeamFaults(policy).map((fault) =>
+      prefixFaultPath(['teams', team], fault),
+    ),
   );
   return [
-    ...shapeFaults(tree.cell).map((fault) => below(['cell'], fault)),
+    ...findOwnCellFaults(tree.cell).map((fault) =>
+      prefixFaultPath(['cell'], fault),
+    ),
     ...teams,
-    ...missingSubtrees(tree),
-    ...sharedTokens(treeTokens(tree)),
+    ...findMissingTeams(tree),
+    ...findSharedTokens(listTreeTokens(tree)),
   ];
 }
 
-/** Contradictions in the `cell` subtree. */
-export function cellFaults(cell: cellTree.CellPolicy): Fault[] {
-  return [...shapeFaults(cell), ...sharedTokens(operatorTokens(cell))];
+/** Finds the faults in the `cell` subtree. */
+export function findCellFaults(cell: cellTree.CellPolicy): Fault[] {
+  return [
+    ...findOwnCellFaults(cell),
+    ...findSharedTokens(listOperatorTokens(cell)),
+  ];
 }
 
-function shapeFaults(cell: cellTree.CellPolicy): Fault[] {
+function findOwnCellFaults(cell: cellTree.CellPolicy): Fault[] {
   const domains = cell.failureDomains.flatMap((domain, index) =>
     cell.failureDomains.indexOf(domain) === index
       ? []
-      : [repeatedDomain(index)],
+      : [createRepeatedDomainFault(index)],
   );
   const operators = Object.entries(cell.operators).flatMap(([name, operator]) =>
     operator.subtrees.flatMap((path, index) =>
-      isSubtree(path) ? [] : [unknownSubtree(name, index)],
+      isSubtree(path) ? [] : [createUnknownSubtreeFault(name, index)],
     ),
   );
   return [...domains, ...operators];
 }
 
-/** Contradictions in a team's subtree. */
-export function teamFaults(team: cellTree.TeamPolicy): Fault[] {
+/** Finds the faults in a team's subtree. */
+export function findTeamFaults(team: cellTree.TeamPolicy): Fault[] {
   return Object.entries(team.operations).flatMap(([name, operation]) =>
     operation.estimateMs <= operation.timeoutMs
       ? []
       : [
           {
             path: ['operations', name, 'timeoutMs'],
-            message: `contradicts estimateMs = ${operation.estimateMs}: no request could be answered in time`,
+            message: `contradicts estimateMs = ${operation.estimateMs}: no request could be answered before its timeout`,
             remedy: `Use at least ${operation.estimateMs} (milliseconds).`,
           },
         ],
   );
 }
 
-function below(prefix: readonly string[], fault: Fault): Fault {
+function prefixFaultPath(prefix: readonly string[], fault: Fault): Fault {
   return {...fault, path: [...prefix, ...fault.path]};
 }
 
@@ -73,31 +83,32 @@
   );
 }
 
-function repeatedDomain(index: number): Fault {
+function createRepeatedDomainFault(index: number): Fault {
   return {
     path: ['failureDomains', index],
-    message: 'the failure domain stands twice',
+    message: 'the failure domain is listed twice',
     remedy: 'Keep one of the two.',
   };
 }
 
-function unknownSubtree(operator: string, index: number): Fault {
+function createUnknownSubtreeFault(operator: string, index: number): Fault {
   return {
     path: ['operators', operator, 'subtrees', index],
-    message: 'the tree has no such subtree',
+    message: 'there is no such subtree',
     remedy: 'Use cell, teams/TEAM or *.',
   };
 }
 
-function missingSubtrees(tree: cellTree.CellTree): Fault[] {
+function findMissingTeams(tree: cellTree.CellTree): Fault[] {
   return Object.entries(tree.cell.operators).flatMap(([name, operator]) =>
     operator.subtrees.flatMap((path, index) => {
-      const place = subtreePath.parseSubtreePath(path);
-      if (place?.type !== 'team' || place.team in tree.teams) return [];
+      const parsedPath = subtreePath.parseSubtreePath(path);
+      if (parsedPath?.type !== 'team' || parsedPath.team in tree.teams)
+        return [];
       return [
         {
           path: ['cell', 'operators', name, 'subtrees', index],
-          message: 'the subtree lies outside the tree: no such team',
+          message: 'the tree has no such team',
           remedy: `Use a team of ${Object.keys(tree.teams).join(', ')}.`,
         },
       ];
@@ -105,49 +116,52 @@
   );
 }
 
-interface TokenPlace {
+interface TokenLocation {
   readonly hash: string;
   readonly path: readonly string[];
 }
 
-function operatorTokens(cell: cellTree.CellPolicy): TokenPlace[] {
+function listOperatorTokens(cell: cellTree.CellPolicy): TokenLocation[] {
   return Object.entries(cell.operators).map(([name, operator]) => ({
     hash: operator.tokenHash,
     path: ['operators', name, 'tokenHash'],
   }));
 }
 
-function teamTokens(team: cellTree.TeamPolicy): TokenPlace[] {
+function listTeamTokens(team: cellTree.TeamPolicy): TokenLocation[] {
   return team.tokenHashes.map((hash, index) => ({
     hash,
     path: ['tokenHashes', String(index)],
   }));
 }
 
-function treeTokens(tree: cellTree.CellTree): TokenPlace[] {
-  const within = (prefix: readonly string[], places: TokenPlace[]) =>
-    places.map(({hash, path}) => ({hash, path: [...prefix, ...path]}));
+function listTreeTokens(tree: cellTree.CellTree): TokenLocation[] {
+  const prefixPaths = (prefix: readonly string[], locations: TokenLocation[]) =>
+    locations.map(({hash, path}) => ({hash, path: [...prefix, ...path]}));
   return [
-    ...within(['cell'], operatorTokens(tree.cell)),
+    ...prefixPaths(['cell'], listOperatorTokens(tree.cell)),
     ...Object.entries(tree.teams).flatMap(([team, policy]) =>
-      within(['teams', team], teamTokens(policy)),
+      prefixPaths(['teams', team], listTeamTokens(policy)),
     ),
   ];
 }
 
 /**
- * A token hash that stands at two places proves nothing: work of one team
- * would be read and billed as another's.
+ * Finds token hashes that are used more than once. Such a token does not
+ * identify its owner: work of one team could be read by another team and billed
+ * to it.
  */
-function sharedTokens(places: readonly TokenPlace[]): Fault[] {
-  return places.flatMap(({hash, path}, index) => {
-    const first = places.findIndex((place) => place.hash === hash);
-    const other = places[first]?.path.join('/') ?? '';
-    if (first === index) return [];
+function findSharedTokens(locations: readonly TokenLocation[]): Fault[] {
+  return locations.flatMap(({hash, path}, index) => {
+    const firstIndex = locations.findIndex(
+      (location) => location.hash === hash,
+    );
+    const firstPath = locations[firstIndex]?.path.join('/') ?? '';
+    if (firstIndex === index) return [];
     return [
       {
         path,
-        message: `the same token hash stands at ${other}`,
+        message: `the same token hash is used at ${firstPath}`,
         remedy: 'Give each team and each operator a token of its own.',
       },
     ];
--- a/packages/gypsumwall-settings/src/read_jsonc.ts
+++ b/packages/gypsumwall-settings/src/read_jsonc.ts
@@ -1,53 +1,59 @@
-/** Reads JSON with comments and remembers on which line each value stands. */
+/** Parses JSON with comments and provides the position of each value. */
 import * as jsoncParser from 'jsonc-parser';
 import * as result from 'true-myth/result';
 import type * as settingsProblem from './settings_problem.js';
 
-/** A place in a text, from 1. */
-export interface Place {
+/** A position in a text; both numbers count from 1. */
+export interface TextPosition {
   readonly line: number;
   readonly column: number;
 }
 
-/** A text that was read. */
+/** A parsed text. */
 export interface JsoncDocument {
   readonly value: unknown;
-  /** Where the value at `path` stands, or the nearest one around it. */
-  readonly placeOf: (path: readonly PropertyKey[]) => Place;
+  /**
+   * Position of the value at `path`, or of the innermost existing value that
+   * would contain it.
+   */
+  readonly placeOf: (path: readonly PropertyKey[]) => TextPosition;
 }
 
 const BYTE_ORDER_MARK = '\uFEFF';
-/** What a decoder of UTF-8 puts in place of bytes that are none. */
-const REPLACEMENT = '\uFFFD';
+/** UTF-8 decoders replace invalid bytes by this character. */
+const REPLACEMENT_CHARACTER = '\uFFFD';
 
 /**
- * Reads `text`. A leading byte-order mark of UTF-8 is skipped; a file in
- * another encoding, a syntax error and a key that stands twice are refused.
+ * Parses `text`. A leading byte-order mark of UTF-8 is ignored. A file in
+ * another encoding, a syntax error or a duplicate key in an object is refused.
  */
 export function readJsonc(
   text: string,
   file: string,
 ): result.Result<JsoncDocument, settingsProblem.SettingsProblem[]> {
   const body = text.startsWith(BYTE_ORDER_MARK) ? text.slice(1) : text;
-  if (body.startsWith(REPLACEMENT) || body.includes('\0')) {
-    return result.err([encodingProblem(file)]);
+  if (body.startsWith(REPLACEMENT_CHARACTER) || body.includes('\0')) {
+    return result.err([createEncodingProblem(file)]);
   }
   const errors: jsoncParser.ParseError[] = [];
   const root = jsoncParser.parseTree(body, errors, {
     allowTrailingComma: true,
     disallowComments: false,
   });
-  const syntax = errors.map((err) => syntaxProblem(body, err, file));
-  if (syntax.length > 0 || root === undefined) return result.err(syntax);
-  const repeated = repeatedKeys(body, root, file);
-  if (repeated.length > 0) return result.err(repeated);
+  const syntaxProblems = errors.map((err) =>
+    createSyntaxProblem(body, err, file),
+  );
+  if (syntaxProblems.length > 0 || root === undefined)
+    return result.err(syntaxProblems);
+  const repeatedKeyProblems = findRepeatedKeys(body, root, file);
+  if (repeatedKeyProblems.length > 0) return result.err(repeatedKeyProblems);
   return result.ok({
     value: jsoncParser.getNodeValue(root) as unknown,
-    placeOf: (path) => placeAt(body, nearestNode(root, path).offset),
+    placeOf: (path) => positionAt(body, findNearestNode(root, path).offset),
   });
 }
 
-function placeAt(text: string, offset: number): Place {
+function positionAt(text: string, offset: number): TextPosition {
   const before = text.slice(0, offset);
   const lineStart = before.lastIndexOf('\n') + 1;
   return {
@@ -56,7 +62,7 @@
   };
 }
 
-function nearestNode(
+function findNearestNode(
   root: jsoncParser.Node,
   path: readonly PropertyKey[],
 ): jsoncParser.Node {
@@ -70,7 +76,7 @@
   return root;
 }
 
-function encodingProblem(file: string): settingsProblem.SettingsProblem {
+function createEncodingProblem(file: string): settingsProblem.SettingsProblem {
   return {
     file,
     line: 1,
@@ -82,7 +88,7 @@
   };
 }
 
-function syntaxProblem(
+function createSyntaxProblem(
   text: string,
   err: jsoncParser.ParseError,
   file: string,
@@ -90,7 +96,7 @@
   const name = jsoncParser.printParseErrorCode(err.error);
   return {
     file,
-    ...placeAt(text, err.offset),
+    ...positionAt(text, err.offset),
     path: '',
     value: '',
     message: `syntax error: ${name}`,
@@ -99,10 +105,10 @@
 }
 
 /**
- * JSON parsers keep the last of two equal keys without a word, so an edit of
- * the first one would have no effect and nobody would be told.
+ * Finds duplicate keys. JSON parsers use the last of two equal keys without a
+ * warning, so an edit of the first one would silently have no effect.
  */
-function repeatedKeys(
+function findRepeatedKeys(
   text: string,
   node: jsoncParser.Node,
   file: string,
@@ -113,25 +119,26 @@
     const key = node.type === 'object' ? child.children?.[0] : undefined;
     if (key !== undefined) {
       const name = String(key.value);
-      if (seen.has(name)) problems.push(repeatedProblem(text, key, file));
+      if (seen.has(name))
+        problems.push(createRepeatedKeyProblem(text, key, file));
       seen.add(name);
     }
-    problems.push(...repeatedKeys(text, child, file));
+    problems.push(...findRepeatedKeys(text, child, file));
   }
   return problems;
 }
 
-function repeatedProblem(
+function createRepeatedKeyProblem(
   text: string,
   key: jsoncParser.Node,
   file: string,
 ): settingsProblem.SettingsProblem {
   return {
     file,
-    ...placeAt(text, key.offset),
+    ...positionAt(text, key.offset),
     path: String(key.value),
     value: '',
-    message: 'the key stands twice in one object',
+    message: 'the key occurs twice in one object',
     remedy: 'Keep one of the two.',
   };
 }
--- a/packages/gypsumwall-settings/src/settings_diff.ts
+++ b/packages/gypsumwall-settings/src/settings_diff.ts
@@ -1,14 +1,17 @@
-/** Differences between two values of the settings tree, leaf by leaf. */
+/** Compares two versions of a settings tree leaf by leaf. */
 import * as settingsProblem from './settings_problem.js';
 
-/** One leaf that differs. `before` or `after` is absent where it has none. */
+/**
+ * A leaf that differs. `before` is absent if the leaf was added, `after` if it
+ * was removed.
+ */
 export interface SettingsChange {
   readonly path: string;
   readonly before?: string;
   readonly after?: string;
 }
 
-/** Every leaf that was added, removed or changed, in order of its path. */
+/** Returns the leaves that were added, removed or changed, sorted by path. */
 export function diffSettings(
   before: unknown,
   after: unknown,
@@ -23,9 +26,9 @@
   if (JSON.stringify(before) === JSON.stringify(after)) return [];
   return [
     {
-      path: settingsProblem.showPath(path),
-      ...(before === undefined ? {} : {before: show(path, before)}),
-      ...(after === undefined ? {} : {after: show(path, after)}),
+      path: settingsProblem.formatPath(path),
+      ...(before === undefined ? {} : {before: formatLeaf(path, before)}),
+      ...(after === undefined ? {} : {after: formatLeaf(path, after)}),
     },
   ];
 }
@@ -34,6 +37,6 @@
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-function show(path: readonly string[], value: unknown): string {
-  return settingsProblem.showValue(path, value);
+function formatLeaf(path: readonly string[], value: unknown): string {
+  return settingsProblem.formatValue(path, value);
 }
--- a/packages/gypsumwall-settings/src/settings_problem.ts
+++ b/packages/gypsumwall-settings/src/settings_problem.ts
@@ -1,52 +1,53 @@
-/** What is wrong with a setting, told so that a person can mend it. */
+/** Describes an invalid setting, and how to correct it. */
 
 /** One fault in a settings file or in a published value. */
 export interface SettingsProblem {
-  /** The file as it was named; absent for a value that came over the wire. */
+  /** Name of the file; absent for a value that was not read from a file. */
   readonly file?: string;
   /** Line in the file, from 1. */
   readonly line?: number;
   /** Column in the line, from 1. */
   readonly column?: number;
-  /** Place in the tree, such as `teams/night-plans/weight`. */
+  /** Path in the tree, such as `teams/night-plans/weight`. */
   readonly path: string;
-  /** The offending value as JSON; `(hidden)` where it may be a secret. */
+  /** The invalid value as JSON; `(hidden)` if it may be a secret. */
   readonly value: string;
   readonly message: string;
-  /** What to write instead. */
+  /** How to correct the value. */
   readonly remedy: string;
 }
 
-/** Longest piece of a value that a message repeats, in characters. */
-const LONGEST_SHOWN = 80;
+/** Longer values are truncated in messages. */
+const MAX_SHOWN_CHARACTERS = 80;
 
-const SECRET_KEY = /token|secret|password/i;
+const SECRET_KEY_PATTERN = /token|secret|password/i;
 
-/** Text of an offending value. Whatever may be a token is not repeated. */
-export function showValue(path: readonly PropertyKey[], value: unknown) {
-  if (path.some((key) => SECRET_KEY.test(String(key)))) return '(hidden)';
+/** Formats a value for a message; values that may be secrets are hidden. */
+export function formatValue(path: readonly PropertyKey[], value: unknown) {
+  if (path.some((key) => SECRET_KEY_PATTERN.test(String(key))))
+    return '(hidden)';
   const text = JSON.stringify(value, hideSecrets) ?? '(absent)';
-  return text.length <= LONGEST_SHOWN
+  return text.length <= MAX_SHOWN_CHARACTERS
     ? text
-    : `${text.slice(0, LONGEST_SHOWN)}...`;
+    : `${text.slice(0, MAX_SHOWN_CHARACTERS)}...`;
 }
 
 function hideSecrets(key: string, value: unknown): unknown {
-  return SECRET_KEY.test(key) ? '(hidden)' : value;
+  return SECRET_KEY_PATTERN.test(key) ? '(hidden)' : value;
 }
 
-/** Path of a place in the tree, as people write it. */
-export function showPath(path: readonly PropertyKey[]): string {
+/** Formats a path in the tree, with slashes. */
+export function formatPath(path: readonly PropertyKey[]): string {
   return path.map(String).join('/');
 }
 
-/** A problem as one line: `file:line:column: path = value: message. remedy`. */
+/** Formats a problem as `file:line:column: path = value: message. remedy`. */
 export function describeProblem(problem: SettingsProblem): string {
-  const place = [problem.file, problem.line, problem.column]
+  const location = [problem.file, problem.line, problem.column]
     .filter((part) => part !== undefined)
     .join(':');
   const subject =
     problem.path === '' ? '' : `${problem.path} = ${problem.value}: `;
-  const start = place === '' ? '' : `${place}: `;
-  return `${start}${subject}${problem.message}. ${problem.remedy}`;
+  const prefix = location === '' ? '' : `${location}: `;
+  return `${prefix}${subject}${problem.message}. ${problem.remedy}`;
 }
--- a/packages/gypsumwall-settings/src/subtree_path.ts
+++ b/packages/gypsumwall-settings/src/subtree_path.ts
@@ -1,23 +1,23 @@
-/** Paths of the subtrees that can be published, and who may publish them. */
+/** Paths of the subtrees that can be published, and permissions for them. */
 
-/** A subtree that can be published whole. */
+/** A subtree that can be published. */
 export type SubtreePath =
   {readonly type: 'cell'} | {readonly type: 'team'; readonly team: string};
 
-/** Shape of a team's name. */
-export const TEAM_NAME = /^[a-z0-9-]+$/;
+/** Pattern of the names of teams. */
+export const TEAM_NAME_PATTERN = /^[a-z0-9-]+$/;
 
 const TEAM_PREFIX = 'teams/';
 
-/** Reads `cell` or `teams/<team>`; undefined for anything else. */
+/** Parses `cell` or `teams/<team>`; returns undefined for anything else. */
 export function parseSubtreePath(path: string): SubtreePath | undefined {
   if (path === 'cell') return {type: 'cell'};
   if (!path.startsWith(TEAM_PREFIX)) return undefined;
   const team = path.slice(TEAM_PREFIX.length);
-  return TEAM_NAME.test(team) ? {type: 'team', team} : undefined;
+  return TEAM_NAME_PATTERN.test(team) ? {type: 'team', team} : undefined;
 }
 
-/** Stands for the whole tree in an operator's list. */
+/** In an operator's list of subtrees, this value allows all of them. */
 export const WHOLE_TREE = '*';
 
 /** Whether an operator with these subtrees may publish at `path`. */
--- a/packages/gypsumwall-settings/src/token_hashes.ts
+++ b/packages/gypsumwall-settings/src/token_hashes.ts
@@ -1,8 +1,8 @@
-/** Which tokens a subtree knows, by their hashes. */
+/** Hashes of the tokens in a subtree. */
 import type * as checkSubtree from './check_subtree.js';
 
-/** Hashes of the operators' tokens in `cell`, or of a team's. */
-export function tokenHashesOf(
+/** Returns the hashes of the operators' tokens in `cell`, or of a team's. */
+export function listTokenHashes(
   subtree: checkSubtree.CheckedSubtree,
 ): readonly string[] {
   switch (subtree.type) {
@@ -15,13 +15,13 @@
   }
 }
 
-/** The first of the others in which a hash of `subtree` stands too. */
+/** Returns the first other subtree that shares a token hash with `subtree`. */
 export function otherOwner(
   subtree: checkSubtree.CheckedSubtree,
   others: readonly checkSubtree.CheckedSubtree[],
 ): checkSubtree.CheckedSubtree | undefined {
-  const hashes = new Set(tokenHashesOf(subtree));
+  const hashes = new Set(listTokenHashes(subtree));
   return others
     .filter((other) => other.path !== subtree.path)
-    .find((other) => tokenHashesOf(other).some((hash) => hashes.has(hash)));
+    .find((other) => listTokenHashes(other).some((hash) => hashes.has(hash)));
 }
--- a/packages/gypsumwall-settings/src/units.ts
+++ b/packages/gypsumwall-settings/src/units.ts
@@ -1,9 +1,15 @@
-/** Knows the unit that a key's ending names, and turns other units into it. */
+/**
+ * Units that the suffix of a key names, such as `Ms`, and conversion of values
+ * with another unit.
+ */
 
 interface Unit {
   readonly suffix: RegExp;
   readonly name: string;
-  /** How many of this unit one of another is, by its written name. */
+  /**
+   * Other units by the abbreviation used in values: how many of this unit each
+   * of them is.
+   */
   readonly factors: Readonly<Record<string, number>>;
 }
 
@@ -25,47 +31,56 @@
   },
 ];
 
-/** Endings that name a unit, right or wrong; left out to compare keys. */
-const UNIT_ENDING =
+/** Suffixes that may name a unit; removed before keys are compared. */
+const UNIT_SUFFIX =
   /(ms|msecs?|millis|milliseconds?|secs?|seconds?|minutes?|mb|gb|bytes)$/;
 
 const NUMBER_WITH_UNIT = /^\s*(\d+(?:\.\d+)?)\s*([a-z]+)\s*$/i;
 
-function unitOf(key: string): Unit | undefined {
+function findUnit(key: string): Unit | undefined {
   return UNITS.find((unit) => unit.suffix.test(key));
 }
 
-/** ` (milliseconds)` for a key that ends in Ms; empty for one without unit. */
-export function unitPhrase(key: string): string {
-  const unit = unitOf(key);
+/** Returns ` (milliseconds)` for a key in Ms; empty if it has no unit. */
+export function describeUnit(key: string): string {
+  const unit = findUnit(key);
   return unit === undefined ? '' : ` (${unit.name})`;
 }
 
-/** The number that was meant by a text such as `2s`, in the key's unit. */
-export function convert(key: string, value: unknown): number | undefined {
+/**
+ * Converts a text such as `2s` to a number in the unit of the key. Returns
+ * undefined if that is not possible.
+ */
+export function convertToKeyUnit(
+  key: string,
+  value: unknown,
+): number | undefined {
   if (typeof value !== 'string') return undefined;
   const match = NUMBER_WITH_UNIT.exec(value);
-  const factor = unitOf(key)?.factors[match?.[2]?.toLowerCase() ?? ''];
+  const factor = findUnit(key)?.factors[match?.[2]?.toLowerCase() ?? ''];
   if (match === null || factor === undefined) return undefined;
   return Math.round(Number(match[1]) * factor);
 }
 
-/** The known key that differs only in case, in its unit or in its end. */
-export function nearestKey(
+/**
+ * Returns the known key that is equal except for case, punctuation and unit, or
+ * else one that is a prefix of `key` or starts with it.
+ */
+export function findNearestKey(
   key: string,
   known: readonly string[],
 ): string | undefined {
-  const stem = stemOf(key);
-  const same = known.find((other) => stemOf(other) === stem);
-  const start = known.find(
-    (other) => stemOf(other).startsWith(stem) || stem.startsWith(stemOf(other)),
+  const stem = toStem(key);
+  const equalMatch = known.find((other) => toStem(other) === stem);
+  const prefixMatch = known.find(
+    (other) => toStem(other).startsWith(stem) || stem.startsWith(toStem(other)),
   );
-  return same ?? start;
+  return equalMatch ?? prefixMatch;
 }
 
-function stemOf(key: string): string {
+function toStem(key: string): string {
   return key
     .toLowerCase()
     .replace(/[^a-z0-9]/g, '')
-    .replace(UNIT_ENDING, '');
+    .replace(UNIT_SUFFIX, '');
 }
