--- a/packages/gypsumwall-telemetry/src/__tests__/tracing.test.ts
+++ b/packages/gypsumwall-telemetry/src/__tests__/tracing.test.ts
@@ -60,29 +60,29 @@
 nodeTest.test(
   'a collector that does not answer delays neither spans nor close',
   async () => {
-    const silent = net.createServer(() => undefined);
-    const collectorUrl = await listen(silent);
-    const faults: string[] = [];
+    const silentCollector = net.createServer(() => undefined);
+    const collectorUrl = await listen(silentCollector);
+    const errors: string[] = [];
     const tracer = tracing.createTracer({
       instance: 'bole-1',
       collectorUrl,
       exportTimeoutMs: 200,
-      onError: (message) => faults.push(message),
+      onError: (message) => errors.push(message),
     });
     const connected = new Promise((resolve) =>
-      silent.once('connection', resolve),
+      silentCollector.once('connection', resolve),
     );
-    const began = performance.now();
+    const startedAt = performance.now();
     for (let i = 0; i < 10_000; i++) tracer.startSpan('entry.request').end();
-    const meanMs = (performance.now() - began) / 10_000;
+    const meanMs = (performance.now() - startedAt) / 10_000;
     assert.ok(meanMs < 1, `a span took ${meanMs} ms`);
     await connected;
-    const closing = performance.now();
+    const closeStartedAt = performance.now();
     await tracer.close();
-    const closeMs = performance.now() - closing;
+    const closeMs = performance.now() - closeStartedAt;
     assert.ok(closeMs < 5_000, `closing took ${closeMs} ms`);
-    assert.notEqual(faults.length, 0);
-    silent.close();
+    assert.notEqual(errors.length, 0);
+    silentCollector.close();
   },
 );
 
