--- a/packages/gypsumwall-platform/src/http_upstream.ts
+++ b/packages/gypsumwall-platform/src/http_upstream.ts
@@ -23,7 +23,7 @@
 /** Header by which an upstream states that a refused request did not run. */
 const NOT_RUN_HEADER = 'gypsumwall-not-run';
 const REQUEST_ID_HEADER = 'gypsumwall-request-id';
-/** Longer bodies of refusals are not read; they are only shown in errors. */
+/** A longer body of a refusal is discarded; it only serves error messages. */
 const MAX_REFUSAL_BYTES = 4_096;
 /**
  * An idle connection may be dead, or the upstream may be closing it. A request
@@ -34,7 +34,7 @@
 const MAX_IDLE_MS = 4_000;
 const MAX_IDLE_WITH_KEY_MS = 500;
 
-/** Node fires a timer with a longer delay at once, because it overflows. */
+/** Maximum delay of a Node timer; a longer one overflows and fires at once. */
 const MAX_TIMER_MS = 2 ** 31 - 1;
 
 type Failed = result.Result<never, types.stepError.StepError>;
@@ -207,7 +207,7 @@
 /** Combines a deadline and the caller's abort signal into one signal. */
 interface TimeLimit {
   readonly signal: AbortSignal;
-  /** Whether a timeout ended the request, here or as the caller's reason. */
+  /** Whether the signal aborted with a timeout, here or from the caller. */
   hasTimedOut(): boolean;
   clear(): void;
 }
--- a/packages/gypsumwall-platform/src/platform_log.ts
+++ b/packages/gypsumwall-platform/src/platform_log.ts
@@ -9,7 +9,7 @@
 /** A record in the log. */
 export interface LogRecord {
   readonly offset: number;
-  /** Id of the process that appended the record. */
+  /** Id of the producer that appended the record. */
   readonly producer: string;
   /** Number of the record among the records of its producer. */
   readonly sequence: number;
--- a/packages/gypsumwall-settings/src/entry_settings.ts
+++ b/packages/gypsumwall-settings/src/entry_settings.ts
@@ -14,7 +14,7 @@
   logLevel: 'info',
   platformTimeoutMs: 2_000,
   listPollMs: 500,
-  /** Maximum lag of the instance list behind the actual state. */
+  /** Maximum age of the instance list. */
   listLagMs: 5_000,
   peerHeartbeatMs: 500,
   /** A peer counts as silent after this time without a heartbeat. */
--- a/packages/gypsumwall-types/src/clock.ts
+++ b/packages/gypsumwall-types/src/clock.ts
@@ -51,7 +51,7 @@
   };
 }
 
-/** Node fires a timer with a longer delay at once, because it overflows. */
+/** Maximum delay of a Node timer; a longer one overflows and fires at once. */
 const MAX_TIMER_MS = 2 ** 31 - 1;
 
 function sleepUntil(deadline: MonotonicMs, signal?: AbortSignal) {
