--- a/packages/gypsumwall-telemetry/src/logger.ts
+++ b/packages/gypsumwall-telemetry/src/logger.ts
@@ -1,16 +1,17 @@
 /**
- * The one logger: a line of key=value pairs for each event, through loglevel.
- * Field `event` comes first; values with blanks or quotes are quoted.
+ * Structured logger on top of loglevel. Each event is one line of key=value
+ * pairs; values that are empty or contain whitespace, quotes or equals signs
+ * are quoted.
  */
 import * as loglevel from 'loglevel';
 
-/** Values a log line may carry. */
+/** Type of the values in a log line. */
 export type LogValue = string | number | boolean | undefined;
 
-/** Pairs of one log line. */
+/** Names and values of one log line. */
 export type LogFields = Readonly<Record<string, LogValue>>;
 
-/** How loud a logger is. */
+/** Lowest severity that a logger writes; `silent` writes nothing. */
 export type LogLevel = 'debug' | 'info' | 'warn' | 'error' | 'silent';
 
 /** Writes events as lines. */
@@ -19,11 +20,11 @@
   info(event: string, fields?: LogFields): void;
   warn(event: string, fields?: LogFields): void;
   error(event: string, fields?: LogFields): void;
-  /** A logger whose lines all carry the given pairs too. */
+  /** Returns a logger that adds the given fields to each line. */
   with(fields: LogFields): Logger;
 }
 
-/** Makes a logger; lines go to standard error unless a sink is given. */
+/** Creates a logger; lines go to standard error unless `write` is given. */
 export function createLogger(
   level: LogLevel,
   base: LogFields = {},
@@ -34,11 +35,11 @@
   const sink = loglevel.default.getLogger(`gypsumwall-${level}`);
   sink.methodFactory = () => (line: unknown) => write(String(line));
   sink.setLevel(level, false);
-  return bind(sink, base);
+  return bindFields(sink, base);
 }
 
-function bind(sink: loglevel.Logger, base: LogFields): Logger {
-  const line = (level: string, event: string, fields: LogFields = {}) =>
+function bindFields(sink: loglevel.Logger, base: LogFields): Logger {
+  const formatEvent = (level: string, event: string, fields: LogFields = {}) =>
     formatLine({
       time: new Date().toISOString(),
       level,
@@ -47,15 +48,15 @@
       ...fields,
     });
   return {
-    debug: (event, fields) => sink.debug(line('debug', event, fields)),
-    info: (event, fields) => sink.info(line('info', event, fields)),
-    warn: (event, fields) => sink.warn(line('warn', event, fields)),
-    error: (event, fields) => sink.error(line('error', event, fields)),
-    with: (fields) => bind(sink, {...base, ...fields}),
+    debug: (event, fields) => sink.debug(formatEvent('debug', event, fields)),
+    info: (event, fields) => sink.info(formatEvent('info', event, fields)),
+    warn: (event, fields) => sink.warn(formatEvent('warn', event, fields)),
+    error: (event, fields) => sink.error(formatEvent('error', event, fields)),
+    with: (fields) => bindFields(sink, {...base, ...fields}),
   };
 }
 
-/** One line of key=value pairs; undefined values are left out. */
+/** Formats fields as key=value pairs; fields that are undefined are omitted. */
 export function formatLine(fields: LogFields): string {
   return Object.entries(fields)
     .filter(([, value]) => value !== undefined)
--- a/packages/gypsumwall-telemetry/src/metrics.ts
+++ b/packages/gypsumwall-telemetry/src/metrics.ts
@@ -1,25 +1,25 @@
 /**
- * Sends metrics to a StatsD daemon over UDP, through hot-shots. UDP never
- * waits for the other end, so a daemon that is gone costs the path nothing.
+ * Sends metrics to a StatsD daemon over UDP, through hot-shots. UDP does not
+ * wait for the receiver, so an unreachable daemon does not delay the caller.
  */
 import * as hotShots from 'hot-shots';
 import * as metricTable from './metric_table.js';
 
 /** Sends the metrics of one process. */
 export interface Metrics {
-  /** Adds to a counter; 1 where `by` is left out. */
+  /** Adds `by` to a counter; 1 by default. */
   count<Name extends metricTable.MetricOf<'counter'>>(
     name: Name,
     tags?: metricTable.TagsOf<Name>,
     by?: number,
   ): void;
-  /** States what a gauge reads now. */
+  /** Sets the current value of a gauge. */
   gauge<Name extends metricTable.MetricOf<'gauge'>>(
     name: Name,
     value: number,
     tags?: metricTable.TagsOf<Name>,
   ): void;
-  /** Adds one value, in the metric's unit, to a distribution. */
+  /** Adds a value in the metric's unit to a histogram. */
   observe<Name extends metricTable.MetricOf<'histogram'>>(
     name: Name,
     value: number,
@@ -29,22 +29,22 @@
   close(): Promise<void>;
 }
 
-/** Where metrics go. */
+/** Address of the daemon, and what all metrics have in common. */
 export interface MetricsOptions {
   readonly host: string;
   readonly port: number;
-  /** Tags on every metric, such as the entry's id. */
+  /** Tags of all metrics, such as the entry id. */
   readonly tags: Readonly<Record<string, string>>;
-  /** Told of faults of the socket; they are never thrown. */
+  /** Receives the errors of the socket, which are never thrown. */
   readonly onError: (err: Error) => void;
 }
 
-/** How long metrics are gathered into one packet, in milliseconds. */
-const BUFFER_MS = 500;
-/** Fits into one Ethernet frame, in bytes. */
-const PACKET_BYTES = 1_400;
+/** Interval at which buffered metrics are sent, in milliseconds. */
+const FLUSH_INTERVAL_MS = 500;
+/** Maximum size of a packet, in bytes; it fits into one Ethernet frame. */
+const MAX_PACKET_BYTES = 1_400;
 
-/** Metrics that go to a StatsD daemon. */
+/** Creates metrics that are sent to a StatsD daemon. */
 export function createMetrics(options: MetricsOptions): Metrics {
   const client = new hotShots.StatsD({
     host: options.host,
@@ -52,23 +52,23 @@
     prefix: metricTable.METRIC_PREFIX,
     globalTags: {...options.tags},
     errorHandler: options.onError,
-    maxBufferSize: PACKET_BYTES,
-    bufferFlushInterval: BUFFER_MS,
+    maxBufferSize: MAX_PACKET_BYTES,
+    bufferFlushInterval: FLUSH_INTERVAL_MS,
     includeDatadogTelemetry: false,
     includeDataDogTags: false,
   });
   return {
     count: (name, tags, by = 1) =>
-      client.increment(wireName(name), by, plainTags(tags)),
+      client.increment(toWireName(name), by, dropAbsentTags(tags)),
     gauge: (name, value, tags) =>
-      client.gauge(wireName(name), value, plainTags(tags)),
+      client.gauge(toWireName(name), value, dropAbsentTags(tags)),
     observe: (name, value, tags) =>
-      client.histogram(wireName(name), value, plainTags(tags)),
+      client.histogram(toWireName(name), value, dropAbsentTags(tags)),
     close: () => new Promise((resolve) => client.close(() => resolve())),
   };
 }
 
-/** Metrics that go nowhere, for a process without a daemon. */
+/** Creates metrics that are discarded, for a process without a daemon. */
 export function createSilentMetrics(): Metrics {
   return {
     count: () => undefined,
@@ -78,11 +78,11 @@
   };
 }
 
-function wireName(name: metricTable.MetricName): string {
+function toWireName(name: metricTable.MetricName): string {
   return metricTable.METRICS[name].name;
 }
 
-function plainTags(tags: object = {}): Record<string, string> {
+function dropAbsentTags(tags: object = {}): Record<string, string> {
   return Object.fromEntries(
     Object.entries(tags).filter(
       (pair): pair is [string, string] => typeof pair[1] === 'string',
