--- a/packages/gypsumwall-entry/src/domain_scheduler.ts
+++ b/packages/gypsumwall-entry/src/domain_scheduler.ts
@@ -206,7 +206,7 @@
 
   function onAttached(
     id: types.ids.WorkerId,
-    answer: platform.worker.Attached,
+    answer: platform.worker.AttachAnswer,
   ): void {
     fencedWorkers.add(id);
     capacities.set(id, answer.capacity);
--- a/packages/gypsumwall-platform/src/http_call.ts
+++ b/packages/gypsumwall-platform/src/http_call.ts
@@ -63,7 +63,7 @@
     }
     return result.err(createRefusalError(call, res.statusCode, text));
   } catch (thrown) {
-    return result.err(transportError(call, thrown));
+    return result.err(createTransportError(call, thrown));
   }
 }
 
@@ -102,11 +102,11 @@
 }
 
 /** Creates the step error for an exception thrown by the HTTP client. */
-export function transportError(
+export function createTransportError(
   call: Pick<JsonCall, 'step' | 'peer'>,
   thrown: unknown,
 ): types.stepError.StepError {
-  const code = codeOf(thrown);
+  const code = findErrorCode(thrown);
   const neverSent = NEVER_SENT_CODES.has(code);
   const timedOut = thrown instanceof Error && thrown.name === 'TimeoutError';
   return {
@@ -119,9 +119,9 @@
 }
 
 /** Error code of a thrown value or of its cause; empty if there is none. */
-export function codeOf(thrown: unknown): string {
+export function findErrorCode(thrown: unknown): string {
   if (!(thrown instanceof Error)) return '';
   const code = (thrown as NodeJS.ErrnoException).code;
   if (code !== undefined) return code;
-  return thrown.cause === undefined ? '' : codeOf(thrown.cause);
+  return thrown.cause === undefined ? '' : findErrorCode(thrown.cause);
 }
--- a/packages/gypsumwall-platform/src/http_instance_list.ts
+++ b/packages/gypsumwall-platform/src/http_instance_list.ts
@@ -66,7 +66,7 @@
       lastList = typeof etag === 'string' ? {etag, instances} : undefined;
       return result.ok(instances);
     } catch (thrown) {
-      return result.err(httpCall.transportError(errorContext, thrown));
+      return result.err(httpCall.createTransportError(errorContext, thrown));
     }
   }
 
--- a/packages/gypsumwall-platform/src/http_upstream.ts
+++ b/packages/gypsumwall-platform/src/http_upstream.ts
@@ -51,7 +51,7 @@
   });
   return {
     execute: (req) => execute(options, connections, req),
-    setConnections: (wanted) => connections.setLimit(wanted),
+    setMaxConnections: (wanted) => connections.setLimit(wanted),
     close: () => connections.close(),
   };
 }
@@ -101,7 +101,7 @@
   } catch (thrown) {
     finish();
     const errorContext = {step: STEP, peer: options.id};
-    const err = httpCall.transportError(errorContext, thrown);
+    const err = httpCall.createTransportError(errorContext, thrown);
     return result.err(mayHaveBeenSent() ? err : {...err, effect: 'not_run'});
   }
 }
--- a/packages/gypsumwall-platform/src/platform_log.ts
+++ b/packages/gypsumwall-platform/src/platform_log.ts
@@ -26,7 +26,7 @@
 }
 
 /** Offset that the log gave to the first record of an append. */
-export interface Appended {
+export interface AppendAnswer {
   readonly firstOffset: number;
 }
 
@@ -59,7 +59,7 @@
   /** An error has the effect `unknown` unless nothing was appended for sure. */
   append(
     req: AppendRequest,
-  ): Promise<result.Result<Appended, types.stepError.StepError>>;
+  ): Promise<result.Result<AppendAnswer, types.stepError.StepError>>;
   read(
     req: ReadRequest,
   ): Promise<result.Result<LogPage, types.stepError.StepError>>;
--- a/packages/gypsumwall-platform/src/upstream.ts
+++ b/packages/gypsumwall-platform/src/upstream.ts
@@ -39,7 +39,7 @@
     req: UpstreamRequest,
   ): Promise<result.Result<UpstreamAnswer, types.stepError.StepError>>;
   /** Sets the maximum number of connections, idle and in use. */
-  setConnections(connections: number): void;
+  setMaxConnections(connections: number): void;
   /** Resolves when the requests in progress have ended. */
   close(): Promise<void>;
 }
--- a/packages/gypsumwall-platform/src/worker.ts
+++ b/packages/gypsumwall-platform/src/worker.ts
@@ -36,7 +36,7 @@
 }
 
 /** State of the worker when a holder attaches. */
-export interface Attached {
+export interface AttachAnswer {
   readonly incarnation: types.ids.WorkerIncarnation;
   readonly now: WorkerMs;
   readonly capacity: types.resources.Resources;
@@ -81,7 +81,7 @@
 
 /** Client of one worker. The error `stale_epoch` says the holder is fenced. */
 export interface Worker {
-  attach(epoch: number, holder: types.ids.EntryId): Answer<Attached>;
+  attach(epoch: number, holder: types.ids.EntryId): Answer<AttachAnswer>;
   /**
    * Starts tasks. The worker refuses the whole call after `startBy`. The
    * answers have the order of `tasks`.
--- a/packages/gypsumwall-settings/src/token_hashes.ts
+++ b/packages/gypsumwall-settings/src/token_hashes.ts
@@ -16,7 +16,7 @@
 }
 
 /** Returns the first other subtree that shares a token hash with `subtree`. */
-export function otherOwner(
+export function findSharedTokenOwner(
   subtree: checkSubtree.CheckedSubtree,
   others: readonly checkSubtree.CheckedSubtree[],
 ): checkSubtree.CheckedSubtree | undefined {
--- a/packages/gypsumwall-telemetry/src/metrics.ts
+++ b/packages/gypsumwall-telemetry/src/metrics.ts
@@ -69,7 +69,7 @@
 }
 
 /** Creates metrics that are discarded, for a process without a daemon. */
-export function createSilentMetrics(): Metrics {
+export function createNoopMetrics(): Metrics {
   return {
     count: () => undefined,
     gauge: () => undefined,
--- a/packages/gypsumwall-types/src/__tests__/ids.test.ts
+++ b/packages/gypsumwall-types/src/__tests__/ids.test.ts
@@ -6,7 +6,7 @@
   'the home domain of a job id is found, even if its name has a dot',
   () => {
     const home = ids.brand<ids.FailureDomain>('ayt.c-2');
-    assert.equal(ids.homeOfJob(ids.makeJobId(home, 'k3')), home);
+    assert.equal(ids.homeDomainOfJob(ids.makeJobId(home, 'k3')), home);
   },
 );
 
--- a/packages/gypsumwall-types/src/clock.ts
+++ b/packages/gypsumwall-types/src/clock.ts
@@ -34,7 +34,7 @@
 }
 
 /** Waits for `spanMs`, or until the signal aborts. */
-export function pause(
+export function sleepFor(
   clock: Clock,
   spanMs: number,
   signal?: AbortSignal,
--- a/packages/gypsumwall-types/src/ids.ts
+++ b/packages/gypsumwall-types/src/ids.ts
@@ -48,7 +48,7 @@
 }
 
 /** Returns the home domain in a job id; empty if the id contains none. */
-export function homeOfJob(jobId: JobId): FailureDomain {
+export function homeDomainOfJob(jobId: JobId): FailureDomain {
   const separatorIndex = jobId.lastIndexOf(JOB_ID_SEPARATOR);
   return brand<FailureDomain>(
     separatorIndex < 0 ? '' : jobId.slice(0, separatorIndex),
--- a/packages/gypsumwall-types/src/job.ts
+++ b/packages/gypsumwall-types/src/job.ts
@@ -46,7 +46,7 @@
 }
 
 /** Returns the maximum number of tasks that a job runs at the same time. */
-export function taskCount(shape: JobShape): number {
+export function maxTaskCount(shape: JobShape): number {
   switch (shape.kind) {
     case 'batch':
     case 'gang':
--- a/packages/gypsumwall-types/src/step_error.ts
+++ b/packages/gypsumwall-types/src/step_error.ts
@@ -36,7 +36,7 @@
 }
 
 /** Creates a step error; the message should quote the invalid value. */
-export function stepError(fields: StepError): StepError {
+export function createStepError(fields: StepError): StepError {
   return fields;
 }
 
