--- a/packages/gypsumwall-cell/src/__fixtures__/cell_world.ts
+++ b/packages/gypsumwall-cell/src/__fixtures__/cell_world.ts
@@ -146,11 +146,11 @@
 }
 
 /** A log whose calls can be troubled for one entry alone. */
-export function viewOf(shared: fakeLogs.FakeLog): fakeLogs.FakeLog {
+export function createLogView(shared: fakeLogs.FakeLog): fakeLogs.FakeLog {
   const view = fakeLogs.createFakeLog(shared.name);
   const down = fakeLogs.createFakeLog(shared.name);
-  down.trouble = 'down';
-  const log = () => (view.trouble === 'down' ? down : shared);
+  down.fault = 'down';
+  const log = () => (view.fault === 'down' ? down : shared);
   view.append = (entries, options) => log().append(entries, options);
   view.read = (from, waitMs) => log().read(from, waitMs);
   view.probe = (from) => log().probe(from);
--- a/packages/gypsumwall-cell/src/__fixtures__/fake_log.ts
+++ b/packages/gypsumwall-cell/src/__fixtures__/fake_log.ts
@@ -7,7 +7,7 @@
 import type * as ports from '../ports.js';
 
 /** What happens to the next calls. */
-export type Trouble =
+export type Fault =
   | 'none'
   /** Refused; nothing is done. */
   | 'down'
@@ -21,12 +21,12 @@
 
 /** A log whose calls can be troubled. */
 export interface FakeLog extends ports.KeyedLog {
-  trouble: Trouble;
+  fault: Fault;
   /** All records, by offset. */
   readonly records: ports.KeyedRecord[];
   appends: number;
   /** The most records that one read brings. */
-  mostInRead: number;
+  maxReadRecords: number;
   /** Forgets all but the newest record of each key. */
   compact(): void;
 }
@@ -69,9 +69,9 @@
     for (const entry of entries) {
       records.push({...entry, offset: records.length});
     }
-    const woken = waiters;
+    const resumed = waiters;
     waiters = [];
-    for (const wake of woken) wake();
+    for (const resume of resumed) resume();
   }
 
   function newestOfKeys(): ports.KeyedRecord[] {
@@ -82,16 +82,16 @@
 
   const log: FakeLog = {
     name,
-    trouble: 'none',
+    fault: 'none',
     records,
     appends: 0,
-    mostInRead: Infinity,
+    maxReadRecords: Infinity,
     compact: () => void (firstOffset = records.length),
     async append(entries, {onlyAt, fence, timeoutMs}) {
       await Promise.resolve();
       log.appends++;
-      if (log.trouble === 'silent') return silence('append', timeoutMs);
-      if (log.trouble === 'down') return failure('append', 'not_run');
+      if (log.fault === 'silent') return silence('append', timeoutMs);
+      if (log.fault === 'down') return failure('append', 'not_run');
       const firstNew = records.length;
       const refused = fenceOutcome(fence);
       if (refused !== undefined && refused !== 'repeat') {
@@ -107,22 +107,22 @@
         }
         add(entries);
       }
-      if (log.trouble === 'answer_lost') return failure('append', 'unknown');
+      if (log.fault === 'answer_lost') return failure('append', 'unknown');
       return result.ok({type: 'appended', firstOffset: firstNew});
     },
     async read(from, waitMs) {
       if (from >= records.length && waitMs > 0) await nextRecord(waitMs);
-      if (log.trouble === 'silent') {
+      if (log.fault === 'silent') {
         return silence('read', waitMs + READ_TIMEOUT_MS);
       }
-      if (log.trouble === 'down') {
+      if (log.fault === 'down') {
         await new Promise((resolve) => setTimeout(resolve, 5));
         return failure('read', 'not_run');
       }
       if (from < firstOffset) return result.ok({type: 'compacted'});
       return result.ok({
         type: 'records',
-        records: records.slice(from, from + log.mostInRead),
+        records: records.slice(from, from + log.maxReadRecords),
         endOffset: records.length,
       });
     },
@@ -132,7 +132,7 @@
     },
     async newest() {
       await Promise.resolve();
-      if (log.trouble === 'down') return failure('newest', 'not_run');
+      if (log.fault === 'down') return failure('newest', 'not_run');
       return result.ok({records: newestOfKeys(), endOffset: records.length});
     },
   };
--- a/packages/gypsumwall-cell/src/__fixtures__/fake_worker.ts
+++ b/packages/gypsumwall-cell/src/__fixtures__/fake_worker.ts
@@ -8,7 +8,7 @@
 import type * as ports from '../ports.js';
 
 /** One run, as it was on the worker. */
-export interface FakeRun {
+export interface FakeAttempt {
   readonly taskId: types.ids.TaskId;
   readonly attempt: number;
   readonly token: number;
@@ -22,16 +22,16 @@
   /** No call gets through or is answered. */
   cut: boolean;
   /** Another stay answers at its address. */
-  replaced: boolean;
+  isReplaced: boolean;
   /** Orders are carried out, and not answered. */
-  mute: boolean;
+  losesAnswers: boolean;
   /** So many looks that wait for an end are lost. */
-  looksToLose: number;
+  pollsToLose: number;
   /** How long a stop takes; milliseconds. */
   stopMs: number;
-  readonly running: Map<string, FakeRun>;
+  readonly running: Map<string, FakeAttempt>;
   /** Every start that was carried out. */
-  readonly started: FakeRun[];
+  readonly started: FakeAttempt[];
   end(taskId: string, how: scheduling.jobSteps.RunEnd): void;
 }
 
@@ -42,13 +42,13 @@
   address = `${name}:1`,
 ): FakeWorker {
   const startedAt = performance.now();
-  const running = new Map<string, FakeRun>();
-  const started: FakeRun[] = [];
+  const running = new Map<string, FakeAttempt>();
+  const started: FakeAttempt[] = [];
   let ends: scheduling.schedulerTypes.AttemptEnd[] = [];
   let sequence = 0;
   let highestToken = 0;
   let leaseUntil = 0;
-  let wakeLooks: (() => void)[] = [];
+  let resumePolls: (() => void)[] = [];
   const clockMs = () => performance.now() - startedAt + 5_000;
 
   function lost<Value>(): Awaited<ports.Answer<Value>> {
@@ -68,38 +68,38 @@
     return lost();
   }
 
-  function fenced(token: number): boolean {
+  function isFenced(token: number): boolean {
     if (token < highestToken) return true;
     highestToken = token;
     return false;
   }
 
-  function endRun(key: string, how: scheduling.jobSteps.RunEnd): void {
+  function endAttempt(key: string, how: scheduling.jobSteps.RunEnd): void {
     const run = running.get(key);
     if (run === undefined) return;
     running.delete(key);
     const {taskId, attempt} = run;
     ends.push({sequence: ++sequence, taskId, attempt, how, checkpoint: ''});
-    const woken = wakeLooks;
-    wakeLooks = [];
-    for (const wake of woken) wake();
+    const resumed = resumePolls;
+    resumePolls = [];
+    for (const resume of resumed) resume();
   }
 
-  function stopRun(key: string): void {
+  function stopAttempt(key: string): void {
     if (worker.stopMs === 0) {
-      endRun(key, 'stopped');
+      endAttempt(key, 'stopped');
       return;
     }
-    setTimeout(() => endRun(key, 'stopped'), worker.stopMs).unref();
+    setTimeout(() => endAttempt(key, 'stopped'), worker.stopMs).unref();
   }
 
   function expire(): void {
     if (leaseUntil === 0 || clockMs() < leaseUntil) return;
-    for (const key of [...running.keys()]) endRun(key, 'lapsed');
+    for (const key of [...running.keys()]) endAttempt(key, 'lapsed');
   }
 
   function start(call: ports.StartCall): ports.OrderAnswer {
-    if (fenced(call.token)) return {type: 'fenced'};
+    if (isFenced(call.token)) return {type: 'fenced'};
     leaseUntil = Math.max(leaseUntil, call.leaseUntil);
     const {taskId, attempt, token} = call;
     const run = {taskId, attempt, token};
@@ -124,39 +124,41 @@
       draining: false,
     },
     cut: false,
-    replaced: false,
-    mute: false,
-    looksToLose: 0,
+    isReplaced: false,
+    losesAnswers: false,
+    pollsToLose: 0,
     stopMs: 0,
     running,
     started,
-    end: endRun,
+    end: endAttempt,
     connect: () => ({
       async start(call) {
         await Promise.resolve();
-        if (worker.replaced) return result.ok({type: 'gone'});
+        if (worker.isReplaced) return result.ok({type: 'gone'});
         if (worker.cut) return unanswered(call.timeoutMs);
         const answer = start(call);
-        return worker.mute ? unanswered(call.timeoutMs) : result.ok(answer);
+        return worker.losesAnswers
+          ? unanswered(call.timeoutMs)
+          : result.ok(answer);
       },
       async stop(call) {
         await Promise.resolve();
-        if (worker.replaced) return result.ok({type: 'gone'});
+        if (worker.isReplaced) return result.ok({type: 'gone'});
         if (worker.cut) return unanswered(call.timeoutMs);
-        if (fenced(call.token)) return result.ok({type: 'fenced'});
+        if (isFenced(call.token)) return result.ok({type: 'fenced'});
         const run = running.get(call.taskId);
-        if (run?.attempt === call.attempt) stopRun(call.taskId);
+        if (run?.attempt === call.attempt) stopAttempt(call.taskId);
         return result.ok({type: 'accepted', clockMs: clockMs()});
       },
       async poll(call) {
         await Promise.resolve();
-        if (worker.replaced) return result.ok({type: 'gone'});
+        if (worker.isReplaced) return result.ok({type: 'gone'});
         if (worker.cut) return unanswered(Math.min(call.timeoutMs, 60));
-        if (call.waitMs > 0 && worker.looksToLose > 0) {
-          worker.looksToLose--;
+        if (call.waitMs > 0 && worker.pollsToLose > 0) {
+          worker.pollsToLose--;
           return unanswered(call.timeoutMs);
         }
-        if (fenced(call.token)) return result.ok({type: 'fenced'});
+        if (isFenced(call.token)) return result.ok({type: 'fenced'});
         ends = ends.filter((end) => end.sequence > call.acknowledged);
         if (ends.length === 0 && call.waitMs > 0) await nextEnd(call.waitMs);
         if (call.leaseUntil !== undefined) {
@@ -183,7 +185,7 @@
   function nextEnd(waitMs: number): Promise<void> {
     return new Promise((resolve) => {
       const timer = setTimeout(resolve, Math.min(waitMs, 50));
-      wakeLooks.push(() => {
+      resumePolls.push(() => {
         clearTimeout(timer);
         resolve();
       });
--- a/packages/gypsumwall-cell/src/__fixtures__/worker_move_model.ts
+++ b/packages/gypsumwall-cell/src/__fixtures__/worker_move_model.ts
@@ -5,15 +5,15 @@
  */
 
 /** Ticks a holder acts for without an append that was taken. */
-const UNCONFIRMED = 2;
+const MAX_UNCONFIRMED_TICKS = 2;
 /** Ticks a lease is given for. */
-const LEASE = 3;
+const LEASE_TICKS = 3;
 /** After a claim, every lease of earlier holders has passed by then. */
-const WAITED_OUT = UNCONFIRMED + LEASE;
+const LEASES_EXPIRED_TICKS = MAX_UNCONFIRMED_TICKS + LEASE_TICKS;
 /** More claims would leave no holder the time for anything. */
-const MOST_CLAIMS = 4;
+const MAX_CLAIMS = 4;
 /** Above every epoch of one log. */
-const EPOCHS = 1_000_000;
+const EPOCHS_PER_GENERATION = 1_000_000;
 
 /** A rule that is left out. */
 export type Fault =
@@ -94,7 +94,7 @@
   /** Moves of the worker, where it belongs to the holder's shard. */
   generation: number | undefined;
   /** It is known what earlier holders left on the worker. */
-  accounted: boolean;
+  isAccounted: boolean;
   /** An attempt that may run, and until when at the latest. */
   open?: {readonly attempt: number};
   leaseUntil: number;
@@ -104,7 +104,7 @@
 export interface WorkerMoveModel {
   apply(operation: Operation): void;
   /** What rule is broken, if any. */
-  broken(): string | undefined;
+  brokenRule(): string | undefined;
   /** Attempts that ran, by the shard that ordered them. */
   startsOf(shard: Shard): number;
 }
@@ -150,15 +150,16 @@
 
   /** Tokens of one shard rise with its epochs, over shards with the moves. */
   function tokenOf({generation, epoch}: Holder): number {
-    return generation! * EPOCHS + epoch + 1;
+    return generation! * EPOCHS_PER_GENERATION + epoch + 1;
   }
 
-  const mayAct = (holder: Holder) => now - holder.confirmedAt < UNCONFIRMED;
+  const mayAct = (holder: Holder) =>
+    now - holder.confirmedAt < MAX_UNCONFIRMED_TICKS;
   const owns = (holder: Holder) => holder.generation !== undefined;
 
   function claim(entry: number): void {
     const shard: Shard = entry < 2 ? 0 : 1;
-    if (claims >= MOST_CLAIMS) return;
+    if (claims >= MAX_CLAIMS) return;
     if (holders[entry] !== undefined && isNewest(holders[entry])) return;
     claims++;
     const isFirst = newestEpoch(shard) < 0;
@@ -169,7 +170,7 @@
       claimedAt: now,
       confirmedAt: now,
       generation: generationAt(shard),
-      accounted: isFirst || fault === 'lease_not_waited_out',
+      isAccounted: isFirst || fault === 'lease_not_waited_out',
       leaseUntil: 0,
     };
   }
@@ -178,9 +179,9 @@
   function append(entry: number, record: LogRecord | undefined): boolean {
     const holder = holders[entry]!;
     if (!isNewest(holder)) {
-      const blind =
+      const isUnchecked =
         record?.kind === 'release' && fault === 'release_without_epoch';
-      if (blind) logs[holder.shard]!.push(record);
+      if (isUnchecked) logs[holder.shard]!.push(record);
       holders[entry] = undefined;
       return false;
     }
@@ -191,7 +192,7 @@
 
   function order(holder: Holder): void {
     if (!mayAct(holder) || !owns(holder)) return;
-    if (!holder.accounted || holder.open !== undefined) return;
+    if (!holder.isAccounted || holder.open !== undefined) return;
     const attempt = attempts.push(tokenOf(holder)) - 1;
     holder.open = {attempt};
     send(holder, 'start', attempt, lease(holder));
@@ -200,13 +201,13 @@
   function renew(holder: Holder): void {
     if (!mayAct(holder) || !owns(holder)) return;
     // A renewal keeps all runs alive, also those of an earlier holder.
-    if (!holder.accounted && fault !== 'renewal_before_answer') return;
+    if (!holder.isAccounted && fault !== 'renewal_before_answer') return;
     send(holder, 'renew', -1, lease(holder));
   }
 
   function lease(holder: Holder): number {
-    holder.leaseUntil = Math.max(holder.leaseUntil, now + LEASE);
-    return now + LEASE;
+    holder.leaseUntil = Math.max(holder.leaseUntil, now + LEASE_TICKS);
+    return now + LEASE_TICKS;
   }
 
   function send(
@@ -232,10 +233,10 @@
     if (!owns(holder)) return;
     const unconfirmed = fault === 'passed_lease_not_confirmed';
     const until = unconfirmed ? now : holder.confirmedAt;
-    if (!holder.accounted) {
-      if (until - holder.claimedAt < WAITED_OUT) return;
-      holder.accounted = true;
-      takeForOver(holder, []);
+    if (!holder.isAccounted) {
+      if (until - holder.claimedAt < LEASES_EXPIRED_TICKS) return;
+      holder.isAccounted = true;
+      markOver(holder, []);
       return;
     }
     if (holder.open === undefined) return;
@@ -249,7 +250,7 @@
   }
 
   /** All attempts of earlier holders are over but those that are listed. */
-  function takeForOver(holder: Holder, listed: readonly number[]): void {
+  function markOver(holder: Holder, listed: readonly number[]): void {
     attempts.forEach((token, attempt) => {
       const earlier = token < tokenOf(holder);
       if (earlier && !listed.includes(attempt)) over.add(attempt);
@@ -258,7 +259,7 @@
 
   function release(entry: number): void {
     const holder = holders[entry]!;
-    if (!owns(holder) || !holder.accounted) return;
+    if (!owns(holder) || !holder.isAccounted) return;
     if (holder.open !== undefined && fault !== 'open_orders_move') return;
     const generation = holder.generation!;
     if (append(entry, {kind: 'release', generation})) {
@@ -280,9 +281,9 @@
     if (!append(entry, {kind: 'adopt', generation})) return;
     holder.generation = generation;
     // The release says that nothing of the other shard can run any more.
-    holder.accounted = true;
+    holder.isAccounted = true;
     holder.leaseUntil = 0;
-    takeForOver(holder, []);
+    markOver(holder, []);
   }
 
   function deliver(call: Call, answered: boolean): void {
@@ -313,7 +314,7 @@
     }
   }
 
-  function take({call, taken, running}: Answer): void {
+  function onAnswer({call, taken, running}: Answer): void {
     const holder = call.from;
     if (!holders.includes(holder) || !owns(holder)) return;
     if (call.token !== tokenOf(holder)) return;
@@ -326,18 +327,18 @@
     if (call.kind === 'stop' && holder.open?.attempt === call.attempt) {
       close(holder);
     }
-    if (call.kind === 'look' && !holder.accounted) account(holder, running);
+    if (call.kind === 'look' && !holder.isAccounted) account(holder, running);
   }
 
   /** Without a fence a late order of an earlier holder may still come. */
   function account(holder: Holder, running: readonly number[]): void {
     if (!fenced && fault !== 'look_without_fence') return;
-    holder.accounted = true;
-    takeForOver(holder, running);
+    holder.isAccounted = true;
+    markOver(holder, running);
     const [attempt] = running;
     if (attempt === undefined) return;
     holder.open = {attempt};
-    holder.leaseUntil = Math.max(holder.leaseUntil, now + WAITED_OUT);
+    holder.leaseUntil = Math.max(holder.leaseUntil, now + LEASES_EXPIRED_TICKS);
   }
 
   function tick(): void {
@@ -375,7 +376,7 @@
     lose: (pick) => void pickFrom(calls, pick),
     answer(pick) {
       const answer = pickFrom(answers, pick);
-      if (answer !== undefined) take(answer);
+      if (answer !== undefined) onAnswer(answer);
     },
     end_run() {
       for (const attempt of worker.running) worker.stopped.add(attempt);
@@ -398,7 +399,7 @@
       if (isEntryOperation(name)) applyToEntry(name, pick % holders.length);
       else otherOperations[name](pick);
     },
-    broken() {
+    brokenRule() {
       if (worker.running.size > 1) return 'two attempts share the room of one';
       for (const attempt of worker.running) {
         if (over.has(attempt)) return 'an attempt runs that counts as over';
--- a/packages/gypsumwall-cell/src/__tests__/age_of_answers.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/age_of_answers.test.ts
@@ -12,9 +12,9 @@
 const id = (text: string) => types.ids.brand<types.ids.JobId>(text);
 const {queue} = worlds.POLICY;
 /** Longer than a copy counts as current; milliseconds. */
-const OLD_MS = 1_700;
+const STALE_AFTER_MS = 1_700;
 /** How long callers wait for an answer; milliseconds. */
-const CALLERS_WAIT_MS = 3_000;
+const CALLER_TIMEOUT_MS = 3_000;
 
 const pause = (spanMs: number) =>
   new Promise((resolve) => setTimeout(resolve, spanMs));
@@ -33,10 +33,10 @@
 }
 
 async function phase(
-  desk: cellEntryTypes.CellEntry['localJobService'],
+  service: cellEntryTypes.CellEntry['localJobService'],
   name: string,
 ): Promise<string> {
-  const answer = await desk.phaseOf(id(name), queue);
+  const answer = await service.phaseOf(id(name), queue);
   return answer.type === 'ok' ? answer.value : answer.type;
 }
 
@@ -53,8 +53,8 @@
   const {jobs, cell} = world.store;
   const view = {
     ...world.store,
-    jobs: worlds.viewOf(jobs),
-    cell: worlds.viewOf(cell),
+    jobs: worlds.createLogView(jobs),
+    cell: worlds.createLogView(cell),
   };
   return {world, view, first: world.addEntry('a')};
 }
@@ -81,7 +81,7 @@
         ),
       'its request is dropped',
     );
-    view.cell.trouble = 'down';
+    view.cell.fault = 'down';
     const second = world.addEntry('b', view);
     await worlds.until(() => second.status().storeReachable, 'the store');
     assert.notEqual(await phase(second.jobService, 'job'), 'absent');
@@ -108,14 +108,14 @@
       async () => (await phase(second.localJobService, 'job')) === 'running',
       'it runs',
     );
-    view.jobs.trouble = 'down';
-    view.cell.trouble = 'down';
+    view.jobs.fault = 'down';
+    view.cell.fault = 'down';
     worker.end([...worker.running.keys()][0]!, 'done');
     await worlds.until(
       async () => (await phase(first.localJobService, 'job')) === 'completed',
       'it is done',
     );
-    await pause(OLD_MS);
+    await pause(STALE_AFTER_MS);
     const payload = {type: 'phase', id: 'job', queue};
     const res = await server.inject({method: 'POST', url: '/relay', payload});
     assert.notDeepEqual(res.json(), {type: 'ok', value: 'running'});
@@ -134,8 +134,8 @@
     const second = world.addEntry('b', view);
     await submit(first, 'job');
     await worlds.until(async () => (await pending(second)) === 1, 'it waits');
-    view.jobs.trouble = 'down';
-    view.cell.trouble = 'down';
+    view.jobs.fault = 'down';
+    view.cell.fault = 'down';
     await first.jobService.cancel(id('job'), queue);
     await worlds.until(async () => (await pending(first)) === 0, 'cancelled');
     // As retention does once the job's state needn't be kept any more.
@@ -154,8 +154,8 @@
     );
     world.store.jobs.compact();
     world.store.cell.compact();
-    view.jobs.trouble = 'none';
-    view.cell.trouble = 'none';
+    view.jobs.fault = 'none';
+    view.cell.fault = 'none';
     await worlds.until(async () => (await pending(second)) === 0, 'forgotten');
   } finally {
     world.stop();
@@ -197,7 +197,7 @@
       async () => (await phase(second.localJobService, 'job')) === 'running',
       'both know',
     );
-    view.cell.trouble = 'down';
+    view.cell.fault = 'down';
     const large = await world.addWorker('large', 8);
     const {steps, ...rest} = worlds.request(1);
     const size = {...steps[0]!.size, cpuMillis: 4_000};
@@ -209,7 +209,7 @@
       'the other entry takes such a job',
     );
     await worlds.until(() => large.running.size === 1, 'it runs');
-    await pause(OLD_MS);
+    await pause(STALE_AFTER_MS);
     const answer = await second.jobService.submit(
       id('two'),
       worlds.POLICY,
@@ -229,7 +229,7 @@
   try {
     const second = world.addEntry('b', view);
     await submit(second, 'early');
-    view.jobs.trouble = 'down';
+    view.jobs.fault = 'down';
     for (let number = 0; number < 60; number++) {
       await submit(first, `late${number}`);
     }
@@ -239,13 +239,13 @@
       await pause(100);
       return answer;
     };
-    world.store.jobs.mostInRead = 1;
-    view.jobs.trouble = 'none';
+    world.store.jobs.maxReadRecords = 1;
+    view.jobs.fault = 'none';
     await worlds.until(() => second.status().storeReachable, 'the store');
     const startedAt = performance.now();
     await second.jobService.cancel(id('late59'), queue);
     const tookMs = performance.now() - startedAt;
-    assert.ok(tookMs < CALLERS_WAIT_MS, `answered after ${tookMs} ms`);
+    assert.ok(tookMs < CALLER_TIMEOUT_MS, `answered after ${tookMs} ms`);
   } finally {
     world.stop();
   }
--- a/packages/gypsumwall-cell/src/__tests__/apply_records.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/apply_records.test.ts
@@ -14,16 +14,16 @@
     {key: 'jjob', value: '{"v":1}', offset: 2},
     {key: 'cjob', value: '{"v":1}', offset: 3},
   ];
-  const taken: string[] = [];
-  const told: string[] = [];
+  const applied: string[] = [];
+  const logged: string[] = [];
   const logger = telemetry.logger.createLogger('warn', {}, (line) =>
-    told.push(line),
+    logged.push(line),
   );
   applyRecords.applyRecords(records, logger, (record) => {
     if (record.kind === 'job') throw new Error('a job without a request');
-    taken.push(record.kind);
+    applied.push(record.kind);
   });
-  assert.deepEqual(taken, ['heartbeat', 'cancel']);
-  assert.equal(told.length, 2);
-  assert.match(told[1]!, /offset=2.*a job without a request/);
+  assert.deepEqual(applied, ['heartbeat', 'cancel']);
+  assert.equal(logged.length, 2);
+  assert.match(logged[1]!, /offset=2.*a job without a request/);
 });
--- a/packages/gypsumwall-cell/src/__tests__/cell_entry.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/cell_entry.test.ts
@@ -8,7 +8,7 @@
 const {test} = nodeTest;
 const id = (text: string) => types.ids.brand<types.ids.JobId>(text);
 
-async function submitted(
+async function submit(
   entry: cellEntryTypes.CellEntry,
   name: string,
   taskCount = 1,
@@ -39,21 +39,21 @@
 }
 
 /** Waits until the entry tells the phase: entries read the log with a lag. */
-async function becomes(
+async function waitForPhase(
   entry: cellEntryTypes.CellEntry,
   name: string,
   expected: string,
 ): Promise<void> {
   const end = performance.now() + 2_000;
-  let told = '';
-  while (told !== expected) {
-    assert.ok(performance.now() < end, `${name} is ${told}`);
-    told = await phase(entry, name);
+  let phaseNow = '';
+  while (phaseNow !== expected) {
+    assert.ok(performance.now() < end, `${name} is ${phaseNow}`);
+    phaseNow = await phase(entry, name);
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
 }
 
-function runsOf(worker: fakeWorkers.FakeWorker): string[] {
+function runningTasks(worker: fakeWorkers.FakeWorker): string[] {
   return [...worker.running.keys()];
 }
 
@@ -62,16 +62,16 @@
   try {
     const worker = await world.addWorker('w1', 4);
     const entries = ['a', 'b'].map((name) => world.addEntry(name));
-    await submitted(entries[1]!, 'job', 2);
+    await submit(entries[1]!, 'job', 2);
     await worlds.until(() => worker.running.size === 2, 'both tasks');
-    for (const task of runsOf(worker)) worker.end(task, 'done');
+    for (const task of runningTasks(worker)) worker.end(task, 'done');
     for (const entry of entries) {
       await worlds.until(
         async () => (await pending(entry)) === 0,
         'no job waits',
       );
     }
-    for (const entry of entries) await becomes(entry, 'job', 'completed');
+    for (const entry of entries) await waitForPhase(entry, 'job', 'completed');
     assert.equal(await phase(entries[0]!, 'other'), 'absent');
   } finally {
     world.stop();
@@ -85,19 +85,19 @@
   try {
     const worker = await world.addWorker('w1', 4);
     const first = world.addEntry('a');
-    await submitted(first, 'job');
+    await submit(first, 'job');
     await worlds.until(() => worker.running.size === 1, 'the task');
     const second = world.addEntry('b');
     first.stop();
     await worlds.until(() => second.status().holdsCell, 'a takeover');
     await new Promise((resolve) => setTimeout(resolve, 300));
     assert.equal(worker.started.length, 1);
-    worker.end(runsOf(worker)[0]!, 'done');
+    worker.end(runningTasks(worker)[0]!, 'done');
     await worlds.until(
       () => second.status().scheduler?.jobs === 0,
       'the job is over',
     );
-    await becomes(second, 'job', 'completed');
+    await waitForPhase(second, 'job', 'completed');
   } finally {
     world.stop();
   }
@@ -111,10 +111,10 @@
   try {
     const worker = await world.addWorker('w1', 1);
     const first = world.addEntry('a');
-    await submitted(first, 'job');
+    await submit(first, 'job');
     await worlds.until(() => worker.running.size === 1, 'the task');
-    const workers = worlds.viewOf(world.store.workers);
-    workers.trouble = 'down';
+    const workers = worlds.createLogView(world.store.workers);
+    workers.fault = 'down';
     const second = world.addEntry('b', {...world.store, workers});
     first.stop();
     await worlds.until(() => second.status().holdsCell, 'a takeover');
@@ -122,8 +122,8 @@
       () => second.status().scheduler?.runs === 1,
       'the run is found',
     );
-    worker.end(runsOf(worker)[0]!, 'done');
-    await becomes(second, 'job', 'completed');
+    worker.end(runningTasks(worker)[0]!, 'done');
+    await waitForPhase(second, 'job', 'completed');
     assert.equal(worker.started.length, 1);
   } finally {
     world.stop();
@@ -138,21 +138,21 @@
     const worker = await world.addWorker('w1', 1);
     const {jobs, cell, config, workers} = world.store;
     const view = {
-      jobs: worlds.viewOf(jobs),
-      cell: worlds.viewOf(cell),
+      jobs: worlds.createLogView(jobs),
+      cell: worlds.createLogView(cell),
       config,
       workers,
     };
     const first = world.addEntry('a', view);
-    await submitted(first, 'job');
+    await submit(first, 'job');
     await worlds.until(() => worker.running.size === 1, 'the task');
     const second = world.addEntry('b');
-    view.jobs.trouble = 'down';
-    view.cell.trouble = 'down';
+    view.jobs.fault = 'down';
+    view.cell.fault = 'down';
     await worlds.until(() => second.status().holdsCell, 'a takeover');
     await worlds.until(() => !first.status().holdsCell, 'the old one ends');
-    await submitted(second, 'next');
-    worker.end(runsOf(worker)[0]!, 'done');
+    await submit(second, 'next');
+    worker.end(runningTasks(worker)[0]!, 'done');
     await worlds.until(() => worker.started.length === 2, 'the next task');
     assert.ok(worker.started[1]!.token > worker.started[0]!.token);
   } finally {
@@ -181,18 +181,18 @@
 test('a start without an answer is settled before the next', async () => {
   const world = worlds.createCellWorld();
   try {
-    const mute = await world.addWorker('w1', 1);
-    mute.mute = true;
+    const worker = await world.addWorker('w1', 1);
+    worker.losesAnswers = true;
     const entry = world.addEntry('a');
-    await submitted(entry, 'job');
-    await worlds.until(() => mute.started.length === 1, 'the unheard start');
-    mute.mute = false;
-    await worlds.until(() => mute.started.length === 2, 'the next attempt');
+    await submit(entry, 'job');
+    await worlds.until(() => worker.started.length === 1, 'the unheard start');
+    worker.losesAnswers = false;
+    await worlds.until(() => worker.started.length === 2, 'the next attempt');
     assert.deepEqual(
-      mute.started.map((run) => run.attempt),
+      worker.started.map((run) => run.attempt),
       [1, 2],
     );
-    assert.equal(mute.running.size, 1);
+    assert.equal(worker.running.size, 1);
   } finally {
     world.stop();
   }
@@ -205,7 +205,7 @@
   try {
     const cut = await world.addWorker('w1', 1);
     const entry = world.addEntry('a');
-    await submitted(entry, 'job');
+    await submit(entry, 'job');
     await worlds.until(() => cut.running.size === 1, 'the task');
     cut.cut = true;
     const cutAt = performance.now();
@@ -222,12 +222,12 @@
   try {
     const worker = await world.addWorker('w1', 4);
     const entries = ['a', 'b'].map((name) => world.addEntry(name));
-    await submitted(entries[0]!, 'job');
+    await submit(entries[0]!, 'job');
     await worlds.until(() => worker.running.size === 1, 'the task');
     const answer = await entries[1]!.jobService.cancel(id('job'), 'plans');
     assert.equal(answer.type, 'ok');
     await worlds.until(() => worker.running.size === 0, 'the stop');
-    await becomes(entries[1]!, 'job', 'cancelled');
+    await waitForPhase(entries[1]!, 'job', 'cancelled');
   } finally {
     world.stop();
   }
@@ -238,7 +238,7 @@
   try {
     const entry = world.addEntry('a');
     await worlds.until(() => entry.status().storeReachable, 'the store');
-    world.store.jobs.trouble = 'down';
+    world.store.jobs.fault = 'down';
     await worlds.until(() => !entry.status().storeReachable, 'the outage');
     const startedAt = performance.now();
     const answer = await entry.jobService.submit(
--- a/packages/gypsumwall-cell/src/__tests__/copy_age.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/copy_age.test.ts
@@ -13,7 +13,7 @@
 
 const {test} = nodeTest;
 /** The oldest copy that callers may be answered from; milliseconds. */
-const OLDEST_MS = 2_000;
+const MAX_AGE_MS = 2_000;
 /** Longer than any suspension that may pass unnoticed; milliseconds. */
 const SUSPENDED_MS = 10_000;
 
@@ -48,11 +48,11 @@
   const world = worlds.createCellWorld();
   try {
     world.addEntry('a');
-    const view = {...world.store, cell: worlds.viewOf(world.store.cell)};
+    const view = {...world.store, cell: worlds.createLogView(world.store.cell)};
     const entry = world.addEntry('b', view);
     await worlds.until(async () => (await pending(entry)) === 0, 'current');
-    view.cell.trouble = 'down';
-    await pause(OLDEST_MS);
+    view.cell.fault = 'down';
+    await pause(MAX_AGE_MS);
     assert.ok(entry.status().storeReachable, 'the jobs are read');
     assert.equal(await pending(entry), 'not_run');
   } finally {
@@ -64,8 +64,8 @@
 test('a copy without one of its logs is not current', async () => {
   const world = worlds.createCellWorld();
   try {
-    const view = {...world.store, cell: worlds.viewOf(world.store.cell)};
-    view.cell.trouble = 'down';
+    const view = {...world.store, cell: worlds.createLogView(world.store.cell)};
+    view.cell.fault = 'down';
     const entry = world.addEntry('b', view);
     await worlds.until(() => entry.status().storeReachable, 'the store');
     await pause(100);
@@ -86,13 +86,13 @@
   };
   const world = worlds.createCellWorld();
   try {
-    const view = {...world.store, jobs: worlds.viewOf(world.store.jobs)};
+    const view = {...world.store, jobs: worlds.createLogView(world.store.jobs)};
     const entry = world.addEntry('a', view, 1, clock);
     await worlds.until(async () => (await pending(entry)) === 0, 'current');
-    view.jobs.trouble = 'down';
+    view.jobs.fault = 'down';
     suspendedMs = SUSPENDED_MS;
     assert.equal(await pending(entry), 'not_run');
-    view.jobs.trouble = 'none';
+    view.jobs.fault = 'none';
     await worlds.until(async () => (await pending(entry)) === 0, 'once read');
   } finally {
     world.stop();
@@ -145,7 +145,7 @@
 // The caller is told 410, or 200 without a number, by way of a peer.
 test('a peer answers how many wait, or refuses', async () => {
   const world = worlds.createCellWorld();
-  const view = {...world.store, cell: worlds.viewOf(world.store.cell)};
+  const view = {...world.store, cell: worlds.createLogView(world.store.cell)};
   const entry = world.addEntry('a', view);
   const server = peerServers.createPeerServer(
     {ask: () => Promise.reject(new Error('nobody asks'))},
@@ -160,8 +160,8 @@
   try {
     await worlds.until(async () => (await pending(entry)) === 0, 'current');
     assert.deepEqual(await ask(), {type: 'ok', value: 0});
-    view.cell.trouble = 'down';
-    await pause(OLDEST_MS);
+    view.cell.fault = 'down';
+    await pause(MAX_AGE_MS);
     assert.equal((await ask()).type, 'not_run');
   } finally {
     await server.close();
--- a/packages/gypsumwall-cell/src/__tests__/crashed_worker.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/crashed_worker.test.ts
@@ -8,12 +8,12 @@
 
 const {test} = nodeTest;
 const JOB = types.ids.brand<types.ids.JobId>('job');
-const MOST_STARTS = 5;
+const MAX_STARTS = 5;
 const LEASE_MS = 1_000;
 /** The list's removal, its grace and the lease that has to pass. */
-const FORGOTTEN_MS = 8_000;
+const REMOVAL_MS = 8_000;
 
-const rest = (spanMs: number): Promise<void> =>
+const pause = (spanMs: number): Promise<void> =>
   new Promise((resolve) => setTimeout(resolve, spanMs));
 
 async function stateOf(entry: cellEntryTypes.CellEntry): Promise<string> {
@@ -23,22 +23,22 @@
 
 /** Machines whose workers crash when they start a task, and come back. */
 async function createMachines(world: worlds.CellWorld, count: number) {
-  const lives: fakeWorkers.FakeWorker[] = [];
+  const workers: fakeWorkers.FakeWorker[] = [];
   const current = new Map<string, fakeWorkers.FakeWorker>();
   let crashes = 0;
 
-  async function begin(machine: string): Promise<void> {
-    const name = `${machine}-${lives.length}`;
+  async function startWorker(machine: string): Promise<void> {
+    const name = `${machine}-${workers.length}`;
     const worker = await world.addWorker(name, 4, `${machine}:1`);
-    lives.push(worker);
+    workers.push(worker);
     current.set(machine, worker);
   }
 
-  for (let nth = 0; nth < count; nth++) await begin(`m${nth}`);
+  for (let nth = 0; nth < count; nth++) await startWorker(`m${nth}`);
   return {
-    lives,
+    lives: workers,
     crashes: () => crashes,
-    starts: () => lives.flatMap((worker) => worker.started).length,
+    starts: () => workers.flatMap((worker) => worker.started).length,
     /** Ends the workers that run something; they are back after a while. */
     async crashBusy(isBack: (worker: fakeWorkers.FakeWorker) => Promise<void>) {
       for (const [machine, worker] of current) {
@@ -47,8 +47,8 @@
         worker.running.clear();
         worker.cut = true;
         await isBack(worker);
-        worker.replaced = true;
-        await begin(machine);
+        worker.isReplaced = true;
+        await startWorker(machine);
       }
     },
   };
@@ -76,7 +76,7 @@
 ): Promise<void> {
   await worlds.until(
     async () => {
-      await machines.crashBusy(() => rest(300));
+      await machines.crashBusy(() => pause(300));
       return (await stateOf(entry())) === 'failed';
     },
     'the job is shown as failed',
@@ -99,7 +99,7 @@
       async () => (await stateOf(other)) === 'failed',
       'another entry shows it',
     );
-    assert.ok(machines.starts() <= MOST_STARTS, `${machines.starts()} starts`);
+    assert.ok(machines.starts() <= MAX_STARTS, `${machines.starts()} starts`);
   } finally {
     world.stop();
   }
@@ -113,11 +113,11 @@
     const first = world.addEntry('a');
     await worlds.until(() => first.status().storeReachable, 'the store');
     await first.jobService.submit(JOB, worlds.POLICY, worlds.request(1));
-    await crashUntil(machines, 2, () => rest(300));
+    await crashUntil(machines, 2, () => pause(300));
     first.stop();
     const second = world.addEntry('b');
     await crashUntilFailed(() => second, machines);
-    assert.ok(machines.starts() <= MOST_STARTS, `${machines.starts()} starts`);
+    assert.ok(machines.starts() <= MAX_STARTS, `${machines.starts()} starts`);
   } finally {
     world.stop();
   }
@@ -134,10 +134,10 @@
     await entry.jobService.submit(JOB, worlds.POLICY, worlds.request(1));
     await crashUntil(machines, 2, async (worker) => {
       await world.unlist(worker);
-      await rest(FORGOTTEN_MS / 2);
+      await pause(REMOVAL_MS / 2);
     });
     await crashUntilFailed(() => entry, machines);
-    assert.ok(machines.starts() <= MOST_STARTS, `${machines.starts()} starts`);
+    assert.ok(machines.starts() <= MAX_STARTS, `${machines.starts()} starts`);
   } finally {
     world.stop();
   }
--- a/packages/gypsumwall-cell/src/__tests__/earlier_leases.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/earlier_leases.test.ts
@@ -5,8 +5,8 @@
 
 const {test} = nodeTest;
 const JOB_ID = types.ids.brand<types.ids.JobId>('job');
-const FAR_OFF_MS = 60_000;
-const rest = (spanMs: number) =>
+const NEVER_MS = 60_000;
+const pause = (spanMs: number) =>
   new Promise((resolve) => setTimeout(resolve, spanMs));
 
 // Guards against two runs of a task at once: a lease never shortens, so the
@@ -17,24 +17,24 @@
   try {
     const leaving = await world.addWorker('w1', 1);
     // No stop is carried out before it is cut off.
-    leaving.stopMs = FAR_OFF_MS;
+    leaving.stopMs = NEVER_MS;
     const first = world.addEntry('a');
     await worlds.until(() => first.status().storeReachable, 'the store');
     await first.jobService.submit(JOB_ID, worlds.POLICY, worlds.request(1));
     await worlds.until(() => leaving.running.size === 1, 'the task');
     const other = await world.addWorker('w2', 1);
-    await rest(500);
+    await pause(500);
     // The worker's lease is renewed at each look, so it runs until then.
     const leaseUntil = performance.now() + leaseMs - 500;
     first.stop();
-    await world.drain(leaving, FAR_OFF_MS);
+    await world.drain(leaving, NEVER_MS);
     const second = world.addEntry('b');
     await worlds.until(() => second.status().holdsCell, 'the successor');
-    await rest(500);
+    await pause(500);
     leaving.cut = true;
     while (performance.now() < leaseUntil) {
       assert.equal(other.started.length, 0, 'started beside the first run');
-      await rest(50);
+      await pause(50);
     }
   } finally {
     world.stop();
@@ -58,13 +58,13 @@
     await entry.jobService.submit(JOB_ID, worlds.POLICY, worlds.request(1));
     await worlds.until(() => cutOff.running.size === 1, 'the task');
     const other = await world.addWorker('w2', 1);
-    await world.drain(cutOff, FAR_OFF_MS);
-    await rest(700);
+    await world.drain(cutOff, NEVER_MS);
+    await pause(700);
     // Three seconds pass that the monotonic clock doesn't count.
     cutOff.cut = true;
     suspendedMs = 3_000;
     await world.unlist(cutOff);
-    await rest(1_000);
+    await pause(1_000);
     assert.equal(other.started.length, 0, 'started beside the first run');
   } finally {
     world.stop();
@@ -88,9 +88,9 @@
       await world.addWorker('w2', 1),
       await world.addWorker('w3', 1),
     ];
-    await rest(1_000);
+    await pause(1_000);
     world.addEntry('b');
-    await rest(500);
+    await pause(500);
     lost.cut = true;
     first.stop();
     const isBack = () => others.some(({running}) => running.size === 1);
@@ -114,10 +114,10 @@
     await first.jobService.submit(JOB_ID, worlds.POLICY, {...request, steps});
     await worlds.until(() => leaving.running.size === 1, 'the task');
     const other = await world.addWorker('w2', 1);
-    await rest(500);
+    await pause(500);
     await world.drain(leaving, announcedMs);
     const leavesAt = performance.now() + announcedMs;
-    await rest(2_000);
+    await pause(2_000);
     first.stop();
     world.addEntry('b');
     const isBack = () => other.running.size === 1;
--- a/packages/gypsumwall-cell/src/__tests__/forwarding_job_service.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/forwarding_job_service.test.ts
@@ -17,18 +17,18 @@
   readonly byHolder?: peerDirectory.RelayOutcome;
   readonly reachable: boolean;
   /** Whether the store is found to turn the entry away at its own append. */
-  readonly turnsAway?: boolean;
+  readonly refusesAppend?: boolean;
   /** Whether the own copy of the logs is current. */
   readonly current?: boolean;
   readonly latencyMs?: number | 'unknown';
 }
 
-function createDesk(situation: Situation, asked: string[] = []) {
+function createService(situation: Situation, asked: string[] = []) {
   let {reachable} = situation;
   const own: jobService.JobService = {
     submit: () => {
       asked.push('own');
-      if (situation.turnsAway === true) reachable = false;
+      if (situation.refusesAppend === true) reachable = false;
       return Promise.resolve(situation.own);
     },
     cancel: () => Promise.resolve(situation.own),
@@ -46,9 +46,9 @@
   };
   const peers: peerDirectory.PeerDirectory = {
     apply: () => {},
-    mostCores: () => 0,
+    maxCores: () => 0,
     standbyCandidates: () => [],
-    noteLost: () => {},
+    markLost: () => {},
     ping: () => Promise.resolve(true),
     advisers: () => new Map(),
     close: () => {},
@@ -59,7 +59,7 @@
     },
   };
   return forwardingJobServices.createForwardingJobService({
-    own,
+    local: own,
     peers,
     clock: types.clock.createSystemClock(),
     logger: telemetry.logger.createLogger('silent'),
@@ -72,8 +72,8 @@
   situation: Situation,
 ): Promise<{readonly type: string; readonly asked: string[]}> {
   const asked: string[] = [];
-  const desk = createDesk(situation, asked);
-  const {type} = await desk.submit(id, worlds.POLICY, worlds.request(1));
+  const service = createService(situation, asked);
+  const {type} = await service.submit(id, worlds.POLICY, worlds.request(1));
   return {type, asked};
 }
 
@@ -93,10 +93,18 @@
 // The caller is told that nothing ran, and the job runs. A peer had got the
 // call and its answer was lost; then the own desk refused.
 test('a call that a peer may have done is not told as refused', async () => {
-  const relayed = {type: 'unanswered', mayStand: true, slow: false} as const;
+  const relayed = {
+    type: 'unanswered',
+    maybeApplied: true,
+    isSlow: false,
+  } as const;
   const answer = await submit({own: REFUSED, relayed, reachable: false});
   assert.equal(answer.type, 'unknown');
-  const sure = {type: 'unanswered', mayStand: false, slow: false} as const;
+  const sure = {
+    type: 'unanswered',
+    maybeApplied: false,
+    isSlow: false,
+  } as const;
   const refused = await submit({own: REFUSED, relayed: sure, reachable: false});
   assert.equal(refused.type, 'not_run');
 });
@@ -108,20 +116,24 @@
   const relayed = {type: 'answered', res: {type: 'ok', value: 20}} as const;
   const situation = {own: OK, relayed, reachable: true};
   const asked: string[] = [];
-  const old = createDesk({...situation, current: false}, asked);
+  const old = createService({...situation, current: false}, asked);
   assert.deepEqual(await old.pendingIn('plans'), relayed.res);
   assert.deepEqual(await old.phaseOf(id, 'plans'), relayed.res);
   assert.deepEqual(asked, ['any peer', 'any peer']);
-  const current = createDesk(situation, asked);
+  const current = createService(situation, asked);
   assert.deepEqual(await current.pendingIn('plans'), {type: 'ok', value: 4});
   assert.equal((await current.phaseOf(id, 'plans')).type, 'absent');
   assert.equal(asked.length, 2, 'no peer was asked');
 });
 
 test('no number is told where neither the entry nor a peer is current', async () => {
-  const relayed = {type: 'unanswered', mayStand: false, slow: false} as const;
+  const relayed = {
+    type: 'unanswered',
+    maybeApplied: false,
+    isSlow: false,
+  } as const;
   const situation = {own: OK, relayed, reachable: true, current: false};
-  const answer = await createDesk(situation).pendingIn('plans');
+  const answer = await createService(situation).pendingIn('plans');
   assert.equal(answer.type, 'not_run');
 });
 
@@ -140,11 +152,11 @@
 // that they were ready, and so kept their callers.
 test('only what a peer stored shows a way to the store', async () => {
   const situation = {own: REFUSED, relayed: PEER_OK, reachable: false};
-  const desk = createDesk(situation);
+  const desk = createService(situation);
   await desk.phaseOf(id, 'plans');
-  assert.equal(desk.relayedLately(), false, 'after a question');
+  assert.equal(desk.hasRelayedRecently(), false, 'after a question');
   await desk.submit(id, worlds.POLICY, worlds.request(1));
-  assert.equal(desk.relayedLately(), true, 'after a job was stored');
+  assert.equal(desk.hasRelayedRecently(), true, 'after a job was stored');
 });
 
 // Load: 28 jobs a second through 45 entries, and a store that turns forty
@@ -155,14 +167,14 @@
   const unknown = {reachable: true, latencyMs: 'unknown'} as const;
   const answered = {...unknown, own: OK, relayed: PEER_OK};
   assert.deepEqual(await submit(answered), {type: 'ok', asked: ['holder']});
-  const lost = {type: 'unanswered', mayStand: true, slow: false} as const;
+  const lost = {type: 'unanswered', maybeApplied: true, isSlow: false} as const;
   const alone = await submit({...unknown, own: OK, relayed: lost});
   assert.deepEqual(alone, {type: 'ok', asked: ['holder', 'own']});
   const doubt = await submit({
     ...unknown,
     own: REFUSED,
     byHolder: lost,
-    relayed: {...lost, mayStand: false},
+    relayed: {...lost, maybeApplied: false},
   });
   assert.equal(doubt.type, 'unknown', 'the holder may have stored it');
 });
@@ -170,7 +182,7 @@
 // Its append takes 0.4 s, and 0.8 s with the one before it. An entry that gave
 // up on it appended itself, and so made the line longer.
 test('a holder that lives and is slow is waited for', async () => {
-  const slow = {type: 'unanswered', mayStand: true, slow: true} as const;
+  const slow = {type: 'unanswered', maybeApplied: true, isSlow: true} as const;
   const unknown = {reachable: true, latencyMs: 'unknown'} as const;
   const answer = await submit({...unknown, own: OK, relayed: slow});
   assert.deepEqual(answer, {type: 'unknown', asked: ['holder', 'holder']});
@@ -179,7 +191,11 @@
 // Guards against calls that go from peer to peer while too many appends are in
 // line: each peer adds one, and the line stays full after the store is sound.
 test('what a full line refuses goes to the holder alone', async () => {
-  const refused = {type: 'unanswered', mayStand: false, slow: false} as const;
+  const refused = {
+    type: 'unanswered',
+    maybeApplied: false,
+    isSlow: false,
+  } as const;
   const answer = await submit({
     own: REFUSED,
     relayed: refused,
@@ -200,9 +216,9 @@
   const answer = await submit({
     own: REFUSED,
     relayed: PEER_OK,
-    byHolder: {type: 'unanswered', mayStand: false, slow: false},
+    byHolder: {type: 'unanswered', maybeApplied: false, isSlow: false},
     reachable: true,
-    turnsAway: true,
+    refusesAppend: true,
   });
   assert.deepEqual(answer, {type: 'ok', asked: ['own', 'holder', 'any peer']});
 });
--- a/packages/gypsumwall-cell/src/__tests__/holder_probe.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/holder_probe.test.ts
@@ -7,7 +7,7 @@
 
 async function probeFor(
   silentMs: number,
-  lives: boolean,
+  isAlive: boolean,
 ): Promise<{readonly lost: boolean; readonly asked: number}> {
   const clock = types.clock.createSystemClock();
   const stopping = new AbortController();
@@ -18,7 +18,7 @@
     silentSince: () => silentSince,
     ping: () => {
       asked++;
-      return Promise.resolve(lives);
+      return Promise.resolve(isAlive);
     },
     isStandby: () => true,
     clock,
--- a/packages/gypsumwall-cell/src/__tests__/leaving_worker.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/leaving_worker.test.ts
@@ -14,9 +14,9 @@
 const LEASE_MS = 4_000;
 const TASKS = 4;
 /** Well below what a lease that has to pass would take. */
-const SOON_MS = LEASE_MS / 2;
+const MAX_DELAY_MS = LEASE_MS / 2;
 
-const rest = (spanMs: number) =>
+const pause = (spanMs: number) =>
   new Promise((resolve) => setTimeout(resolve, spanMs));
 
 /** A job whose tasks all run on one worker, and a second, idle worker. */
@@ -47,7 +47,7 @@
     const leftAt = performance.now() + leavesInMs;
     await worlds.until(isBack, 'all tasks on the other worker', 2 * LEASE_MS);
     const lateMs = performance.now() - leftAt;
-    assert.ok(lateMs < SOON_MS, `${Math.round(lateMs)} ms after it left`);
+    assert.ok(lateMs < MAX_DELAY_MS, `${Math.round(lateMs)} ms after it left`);
   } finally {
     world.stop();
   }
@@ -59,10 +59,10 @@
   const {world, leaving, isBack} = await createBusyWorld(false);
   try {
     await world.drain(leaving, 2 * LEASE_MS);
-    await rest(700);
+    await pause(700);
     leaving.cut = true;
     await world.unlist(leaving);
-    await worlds.until(isBack, 'all tasks on the other worker', SOON_MS);
+    await worlds.until(isBack, 'all tasks on the other worker', MAX_DELAY_MS);
   } finally {
     world.stop();
   }
@@ -74,10 +74,10 @@
   const {world, leaving, other} = await createBusyWorld(false);
   try {
     await world.drain(leaving, 4 * LEASE_MS);
-    await rest(2_800);
+    await pause(2_800);
     leaving.cut = true;
     await world.unlist(leaving);
-    await rest(1_000);
+    await pause(1_000);
     assert.equal(other.started.length, 0);
   } finally {
     world.stop();
@@ -94,12 +94,12 @@
     leaving.cut = true;
     const successor = world.addEntry('b');
     await worlds.until(() => successor.status().holdsCell, 'the successor');
-    await rest(500);
+    await pause(500);
     assert.equal(other.started.length, 0);
     await world.drain(leaving, longLeaseMs);
-    await rest(500);
+    await pause(500);
     await world.unlist(leaving);
-    await worlds.until(isBack, 'all tasks on the other worker', SOON_MS);
+    await worlds.until(isBack, 'all tasks on the other worker', MAX_DELAY_MS);
   } finally {
     world.stop();
   }
--- a/packages/gypsumwall-cell/src/__tests__/log_follower.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/log_follower.test.ts
@@ -29,7 +29,7 @@
   await follower.catchUp();
   const keys = ['a', 'b', 'c', 'd', 'e'];
   for (const key of keys) await log.append([{key, value: '1'}], {timeoutMs: 1});
-  log.mostInRead = 2;
+  log.maxReadRecords = 2;
   assert.equal(await follower.catchUp(), true);
   assert.deepEqual(seen, keys);
 });
@@ -61,7 +61,7 @@
     readWaitMs: 10,
   });
   await follower.catchUp();
-  log.mostInRead = 2;
+  log.maxReadRecords = 2;
   for (let number = 0; number < 40; number++) {
     await log.append([{key: `a${number}`, value: '1'}], {timeoutMs: 1});
   }
--- a/packages/gypsumwall-cell/src/__tests__/log_order.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/log_order.test.ts
@@ -80,7 +80,7 @@
 // read from the later position then passed over what lies between.
 test('a late word of dropped records brings no old record back', async () => {
   const stored = createPagedLog();
-  const [lateWord, heldPage, heldRead] = [1, 2, 3].map(createGate);
+  const [lateCompacted, heldPage, heldRead] = [1, 2, 3].map(createGate);
   let loads = 0;
   let held = false;
   const log: ports.KeyedLog = {
@@ -97,7 +97,7 @@
     },
     async read(from, waitMs) {
       await pause(1);
-      if (waitMs === RUN_WAIT_MS) await lateWord!.passed;
+      if (waitMs === RUN_WAIT_MS) await lateCompacted!.passed;
       const answer = stored.read(from);
       if (held && from === 4) await heldRead!.passed;
       return result.ok(answer);
@@ -115,7 +115,7 @@
   stored.first = 3;
   await follower.catchUp();
   assert.equal(follower.position(), 3);
-  lateWord!.open();
+  lateCompacted!.open();
   // Time for a second load, if there is to be one.
   await pause(50);
   stored.add('k', 'done');
--- a/packages/gypsumwall-cell/src/__tests__/lost_looks.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/lost_looks.test.ts
@@ -17,8 +17,8 @@
     await worlds.until(() => entry.status().holdsCell, 'the cell is held');
     await entry.jobService.submit(job('job'), worlds.POLICY, worlds.request(1));
     await worlds.until(() => worker.running.size === 1, 'the task runs');
-    worker.looksToLose = 1;
-    await worlds.until(() => worker.looksToLose === 0, 'a look is lost');
+    worker.pollsToLose = 1;
+    await worlds.until(() => worker.pollsToLose === 0, 'a look is lost');
     const [task] = [...worker.running.keys()];
     worker.end(task!, 'done');
     await worlds.until(
--- a/packages/gypsumwall-cell/src/__tests__/lost_peers.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/lost_peers.test.ts
@@ -43,12 +43,12 @@
 test('a peer that stays away is tried less and less often', async () => {
   const clock = createSteppedClock();
   const {peers, register} = createDirectory(clock);
-  for (const awayMs of [2_000, 4_000, 8_000]) {
+  for (const backoffMs of [2_000, 4_000, 8_000]) {
     assert.ok(result.isErr(await ask(peers.advisers().get('lost'))));
-    clock.now += awayMs - 1;
-    assert.equal(peers.advisers().size, 0, `within ${awayMs} ms`);
+    clock.now += backoffMs - 1;
+    assert.equal(peers.advisers().size, 0, `within ${backoffMs} ms`);
     clock.now += 1;
-    assert.equal(peers.advisers().size, 1, `after ${awayMs} ms`);
+    assert.equal(peers.advisers().size, 1, `after ${backoffMs} ms`);
   }
   await ask(peers.advisers().get('lost'));
   register(1);
@@ -61,17 +61,17 @@
 test('a lost holder is passed over before anything was asked through it', () => {
   const clock = createSteppedClock();
   const {peers} = createDirectory(clock);
-  assert.equal(peers.mostCores(), 1);
-  peers.noteLost('lost');
+  assert.equal(peers.maxCores(), 1);
+  peers.markLost('lost');
   assert.equal(peers.advisers().size, 0);
-  assert.equal(peers.mostCores(), 0, 'nor is the cell left to it');
+  assert.equal(peers.maxCores(), 0, 'nor is the cell left to it');
   peers.close();
 });
 
 // An urgent job has half a second to spare. The entry that asks for it is
 // gone, and its call was given 1.5 s beside the 20 ms that it takes.
 test('a call of an urgent job is given up in time to ask elsewhere', async () => {
-  const given: number[] = [];
+  const timeouts: number[] = [];
   const caller = adviceCallers.createAdviceCaller({
     scheduler: scheduling.scheduler.createScheduler({
       attemptBase: 0,
@@ -84,7 +84,7 @@
           'a',
           {
             ask: (_step, _workers, timeoutMs) => {
-              given.push(timeoutMs);
+              timeouts.push(timeoutMs);
               return Promise.resolve(result.ok(new Map()));
             },
           },
@@ -109,5 +109,5 @@
     callMs: 20,
     needed: true,
   });
-  assert.deepEqual(given, [340]);
+  assert.deepEqual(timeouts, [340]);
 });
--- a/packages/gypsumwall-cell/src/__tests__/lost_worker.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/lost_worker.test.ts
@@ -6,9 +6,9 @@
 const {test} = nodeTest;
 const LEASE_MS = 10_000;
 /** Six seconds without a run, and three more in which it is seen. */
-const LASTING_BOUND_MS = 9_000;
+const MAX_ABSENCE_MS = 9_000;
 
-function lastingRequest() {
+function longRunningRequest() {
   const request = worlds.request(1);
   const steps = request.steps.map((step) => ({...step, longRunning: true}));
   return {...request, steps};
@@ -23,7 +23,7 @@
     const entry = world.addEntry('a');
     await worlds.until(() => entry.status().storeReachable, 'the store');
     const jobId = types.ids.brand<types.ids.JobId>('job');
-    await entry.jobService.submit(jobId, worlds.POLICY, lastingRequest());
+    await entry.jobService.submit(jobId, worlds.POLICY, longRunningRequest());
     await worlds.until(() => lost.running.size === 1, 'the task');
     const other = await world.addWorker('w2', 1);
     // The lease that came with the start has been renewed by then.
@@ -33,7 +33,7 @@
     const isBack = () => other.running.size === 1;
     await worlds.until(isBack, 'it runs elsewhere', 2 * LEASE_MS);
     const tookMs = Math.round(performance.now() - lostAt);
-    assert.ok(tookMs < LASTING_BOUND_MS, `${tookMs} ms`);
+    assert.ok(tookMs < MAX_ABSENCE_MS, `${tookMs} ms`);
   } finally {
     world.stop();
   }
--- a/packages/gypsumwall-cell/src/__tests__/old_copy.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/old_copy.test.ts
@@ -41,30 +41,30 @@
 test('an entry with an old copy tells no number of waiting jobs', async () => {
   const world = worlds.createCellWorld();
   try {
-    const view = {...world.store, jobs: worlds.viewOf(world.store.jobs)};
+    const view = {...world.store, jobs: worlds.createLogView(world.store.jobs)};
     const first = world.addEntry('a');
     const second = world.addEntry('b', view);
     await submit(first, names('early', 4));
     await worlds.until(async () => (await pending(second)) === 4, 'four wait');
 
-    view.jobs.trouble = 'down';
+    view.jobs.fault = 'down';
     await submit(first, names('late', 16));
     await worlds.until(async () => (await pending(first)) === 20, 'all wait');
     const end = performance.now() + 2_500;
-    let told: number | string = 4;
-    while (told === 4 && performance.now() < end) {
+    let reported: number | string = 4;
+    while (reported === 4 && performance.now() < end) {
       await new Promise((resolve) => setTimeout(resolve, 50));
-      told = await pending(second);
+      reported = await pending(second);
     }
-    assert.equal(told, 'not_run', 'while the store turns it away');
+    assert.equal(reported, 'not_run', 'while the store turns it away');
 
-    world.store.jobs.mostInRead = 1;
-    view.jobs.trouble = 'none';
-    while (told === 'not_run') {
-      told = await pending(second);
+    world.store.jobs.maxReadRecords = 1;
+    view.jobs.fault = 'none';
+    while (reported === 'not_run') {
+      reported = await pending(second);
       await new Promise((resolve) => setTimeout(resolve, 1));
     }
-    assert.equal(told, 20, 'the first number after that');
+    assert.equal(reported, 20, 'the first number after that');
   } finally {
     world.stop();
   }
--- a/packages/gypsumwall-cell/src/__tests__/relayed_questions.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/relayed_questions.test.ts
@@ -14,16 +14,20 @@
 const id = types.ids.brand<types.ids.JobId>('job');
 const {queue} = worlds.POLICY;
 const REFUSED = {type: 'not_run', retryAfterMs: 1_000} as const;
-const UNANSWERED = {type: 'unanswered', mayStand: false, slow: false} as const;
-const PATIENCE = {
+const UNANSWERED = {
+  type: 'unanswered',
+  maybeApplied: false,
+  isSlow: false,
+} as const;
+const LIMITS = {
   preferred: undefined,
   onlyPreferred: false,
-  eachMs: 300,
-  allMs: 500,
+  peerTimeoutMs: 300,
+  totalTimeoutMs: 500,
 };
 
 /** A desk that refuses all by itself. */
-function createDesk(
+function createService(
   reachable: boolean,
   relay: (req: peerProtocol.RelayReq) => peerDirectory.RelayOutcome,
 ): forwardingJobService.ForwardingJobService {
@@ -38,7 +42,7 @@
   };
   const clock = types.clock.createSystemClock();
   return forwardingJobService.createForwardingJobService({
-    own,
+    local: own,
     peers: {
       ...peerDirectory.createPeerDirectory('self', clock),
       relay: (req) => Promise.resolve(relay(req)),
@@ -55,11 +59,11 @@
 // were old too; they reach the store all the same.
 test('a question that no peer can answer keeps no job from them', async () => {
   const taken = {type: 'ok', value: undefined} as const;
-  const desk = createDesk(false, (req) =>
+  const service = createService(false, (req) =>
     req.type === 'submit' ? {type: 'answered', res: taken} : UNANSWERED,
   );
-  assert.equal((await desk.pendingIn(queue)).type, 'not_run');
-  const answer = await desk.submit(id, worlds.POLICY, worlds.request(1));
+  assert.equal((await service.pendingIn(queue)).type, 'not_run');
+  const answer = await service.submit(id, worlds.POLICY, worlds.request(1));
   assert.equal(answer.type, 'ok');
 });
 
@@ -67,7 +71,7 @@
 // the log failed, at an entry whose copy is current but lacks the newest job.
 test('a state that this entry can not tell is asked of a peer', async () => {
   const known = {type: 'ok', value: 'queued'} as const;
-  const desk = createDesk(true, () => ({type: 'answered', res: known}));
+  const desk = createService(true, () => ({type: 'answered', res: known}));
   assert.deepEqual(await desk.phaseOf(id, queue), known);
 });
 
@@ -89,7 +93,7 @@
       domain: types.ids.brand('d1'),
       address: `127.0.0.1:${port}`,
     });
-    const outcome = await peers.relay({type: 'pending', queue}, PATIENCE);
+    const outcome = await peers.relay({type: 'pending', queue}, LIMITS);
     assert.equal(outcome.type, 'unanswered');
   } finally {
     peers.close();
--- a/packages/gypsumwall-cell/src/__tests__/renewed_lease.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/renewed_lease.test.ts
@@ -12,7 +12,7 @@
 const STORE_CUT_AFTER_MS = 800;
 const WATCHED_MS = 3_000;
 /** The successor looks at a worker it reaches more often than that. */
-const LOOK_MS = 300;
+const POLL_MS = 300;
 const CUT_MS = 60;
 
 /** Has calls of some holders to a worker lost; holders count from 0. */
@@ -63,7 +63,7 @@
     let cut = false;
     cutFor(kept, (holder) => cut && holder === 0);
     cutFor(other, (holder) => holder > 0);
-    const view = {...world.store, cell: worlds.viewOf(world.store.cell)};
+    const view = {...world.store, cell: worlds.createLogView(world.store.cell)};
     const first = world.addEntry('a', view);
     await worlds.until(() => first.status().holdsCell, 'the cell is held');
     const second = world.addEntry('b');
@@ -73,18 +73,18 @@
     await worlds.until(running, 'both tasks run');
     const [done] = [...other.running.keys()];
     other.end(done!, 'done');
-    await pause(LOOK_MS);
+    await pause(POLL_MS);
     const [task] = [...kept.running.keys()];
 
     cut = true;
     const cutAt = performance.now();
     while (performance.now() - cutAt < WATCHED_MS) {
       if (performance.now() - cutAt > STORE_CUT_AFTER_MS) {
-        view.cell.trouble = 'down';
+        view.cell.fault = 'down';
       }
       const starts = other.started.filter((run) => run.taskId === task);
       if (starts.length > 0) {
-        await pause(LOOK_MS);
+        await pause(POLL_MS);
         assert.ok(!kept.running.has(task!), 'the task runs on both workers');
       }
       await pause(5);
--- a/packages/gypsumwall-cell/src/__tests__/retention.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/retention.test.ts
@@ -10,7 +10,7 @@
 
 const {test} = nodeTest;
 /** Well below what one append carries in its timeout on the slowest link. */
-const MOST_IN_APPEND = 1_000;
+const MAX_APPEND_RECORDS = 1_000;
 
 function idsOf(count: number): types.ids.JobId[] {
   return Array.from({length: count}, (_none, number) =>
@@ -26,7 +26,7 @@
   const stopping = new AbortController();
   let left = ended;
   const holder = {
-    takeEnded: () => {
+    takeEndedJobs: () => {
       const taken = left;
       left = [];
       return taken;
@@ -36,9 +36,9 @@
   void retention.runRetention(
     {
       jobsLog,
-      jobs: {overBefore: () => []} as unknown as jobTable.JobTable,
+      jobs: {endedBefore: () => []} as unknown as jobTable.JobTable,
       holder: () => holder,
-      keepOverMs: () => 1_000,
+      retentionMs: () => 1_000,
       clock: types.clock.createSystemClock(),
       logger: telemetry.logger.createLogger('silent'),
     },
@@ -52,10 +52,10 @@
 // which these were to be dropped, and nobody tries again.
 test('requests that were not dropped are dropped later', async () => {
   const log = fakeLogs.createFakeLog();
-  log.trouble = 'down';
+  log.fault = 'down';
   const stopping = startRetention(log, idsOf(2));
   await worlds.until(() => log.appends === 1, 'a first try');
-  log.trouble = 'none';
+  log.fault = 'none';
   try {
     await worlds.until(() => log.records.length === 2, 'dropped', 2_500);
   } finally {
@@ -75,7 +75,7 @@
   const stopping = startRetention(log, idsOf(5_000));
   try {
     await worlds.until(() => log.records.length === 5_000, 'dropped');
-    assert.ok(largest <= MOST_IN_APPEND, `${largest} records at once`);
+    assert.ok(largest <= MAX_APPEND_RECORDS, `${largest} records at once`);
   } finally {
     stopping.abort();
   }
--- a/packages/gypsumwall-cell/src/__tests__/safeguards.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/safeguards.test.ts
@@ -41,10 +41,10 @@
   });
   await log.append([], {fence: {epoch: 1, sequence: 0}, timeoutMs: 1});
   void writer.run();
-  log.trouble = 'answer_lost';
+  log.fault = 'answer_lost';
   const written = writer.write([{kind: 'heartbeat'}]);
   await worlds.until(() => log.appends >= 2, 'a first try');
-  log.trouble = 'none';
+  log.fault = 'none';
   await written;
   writer.stop();
   assert.equal(log.records.length, 1);
@@ -83,24 +83,24 @@
     self: {entryId: types.ids.brand('b.1'), instance: 'b'},
     lastRecordAt: at(0),
     reachableSince: at(0),
-    holderLost: false,
+    isHolderLost: false,
     takeovers: [],
     leaving: false,
-    now: at(failoverPolicy.SILENCE_MS + 1),
+    now: at(failoverPolicy.MAX_SILENCE_MS + 1),
     ...fields,
   };
 }
 
 test('a silent holder is replaced', () => {
   assert.equal(failoverPolicy.vacancyOf(view()), 'silent');
-  const early = view({now: at(failoverPolicy.SILENCE_MS - 1)});
+  const early = view({now: at(failoverPolicy.MAX_SILENCE_MS - 1)});
   assert.equal(failoverPolicy.vacancyOf(early), undefined);
 });
 
 test('a holder that answers nobody is replaced before silence alone counts', () => {
-  const early = view({holderLost: true, now: at(500)});
+  const early = view({isHolderLost: true, now: at(500)});
   assert.equal(failoverPolicy.vacancyOf(early), 'lost');
-  const away = view({holderLost: true, reachableSince: undefined});
+  const away = view({isHolderLost: true, reachableSince: undefined});
   assert.equal(
     failoverPolicy.vacancyOf(away),
     undefined,
@@ -120,7 +120,10 @@
     if (takeovers.length > 0 && heldFor > busyMs) lastRecordAt = now;
     const holderLost = now - lastRecordAt > 450;
     const held = {lastRecordAt, reachableSince: at(0), takeovers, now};
-    if (failoverPolicy.vacancyOf(view({...held, holderLost})) === undefined)
+    if (
+      failoverPolicy.vacancyOf(view({...held, isHolderLost: holderLost})) ===
+      undefined
+    )
       continue;
     takeovers.push(now);
     lastRecordAt = now;
@@ -132,7 +135,7 @@
 // the cell from a sound holder as soon as it reads again.
 test('silence counts only while the log is read', () => {
   const now = at(60_000);
-  const since = at(now - failoverPolicy.SILENCE_MS + 1);
+  const since = at(now - failoverPolicy.MAX_SILENCE_MS + 1);
   const justBack = view({now, reachableSince: since});
   assert.equal(failoverPolicy.vacancyOf(justBack), undefined);
   const away = view({now, reachableSince: undefined});
@@ -150,45 +153,45 @@
 
 test('workers are accounted for one by one, or when all leases have passed', () => {
   let steps = 0;
-  const gate = failoverBarrier.createFailoverBarrier(
+  const barrier = failoverBarrier.createFailoverBarrier(
     [worker('a'), worker('b'), worker('c')],
     {latestAt: at(20_000), afterMajorityMs: 5_000},
     () => steps++,
   );
-  gate.account(worker('a'), at(100));
-  assert.ok(gate.isAccounted(worker('a')));
-  assert.ok(!gate.isAccounted(worker('b')));
-  gate.tick(at(19_999));
-  assert.equal(gate.unaccounted(), 2, 'no majority: the latest bound holds');
-  gate.account(worker('b'), at(19_999));
-  gate.tick(at(20_001));
-  assert.equal(gate.unaccounted(), 0);
+  barrier.markAccounted(worker('a'), at(100));
+  assert.ok(barrier.isAccounted(worker('a')));
+  assert.ok(!barrier.isAccounted(worker('b')));
+  barrier.tick(at(19_999));
+  assert.equal(barrier.unaccounted(), 2, 'no majority: the latest bound holds');
+  barrier.markAccounted(worker('b'), at(19_999));
+  barrier.tick(at(20_001));
+  assert.equal(barrier.unaccounted(), 0);
   assert.equal(steps, 3);
 });
 
 test('with a majority accounted for, leases have passed sooner', () => {
-  const gate = failoverBarrier.createFailoverBarrier(
+  const barrier = failoverBarrier.createFailoverBarrier(
     [worker('a'), worker('b'), worker('c')],
     {latestAt: at(20_000), afterMajorityMs: 5_000},
     () => {},
   );
-  gate.account(worker('a'), at(100));
-  gate.account(worker('b'), at(200));
-  gate.tick(at(5_200));
-  assert.equal(gate.unaccounted(), 1);
-  gate.tick(at(5_201));
-  assert.equal(gate.unaccounted(), 0);
+  barrier.markAccounted(worker('a'), at(100));
+  barrier.markAccounted(worker('b'), at(200));
+  barrier.tick(at(5_200));
+  assert.equal(barrier.unaccounted(), 1);
+  barrier.tick(at(5_201));
+  assert.equal(barrier.unaccounted(), 0);
 });
 
 // A worker's clock is 2% slow. A lease of 1,000 ms on it passes up to 1,020 ms
 // later on ours; a task that starts elsewhere before runs twice.
 test('a lease has passed only when the slowest clock says so', () => {
   const times = workerClock.createWorkerClock();
-  times.note(10_000, at(0));
-  times.noteLease(11_000);
-  assert.equal(times.leasePassed(at(1_020)), false);
-  assert.equal(times.leasePassed(at(1_200)), true);
-  assert.ok(times.read(at(1_000))! <= 10_980, 'a lower bound');
+  times.recordReading(10_000, at(0));
+  times.recordLease(11_000);
+  assert.equal(times.hasLeaseExpired(at(1_020)), false);
+  assert.equal(times.hasLeaseExpired(at(1_200)), true);
+  assert.ok(times.lowerBound(at(1_000))! <= 10_980, 'a lower bound');
 });
 
 // The instance is suspended for seconds. The monotonic clock doesn't show it,
@@ -203,13 +206,13 @@
   });
   monotonic += 500;
   wall += 510;
-  assert.equal(watch.lastNoticedAt(), 0);
+  assert.equal(watch.lastDetectedAt(), 0);
   monotonic += 10;
   wall += 4_000;
-  assert.equal(watch.lastNoticedAt(), 1_510);
+  assert.equal(watch.lastDetectedAt(), 1_510);
   monotonic += 10;
   wall += 10;
-  assert.equal(watch.lastNoticedAt(), 1_510);
+  assert.equal(watch.lastDetectedAt(), 1_510);
 });
 
 // An old holder is cut off from the store's appends and still reads. It must
@@ -225,11 +228,11 @@
       sleepUntil: () => Promise.resolve(),
     },
     confirmedAt: () => at(confirmed),
-    takeUp: (entry) => taken.push(entry.id),
+    admit: (entry) => taken.push(entry.id),
   });
   const entry = (name: string) => ({id: job(name)}) as jobTable.JobEntry;
   jobs.add(entry('sure'));
-  now += failoverPolicy.FRESH_MS;
+  now += failoverPolicy.MAX_CONFIRMATION_AGE_MS;
   jobs.add(entry('doubt'));
   jobs.tick();
   assert.deepEqual(taken, ['sure']);
@@ -253,14 +256,14 @@
       const tookMs = calls === 1 ? 300 : 1;
       setTimeout(() => {
         const now = clock.monotonic();
-        if (quick) pulse.noteRead(now, types.clock.after(now, 5));
+        if (quick) pulse.recordRead(now, types.clock.after(now, 5));
       }, 20);
       return new Promise<result.Result<string, types.stepError.StepError>>(
         (resolve) => setTimeout(() => resolve(result.ok('done')), tookMs),
       );
     };
     const until = types.clock.after(clock.monotonic(), 2_000);
-    const answer = await hedger.hedged({call, until});
+    const answer = await hedger.hedge({call, until});
     assert.ok(result.isOk(answer));
     assert.equal(calls, expected);
   }
--- a/packages/gypsumwall-cell/src/__tests__/slow_peers.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/slow_peers.test.ts
@@ -39,12 +39,17 @@
     const {peers, close} = await openPeer(answersPing);
     const outcome = await peers.relay(
       {type: 'cancel', id: types.ids.brand('job'), queue: 'plans'},
-      {preferred: 'peer', onlyPreferred: true, eachMs: 50, allMs: 50},
+      {
+        preferred: 'peer',
+        onlyPreferred: true,
+        peerTimeoutMs: 50,
+        totalTimeoutMs: 50,
+      },
     );
     assert.deepEqual(outcome, {
       type: 'unanswered',
-      mayStand: true,
-      slow: answersPing,
+      maybeApplied: true,
+      isSlow: answersPing,
     });
     assert.equal(peers.advisers().size, answersPing ? 1 : 0);
     close();
--- a/packages/gypsumwall-cell/src/__tests__/slow_store.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/slow_store.test.ts
@@ -28,8 +28,8 @@
 const SLOW_FROM = 2;
 /** From here on the line of the first slow second has been worked off. */
 const SETTLED_FROM = 8;
-const LONGEST_LINE_MS = 2_000;
-const CALLER_PATIENCE_MS = 3_000;
+const MAX_QUEUE_MS = 2_000;
+const CALLER_TIMEOUT_MS = 3_000;
 const clock = types.virtualClock.createVirtualClock();
 const logger = telemetry.logger.createLogger('silent');
 
@@ -45,7 +45,7 @@
   log.append = async (entries, options) => {
     const now = clock.monotonic();
     freeAt = Math.max(freeAt, now);
-    if (freeAt - now > LONGEST_LINE_MS) {
+    if (freeAt - now > MAX_QUEUE_MS) {
       refused++;
       await pause(appendMs / 10);
       return result.err<ports.AppendOutcome, types.stepError.StepError>({
@@ -74,10 +74,10 @@
     jobs: jobTables.createJobTable({onAdded: () => {}, onCancelled: () => {}}),
     follower,
     storeHealth: storeHealths.createStoreHealth(),
-    copyAgeMs: () => Infinity,
+    replicaAgeMs: () => Infinity,
     catchUp: () => Promise.resolve(true),
     refreshStates: () => Promise.resolve(true),
-    mayHandOn: () => !isHolder,
+    canForward: () => !isHolder,
     clock,
     logger,
     couldEverFit: () => true,
@@ -89,14 +89,18 @@
   const relay: peerDirectory.PeerDirectory['relay'] = async (req, patience) => {
     if (req.type !== 'submit') throw new Error(`unexpected: ${req.type}`);
     const answer = holder.submit(req.id, req.policy, req.request);
-    const late = pause(patience.eachMs).then(() => undefined);
+    const late = pause(patience.peerTimeoutMs).then(() => undefined);
     const res = await Promise.race([answer, late]);
     if (res === undefined) {
-      return {type: 'unanswered', mayStand: true, slow: true};
+      return {type: 'unanswered', maybeApplied: true, isSlow: true};
     }
     return res.type === 'ok'
       ? {type: 'answered', res}
-      : {type: 'unanswered', mayStand: res.type === 'unknown', slow: false};
+      : {
+          type: 'unanswered',
+          maybeApplied: res.type === 'unknown',
+          isSlow: false,
+        };
   };
   return {relay} as unknown as peerDirectory.PeerDirectory;
 }
@@ -110,7 +114,7 @@
   let holderIsKnown = false;
   const services = Array.from({length: ENTRIES}, () =>
     forwardingJobServices.createForwardingJobService({
-      own: createOwnService(log, false),
+      local: createOwnService(log, false),
       peers: peersWith(holder),
       clock,
       logger,
@@ -119,7 +123,7 @@
     }),
   );
   let stored = 0;
-  let held = 0;
+  let timedOut = 0;
   async function submit(
     service: jobServices.JobService,
     round: number,
@@ -129,7 +133,7 @@
     const startedAt = clock.monotonic();
     const res = await service.submit(id, worlds.POLICY, worlds.request(1));
     if (res.type === 'ok' && round >= SETTLED_FROM) stored++;
-    if (clock.monotonic() - startedAt >= CALLER_PATIENCE_MS) held++;
+    if (clock.monotonic() - startedAt >= CALLER_TIMEOUT_MS) timedOut++;
   }
   async function submitAll(): Promise<void> {
     const calls: Promise<void>[] = [];
@@ -144,10 +148,10 @@
     await Promise.all(calls);
   }
   const submitted = submitAll();
-  await clock.runUntil(ROUNDS * ROUND_MS + 2 * CALLER_PATIENCE_MS);
+  await clock.runUntil(ROUNDS * ROUND_MS + 2 * CALLER_TIMEOUT_MS);
   await submitted;
   const settled = ENTRIES * (ROUNDS - SETTLED_FROM);
   assert.ok(stored >= settled * 0.9, `${stored} of ${settled} stored`);
-  assert.equal(held, 0, 'nobody is held until the deadline');
+  assert.equal(timedOut, 0, 'nobody is held until the deadline');
   assert.ok(refused() <= 2 * ENTRIES, `${refused()} appends refused`);
 });
--- a/packages/gypsumwall-cell/src/__tests__/standby_choice.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/standby_choice.test.ts
@@ -59,8 +59,8 @@
     for (const name of ['a', 'b', 'c']) world.addEntry(name, undefined, 2);
     const observer = {
       ...world.store,
-      jobs: worlds.viewOf(world.store.jobs),
-      cell: worlds.viewOf(world.store.cell),
+      jobs: worlds.createLogView(world.store.jobs),
+      cell: worlds.createLogView(world.store.cell),
     };
     let reads = 0;
     for (const log of [observer.jobs, observer.cell]) {
--- a/packages/gypsumwall-cell/src/__tests__/store_away.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/store_away.test.ts
@@ -7,9 +7,9 @@
 const {test} = nodeTest;
 const job = (name: string) => types.ids.brand<types.ids.JobId>(name);
 
-function trouble(world: worlds.CellWorld, trouble: fakeLogs.Trouble): void {
-  world.store.jobs.trouble = trouble;
-  world.store.cell.trouble = trouble;
+function setFault(world: worlds.CellWorld, trouble: fakeLogs.Fault): void {
+  world.store.jobs.fault = trouble;
+  world.store.cell.fault = trouble;
 }
 
 async function openWorld() {
@@ -28,10 +28,10 @@
   const {world, entry} = await openWorld();
   // Of lengths that end at each point between two tries of a read by itself.
   for (const silentMs of [1_000, 1_225, 1_450, 1_675]) {
-    trouble(world, 'silent');
+    setFault(world, 'silent');
     await worlds.until(() => !entry.status().storeReachable, 'it is noticed');
     await new Promise((resolve) => setTimeout(resolve, silentMs));
-    trouble(world, 'none');
+    setFault(world, 'none');
     await worlds.until(() => entry.status().storeReachable, 'it is back', 300);
   }
   const before = world.store.cell.records.length;
@@ -54,7 +54,7 @@
 // just before the store went silent; then the reads fail as well.
 test('a call in doubt is answered once the store is known to be away', async () => {
   const {world, entry} = await openWorld();
-  trouble(world, 'silent');
+  setFault(world, 'silent');
   const sentAt = performance.now();
   const answer = await entry.jobService.submit(
     job('a'),
--- a/packages/gypsumwall-cell/src/__tests__/worker_move.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/worker_move.test.ts
@@ -6,7 +6,7 @@
 const {test} = nodeTest;
 const SEED = 20;
 const RUNS = 20_000;
-const LONGEST = 80;
+const MAX_GROUPS = 80;
 
 type Names = readonly models.Operation['name'][];
 
@@ -55,7 +55,7 @@
         entry: fc.constantFrom(...entries),
         pick: fc.constantFrom(models.NEWEST, models.NEWEST, 0, 1, 2),
       }),
-      {maxLength: LONGEST, size: 'max'},
+      {maxLength: MAX_GROUPS, size: 'max'},
     ),
   )
   .map((drawn) =>
@@ -73,7 +73,7 @@
     const model = models.createWorkerMoveModel(options);
     for (const operation of operations) {
       model.apply(operation);
-      assert.equal(model.broken(), undefined);
+      assert.equal(model.brokenRule(), undefined);
     }
   });
   return fc.check(property, {seed: SEED, numRuns: RUNS});
@@ -138,7 +138,7 @@
     fenced: true,
     fault: 'passed_lease_not_confirmed',
   } as const;
-  assert.notEqual(play(unconfirmed, PASSED_LEASE).broken(), undefined);
+  assert.notEqual(play(unconfirmed, PASSED_LEASE).brokenRule(), undefined);
   const sound = {fenced: true, fault: 'none'} as const;
-  assert.equal(play(sound, PASSED_LEASE).broken(), undefined);
+  assert.equal(play(sound, PASSED_LEASE).brokenRule(), undefined);
 });
--- a/packages/gypsumwall-cell/src/__tests__/worker_roster.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/worker_roster.test.ts
@@ -82,6 +82,6 @@
   const {roster, calls} = createRoster();
   roster.applyList([listed('w1', 'pool')], false);
   calls.length = 0;
-  roster.gone(types.ids.brand('w1'));
+  roster.onGone(types.ids.brand('w1'));
   assert.deepEqual(calls, ['crashed', 'flush', 'write used_worker']);
 });
--- a/packages/gypsumwall-cell/src/__tests__/worker_session.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/worker_session.test.ts
@@ -22,18 +22,18 @@
     link: worker.connect(),
     token: 1,
     leaseMs: () => 10_000,
-    longestLeaseMs: 10_000,
+    maxLeaseMs: 10_000,
     clock,
     logger: telemetry.logger.createLogger('silent'),
     scheduler,
     mayRenew: () => true,
     confirmedAt: () => clock.monotonic(),
     onChange: () => {},
-    stored: () => Promise.resolve(),
+    flush: () => Promise.resolve(),
     onFirstReport: () => {},
     onFenced: () => {},
     onGone: () => {},
-    onLeasePassed: () => {},
+    onLeaseExpired: () => {},
   });
   const isUsable = () => scheduler.book.workers.get(worker.info.id)!.usable;
   const orderOf = (name: string): scheduling.schedulerTypes.StartOrder => ({
@@ -61,7 +61,7 @@
   void session.run();
   try {
     await worlds.until(isUsable, 'it answers');
-    worker.mute = true;
+    worker.losesAnswers = true;
     await session.start(orderOf('job.0.0.0'));
     assert.equal(isUsable(), false);
     await worlds.until(isUsable, 'a look is answered', 1_000);
@@ -76,14 +76,14 @@
   const worker = fakeWorkers.createFakeWorker('w1', 4);
   const {session, isUsable, orderOf} = openSession(worker);
   const warnings: Error[] = [];
-  const note = (warning: Error) => warnings.push(warning);
-  process.on('warning', note);
+  const record = (warning: Error) => warnings.push(warning);
+  process.on('warning', record);
   void session.run();
   try {
     await worlds.until(isUsable, 'it answers');
-    worker.mute = true;
+    worker.losesAnswers = true;
     const stops = Array.from({length: 20}, (_none, nth) =>
-      session.stopRun(orderOf(`job.0.0.${nth}`).attempt),
+      session.stopAttempt(orderOf(`job.0.0.${nth}`).attempt),
     );
     await new Promise((resolve) => setTimeout(resolve, 600));
     session.close();
@@ -91,6 +91,6 @@
     assert.deepEqual(warnings, []);
   } finally {
     session.close();
-    process.off('warning', note);
+    process.off('warning', record);
   }
 });
--- a/packages/gypsumwall-cell/src/advice_caller.ts
+++ b/packages/gypsumwall-cell/src/advice_caller.ts
@@ -11,7 +11,7 @@
  * 1.5 s, those that asked through an entry that was lost waited 1.74 s before
  * they asked elsewhere; milliseconds.
  */
-const PATIENCE_FACTOR = 2;
+const TIMEOUT_FACTOR = 2;
 const ADVICE_SLACK_MS = 300;
 /** An approval's age when it arrives through a peer, at most; milliseconds. */
 const ADVICE_TRANSIT_MS = 40;
@@ -28,7 +28,7 @@
 /** The calls to the adviser. */
 export interface AdviceCaller {
   /** Asks for one wish of the scheduler and tells it the answer. */
-  ask(wish: scheduling.schedulerTypes.AdviceRequest): Promise<void>;
+  ask(request: scheduling.schedulerTypes.AdviceRequest): Promise<void>;
   /** How many calls can be made now. */
   capacity(): scheduling.adviserPool.AdviceCapacity;
 }
@@ -36,34 +36,34 @@
 /** Creates the caller of a holder. */
 export function createAdviceCaller(parts: AdviceCallerParts): AdviceCaller {
   const {scheduler, clock, logger} = parts;
-  const lanes = scheduling.adviserPool.createAdviserPool<string>();
+  const pool = scheduling.adviserPool.createAdviserPool<string>();
 
   async function ask(
-    wish: scheduling.schedulerTypes.AdviceRequest,
+    request: scheduling.schedulerTypes.AdviceRequest,
   ): Promise<void> {
-    const {stepRun, workers, callMs, needed} = wish;
+    const {stepRun, workers, callMs, needed} = request;
     const advisers = parts.advisers();
-    const lane = lanes.take([...advisers.keys()], callMs, needed);
-    const adviser = lane === undefined ? undefined : advisers.get(lane);
-    if (lane === undefined || adviser === undefined) {
+    const instance = pool.take([...advisers.keys()], callMs, needed);
+    const adviser = instance === undefined ? undefined : advisers.get(instance);
+    if (instance === undefined || adviser === undefined) {
       const never = 0 as types.clock.MonotonicMs;
-      scheduler.adviceAnswered(wish, undefined, never);
+      scheduler.adviceAnswered(request, undefined, never);
       return;
     }
     const askedAt = clock.monotonic();
-    const timeoutMs = lanes.lineMs(lane) * PATIENCE_FACTOR + ADVICE_SLACK_MS;
+    const timeoutMs = pool.lineMs(instance) * TIMEOUT_FACTOR + ADVICE_SLACK_MS;
     const answer = await adviser.ask(stepRun.id, workers, timeoutMs);
-    lanes.finish(lane, callMs);
+    pool.finish(instance, callMs);
     const now = clock.monotonic();
     const validMs = stepRun.job.policy.advice?.validMs ?? 0;
     scheduler.adviceAnswered(
-      wish,
+      request,
       result.isOk(answer) ? answer.value : undefined,
       types.clock.after(now, validMs - ADVICE_TRANSIT_MS),
     );
     logger.info('advice_answered', {
       step: stepRun.id,
-      by: lane,
+      by: instance,
       named: workers.length,
       approved: result.isOk(answer) ? answer.value.size : undefined,
       tookMs: Math.round(now - askedAt),
@@ -76,6 +76,6 @@
 
   return {
     ask,
-    capacity: () => lanes.capacity([...parts.advisers().keys()]),
+    capacity: () => pool.capacity([...parts.advisers().keys()]),
   };
 }
--- a/packages/gypsumwall-cell/src/apply_records.ts
+++ b/packages/gypsumwall-cell/src/apply_records.ts
@@ -13,15 +13,17 @@
 export function applyRecords(
   records: readonly ports.KeyedRecord[],
   logger: telemetry.logger.Logger,
-  take: (record: storeRecords.StoreRecord, offset: number) => void,
+  apply: (record: storeRecords.StoreRecord, offset: number) => void,
 ): void {
   for (const {key, value, offset} of records) {
-    const taken = result.andThen(
+    const applied = result.andThen(
       (record) =>
-        result.tryOrElse(types.stepError.messageOf, () => take(record, offset)),
+        result.tryOrElse(types.stepError.messageOf, () =>
+          apply(record, offset),
+        ),
       storeRecords.decode(key, value),
     );
-    if (result.isOk(taken)) continue;
-    logger.warn('record_unreadable', {key, offset, error: taken.error});
+    if (result.isOk(applied)) continue;
+    logger.warn('record_unreadable', {key, offset, error: applied.error});
   }
 }
--- a/packages/gypsumwall-cell/src/batch_appender.ts
+++ b/packages/gypsumwall-cell/src/batch_appender.ts
@@ -11,20 +11,20 @@
 import type * as storeHealth from './store_health.js';
 
 /** The most records in one call. */
-const MOST_RECORDS = 200;
+const MAX_BATCH_RECORDS = 200;
 /** Time given to one call; others are sent meanwhile, see hedging. */
 const CALL_TIMEOUT_MS = 2_000;
 /** How long a refusal counts as the store's pace; milliseconds. */
-const REFUSED_LATELY_MS = 1_000;
+const REFUSAL_MEMORY_MS = 1_000;
 
 /** What an appender is made with. */
 export interface BatchAppenderParts {
   readonly log: ports.KeyedLog;
   readonly clock: types.clock.Clock;
   readonly storeHealth: storeHealth.StoreHealth;
-  readonly isStoreAway: () => boolean;
+  readonly isStoreUnavailable: () => boolean;
   /** Whether another entry may append what the store refuses here. */
-  readonly mayHandOn: () => boolean;
+  readonly canForward: () => boolean;
 }
 
 /** Appends single records. */
@@ -41,7 +41,7 @@
   latencyMs(): number | undefined;
 }
 
-interface Waiting {
+interface PendingAppend {
   readonly entry: ports.KeyedEntry;
   readonly until: types.clock.MonotonicMs;
   readonly resolve: (
@@ -58,51 +58,51 @@
   const {log, clock} = parts;
   const hedger = hedge.createHedger(clock, parts.storeHealth);
   let refusedAt = -Infinity;
-  let waiting: Waiting[] = [];
+  let pending: PendingAppend[] = [];
   let sentAt: types.clock.MonotonicMs | undefined;
-  let pumpPlanned = false;
+  let isSendScheduled = false;
 
-  async function send(batch: readonly Waiting[]): Promise<void> {
+  async function send(batch: readonly PendingAppend[]): Promise<void> {
     sentAt = clock.monotonic();
     const entries = batch.map((one) => one.entry);
     const until = Math.max(...batch.map((one) => one.until));
-    const answer = await hedger.hedged({
+    const answer = await hedger.hedge({
       until: until as types.clock.MonotonicMs,
       call: () => log.append(entries, {timeoutMs: CALL_TIMEOUT_MS}),
-      isHopeless: parts.isStoreAway,
-      endsOnRefusal: parts.mayHandOn,
+      shouldGiveUp: parts.isStoreUnavailable,
+      isRefusalFinal: parts.canForward,
     });
     sentAt = undefined;
     if (result.isErr(answer) && answer.error.effect === 'not_run') {
       refusedAt = clock.monotonic();
     }
     for (const one of batch) one.resolve(answer);
-    pump();
+    sendNext();
   }
 
-  function pump(): void {
-    pumpPlanned = false;
-    if (waiting.length === 0 || sentAt !== undefined) return;
-    const batch = waiting.slice(0, MOST_RECORDS);
-    waiting = waiting.slice(MOST_RECORDS);
+  function sendNext(): void {
+    isSendScheduled = false;
+    if (pending.length === 0 || sentAt !== undefined) return;
+    const batch = pending.slice(0, MAX_BATCH_RECORDS);
+    pending = pending.slice(MAX_BATCH_RECORDS);
     void send(batch);
   }
 
   return {
     append(entry, until) {
       return new Promise((resolve) => {
-        waiting.push({entry, until, resolve});
-        if (pumpPlanned) return;
-        pumpPlanned = true;
+        pending.push({entry, until, resolve});
+        if (isSendScheduled) return;
+        isSendScheduled = true;
         // What the same turn of the event loop brings goes along.
-        setImmediate(pump);
+        setImmediate(sendNext);
       });
     },
     latencyMs() {
-      if (clock.monotonic() - refusedAt < REFUSED_LATELY_MS) return Infinity;
-      const lately = hedger.latencyMs();
-      if (sentAt === undefined) return lately;
-      return Math.max(clock.monotonic() - sentAt, lately ?? 0);
+      if (clock.monotonic() - refusedAt < REFUSAL_MEMORY_MS) return Infinity;
+      const recentMs = hedger.latencyMs();
+      if (sentAt === undefined) return recentMs;
+      return Math.max(clock.monotonic() - sentAt, recentMs ?? 0);
     },
   };
 }
--- a/packages/gypsumwall-cell/src/cell_entry.ts
+++ b/packages/gypsumwall-cell/src/cell_entry.ts
@@ -45,9 +45,9 @@
  */
 const JOBS_PAUSE_MS = 500;
 /** A store that went silent is noticed this much later; milliseconds. */
-const FOLLOW_WAIT_MS = 250;
+const READ_WAIT_MS = 250;
 /** The configuration changes seldom; milliseconds. */
-const CONFIG_WAIT_MS = 1_000;
+const CONFIG_READ_WAIT_MS = 1_000;
 /** An entry without store or peers takes itself out after so long; ms. */
 const UNREADY_AFTER_MS = 400;
 /** A change of the configuration is in force this much later at most. */
@@ -62,77 +62,77 @@
   const {self, logs, clock, logger} = options;
   const stopping = new AbortController();
   const state = cellStates.createCellState();
-  const pulse = storeHealth.createStoreHealth();
+  const health = storeHealth.createStoreHealth();
   const peers = peerDirectory.createPeerDirectory(self.instance, clock);
-  const suspension = pauseDetector.createPauseDetector(clock);
+  const detector = pauseDetector.createPauseDetector(clock);
   let holder: cellHolderTypes.CellHolder | undefined;
-  let leaving = false;
+  let isLeaving = false;
   let takeovers: types.clock.MonotonicMs[] = [];
   let lastRecordAt = clock.monotonic();
-  let reachableAt = clock.monotonic();
+  let lastReachableAt = clock.monotonic();
 
   const configs = configKeeper.createConfigKeeper({
     decode: options.decodeConfig,
     logger,
-    onChanged: () => holder?.policiesChanged(),
+    onChanged: () => holder?.onPoliciesChanged(),
   });
   const jobs = jobTables.createJobTable({
-    onAdded: (job) => holder?.jobAdded(job),
-    onCancelled: (id) => holder?.jobCancelled(id),
+    onAdded: (job) => holder?.onJobAdded(job),
+    onCancelled: (id) => holder?.onJobCancelled(id),
   });
   const configFollower = logFollower.createLogFollower({
     log: logs.config,
     clock,
     logger,
-    storeHealth: pulse,
+    storeHealth: health,
     onRecords: (records) => records.forEach((record) => configs.apply(record)),
     pauseMs: () => CONFIG_PAUSE_MS,
-    readWaitMs: CONFIG_WAIT_MS,
+    readWaitMs: CONFIG_READ_WAIT_MS,
   });
   const jobsFollower = logFollower.createLogFollower({
     log: logs.jobs,
     clock,
     logger,
-    storeHealth: pulse,
+    storeHealth: health,
     onRecords(records, reloaded) {
       if (reloaded) {
-        const named = storeRecords.idsOf<types.ids.JobId>('job', records);
-        jobs.keepRequests(named, clock.monotonic());
+        const loadedIds = storeRecords.idsOf<types.ids.JobId>('job', records);
+        jobs.retainRequests(loadedIds, clock.monotonic());
       }
       applyRecords.applyRecords(records, logger, applyJobRecord);
     },
     pauseMs: () => (holder === undefined ? JOBS_PAUSE_MS : HOLDER_PAUSE_MS),
-    readWaitMs: FOLLOW_WAIT_MS,
+    readWaitMs: READ_WAIT_MS,
   });
   const cellFollower = logFollower.createLogFollower({
     log: logs.cell,
     clock,
     logger,
-    storeHealth: pulse,
+    storeHealth: health,
     onRecords(records, reloaded) {
       // One that can't be read shows that the holder lives all the same.
       lastRecordAt = clock.monotonic();
-      if (reloaded) keepNamed(records);
+      if (reloaded) retainLoaded(records);
       applyRecords.applyRecords(records, logger, applyCellRecord);
     },
     pauseMs: () => (isStandby() ? STANDBY_PAUSE_MS : OBSERVER_PAUSE_MS),
-    readWaitMs: FOLLOW_WAIT_MS,
+    readWaitMs: READ_WAIT_MS,
   });
-  const ownDesk = jobService.createJobService({
+  const localService = jobService.createJobService({
     jobsLog: logs.jobs,
     jobs,
     follower: jobsFollower,
-    storeHealth: pulse,
-    copyAgeMs,
+    storeHealth: health,
+    replicaAgeMs,
     catchUp: catchUpOnJobs,
     refreshStates,
-    mayHandOn: () => holderElsewhere() !== undefined,
+    canForward: () => remoteHolder() !== undefined,
     clock,
     logger,
     couldEverFit,
   });
   const holderProbe = holderProbes.createHolderProbe({
-    holder: holderElsewhere,
+    holder: remoteHolder,
     silentSince: () =>
       failoverPolicy.silentSince({
         lastRecordAt,
@@ -142,16 +142,16 @@
     isStandby,
     clock,
   });
-  const desk = forwardingJobService.createForwardingJobService({
-    own: ownDesk,
+  const forwardingService = forwardingJobService.createForwardingJobService({
+    local: localService,
     peers,
     clock,
     logger,
     storeReachable: () => jobsFollower.reachableSince() !== undefined,
-    holder: holderElsewhere,
+    holder: remoteHolder,
   });
 
-  function holderElsewhere(): string | undefined {
+  function remoteHolder(): string | undefined {
     const instance = state.claim()?.instance;
     return instance === self.instance ? undefined : instance;
   }
@@ -161,12 +161,12 @@
    * read before a suspension is as old as that lasted, which the clock doesn't
    * tell.
    */
-  function copyAgeMs(): number {
+  function replicaAgeMs(): number {
     const completeUntil = Math.min(
       jobsFollower.completeUntil() ?? -Infinity,
       cellFollower.completeUntil() ?? -Infinity,
     );
-    if (completeUntil <= suspension.lastNoticedAt()) return Infinity;
+    if (completeUntil <= detector.lastDetectedAt()) return Infinity;
     return clock.monotonic() - completeUntil;
   }
 
@@ -175,14 +175,14 @@
    * could read: a load names all there is. Without this, jobs and workers that
    * are long gone were counted, and taken over by this entry as holder.
    */
-  function keepNamed(records: readonly ports.KeyedRecord[]): void {
-    jobs.keepProgress(storeRecords.idsOf('progress', records));
-    state.keepUsedWorkers(storeRecords.idsOf('used_worker', records));
+  function retainLoaded(records: readonly ports.KeyedRecord[]): void {
+    jobs.retainProgress(storeRecords.idsOf('progress', records));
+    state.retainUsedWorkers(storeRecords.idsOf('used_worker', records));
   }
 
   async function refreshStates(): Promise<boolean> {
     const ageMs = clock.monotonic() - (cellFollower.completeUntil() ?? 0);
-    return ageMs <= jobService.FRESH_STATE_MS || cellFollower.catchUp();
+    return ageMs <= jobService.MAX_STATE_AGE_MS || cellFollower.catchUp();
   }
 
   async function catchUpOnJobs(): Promise<boolean> {
@@ -203,27 +203,27 @@
     state.apply(record, offset);
     jobs.apply(record, lastRecordAt);
     if (record.kind !== 'claim') return;
-    noteLostHolder(before);
-    claimRead();
+    markReplacedHolder(before);
+    onClaimRead();
   }
 
   /** A holder that another has replaced is no way to the adviser either. */
-  function noteLostHolder(before: claimView.CellClaim | undefined): void {
+  function markReplacedHolder(before: claimView.CellClaim | undefined): void {
     if (before === undefined) return;
     if (before.instance === state.claim()?.instance) return;
-    peers.noteLost(before.instance);
-    if (before.state === 'held') noteTakeover();
+    peers.markLost(before.instance);
+    if (before.state === 'held') recordTakeover();
   }
 
-  function noteTakeover(): void {
+  function recordTakeover(): void {
     const now = clock.monotonic();
     takeovers = takeovers.filter(
-      (at) => now - at < failoverPolicy.STORM_WINDOW_MS,
+      (at) => now - at < failoverPolicy.TAKEOVER_WINDOW_MS,
     );
     takeovers.push(now);
   }
 
-  function claimRead(): void {
+  function onClaimRead(): void {
     const claim = state.claim();
     // A read may be answered after the stop; nothing would end the holder.
     if (claim === undefined || stopping.signal.aborted) return;
@@ -232,8 +232,8 @@
       holder.stop();
       holder = undefined;
     }
-    const mine = claim.holder === self.entryId && claim.state === 'held';
-    if (mine && holder === undefined && !leaving) becomeHolder(claim);
+    const isOwn = claim.holder === self.entryId && claim.state === 'held';
+    if (isOwn && holder === undefined && !isLeaving) becomeHolder(claim);
   }
 
   function becomeHolder(claim: claimView.CellClaim): void {
@@ -252,7 +252,7 @@
       leaseMs: options.leaseMs,
       longestStopMs: options.longestStopMs,
       listExpiryMs: options.listExpiryMs,
-      storeHealth: pulse,
+      storeHealth: health,
       clock,
       logger,
       onFenced: () => {
@@ -268,13 +268,13 @@
     pool: string,
     step: scheduling.jobRequest.StepRequest,
   ): boolean {
-    let seen = false;
+    let isPoolKnown = false;
     for (const {info} of state.usedWorkers.values()) {
       if (info.pool !== pool) continue;
-      seen = true;
+      isPoolKnown = true;
       if (types.resources.fits(step.size, info.capacity)) return true;
     }
-    return !seen;
+    return !isPoolKnown;
   }
 
   /**
@@ -282,11 +282,14 @@
    * away for all of them, all are out, and the balancer uses all.
    */
   function isReady(): boolean {
-    if (leaving || configs.config() === undefined) return false;
+    if (isLeaving || configs.config() === undefined) return false;
     if (jobsFollower.position() === undefined) return false;
     const now = clock.monotonic();
-    if (jobsFollower.reachableSince() !== undefined) reachableAt = now;
-    return now - reachableAt < UNREADY_AFTER_MS || desk.relayedLately();
+    if (jobsFollower.reachableSince() !== undefined) lastReachableAt = now;
+    return (
+      now - lastReachableAt < UNREADY_AFTER_MS ||
+      forwardingService.hasRelayedRecently()
+    );
   }
 
   /** Nobody is before the peers are known. */
@@ -297,12 +300,12 @@
 
   function isOutranked(): boolean {
     const peersKnown = jobsFollower.position() !== undefined;
-    return !peersKnown || peers.mostCores() > self.cores;
+    return !peersKnown || peers.maxCores() > self.cores;
   }
 
   return {
-    jobService: desk,
-    localJobService: ownDesk,
+    jobService: forwardingService,
+    localJobService: localService,
     config: () => configs.config(),
     isReady,
     start() {
@@ -310,7 +313,7 @@
       void jobsFollower.run();
       void cellFollower.run();
       void storeProbe.runStoreProbe(
-        {log: logs.jobs, follower: jobsFollower, storeHealth: pulse, clock},
+        {log: logs.jobs, follower: jobsFollower, storeHealth: health, clock},
         stopping.signal,
       );
       void entryRegistration.registerEntry(
@@ -328,7 +331,7 @@
           isHolderLost: () => holderProbe.isLost(),
           takeovers: () => takeovers,
           isHolder: () => holder !== undefined,
-          isLeaving: () => leaving,
+          isLeaving: () => isLeaving,
           isOutranked,
           isStandby,
           clock,
@@ -340,12 +343,19 @@
       const {keepOverMs} = options;
       const held = () => holder;
       void retention.runRetention(
-        {jobsLog: logs.jobs, jobs, holder: held, keepOverMs, clock, logger},
+        {
+          jobsLog: logs.jobs,
+          jobs,
+          holder: held,
+          retentionMs: keepOverMs,
+          clock,
+          logger,
+        },
         stopping.signal,
       );
     },
     async leave() {
-      leaving = true;
+      isLeaving = true;
       const held = holder;
       await held?.handOver();
       if (holder === held) holder = undefined;
@@ -362,7 +372,7 @@
       holdsCell: holder !== undefined,
       configVersion: configs.config()?.version,
       storeReachable: jobsFollower.reachableSince() !== undefined,
-      copyAgeMs: copyAgeMs(),
+      copyAgeMs: replicaAgeMs(),
       scheduler: holder?.counts(),
     }),
   };
--- a/packages/gypsumwall-cell/src/cell_holder.ts
+++ b/packages/gypsumwall-cell/src/cell_holder.ts
@@ -9,7 +9,7 @@
 import type * as cellHolderTypes from './cell_holder_types.js';
 import * as cellWriter from './cell_writer.js';
 import * as claimView from './claim_view.js';
-import * as freshness from './recent_submissions.js';
+import * as recentSubmissions from './recent_submissions.js';
 import type * as jobTable from './job_table.js';
 import * as leaseLength from './lease_length.js';
 import * as logFollower from './log_follower.js';
@@ -31,7 +31,7 @@
  * By then a holder that lost its majority knows: the check above, and a look
  * of 1.2 s that must fail first; milliseconds.
  */
-const MAJORITY_LOST_MS = 3_000;
+const MAJORITY_LOSS_DETECTION_MS = 3_000;
 /** A worker's clock may be 2% slow; with that and a margin a lease has passed. */
 const SLOW_CLOCK_FACTOR = 1.05;
 /** Pause between two passes, so that what comes together is decided together. */
@@ -46,13 +46,13 @@
 const TICK_MS = 100;
 /** The list of workers changes seldom; a span between reads; milliseconds. */
 const LIST_PAUSE_MS = 200;
-const LIST_WAIT_MS = 1_000;
+const LIST_READ_WAIT_MS = 1_000;
 /** Attempts below this were numbered by earlier holders. */
 const ATTEMPTS_PER_GENERATION = 1_000;
 /** How long a hand-over waits for orders on their way; milliseconds. */
-const HAND_OVER_WAIT_MS = 400;
+const HANDOVER_TIMEOUT_MS = 400;
 /** How often it looks meanwhile whether they are answered; milliseconds. */
-const ORDERS_LOOK_MS = 10;
+const ORDERS_CHECK_INTERVAL_MS = 10;
 
 /** Creates the holder of a claim that was just read. */
 export function createCellHolder(
@@ -64,7 +64,7 @@
   const stopping = new AbortController();
   const scheduler = scheduling.scheduler.createScheduler({
     attemptBase: claim.generation * ATTEMPTS_PER_GENERATION,
-    isAccounted: (worker) => gate.isAccounted(worker),
+    isAccounted: (worker) => barrier.isAccounted(worker),
     onEvent: (event) => logger.info(event.type, {...event, type: undefined}),
   });
   const writer = cellWriter.createCellWriter({
@@ -73,7 +73,7 @@
     storeHealth: options.storeHealth,
     clock,
     logger,
-    onFenced: depose,
+    onFenced: stopFenced,
   });
   const roster = workerRoster.createWorkerRoster({
     clock,
@@ -83,25 +83,26 @@
     isUsedPool: options.isUsedPool,
     longestStopMs: options.longestStopMs,
     listExpiryMs: options.listExpiryMs,
-    onLeft: (id) => gate.account(id, clock.monotonic()),
+    onLeft: (id) => barrier.markAccounted(id, clock.monotonic()),
     openSession,
     write: (records) => writer.write(records),
     flush,
     onChange: requestCycle,
   });
-  const gate = failoverBarrier.createFailoverBarrier(
+  const barrier = failoverBarrier.createFailoverBarrier(
     [...options.state.usedWorkers.keys()],
     {
       latestAt: types.clock.after(
         claimedAt,
         RENEW_UNCONFIRMED_MS + options.leaseMs * SLOW_CLOCK_FACTOR,
       ),
-      afterMajorityMs: MAJORITY_LOST_MS + options.leaseMs * SLOW_CLOCK_FACTOR,
+      afterMajorityMs:
+        MAJORITY_LOSS_DETECTION_MS + options.leaseMs * SLOW_CLOCK_FACTOR,
     },
     () => {
       scheduler.workerAccounted();
-      if (gate.unaccounted() > 0) return;
-      roster.forgetSilent();
+      if (barrier.unaccounted() > 0) return;
+      roster.removeSilent();
       logger.info('takeover_complete', {
         tookMs: Math.round(clock.monotonic() - claimedAt),
       });
@@ -120,7 +121,7 @@
         workerFollower.completeUntilReading(),
       ),
     pauseMs: () => LIST_PAUSE_MS,
-    readWaitMs: LIST_WAIT_MS,
+    readWaitMs: LIST_READ_WAIT_MS,
   });
   const adviceCalls = adviceCaller.createAdviceCaller({
     scheduler,
@@ -129,21 +130,21 @@
     logger,
     onAnswer: requestCycle,
   });
-  const recentSubmissions = freshness.createRecentSubmissions({
+  const submissions = recentSubmissions.createRecentSubmissions({
     clock,
     confirmedAt: () => writer.confirmedAt(),
-    takeUp: (job) => takeUp(job, false),
+    admit: (job) => admitJob(job, false),
   });
   /** Jobs whose end is stored and whose requests aren't needed any more. */
-  let over: types.ids.JobId[] = [];
+  let endedJobs: types.ids.JobId[] = [];
   let lastWrite: Promise<void> = Promise.resolve();
-  let ordersOnTheirWay = 0;
-  let passPlanned = false;
-  let lastPassMs = 0;
-  let deciding = false;
+  let ordersInFlight = 0;
+  let isCycleScheduled = false;
+  let lastCycleMs = 0;
+  let isScheduling = false;
   let tickTimer: NodeJS.Timeout | undefined;
 
-  function depose(): void {
+  function stopFenced(): void {
     if (stopping.signal.aborted) return;
     logger.warn('cell_lost', {generation: claim.generation, token});
     stop();
@@ -158,28 +159,28 @@
       link: options.connect(worker),
       token,
       leaseMs: () => leaseMsOn(worker.id),
-      longestLeaseMs: options.leaseMs,
+      maxLeaseMs: options.leaseMs,
       clock,
       logger,
       scheduler,
       mayRenew,
       confirmedAt: () => writer.confirmedAt(),
       onChange: requestCycle,
-      stored: flush,
-      onFirstReport: () => gate.account(worker.id, clock.monotonic()),
-      onFenced: depose,
+      flush,
+      onFirstReport: () => barrier.markAccounted(worker.id, clock.monotonic()),
+      onFenced: stopFenced,
       onGone: () => {
-        roster.gone(worker.id);
-        gate.account(worker.id, clock.monotonic());
+        roster.onGone(worker.id);
+        barrier.markAccounted(worker.id, clock.monotonic());
       },
-      onLeasePassed: () => roster.leasePassed(worker.id),
+      onLeaseExpired: () => roster.onLeaseExpired(worker.id),
     });
   }
 
   function leaseMsOn(id: types.ids.WorkerId): number {
     return leaseLength.leaseLength({
-      longestMs: options.leaseMs,
-      runsLasting: scheduler.runsLasting(id),
+      maxMs: options.leaseMs,
+      hasLongRunning: scheduler.runsLasting(id),
       isLeaving: scheduler.book.workers.get(id)?.info.draining ?? false,
     });
   }
@@ -202,7 +203,8 @@
     lastWrite = writer.write(records).then(() => {
       scheduler.stored(dirty);
       for (const {jobId, progress} of dirty) {
-        if (scheduling.jobProgress.isOver(progress.phase)) over.push(jobId);
+        if (scheduling.jobProgress.isOver(progress.phase))
+          endedJobs.push(jobId);
       }
       requestCycle();
     });
@@ -210,17 +212,17 @@
   }
 
   function requestCycle(): void {
-    if (passPlanned || !deciding) return;
-    passPlanned = true;
+    if (isCycleScheduled || !isScheduling) return;
+    isCycleScheduled = true;
     setTimeout(
-      pass,
-      Math.max(CYCLE_INTERVAL_MS, lastPassMs * CYCLE_INTERVAL_FACTOR),
+      runCycle,
+      Math.max(CYCLE_INTERVAL_MS, lastCycleMs * CYCLE_INTERVAL_FACTOR),
     );
   }
 
-  function pass(): void {
-    passPlanned = false;
-    if (!deciding || stopping.signal.aborted) return;
+  function runCycle(): void {
+    isCycleScheduled = false;
+    if (!isScheduling || stopping.signal.aborted) return;
     sendStops();
     // A start takes a lease along, so nothing can start without.
     if (!mayRenew()) return;
@@ -230,24 +232,24 @@
       clock.wall(),
       adviceCalls.capacity(),
     );
-    lastPassMs = clock.monotonic() - startedAt;
+    lastCycleMs = clock.monotonic() - startedAt;
     void flush();
-    for (const order of decisions.starts) void startRun(order);
-    for (const wish of decisions.advice) void adviceCalls.ask(wish);
+    for (const order of decisions.starts) void startAttempt(order);
+    for (const request of decisions.advice) void adviceCalls.ask(request);
   }
 
   function sendStops(): void {
-    for (const run of scheduler.takeStops()) {
+    for (const attempt of scheduler.takeStops()) {
       logger.info('stop_decided', {
-        task: run.taskId,
-        attempt: run.number,
-        worker: run.workerId,
+        task: attempt.taskId,
+        attempt: attempt.number,
+        worker: attempt.workerId,
       });
-      void roster.session(run.workerId)?.stopRun(run);
+      void roster.session(attempt.workerId)?.stopAttempt(attempt);
     }
   }
 
-  async function startRun(
+  async function startAttempt(
     order: scheduling.schedulerTypes.StartOrder,
   ): Promise<void> {
     const session = roster.session(order.attempt.workerId);
@@ -256,12 +258,12 @@
       scheduler.startAnswered(order.attempt, refused, clock.monotonic());
       return;
     }
-    ordersOnTheirWay++;
+    ordersInFlight++;
     await session.start(order);
-    ordersOnTheirWay--;
+    ordersInFlight--;
   }
 
-  function takeUp(job: jobTable.JobEntry, inherited: boolean): void {
+  function admitJob(job: jobTable.JobEntry, inherited: boolean): void {
     const {record} = job;
     if (record === undefined || scheduler.hasJob(job.id)) return;
     const wall = clock.wall();
@@ -280,14 +282,14 @@
 
   function tick(): void {
     const now = clock.monotonic();
-    recentSubmissions.tick();
-    gate.tick(now);
+    submissions.tick();
+    barrier.tick(now);
     roster.tick(now);
     requestCycle();
   }
 
   function stop(): void {
-    deciding = false;
+    isScheduling = false;
     stopping.abort();
     clearInterval(tickTimer);
     workerFollower.stop();
@@ -304,9 +306,9 @@
         await types.clock.pause(clock, TICK_MS, stopping.signal);
       }
       if (stopping.signal.aborted) return;
-      for (const job of jobs.all()) takeUp(job, true);
+      for (const job of jobs.all()) admitJob(job, true);
       scheduler.workerAccounted();
-      deciding = true;
+      isScheduling = true;
       roster.inherit(options.state.usedWorkers.values());
       void workerFollower.run();
       tickTimer = setInterval(tick, TICK_MS);
@@ -314,26 +316,26 @@
         generation: claim.generation,
         token,
         jobs: scheduler.counts().jobs,
-        usedWorkers: gate.unaccounted(),
+        usedWorkers: barrier.unaccounted(),
       });
     },
-    jobAdded(job) {
-      if (!deciding) return;
-      recentSubmissions.add(job);
+    onJobAdded(job) {
+      if (!isScheduling) return;
+      submissions.add(job);
       requestCycle();
     },
-    jobCancelled(id) {
+    onJobCancelled(id) {
       scheduler.cancelJob(id);
       requestCycle();
     },
-    policiesChanged() {
+    onPoliciesChanged() {
       scheduler.updatePolicies(options.policyOf);
       requestCycle();
     },
-    takeEnded() {
-      const taken = over;
-      over = [];
-      return taken;
+    takeEndedJobs() {
+      const ended = endedJobs;
+      endedJobs = [];
+      return ended;
     },
     dropProgress: (ids) =>
       writer.write(
@@ -345,10 +347,10 @@
         })),
       ),
     async handOver() {
-      deciding = false;
-      const until = types.clock.after(clock.monotonic(), HAND_OVER_WAIT_MS);
-      while (ordersOnTheirWay > 0 && clock.monotonic() < until) {
-        await types.clock.pause(clock, ORDERS_LOOK_MS);
+      isScheduling = false;
+      const until = types.clock.after(clock.monotonic(), HANDOVER_TIMEOUT_MS);
+      while (ordersInFlight > 0 && clock.monotonic() < until) {
+        await types.clock.pause(clock, ORDERS_CHECK_INTERVAL_MS);
       }
       const released: storeRecords.ClaimRecord = {
         holder: claim.holder,
@@ -361,7 +363,7 @@
           flush(),
           writer.write([{kind: 'claim', claim: released}]),
         ]),
-        types.clock.pause(clock, HAND_OVER_WAIT_MS),
+        types.clock.pause(clock, HANDOVER_TIMEOUT_MS),
       ]);
       stop();
     },
--- a/packages/gypsumwall-cell/src/cell_holder_types.ts
+++ b/packages/gypsumwall-cell/src/cell_holder_types.ts
@@ -44,11 +44,11 @@
   readonly claim: claimView.CellClaim;
   /** Takes inherited work over; resolves once it decides. */
   start(): Promise<void>;
-  jobAdded(job: jobTable.JobEntry): void;
-  jobCancelled(id: types.ids.JobId): void;
-  policiesChanged(): void;
+  onJobAdded(job: jobTable.JobEntry): void;
+  onJobCancelled(id: types.ids.JobId): void;
+  onPoliciesChanged(): void;
   /** Jobs whose end is stored, handed over once. */
-  takeEnded(): types.ids.JobId[];
+  takeEndedJobs(): types.ids.JobId[];
   /** Drops jobs from the cell's log that are over for long. */
   dropProgress(ids: readonly types.ids.JobId[]): Promise<void>;
   /** Lets another entry take the cell at once, and ends. */
--- a/packages/gypsumwall-cell/src/cell_state.ts
+++ b/packages/gypsumwall-cell/src/cell_state.ts
@@ -15,7 +15,7 @@
   >;
   apply(record: storeRecords.StoreRecord, offset: number): void;
   /** The store names no other workers than these. */
-  keepUsedWorkers(named: ReadonlySet<types.ids.WorkerId>): void;
+  retainUsedWorkers(ids: ReadonlySet<types.ids.WorkerId>): void;
 }
 
 /** Creates the state of a cell that nobody has held yet. */
@@ -28,9 +28,9 @@
   return {
     claim: () => claim,
     usedWorkers,
-    keepUsedWorkers(named) {
+    retainUsedWorkers(ids) {
       for (const id of usedWorkers.keys()) {
-        if (!named.has(id)) usedWorkers.delete(id);
+        if (!ids.has(id)) usedWorkers.delete(id);
       }
     },
     apply(record, offset) {
--- a/packages/gypsumwall-cell/src/cell_writer.ts
+++ b/packages/gypsumwall-cell/src/cell_writer.ts
@@ -15,14 +15,14 @@
 /** Time given to one call; many are on their way at once, see hedging. */
 const CALL_TIMEOUT_MS = 2_000;
 /** An append is tried this long before it is reported and tried anew. */
-const ROUND_MS = 4_000;
+const RETRY_ROUND_MS = 4_000;
 /**
  * Pause between batches, so that the ends of some milliseconds share a call;
  * each call is paid for, and a start waits for one at most; milliseconds.
  */
 const BATCH_PAUSE_MS = 10;
 /** A batch stays well below what the store takes in one call. */
-const MOST_RECORDS_IN_BATCH = 500;
+const MAX_BATCH_RECORDS = 500;
 
 /** What a writer is made with. */
 export interface CellWriterOptions {
@@ -52,7 +52,7 @@
   readonly askedAt: types.clock.MonotonicMs;
 }
 
-interface Pending {
+interface PendingWrite {
   readonly records: readonly storeRecords.StoreRecord[];
   readonly resolve: () => void;
 }
@@ -62,8 +62,8 @@
   const {log, clock, logger} = options;
   const stopping = new AbortController();
   const hedger = hedge.createHedger(clock, options.storeHealth);
-  let waiting: Pending[] = [];
-  let wake = () => {};
+  let queue: PendingWrite[] = [];
+  let resume = () => {};
   // The claim itself was sequence 0 of its epoch.
   let sequence = 1;
   let confirmedAt = clock.monotonic();
@@ -74,14 +74,14 @@
     const entries = records.map(storeRecords.encode);
     const fence = {epoch: options.epoch, sequence};
     while (!stopping.signal.aborted) {
-      const answer = await hedger.hedged({
+      const answer = await hedger.hedge({
         signal: stopping.signal,
-        until: types.clock.after(clock.monotonic(), ROUND_MS),
+        until: types.clock.after(clock.monotonic(), RETRY_ROUND_MS),
         call: () => appendOnce(entries, fence),
       });
       if (result.isOk(answer)) {
         const {outcome, askedAt} = answer.value;
-        if (!settled(outcome)) return;
+        if (!isAppended(outcome)) return;
         confirmedAt = askedAt;
         sequence++;
         return;
@@ -104,7 +104,7 @@
   }
 
   /** Whether the batch stands in the log. */
-  function settled(outcome: ports.AppendOutcome): boolean {
+  function isAppended(outcome: ports.AppendOutcome): boolean {
     switch (outcome.type) {
       case 'appended':
         return true;
@@ -131,35 +131,35 @@
 
   /** Waits for something to write, a heartbeat's span at most. */
   async function waitForWork(): Promise<void> {
-    if (waiting.length > 0) return;
-    const woken = new AbortController();
-    wake = () => woken.abort();
+    if (queue.length > 0) return;
+    const resumed = new AbortController();
+    resume = () => resumed.abort();
     const until = types.clock.after(
       clock.monotonic(),
       failoverPolicy.HEARTBEAT_MS,
     );
-    await clock.sleepUntil(until, woken.signal);
+    await clock.sleepUntil(until, resumed.signal);
   }
 
-  function takeBatch(): Pending[] {
+  function takeBatch(): PendingWrite[] {
     let records = 0;
     let count = 0;
-    while (count < waiting.length && records < MOST_RECORDS_IN_BATCH) {
-      records += waiting[count++]!.records.length;
+    while (count < queue.length && records < MAX_BATCH_RECORDS) {
+      records += queue[count++]!.records.length;
     }
-    return waiting.splice(0, count);
+    return queue.splice(0, count);
   }
 
   function stop(): void {
     stopping.abort();
-    wake();
+    resume();
   }
 
   return {
     write(records) {
       return new Promise((resolve) => {
-        waiting.push({records, resolve});
-        wake();
+        queue.push({records, resolve});
+        resume();
       });
     },
     confirmedAt: () => confirmedAt,
@@ -177,7 +177,7 @@
         await pause(BATCH_PAUSE_MS);
       }
       // What is left was never stored, and its callers must not go on.
-      waiting = [];
+      queue = [];
     },
     stop,
   };
--- a/packages/gypsumwall-cell/src/election.ts
+++ b/packages/gypsumwall-cell/src/election.ts
@@ -12,16 +12,16 @@
 import * as failoverPolicy from './failover_policy.js';
 
 /** How often it is looked whether the cell may be taken; milliseconds. */
-const ELECTION_TICK_MS = 50;
+const ELECTION_CHECK_INTERVAL_MS = 50;
 /** The same for entries that don't stand by; milliseconds. */
-const OBSERVER_TICK_MS = 250;
+const OBSERVER_CHECK_INTERVAL_MS = 250;
 /**
  * Entries that don't stand by leave the cell to those that do for so long:
  * these claim it within 0.36 s of finding it free; milliseconds.
  */
-const STANDBYS_FIRST_MS = 600;
+const OBSERVER_DELAY_MS = 600;
 /** Entries try to take the cell this far apart, by chance; milliseconds. */
-const ELECTION_SPREAD_MS = 120;
+const ELECTION_JITTER_MS = 120;
 /**
  * An entry leaves the cell to stronger ones for so long. The holder of 246
  * workers took 0.39 of a core on the mean of a quiet day, and the small
@@ -29,12 +29,12 @@
  * so that each of the stronger ones has tried; if all of them are gone, a
  * takeover is that much later; milliseconds.
  */
-const STRONGER_FIRST_MS = 240;
+const OUTRANKED_DELAY_MS = 240;
 /**
  * At a cell's very first start nobody has read who else takes part; entries
  * register within this time; milliseconds.
  */
-const FIRST_CLAIM_AFTER_MS = 400;
+const FIRST_CLAIM_DELAY_MS = 400;
 /** Time given to the append of a claim; milliseconds. */
 const CLAIM_TIMEOUT_MS = 600;
 
@@ -69,14 +69,14 @@
 
   const pause = (spanMs: number) => types.clock.pause(clock, spanMs, signal);
 
-  function vacancy(): failoverPolicy.Vacancy | undefined {
+  function findVacancy(): failoverPolicy.Vacancy | undefined {
     if (parts.isHolder()) return undefined;
     return failoverPolicy.vacancyOf({
       claim: parts.claim(),
       self,
       lastRecordAt: parts.lastRecordAt(),
       reachableSince: follower.reachableSince(),
-      holderLost: parts.isHolderLost(),
+      isHolderLost: parts.isHolderLost(),
       takeovers: parts.takeovers(),
       leaving: parts.isLeaving(),
       now: clock.monotonic(),
@@ -85,20 +85,24 @@
 
   async function run(): Promise<void> {
     while (!signal.aborted) {
-      await pause(parts.isStandby() ? ELECTION_TICK_MS : OBSERVER_TICK_MS);
-      const found = vacancy();
+      await pause(
+        parts.isStandby()
+          ? ELECTION_CHECK_INTERVAL_MS
+          : OBSERVER_CHECK_INTERVAL_MS,
+      );
+      const found = findVacancy();
       if (found === undefined) continue;
       if (found !== 'own_predecessor' && !parts.isStandby()) {
-        await pause(STANDBYS_FIRST_MS);
+        await pause(OBSERVER_DELAY_MS);
       }
-      await pause(parts.random.next() * ELECTION_SPREAD_MS);
-      if (vacancy() === 'never_held') await pause(FIRST_CLAIM_AFTER_MS);
-      if (parts.isOutranked()) await pause(STRONGER_FIRST_MS);
+      await pause(parts.random.next() * ELECTION_JITTER_MS);
+      if (findVacancy() === 'never_held') await pause(FIRST_CLAIM_DELAY_MS);
+      if (parts.isOutranked()) await pause(OUTRANKED_DELAY_MS);
       // What is on its way may bring the holder's next record: a read that
       // takes long to arrive looks like silence, and each claim for that was a
       // write in vain.
-      if (vacancy() === undefined || !(await follower.catchUp())) continue;
-      const reason = vacancy();
+      if (findVacancy() === undefined || !(await follower.catchUp())) continue;
+      const reason = findVacancy();
       if (reason !== undefined) await claimCell(reason);
     }
   }
--- a/packages/gypsumwall-cell/src/failover_barrier.ts
+++ b/packages/gypsumwall-cell/src/failover_barrier.ts
@@ -22,7 +22,7 @@
 
 /** The workers of one takeover. */
 export interface FailoverBarrier {
-  account(worker: types.ids.WorkerId, now: types.clock.MonotonicMs): void;
+  markAccounted(worker: types.ids.WorkerId, now: types.clock.MonotonicMs): void;
   isAccounted(worker: types.ids.WorkerId): boolean;
   /** Accounts for all once old leases have surely passed. */
   tick(now: types.clock.MonotonicMs): void;
@@ -35,25 +35,25 @@
   bounds: LeaseBounds,
   onAccounted: () => void,
 ): FailoverBarrier {
-  const missing = new Set(workers);
-  const total = missing.size;
+  const pending = new Set(workers);
+  const total = pending.size;
   let majorityAt: types.clock.MonotonicMs | undefined;
 
   return {
-    account(worker, now) {
-      if (!missing.delete(worker)) return;
-      if (total - missing.size > total / 2) majorityAt ??= now;
+    markAccounted(worker, now) {
+      if (!pending.delete(worker)) return;
+      if (total - pending.size > total / 2) majorityAt ??= now;
       onAccounted();
     },
-    isAccounted: (worker) => !missing.has(worker),
+    isAccounted: (worker) => !pending.has(worker),
     tick(now) {
-      if (missing.size === 0) return;
-      const soon =
+      if (pending.size === 0) return;
+      const isMajorityWaitOver =
         majorityAt !== undefined && now - majorityAt > bounds.afterMajorityMs;
-      if (!soon && now < bounds.latestAt) return;
-      missing.clear();
+      if (!isMajorityWaitOver && now < bounds.latestAt) return;
+      pending.clear();
       onAccounted();
     },
-    unaccounted: () => missing.size,
+    unaccounted: () => pending.size,
   };
 }
--- a/packages/gypsumwall-cell/src/failover_policy.ts
+++ b/packages/gypsumwall-cell/src/failover_policy.ts
@@ -15,19 +15,19 @@
  * reader's pause of 120 ms make 600 ms between two records of a sound holder.
  * A longer silence lets every job that comes meanwhile be late; milliseconds.
  */
-export const SILENCE_MS = 900;
+export const MAX_SILENCE_MS = 900;
 /**
  * How long after its last confirmed append a holder takes up new jobs. It
  * must be well below the silence, since then a job that was accepted after a
  * takeover is never started by the old holder; milliseconds.
  */
-export const FRESH_MS = 600;
+export const MAX_CONFIRMATION_AGE_MS = 600;
 
 /**
  * Silence from which on peers ask a holder whether it lives: two of its
  * records are missing by then; milliseconds.
  */
-export const ASK_AFTER_MS = 380;
+export const PROBE_AFTER_MS = 380;
 /**
  * Holders that seem lost one after the other within this time may only be busy
  * taking over: reading the logs and meeting all workers keeps a small instance
@@ -37,10 +37,10 @@
  * one has the time that it needs. All these times add up to 15 s, so that none
  * is forgotten before; milliseconds.
  */
-export const STORM_WINDOW_MS = 20_000;
+export const TAKEOVER_WINDOW_MS = 20_000;
 /** So many may really be lost in a row, and are replaced at once. */
-const UNSUSPECTED_TAKEOVERS = 2;
-const MOST_DOUBLINGS = 3;
+const TAKEOVERS_BEFORE_BACKOFF = 2;
+const MAX_DOUBLINGS = 3;
 
 /** What the decision looks at. */
 export interface FailoverView {
@@ -54,7 +54,7 @@
   /** Since when the log answers without fail; undefined: it doesn't. */
   readonly reachableSince: types.clock.MonotonicMs | undefined;
   /** Whether the holder is silent and doesn't answer its peers either. */
-  readonly holderLost: boolean;
+  readonly isHolderLost: boolean;
   /** When holders were replaced that hadn't handed the cell over; ascending. */
   readonly takeovers: readonly types.clock.MonotonicMs[];
   readonly leaving: boolean;
@@ -76,24 +76,24 @@
 }
 
 /** How many times the usual silence a holder is given. */
-function patienceFactor({takeovers, now}: FailoverView): number {
-  const recent = takeovers.filter((at) => now - at < STORM_WINDOW_MS).length;
-  const doublings = Math.max(0, recent - UNSUSPECTED_TAKEOVERS);
-  return 2 ** Math.min(MOST_DOUBLINGS, doublings);
+function backoffFactor({takeovers, now}: FailoverView): number {
+  const recent = takeovers.filter((at) => now - at < TAKEOVER_WINDOW_MS).length;
+  const doublings = Math.max(0, recent - TAKEOVERS_BEFORE_BACKOFF);
+  return 2 ** Math.min(MAX_DOUBLINGS, doublings);
 }
 
 /** Why the cell may be taken over now; undefined if it may not. */
 export function vacancyOf(view: FailoverView): Vacancy | undefined {
   const {claim, self} = view;
-  const quietSince = silentSince(view);
-  if (view.leaving || quietSince === undefined) return undefined;
+  const since = silentSince(view);
+  if (view.leaving || since === undefined) return undefined;
   if (claim === undefined) return 'never_held';
   if (claim.state === 'released') return 'released';
   if (claim.holder === self.entryId) return undefined;
   // An instance runs one process: the one that claimed has ended.
   if (claim.instance === self.instance) return 'own_predecessor';
-  const usualMs = view.holderLost ? ASK_AFTER_MS : SILENCE_MS;
-  const silentMs = view.now - quietSince;
-  if (silentMs <= usualMs * patienceFactor(view)) return undefined;
-  return view.holderLost ? 'lost' : 'silent';
+  const baseMs = view.isHolderLost ? PROBE_AFTER_MS : MAX_SILENCE_MS;
+  const silentMs = view.now - since;
+  if (silentMs <= baseMs * backoffFactor(view)) return undefined;
+  return view.isHolderLost ? 'lost' : 'silent';
 }
--- a/packages/gypsumwall-cell/src/forwarding_job_service.ts
+++ b/packages/gypsumwall-cell/src/forwarding_job_service.ts
@@ -14,38 +14,38 @@
 /** Appends that take longer than this go through the holder; milliseconds. */
 const SLOW_STORE_MS = 60;
 /** A slow store takes two of its appends for a call; milliseconds. */
-const SLOW_RELAY_MS = 2_500;
+const SLOW_HOLDER_TIMEOUT_MS = 2_500;
 /** The same, after a first try that was given up. */
-const REST_OF_SLOW_RELAY_MS = 2_000;
+const SLOW_HOLDER_RETRY_TIMEOUT_MS = 2_000;
 /**
  * After so long at the holder a call isn't sent by this entry as well: its
  * caller would wait until its deadline; milliseconds.
  */
-const LATEST_DIRECT_MS = 800;
+const MAX_DIRECT_DELAY_MS = 800;
 /** When a caller that was refused after that should come back; milliseconds. */
 const RETRY_AFTER_MS = 1_000;
 /** A sound peer answers in 20 ms; callers must not be held; milliseconds. */
-const EACH_RELAY_MS = 300;
-const ALL_RELAYS_MS = 500;
+const PEER_TIMEOUT_MS = 300;
+const ALL_PEERS_TIMEOUT_MS = 500;
 /**
  * After a call that no peer could answer none of its type is handed on. Each
  * type by itself: a peer whose copy of the logs is old can't tell how many jobs
  * wait, and takes one all the same; milliseconds.
  */
-const HOPELESS_MS = 400;
+const UNANSWERED_PAUSE_MS = 400;
 /** How long an entry counts as served by its peers; milliseconds. */
-const RELAYED_LATELY_MS = 1_500;
+const RELAYED_RECENTLY_MS = 1_500;
 
 /** Nobody was asked. */
 const NOT_RELAYED = {
   type: 'unanswered',
-  mayStand: false,
-  slow: false,
+  maybeApplied: false,
+  isSlow: false,
 } as const;
 
 /** What a relaying desk is made with. */
 export interface ForwardingJobServiceOptions {
-  readonly own: jobService.JobService;
+  readonly local: jobService.JobService;
   readonly peers: peerDirectory.PeerDirectory;
   readonly clock: types.clock.Clock;
   readonly logger: telemetry.logger.Logger;
@@ -57,33 +57,33 @@
 /** A desk with a way round the store. */
 export interface ForwardingJobService extends jobService.JobService {
   /** Whether peers have stored something for this entry lately. */
-  relayedLately(): boolean;
+  hasRelayedRecently(): boolean;
 }
 
 /** Creates the desk. */
 export function createForwardingJobService(
   options: ForwardingJobServiceOptions,
 ): ForwardingJobService {
-  const {own, peers, clock, logger} = options;
+  const {local: own, peers, clock, logger} = options;
   let relayedAt: types.clock.MonotonicMs | undefined;
-  const hopelessUntil = new Map<
+  const pausedUntil = new Map<
     peerProtocol.RelayReq['type'],
     types.clock.MonotonicMs
   >();
 
   async function relay(
     req: peerProtocol.RelayReq,
-    patience: peerDirectory.RelayPatience,
+    limits: peerDirectory.RelayLimits,
   ): Promise<peerDirectory.RelayOutcome> {
-    const outcome = await peers.relay(req, patience);
+    const outcome = await peers.relay(req, limits);
     const answered = outcome.type === 'answered';
     logger.info('call_relayed', {
       job: req.type === 'pending' ? undefined : req.id,
       call: req.type,
       outcome: answered ? outcome.res.type : outcome.type,
-      mayStand: answered ? undefined : outcome.mayStand,
+      mayStand: answered ? undefined : outcome.maybeApplied,
     });
-    if (answered && showsWayToStore(req, outcome.res)) {
+    if (answered && provesStoreAccess(req, outcome.res)) {
       relayedAt = clock.monotonic();
     }
     return outcome;
@@ -93,18 +93,18 @@
   async function relayToAny(
     req: peerProtocol.RelayReq,
   ): Promise<peerDirectory.RelayOutcome> {
-    if (clock.monotonic() < (hopelessUntil.get(req.type) ?? 0)) {
+    if (clock.monotonic() < (pausedUntil.get(req.type) ?? 0)) {
       return NOT_RELAYED;
     }
     const outcome = await relay(req, {
       preferred: options.holder(),
       onlyPreferred: false,
-      eachMs: EACH_RELAY_MS,
-      allMs: ALL_RELAYS_MS,
+      peerTimeoutMs: PEER_TIMEOUT_MS,
+      totalTimeoutMs: ALL_PEERS_TIMEOUT_MS,
     });
     if (outcome.type === 'unanswered') {
-      const until = types.clock.after(clock.monotonic(), HOPELESS_MS);
-      hopelessUntil.set(req.type, until);
+      const until = types.clock.after(clock.monotonic(), UNANSWERED_PAUSE_MS);
+      pausedUntil.set(req.type, until);
     }
     return outcome;
   }
@@ -116,12 +116,12 @@
   ): Promise<peerDirectory.RelayOutcome> {
     const preferred = options.holder();
     if (preferred === undefined) return NOT_RELAYED;
-    const patience = {eachMs: withinMs, allMs: withinMs};
-    return relay(req, {preferred, onlyPreferred: true, ...patience});
+    const limits = {peerTimeoutMs: withinMs, totalTimeoutMs: withinMs};
+    return relay(req, {preferred, onlyPreferred: true, ...limits});
   }
 
   /** The holder's answer, however long its store takes. */
-  async function askSlowHolder<Value>(
+  async function waitForHolder<Value>(
     req: peerProtocol.RelayReq,
     withinMs: number,
     ask: () => Promise<jobService.JobServiceAnswer<Value>>,
@@ -129,8 +129,8 @@
     const askedAt = clock.monotonic();
     const relayed = await relayToHolder(req, withinMs);
     if (relayed.type === 'answered') return answerOf(relayed.res);
-    if (relayed.mayStand) return {type: 'unknown'};
-    if (clock.monotonic() - askedAt < LATEST_DIRECT_MS) return ask();
+    if (relayed.maybeApplied) return {type: 'unknown'};
+    if (clock.monotonic() - askedAt < MAX_DIRECT_DELAY_MS) return ask();
     return {type: 'not_run', retryAfterMs: RETRY_AFTER_MS};
   }
 
@@ -140,37 +140,40 @@
    * turned this entry away: with too many appends in line, calls that go from
    * peer to peer are refused at each and keep the line full.
    */
-  async function handOn<Value>(
+  async function forwardRefused<Value>(
     req: peerProtocol.RelayReq,
     refused: jobService.JobServiceAnswer<Value>,
   ): Promise<jobService.JobServiceAnswer<Value>> {
-    const viaHolder = await relayToHolder(req, EACH_RELAY_MS);
+    const viaHolder = await relayToHolder(req, PEER_TIMEOUT_MS);
     if (viaHolder.type === 'answered') return answerOf(viaHolder.res);
-    if (viaHolder.slow) {
+    if (viaHolder.isSlow) {
       const answerRefused = () => Promise.resolve(refused);
-      return askSlowHolder(req, REST_OF_SLOW_RELAY_MS, answerRefused);
+      return waitForHolder(req, SLOW_HOLDER_RETRY_TIMEOUT_MS, answerRefused);
     }
     if (options.storeReachable()) {
-      return withDoubt(refused, viaHolder.mayStand);
+      return withUncertainty(refused, viaHolder.maybeApplied);
     }
     const relayed = await relayToAny(req);
     if (relayed.type === 'answered') return answerOf(relayed.res);
-    return withDoubt(refused, relayed.mayStand || viaHolder.mayStand);
+    return withUncertainty(
+      refused,
+      relayed.maybeApplied || viaHolder.maybeApplied,
+    );
   }
 
   /** The own desk's answer, or a peer's where that is better. */
-  async function answer<Value>(
+  async function serve<Value>(
     req: peerProtocol.RelayReq,
     ask: () => Promise<jobService.JobServiceAnswer<Value>>,
   ): Promise<jobService.JobServiceAnswer<Value>> {
     if (!options.storeReachable()) {
       const relayed = await relayToAny(req);
       if (relayed.type === 'answered') return answerOf(relayed.res);
-      return withDoubt(await ask(), relayed.mayStand);
+      return withUncertainty(await ask(), relayed.maybeApplied);
     }
     const latencyMs = own.storeLatencyMs();
     if (latencyMs !== undefined && latencyMs > SLOW_STORE_MS) {
-      return askSlowHolder(req, SLOW_RELAY_MS, ask);
+      return waitForHolder(req, SLOW_HOLDER_TIMEOUT_MS, ask);
     }
     // Without an append of its own lately an entry doesn't know the store's
     // pace, and the holder, which appends all the time, does. Of 45 entries
@@ -178,28 +181,32 @@
     // at which the store refused all for 6 s, and 234 jobs of 360 were lost.
     const viaHolder =
       latencyMs === undefined
-        ? await relayToHolder(req, EACH_RELAY_MS)
+        ? await relayToHolder(req, PEER_TIMEOUT_MS)
         : NOT_RELAYED;
     if (viaHolder.type === 'answered') return answerOf(viaHolder.res);
-    if (viaHolder.slow) return askSlowHolder(req, REST_OF_SLOW_RELAY_MS, ask);
+    if (viaHolder.isSlow)
+      return waitForHolder(req, SLOW_HOLDER_RETRY_TIMEOUT_MS, ask);
     const direct = await ask();
     if (direct.type !== 'not_run' && direct.type !== 'unknown') return direct;
     if (direct.type === 'not_run') {
-      const handedOn = await handOn<Value>(req, direct);
-      return withDoubt(handedOn, viaHolder.mayStand);
+      const forwarded = await forwardRefused<Value>(req, direct);
+      return withUncertainty(forwarded, viaHolder.maybeApplied);
     }
     const relayed = await relayToAny(req);
     if (relayed.type === 'answered') return answerOf(relayed.res);
-    return withDoubt(direct, relayed.mayStand || viaHolder.mayStand);
+    return withUncertainty(
+      direct,
+      relayed.maybeApplied || viaHolder.maybeApplied,
+    );
   }
 
   return {
     submit: (id, policy, request) =>
-      answer({type: 'submit', id, policy, request}, () =>
+      serve({type: 'submit', id, policy, request}, () =>
         own.submit(id, policy, request),
       ),
     cancel: (id, queue) =>
-      answer({type: 'cancel', id, queue}, () => own.cancel(id, queue)),
+      serve({type: 'cancel', id, queue}, () => own.cancel(id, queue)),
     async phaseOf(id, queue) {
       if (options.storeReachable() && own.isCurrent()) {
         const direct = await own.phaseOf(id, queue);
@@ -220,9 +227,9 @@
     finalPhaseOf: (id, queue) => own.finalPhaseOf(id, queue),
     isCurrent: () => own.isCurrent(),
     storeLatencyMs: () => own.storeLatencyMs(),
-    relayedLately: () =>
+    hasRelayedRecently: () =>
       relayedAt !== undefined &&
-      clock.monotonic() - relayedAt < RELAYED_LATELY_MS,
+      clock.monotonic() - relayedAt < RELAYED_RECENTLY_MS,
   };
 }
 
@@ -232,7 +239,7 @@
  * that took such an answer for a way to the store stayed ready, and all its
  * callers were refused for as long as the cut lasted.
  */
-function showsWayToStore(
+function provesStoreAccess(
   req: peerProtocol.RelayReq,
   res: peerProtocol.RelayRes,
 ): boolean {
@@ -257,9 +264,9 @@
  * A peer that got the call and didn't answer may have done it: the caller
  * would be told that nothing ran of a job that runs.
  */
-function withDoubt<Value>(
+function withUncertainty<Value>(
   direct: jobService.JobServiceAnswer<Value>,
-  mayStand: boolean,
+  maybeApplied: boolean,
 ): jobService.JobServiceAnswer<Value> {
-  return direct.type === 'not_run' && mayStand ? {type: 'unknown'} : direct;
+  return direct.type === 'not_run' && maybeApplied ? {type: 'unknown'} : direct;
 }
--- a/packages/gypsumwall-cell/src/hedge.ts
+++ b/packages/gypsumwall-cell/src/hedge.ts
@@ -11,17 +11,17 @@
 import type * as storeHealth from './store_health.js';
 
 /** No call is sent again sooner; a usual answer takes 10 ms; milliseconds. */
-const SOONEST_MS = 120;
+const MIN_RESEND_MS = 120;
 /** How often it is looked whether the store is sound; milliseconds. */
-const CHECK_MS = 30;
+const CHECK_INTERVAL_MS = 30;
 /** Then a call is sent again in any case; milliseconds. */
-const LATEST_MS = 1_200;
+const MAX_RESEND_MS = 1_200;
 /** Weight of the newest answer in what answers take. */
-const NEWEST_WEIGHT = 0.5;
+const NEWEST_LATENCY_WEIGHT = 0.5;
 /** What an answer took says little after so long; milliseconds. */
-const FORGET_AFTER_MS = 1_000;
+const MAX_LATENCY_AGE_MS = 1_000;
 /** Pause after an answer that refuses the call; milliseconds. */
-const REFUSED_PAUSE_MS = 40;
+const REFUSAL_PAUSE_MS = 40;
 
 /** How one call is hedged. */
 export interface HedgeOptions<Value> {
@@ -32,12 +32,12 @@
    * Whether to wait no longer: the caller can do more with a word now than
    * with an answer later. Not asked before a usual answer is overdue.
    */
-  readonly isHopeless?: () => boolean;
+  readonly shouldGiveUp?: () => boolean;
   /**
    * Whether a refusal is the outcome, and not tried again: another way is
    * open, and tries of all entries keep an overloaded store from its work.
    */
-  readonly endsOnRefusal?: () => boolean;
+  readonly isRefusalFinal?: () => boolean;
   readonly signal?: AbortSignal;
 }
 
@@ -47,7 +47,7 @@
    * The first answer, or the last error once time is up or the signal aborts.
    * If any call may have had an effect, the error says so.
    */
-  hedged<Value>(options: HedgeOptions<Value>): ports.Answer<Value>;
+  hedge<Value>(options: HedgeOptions<Value>): ports.Answer<Value>;
   /** What answers took lately, in milliseconds; undefined if there were none. */
   latencyMs(): number | undefined;
 }
@@ -55,20 +55,21 @@
 /** Creates a hedger that has seen no answer yet. */
 export function createHedger(
   clock: types.clock.Clock,
-  pulse: storeHealth.StoreHealth,
+  health: storeHealth.StoreHealth,
 ): Hedger {
   let latency: number | undefined;
-  let notedAt = clock.monotonic();
+  let measuredAt = clock.monotonic();
 
   function latencyMs(): number | undefined {
-    if (clock.monotonic() - notedAt > FORGET_AFTER_MS) latency = undefined;
+    if (clock.monotonic() - measuredAt > MAX_LATENCY_AGE_MS)
+      latency = undefined;
     return latency;
   }
 
-  function note(tookMs: number): void {
+  function recordLatency(tookMs: number): void {
     const before = latencyMs() ?? 0;
-    latency = before + (tookMs - before) * NEWEST_WEIGHT;
-    notedAt = clock.monotonic();
+    latency = before + (tookMs - before) * NEWEST_LATENCY_WEIGHT;
+    measuredAt = clock.monotonic();
   }
 
   async function timed<Value>(
@@ -76,42 +77,54 @@
   ): Promise<Awaited<ports.Answer<Value>>> {
     const sentAt = clock.monotonic();
     const answer = await call();
-    if (result.isOk(answer)) note(clock.monotonic() - sentAt);
+    if (result.isOk(answer)) recordLatency(clock.monotonic() - sentAt);
     return answer;
   }
 
   /** Waits for an answer, or for a reason to think that it is lost. */
-  async function waitForDoubt(
+  async function waitToResend(
     race: Race<unknown>,
     sentAt: types.clock.MonotonicMs,
-    {until, isHopeless}: Pick<HedgeOptions<unknown>, 'until' | 'isHopeless'>,
+    {
+      until,
+      shouldGiveUp: isHopeless,
+    }: Pick<HedgeOptions<unknown>, 'until' | 'shouldGiveUp'>,
   ): Promise<void> {
-    const latest = earlier(types.clock.after(sentAt, LATEST_MS), until);
-    let checkAt = earlier(types.clock.after(sentAt, SOONEST_MS), until);
+    const resendAt = earlier(types.clock.after(sentAt, MAX_RESEND_MS), until);
+    let checkAt = earlier(types.clock.after(sentAt, MIN_RESEND_MS), until);
     for (;;) {
       const change = race.change();
       await clock.sleepUntil(checkAt, change);
-      if (change.aborted || clock.monotonic() >= latest) return;
-      if (pulse.quickSince(sentAt) || isHopeless?.() === true) return;
-      checkAt = earlier(types.clock.after(clock.monotonic(), CHECK_MS), until);
+      if (change.aborted || clock.monotonic() >= resendAt) return;
+      if (health.hasQuickReadSince(sentAt) || isHopeless?.() === true) return;
+      checkAt = earlier(
+        types.clock.after(clock.monotonic(), CHECK_INTERVAL_MS),
+        until,
+      );
     }
   }
 
   return {
     latencyMs,
-    async hedged({call, until, isHopeless, endsOnRefusal, signal}) {
+    async hedge({
+      call,
+      until,
+      shouldGiveUp: isHopeless,
+      isRefusalFinal: endsOnRefusal,
+      signal,
+    }) {
       const race = createRace(() => timed(call));
       const giveUp = () => race.giveUp();
       signal?.addEventListener('abort', giveUp);
       for (;;) {
         const sentAt = clock.monotonic();
         race.send();
-        await waitForDoubt(race, sentAt, {until, isHopeless});
-        if (race.isOver() || clock.monotonic() >= until) break;
+        await waitToResend(race, sentAt, {until, shouldGiveUp: isHopeless});
+        if (race.isSettled() || clock.monotonic() >= until) break;
         if (isHopeless?.() === true) break;
         if (race.open() > 0) continue;
         if (race.isRefused() && endsOnRefusal?.() === true) break;
-        await types.clock.pause(clock, REFUSED_PAUSE_MS, signal);
+        await types.clock.pause(clock, REFUSAL_PAUSE_MS, signal);
       }
       signal?.removeEventListener('abort', giveUp);
       return race.outcome();
@@ -131,7 +144,7 @@
   /** Aborts at the next answer of any call. */
   change(): AbortSignal;
   open(): number;
-  isOver(): boolean;
+  isSettled(): boolean;
   /** Whether every call that was answered did nothing. */
   isRefused(): boolean;
   giveUp(): void;
@@ -142,18 +155,20 @@
   let answer: {readonly value: Value} | undefined;
   let lastError: types.stepError.StepError | undefined;
   let open = 0;
-  let over = false;
+  let settled = false;
   let changed = new AbortController();
 
   async function run(): Promise<void> {
-    const got = await call();
+    const received = await call();
     open--;
-    if (result.isOk(got)) {
-      answer ??= {value: got.value};
-      over = true;
+    if (result.isOk(received)) {
+      answer ??= {value: received.value};
+      settled = true;
     } else {
-      const worse = lastError?.effect === 'unknown';
-      lastError = worse ? {...got.error, effect: 'unknown'} : got.error;
+      const wasUnknown = lastError?.effect === 'unknown';
+      lastError = wasUnknown
+        ? {...received.error, effect: 'unknown'}
+        : received.error;
     }
     changed.abort();
   }
@@ -165,14 +180,14 @@
     },
     change() {
       changed = new AbortController();
-      if (over) changed.abort();
+      if (settled) changed.abort();
       return changed.signal;
     },
     open: () => open,
-    isOver: () => over,
+    isSettled: () => settled,
     isRefused: () => lastError?.effect === 'not_run',
     giveUp() {
-      over = true;
+      settled = true;
       changed.abort();
     },
     outcome() {
--- a/packages/gypsumwall-cell/src/holder_probe.ts
+++ b/packages/gypsumwall-cell/src/holder_probe.ts
@@ -9,13 +9,13 @@
 import * as failoverPolicy from './failover_policy.js';
 
 /** Between two questions; milliseconds. */
-const PAUSE_MS = 50;
+const PROBE_INTERVAL_MS = 50;
 /** Between two looks whether this entry stands by; milliseconds. */
-const OBSERVER_PAUSE_MS = 500;
+const OBSERVER_CHECK_INTERVAL_MS = 500;
 /** A sound peer answers within 10 ms; milliseconds. */
 const ANSWER_TIMEOUT_MS = 120;
 /** Questions in a row without an answer: one may be lost on its way. */
-const UNANSWERED_TO_COUNT = 2;
+const MIN_UNANSWERED_PINGS = 2;
 
 /** What a probe looks at. */
 export interface HolderProbeParts {
@@ -41,10 +41,10 @@
   const {clock} = parts;
   let unanswered = 0;
 
-  function suspect(): string | undefined {
+  function silentHolder(): string | undefined {
     const since = parts.silentSince();
     if (since === undefined) return undefined;
-    return clock.monotonic() - since < failoverPolicy.ASK_AFTER_MS
+    return clock.monotonic() - since < failoverPolicy.PROBE_AFTER_MS
       ? undefined
       : parts.holder();
   }
@@ -52,17 +52,19 @@
   return {
     async run(signal) {
       while (!signal.aborted) {
-        const pauseMs = parts.isStandby() ? PAUSE_MS : OBSERVER_PAUSE_MS;
+        const pauseMs = parts.isStandby()
+          ? PROBE_INTERVAL_MS
+          : OBSERVER_CHECK_INTERVAL_MS;
         await types.clock.pause(clock, pauseMs, signal);
-        const instance = parts.isStandby() ? suspect() : undefined;
+        const instance = parts.isStandby() ? silentHolder() : undefined;
         if (instance === undefined) {
           unanswered = 0;
           continue;
         }
-        const lives = await parts.ping(instance, ANSWER_TIMEOUT_MS);
-        unanswered = lives ? 0 : unanswered + 1;
+        const isAlive = await parts.ping(instance, ANSWER_TIMEOUT_MS);
+        unanswered = isAlive ? 0 : unanswered + 1;
       }
     },
-    isLost: () => unanswered >= UNANSWERED_TO_COUNT,
+    isLost: () => unanswered >= MIN_UNANSWERED_PINGS,
   };
 }
--- a/packages/gypsumwall-cell/src/http_client.ts
+++ b/packages/gypsumwall-cell/src/http_client.ts
@@ -159,8 +159,8 @@
 
 /** Splits `host:port`. */
 export function splitAddress(address: string): [string, number] {
-  const cut = address.lastIndexOf(':');
-  return [address.slice(0, cut), Number(address.slice(cut + 1))];
+  const colonAt = address.lastIndexOf(':');
+  return [address.slice(0, colonAt), Number(address.slice(colonAt + 1))];
 }
 
 function callError(
@@ -169,9 +169,9 @@
   thrown: unknown,
 ): types.stepError.StepError {
   const {sent = true, code} = thrown as {sent?: boolean; code?: string};
-  const refused = code === 'ECONNREFUSED';
+  const isRefused = code === 'ECONNREFUSED';
   return types.stepError.stepError({
-    kind: refused ? 'unreachable' : 'timeout',
+    kind: isRefused ? 'unreachable' : 'timeout',
     step: call.step,
     peer,
     effect: sent ? 'unknown' : 'not_run',
--- a/packages/gypsumwall-cell/src/job_service.ts
+++ b/packages/gypsumwall-cell/src/job_service.ts
@@ -15,7 +15,7 @@
 import * as storeRecords from './store_records.js';
 
 /** How long an append is tried: callers wait 3 s; milliseconds. */
-const APPEND_PATIENCE_MS = 2_400;
+const APPEND_TIMEOUT_MS = 2_400;
 /** When a caller should come back while the store is away; milliseconds. */
 const STORE_RETRY_AFTER_MS = 1_000;
 /**
@@ -23,28 +23,28 @@
  * asked after that. An entry that is behind reads for up to 6 s, seen on a link
  * of 10 Mbit/s; milliseconds.
  */
-const FIND_PATIENCE_MS = 800;
+const FIND_TIMEOUT_MS = 800;
 /**
  * An older copy of the logs is not counted in, and peers are asked for the
  * state of jobs. Callers are promised a number that is 2 s old at most, which
  * leaves half a second for the answer; a store that is sixty times slower than
  * usual lets copies grow 1.1 s old, worked out; milliseconds.
  */
-const CURRENT_COPY_MS = 1_500;
+const MAX_REPLICA_AGE_MS = 1_500;
 
 /**
  * A copy that is younger tells the state of a job that isn't over as it is; an
  * older one is brought up to date first. Callers learn of an end that much
  * later at most; milliseconds.
  */
-export const FRESH_STATE_MS = 20;
+export const MAX_STATE_AGE_MS = 20;
 /** How long a question about a state waits for that; milliseconds. */
-const REFRESH_PATIENCE_MS = 300;
+const REFRESH_TIMEOUT_MS = 300;
 /**
  * An append without an answer for so long has the log read, so that a store
  * that is away is noticed; a usual one takes 10 ms; milliseconds.
  */
-const SUSPECT_STORE_MS = 150;
+const OVERDUE_APPEND_MS = 150;
 
 /** What became of a call. */
 export type JobServiceAnswer<Value> =
@@ -99,11 +99,11 @@
   readonly follower: logFollower.LogFollower;
   readonly storeHealth: storeHealth.StoreHealth;
   /** How old this entry's copy of the logs is at most, in milliseconds. */
-  readonly copyAgeMs: () => number;
+  readonly replicaAgeMs: () => number;
   /** Reads all logs that tell of jobs to their ends; false if that failed. */
   readonly catchUp: () => Promise<boolean>;
   /** Whether another entry may append what the store refuses here. */
-  readonly mayHandOn: () => boolean;
+  readonly canForward: () => boolean;
   /** Reads the log of states to its end, unless that was done just now. */
   readonly refreshStates: () => Promise<boolean>;
   readonly clock: types.clock.Clock;
@@ -122,8 +122,8 @@
     log: options.jobsLog,
     clock,
     storeHealth: options.storeHealth,
-    isStoreAway: () => follower.reachableSince() === undefined,
-    mayHandOn: options.mayHandOn,
+    isStoreUnavailable: () => follower.reachableSince() === undefined,
+    canForward: options.canForward,
   });
 
   /** Appends, several times if need be: every record here may be repeated. */
@@ -131,9 +131,9 @@
     record: storeRecords.StoreRecord,
   ): Promise<'stored' | 'not_run' | 'unknown'> {
     const entry = storeRecords.encode(record);
-    const until = types.clock.after(clock.monotonic(), APPEND_PATIENCE_MS);
+    const until = types.clock.after(clock.monotonic(), APPEND_TIMEOUT_MS);
     const appended = appender.append(entry, until);
-    void readIfOverdue(appended);
+    void readLogIfOverdue(appended);
     const answer = await appended;
     if (result.isOk(answer)) return 'stored';
     logger.info('append_failed', {
@@ -141,7 +141,7 @@
       error: types.stepError.describeError(answer.error),
     });
     if (answer.error.effect === 'unknown') return 'unknown';
-    await findOutWhoIsRefused();
+    await checkReachability();
     return 'not_run';
   }
 
@@ -150,16 +150,16 @@
    * too many appends in line doesn't. Only in the first case can a peer do
    * better, and in the second its appends would make the line longer.
    */
-  async function findOutWhoIsRefused(): Promise<void> {
-    const patience = outOfPatience(REFRESH_PATIENCE_MS);
-    await Promise.race([follower.catchUp(), patience]);
+  async function checkReachability(): Promise<void> {
+    const timeout = falseAfter(REFRESH_TIMEOUT_MS);
+    await Promise.race([follower.catchUp(), timeout]);
   }
 
   /** Finds out whether the store is away; the log is read seldom otherwise. */
-  async function readIfOverdue(appended: Promise<unknown>): Promise<void> {
+  async function readLogIfOverdue(appended: Promise<unknown>): Promise<void> {
     const answered = new AbortController();
     void appended.then(() => answered.abort());
-    await types.clock.pause(clock, SUSPECT_STORE_MS, answered.signal);
+    await types.clock.pause(clock, OVERDUE_APPEND_MS, answered.signal);
     if (!answered.signal.aborted) await follower.catchUp();
   }
 
@@ -188,23 +188,23 @@
   function knownJob(id: types.ids.JobId): jobTable.JobEntry | undefined {
     const job = jobs.get(id);
     if (job?.record !== undefined) return job;
-    const over =
+    const isOver =
       job !== undefined && scheduling.jobProgress.isOver(job.progress.phase);
-    return over ? job : undefined;
+    return isOver ? job : undefined;
   }
 
-  async function outOfPatience(patienceMs: number): Promise<false> {
-    await types.clock.pause(clock, patienceMs);
+  async function falseAfter(timeoutMs: number): Promise<false> {
+    await types.clock.pause(clock, timeoutMs);
     return false;
   }
 
   /** The state as the log has it now, or as it was known if that can't be read. */
-  async function freshPhase(
+  async function refreshedPhase(
     job: jobTable.JobEntry,
   ): Promise<scheduling.jobProgress.JobPhase> {
     if (!scheduling.jobProgress.isOver(job.progress.phase)) {
-      const patience = outOfPatience(REFRESH_PATIENCE_MS);
-      await Promise.race([options.refreshStates(), patience]);
+      const timeout = falseAfter(REFRESH_TIMEOUT_MS);
+      await Promise.race([options.refreshStates(), timeout]);
     }
     return job.progress.phase;
   }
@@ -217,11 +217,11 @@
   async function findInLogs(
     id: types.ids.JobId,
   ): Promise<jobTable.JobEntry | 'not_read' | undefined> {
-    const current = await Promise.race([
+    const isCaughtUp = await Promise.race([
       options.catchUp(),
-      outOfPatience(FIND_PATIENCE_MS),
+      falseAfter(FIND_TIMEOUT_MS),
     ]);
-    return knownJob(id) ?? (current ? undefined : 'not_read');
+    return knownJob(id) ?? (isCaughtUp ? undefined : 'not_read');
   }
 
   /** The job, looked for in the logs if it isn't known here. */
@@ -238,13 +238,13 @@
       : {type: 'absent'};
   }
 
-  const isCurrent = () => options.copyAgeMs() <= CURRENT_COPY_MS;
+  const isCurrent = () => options.replicaAgeMs() <= MAX_REPLICA_AGE_MS;
 
   /**
    * The first step that no worker has room for. An old copy doesn't know the
    * workers that have come since, and a refusal of this kind is for good.
    */
-  function tooLargeStep(
+  function findOversizedStep(
     pool: string,
     {steps}: scheduling.jobRequest.JobRequest,
   ): number | undefined {
@@ -258,9 +258,9 @@
       if (jobs.get(id) !== undefined) return {type: 'ok', value: undefined};
       const fault = scheduling.jobRequest.faultOf(request);
       if (fault !== undefined) return {type: 'invalid', message: fault};
-      const tooLarge = tooLargeStep(policy.pool, request);
-      if (tooLarge !== undefined) {
-        const message = `step ${tooLarge}: no worker has room for its size`;
+      const oversized = findOversizedStep(policy.pool, request);
+      if (oversized !== undefined) {
+        const message = `step ${oversized}: no worker has room for its size`;
         return {type: 'invalid', message};
       }
       if (follower.reachableSince() === undefined) {
@@ -283,7 +283,7 @@
     async phaseOf(id, queue) {
       const found = await find(id, queue);
       if (found.type !== 'ok') return found;
-      return {type: 'ok', value: await freshPhase(found.value)};
+      return {type: 'ok', value: await refreshedPhase(found.value)};
     },
     finalPhaseOf(id, queue) {
       const job = jobs.get(id);
@@ -299,7 +299,7 @@
     pendingIn(queue) {
       const pending = isCurrent() ? jobs.pendingIn(queue) : undefined;
       const outcome = pending === undefined ? 'not_run' : 'ok';
-      const ageMs = Math.round(options.copyAgeMs());
+      const ageMs = Math.round(options.replicaAgeMs());
       logger.info('pending_asked', {queue, pending, ageMs, outcome});
       return Promise.resolve(
         pending === undefined
--- a/packages/gypsumwall-cell/src/job_table.ts
+++ b/packages/gypsumwall-cell/src/job_table.ts
@@ -18,7 +18,7 @@
   record: storeRecords.JobRecord | undefined;
   progress: scheduling.jobProgress.JobProgress;
   /** When it was seen to be over. */
-  overAt?: types.clock.MonotonicMs;
+  endedAt?: types.clock.MonotonicMs;
 }
 
 /** The jobs of a cell. */
@@ -33,14 +33,14 @@
     now: types.clock.MonotonicMs,
   ): boolean;
   /** The store has no other requests than these. */
-  keepRequests(
-    named: ReadonlySet<types.ids.JobId>,
+  retainRequests(
+    ids: ReadonlySet<types.ids.JobId>,
     now: types.clock.MonotonicMs,
   ): void;
   /** The store has no progress of other jobs than these. */
-  keepProgress(named: ReadonlySet<types.ids.JobId>): void;
+  retainProgress(ids: ReadonlySet<types.ids.JobId>): void;
   /** Jobs that were over before the given moment. */
-  overBefore(moment: types.clock.MonotonicMs): types.ids.JobId[];
+  endedBefore(moment: types.clock.MonotonicMs): types.ids.JobId[];
 }
 
 /** Hears of what changes in a table. */
@@ -58,17 +58,20 @@
   const jobs = new Map<types.ids.JobId, JobEntry>();
   // Two logs are followed side by side, and a repeat of a job moves its record
   // to a later offset: a cancellation or progress may be read before the job.
-  const cancelled = new Set<types.ids.JobId>();
-  const early = new Map<types.ids.JobId, scheduling.jobProgress.JobProgress>();
+  const cancelledIds = new Set<types.ids.JobId>();
+  const earlyProgress = new Map<
+    types.ids.JobId,
+    scheduling.jobProgress.JobProgress
+  >();
 
-  function settle(job: JobEntry, now: types.clock.MonotonicMs): void {
-    const over = scheduling.jobProgress.isOver(job.progress.phase);
-    if (!over && cancelled.has(job.id)) {
+  function finishIfOver(job: JobEntry, now: types.clock.MonotonicMs): void {
+    const isOver = scheduling.jobProgress.isOver(job.progress.phase);
+    if (!isOver && cancelledIds.has(job.id)) {
       job.progress = {...job.progress, phase: 'cancelled'};
     }
     const {phase} = job.progress;
     if (!scheduling.jobProgress.isOver(phase)) return;
-    job.overAt ??= now;
+    job.endedAt ??= now;
     job.record = undefined;
   }
 
@@ -83,12 +86,12 @@
       id,
       queue: record.policy.queue,
       record,
-      progress: early.get(id) ?? scheduling.jobProgress.NO_PROGRESS,
+      progress: earlyProgress.get(id) ?? scheduling.jobProgress.NO_PROGRESS,
     };
-    early.delete(id);
+    earlyProgress.delete(id);
     jobs.set(id, job);
-    settle(job, now);
-    if (job.overAt === undefined) listener.onAdded(job);
+    finishIfOver(job, now);
+    if (job.endedAt === undefined) listener.onAdded(job);
   }
 
   /** What its end came to is told by the other log, if it is still kept. */
@@ -99,7 +102,7 @@
     const job = jobs.get(id);
     if (job === undefined) return;
     job.record = undefined;
-    job.overAt ??= now;
+    job.endedAt ??= now;
   }
 
   function applyProgress(
@@ -109,18 +112,18 @@
     now: types.clock.MonotonicMs,
   ): void {
     if (progress === undefined) {
-      early.delete(id);
+      earlyProgress.delete(id);
       jobs.delete(id);
       return;
     }
     const job = jobs.get(id);
     if (job !== undefined) {
       job.progress = progress;
-      settle(job, now);
+      finishIfOver(job, now);
     } else if (scheduling.jobProgress.isOver(progress.phase)) {
-      jobs.set(id, {id, queue, record: undefined, progress, overAt: now});
+      jobs.set(id, {id, queue, record: undefined, progress, endedAt: now});
     } else {
-      early.set(id, progress);
+      earlyProgress.set(id, progress);
     }
   }
 
@@ -128,9 +131,9 @@
     id: types.ids.JobId,
     now: types.clock.MonotonicMs,
   ): void {
-    cancelled.add(id);
+    cancelledIds.add(id);
     const job = jobs.get(id);
-    if (job !== undefined) settle(job, now);
+    if (job !== undefined) finishIfOver(job, now);
     listener.onCancelled(id);
   }
 
@@ -151,7 +154,7 @@
           else dropRequest(record.jobId, now);
           return true;
         case 'cancel':
-          if (record.dropped) cancelled.delete(record.jobId);
+          if (record.dropped) cancelledIds.delete(record.jobId);
           else applyCancel(record.jobId, now);
           return true;
         case 'progress':
@@ -164,19 +167,19 @@
           return false;
       }
     },
-    keepRequests(named, now) {
-      for (const id of jobs.keys()) if (!named.has(id)) dropRequest(id, now);
+    retainRequests(ids, now) {
+      for (const id of jobs.keys()) if (!ids.has(id)) dropRequest(id, now);
     },
-    keepProgress(named) {
+    retainProgress(ids) {
       for (const [id, job] of jobs) {
-        const over = scheduling.jobProgress.isOver(job.progress.phase);
-        if (over && !named.has(id)) jobs.delete(id);
+        const isOver = scheduling.jobProgress.isOver(job.progress.phase);
+        if (isOver && !ids.has(id)) jobs.delete(id);
       }
     },
-    overBefore(moment) {
+    endedBefore(moment) {
       const ids: types.ids.JobId[] = [];
       for (const job of jobs.values()) {
-        if (job.overAt !== undefined && job.overAt < moment) ids.push(job.id);
+        if (job.endedAt !== undefined && job.endedAt < moment) ids.push(job.id);
       }
       return ids;
     },
--- a/packages/gypsumwall-cell/src/lease_length.ts
+++ b/packages/gypsumwall-cell/src/lease_length.ts
@@ -9,21 +9,21 @@
  * stays below the nine seconds that such a task may be away, and is above the
  * six or so of a cut; milliseconds.
  */
-const LASTING_LEASE_MS = 6_500;
+const LONG_RUNNING_LEASE_MS = 6_500;
 /** On workers that leave: their tasks are moved off anyway; milliseconds. */
 const LEAVING_LEASE_MS = 4_000;
 
 /** What the length depends on. */
 export interface LeaseView {
   /** The longest that a worker grants; milliseconds. */
-  readonly longestMs: number;
-  readonly runsLasting: boolean;
+  readonly maxMs: number;
+  readonly hasLongRunning: boolean;
   readonly isLeaving: boolean;
 }
 
 /** The length of the next lease on a worker's clock, in milliseconds. */
 export function leaseLength(view: LeaseView): number {
-  const {longestMs, runsLasting, isLeaving} = view;
-  if (isLeaving) return Math.min(longestMs, LEAVING_LEASE_MS);
-  return runsLasting ? Math.min(longestMs, LASTING_LEASE_MS) : longestMs;
+  const {maxMs, hasLongRunning, isLeaving} = view;
+  if (isLeaving) return Math.min(maxMs, LEAVING_LEASE_MS);
+  return hasLongRunning ? Math.min(maxMs, LONG_RUNNING_LEASE_MS) : maxMs;
 }
--- a/packages/gypsumwall-cell/src/log_follower.ts
+++ b/packages/gypsumwall-cell/src/log_follower.ts
@@ -9,14 +9,14 @@
 import type * as storeHealth from './store_health.js';
 
 /** Pause after a failed call, doubled up to the longest; milliseconds. */
-const FIRST_PAUSE_MS = 50;
-const LONGEST_PAUSE_MS = 400;
+const FIRST_RETRY_MS = 50;
+const MAX_RETRY_MS = 400;
 /**
  * A copy that was older than this tells in the log when it is up to date
  * again. Sound ones are up to 0.4 s old, the configuration's up to 1.2 s, as
  * each read waits for news; milliseconds.
  */
-const OLD_COPY_MS = 2_000;
+const STALE_REPLICA_MS = 2_000;
 
 /** What a follower is made with. */
 export interface FollowerOptions {
@@ -68,7 +68,7 @@
 }
 
 /** What a read or a load that was answered has found. */
-interface Found {
+interface LogEnd {
   readonly sentAt: types.clock.MonotonicMs;
   readonly sentWall: types.clock.WallMs;
   /** Where the log ended; a load's first page tells. */
@@ -81,12 +81,12 @@
   const stopping = new AbortController();
   let position: number | undefined;
   /** Where the log ended at the newest read. */
-  let end = 0;
+  let newestEnd = 0;
   let reachableSince: types.clock.MonotonicMs | undefined;
-  let failing = false;
+  let isFailing = false;
   /** Sending time of the newest call that was answered. */
   let newestAnsweredAt = 0;
-  let loading: Promise<Found | undefined> | undefined;
+  let loading: Promise<LogEnd | undefined> | undefined;
   let completeUntil: types.clock.MonotonicMs | undefined;
   let completeWall: types.clock.WallMs | undefined;
   /** The reading to the log's end that is on its way, and the one after it. */
@@ -94,13 +94,13 @@
   let queued: Promise<boolean> | undefined;
 
   /** To be called once what was found has been applied. */
-  function noteComplete({sentAt, sentWall, endOffset}: Found): void {
+  function recordComplete({sentAt, sentWall, endOffset}: LogEnd): void {
     if (position === undefined || position < endOffset) return;
     if (sentAt <= (completeUntil ?? 0)) return;
     const ageMs = sentAt - (completeUntil ?? sentAt);
     completeUntil = sentAt;
     completeWall = sentWall;
-    if (ageMs <= OLD_COPY_MS) return;
+    if (ageMs <= STALE_REPLICA_MS) return;
     logger.info('log_caught_up', {
       log: log.name,
       position,
@@ -108,23 +108,23 @@
     });
   }
 
-  function answered(sentAt: types.clock.MonotonicMs): void {
+  function onAnswered(sentAt: types.clock.MonotonicMs): void {
     newestAnsweredAt = Math.max(newestAnsweredAt, sentAt);
     reachableSince ??= clock.monotonic();
-    if (!failing) return;
-    failing = false;
+    if (!isFailing) return;
+    isFailing = false;
     logger.info('dependency_regained', {dependency: `log ${log.name}`});
   }
 
-  function failed(
+  function onFailed(
     err: types.stepError.StepError,
     sentAt: types.clock.MonotonicMs,
   ): void {
     // A call into the silence may end long after a later one was answered.
     if (sentAt < newestAnsweredAt) return;
     reachableSince = undefined;
-    if (failing) return;
-    failing = true;
+    if (isFailing) return;
+    isFailing = true;
     logger.warn('dependency_lost', {
       dependency: `log ${log.name}`,
       error: types.stepError.describeError(err),
@@ -134,19 +134,19 @@
   /** Applies what is new; two reads may overlap. */
   function apply(records: readonly ports.KeyedRecord[]): void {
     const from = position ?? 0;
-    const fresh = records.filter((record) => record.offset >= from);
-    if (fresh.length === 0) return;
-    options.onRecords(fresh, false);
-    position = fresh[fresh.length - 1]!.offset + 1;
+    const newRecords = records.filter((record) => record.offset >= from);
+    if (newRecords.length === 0) return;
+    options.onRecords(newRecords, false);
+    position = newRecords[newRecords.length - 1]!.offset + 1;
   }
 
   /** One load at a time: a large log takes a while, and a second as long. */
-  function load(): Promise<Found | undefined> {
+  function load(): Promise<LogEnd | undefined> {
     loading ??= loadOnce().finally(() => (loading = undefined));
     return loading;
   }
 
-  async function loadOnce(): Promise<Found | undefined> {
+  async function loadOnce(): Promise<LogEnd | undefined> {
     const records: ports.KeyedRecord[] = [];
     let after: string | undefined;
     let loadedTo: number | undefined;
@@ -156,10 +156,10 @@
       const sentAt = clock.monotonic();
       const page = await log.newest(after);
       if (result.isErr(page)) {
-        failed(page.error, sentAt);
+        onFailed(page.error, sentAt);
         return undefined;
       }
-      answered(sentAt);
+      onAnswered(sentAt);
       records.push(...page.value.records);
       // Pages are no snapshot: go on from where the first one was made.
       loadedTo ??= page.value.endOffset;
@@ -168,9 +168,9 @@
     records.sort((a, b) => a.offset - b.offset);
     options.onRecords(records, true);
     position = loadedTo;
-    end = Math.max(end, loadedTo);
+    newestEnd = Math.max(newestEnd, loadedTo);
     const found = {sentAt: startedAt, sentWall, endOffset: loadedTo};
-    noteComplete(found);
+    recordComplete(found);
     logger.info('log_loaded', {
       log: log.name,
       records: records.length,
@@ -180,25 +180,25 @@
   }
 
   /** Undefined if it failed. */
-  async function readOnce(waitMs: number): Promise<Found | undefined> {
+  async function readOnce(waitMs: number): Promise<LogEnd | undefined> {
     if (position === undefined) return load();
     const sentAt = clock.monotonic();
     const sentWall = clock.wall();
     const from = position;
     const read = await log.read(from, waitMs);
     if (result.isErr(read)) {
-      failed(read.error, sentAt);
+      onFailed(read.error, sentAt);
       return undefined;
     }
-    answered(sentAt);
-    options.storeHealth.noteRead(sentAt, clock.monotonic());
+    onAnswered(sentAt);
+    options.storeHealth.recordRead(sentAt, clock.monotonic());
     switch (read.value.type) {
       case 'records': {
         const {endOffset} = read.value;
         const found = {sentAt, sentWall, endOffset};
-        end = Math.max(end, found.endOffset);
+        newestEnd = Math.max(newestEnd, found.endOffset);
         apply(read.value.records);
-        noteComplete(found);
+        recordComplete(found);
         return found;
       }
       case 'compacted':
@@ -211,7 +211,7 @@
     }
   }
 
-  const isBehind = () => position !== undefined && position < end;
+  const isBehind = () => position !== undefined && position < newestEnd;
 
   /**
    * Reads to where a call that is sent from now on finds the log to end. One
@@ -221,15 +221,15 @@
    */
   async function readToEnd(): Promise<boolean> {
     const askedAt = clock.monotonic();
-    let goal: number | undefined;
-    while (goal === undefined || (position ?? 0) < goal) {
+    let targetOffset: number | undefined;
+    while (targetOffset === undefined || (position ?? 0) < targetOffset) {
       const before = position;
       const found = stopping.signal.aborted ? undefined : await readOnce(0);
       if (found === undefined) return false;
-      if (found.sentAt >= askedAt) goal ??= found.endOffset;
-      if (goal !== undefined && position === before) break;
+      if (found.sentAt >= askedAt) targetOffset ??= found.endOffset;
+      if (targetOffset !== undefined && position === before) break;
     }
-    return (position ?? 0) >= goal;
+    return (position ?? 0) >= targetOffset;
   }
 
   /**
@@ -256,27 +256,27 @@
    * Reads once, and pauses if that failed. Both end with the store's return:
    * a read that was sent into the silence is answered by nobody.
    */
-  async function readAway(failurePauseMs: number): Promise<boolean> {
-    const returned = options.storeHealth.nextReturn();
-    if (await unlessAborted(readOnce(0), returned)) return true;
+  async function readDuringOutage(failurePauseMs: number): Promise<boolean> {
+    const returned = options.storeHealth.nextRecovery();
+    if (await completesBeforeAbort(readOnce(0), returned)) return true;
     const until = types.clock.after(clock.monotonic(), failurePauseMs);
     await clock.sleepUntil(until, returned);
     return false;
   }
 
   async function readNext(failurePauseMs: number): Promise<boolean> {
-    if (reachableSince === undefined) return readAway(failurePauseMs);
+    if (reachableSince === undefined) return readDuringOutage(failurePauseMs);
     if (isBehind()) return catchUp();
     return (await readOnce(options.readWaitMs)) !== undefined;
   }
 
   return {
     async run() {
-      let failurePauseMs = FIRST_PAUSE_MS;
+      let failurePauseMs = FIRST_RETRY_MS;
       while (!stopping.signal.aborted) {
         const ok = await readNext(failurePauseMs);
         if (ok) {
-          failurePauseMs = FIRST_PAUSE_MS;
+          failurePauseMs = FIRST_RETRY_MS;
           const spanMs = isBehind() ? 0 : options.pauseMs();
           await types.clock.pause(clock, spanMs, stopping.signal);
           continue;
@@ -285,7 +285,7 @@
         if (reachableSince !== undefined) {
           await types.clock.pause(clock, failurePauseMs, stopping.signal);
         }
-        failurePauseMs = Math.min(LONGEST_PAUSE_MS, failurePauseMs * 2);
+        failurePauseMs = Math.min(MAX_RETRY_MS, failurePauseMs * 2);
       }
     },
     stop: () => stopping.abort(),
@@ -301,7 +301,7 @@
 }
 
 /** Whether the work came to something before the signal aborted. */
-function unlessAborted(
+function completesBeforeAbort(
   work: Promise<unknown>,
   signal: AbortSignal,
 ): Promise<boolean> {
--- a/packages/gypsumwall-cell/src/pause_detector.ts
+++ b/packages/gypsumwall-cell/src/pause_detector.ts
@@ -7,25 +7,26 @@
 import type * as types from '@gypsumwall/types';
 
 /** A larger difference than this between two checks is no drift; ms. */
-const TOLERANCE_MS = 250;
+const DRIFT_TOLERANCE_MS = 250;
 
 /** Watches one process. */
 export interface PauseDetector {
   /** When the last suspension was noticed; 0 if there was none. */
-  lastNoticedAt(): types.clock.MonotonicMs;
+  lastDetectedAt(): types.clock.MonotonicMs;
 }
 
 /** Creates a watch; each question is also a check. */
 export function createPauseDetector(clock: types.clock.Clock): PauseDetector {
-  let difference = clock.wall() - clock.monotonic();
-  let noticedAt = 0 as types.clock.MonotonicMs;
+  let clockOffset = clock.wall() - clock.monotonic();
+  let detectedAt = 0 as types.clock.MonotonicMs;
   return {
-    lastNoticedAt() {
+    lastDetectedAt() {
       const now = clock.monotonic();
       const current = clock.wall() - now;
-      if (Math.abs(current - difference) > TOLERANCE_MS) noticedAt = now;
-      difference = current;
-      return noticedAt;
+      if (Math.abs(current - clockOffset) > DRIFT_TOLERANCE_MS)
+        detectedAt = now;
+      clockOffset = current;
+      return detectedAt;
     },
   };
 }
--- a/packages/gypsumwall-cell/src/peer_directory.ts
+++ b/packages/gypsumwall-cell/src/peer_directory.ts
@@ -16,22 +16,22 @@
  * the longest: each try of a peer that is gone for good costs a job the wait
  * for an answer. One that starts anew registers and is tried at once; ms.
  */
-const FIRST_PASS_OVER_MS = 2_000;
-const LONGEST_PASS_OVER_MS = 30_000;
+const FIRST_BACKOFF_MS = 2_000;
+const MAX_BACKOFF_MS = 30_000;
 /** A peer that lives answers a ping within 10 ms; milliseconds. */
 const PING_TIMEOUT_MS = 120;
 /** Connections to one peer: calls wait on each other at the adviser anyway. */
-const CONNECTIONS = 8;
+const MAX_CONNECTIONS = 8;
 
 /** How a call is handed on. */
-export interface RelayPatience {
+export interface RelayLimits {
   /** Instance to be asked first. */
   readonly preferred: string | undefined;
   /** Whether only that one is asked. */
   readonly onlyPreferred: boolean;
   /** Time for one peer's answer, and for all of them; milliseconds. */
-  readonly eachMs: number;
-  readonly allMs: number;
+  readonly peerTimeoutMs: number;
+  readonly totalTimeoutMs: number;
 }
 
 /** What handing a call on came to. */
@@ -40,17 +40,17 @@
   /** Nobody answered for certain; a peer may have done it all the same. */
   | {
       readonly type: 'unanswered';
-      readonly mayStand: boolean;
+      readonly maybeApplied: boolean;
       /** Whether a peer got the call, lives, and needs longer for it. */
-      readonly slow: boolean;
+      readonly isSlow: boolean;
     };
 
 interface Peer {
   readonly record: storeRecords.EntryRecord;
   readonly client: httpClient.HttpClient;
   readonly adviser: ports.Adviser;
-  passedOverUntil: types.clock.MonotonicMs;
-  nextPassOverMs: number;
+  backoffUntil: types.clock.MonotonicMs;
+  nextBackoffMs: number;
 }
 
 /** The peers of one entry. */
@@ -60,16 +60,13 @@
   /** Peers that may be asked now, by instance. */
   advisers(): Map<string, ports.Adviser>;
   /** Hands a caller's call to peers until one answers for certain. */
-  relay(
-    req: peerProtocol.RelayReq,
-    patience: RelayPatience,
-  ): Promise<RelayOutcome>;
+  relay(req: peerProtocol.RelayReq, limits: RelayLimits): Promise<RelayOutcome>;
   /** Whether a peer answers in time; one that isn't known is left in peace. */
   ping(instance: string, timeoutMs: number): Promise<boolean>;
   /** A peer was found to be lost by other means than a call. */
-  noteLost(instance: string): void;
+  markLost(instance: string): void;
   /** Cores of the strongest peer that isn't passed over; 0 without peers. */
-  mostCores(): number;
+  maxCores(): number;
   /** Peers that may stand by for the cell: those that aren't passed over. */
   standbyCandidates(): Iterable<standbyChoice.StandbyCandidate>;
   close(): void;
@@ -82,18 +79,18 @@
 ): PeerDirectory {
   const peers = new Map<string, Peer>();
 
-  function open(record: storeRecords.EntryRecord): Peer {
-    const client = httpClient.createHttpClient(record.address, CONNECTIONS);
+  function createPeer(record: storeRecords.EntryRecord): Peer {
+    const client = httpClient.createHttpClient(record.address, MAX_CONNECTIONS);
     const direct = peerProtocol.createPeerAdviser(client);
     const peer: Peer = {
       record,
       client,
-      passedOverUntil: clock.monotonic(),
-      nextPassOverMs: FIRST_PASS_OVER_MS,
+      backoffUntil: clock.monotonic(),
+      nextBackoffMs: FIRST_BACKOFF_MS,
       adviser: {
         async ask(stepRunId, workers, timeoutMs) {
           const answer = await direct.ask(stepRunId, workers, timeoutMs);
-          noteAnswer(peer, answer);
+          recordAnswer(peer, answer);
           return answer;
         },
       },
@@ -102,12 +99,12 @@
   }
 
   /** A refusal by the adviser behind a peer is an answer of the peer. */
-  function noteAnswer(
+  function recordAnswer(
     peer: Peer,
     answer: result.Result<unknown, types.stepError.StepError>,
   ): void {
-    if (result.isOk(answer)) peer.nextPassOverMs = FIRST_PASS_OVER_MS;
-    else if (answer.error.kind !== 'refused') passOver(peer);
+    if (result.isOk(answer)) peer.nextBackoffMs = FIRST_BACKOFF_MS;
+    else if (answer.error.kind !== 'refused') backOff(peer);
   }
 
   /**
@@ -115,72 +112,72 @@
    * At a slow store it waits for its own append. Passed over for that, it got
    * no calls any more, and 45 entries appended one by one.
    */
-  async function noteUnanswered(
+  async function checkUnanswered(
     peer: Peer,
     err: types.stepError.StepError,
   ): Promise<boolean> {
     if (err.kind === 'refused') return false;
-    const lives =
+    const isAlive =
       err.kind === 'timeout' &&
       (await peerProtocol.ping(peer.client, PING_TIMEOUT_MS));
-    if (!lives) passOver(peer);
-    return lives;
+    if (!isAlive) backOff(peer);
+    return isAlive;
   }
 
-  function passOver(peer: Peer): void {
+  function backOff(peer: Peer): void {
     const now = clock.monotonic();
     // Calls that were open together fail together, and count once.
-    if (peer.passedOverUntil > now) return;
-    peer.passedOverUntil = types.clock.after(now, peer.nextPassOverMs);
-    const doubled = peer.nextPassOverMs * 2;
-    peer.nextPassOverMs = Math.min(LONGEST_PASS_OVER_MS, doubled);
+    if (peer.backoffUntil > now) return;
+    peer.backoffUntil = types.clock.after(now, peer.nextBackoffMs);
+    const doubled = peer.nextBackoffMs * 2;
+    peer.nextBackoffMs = Math.min(MAX_BACKOFF_MS, doubled);
   }
 
-  function usable({preferred, onlyPreferred}: RelayPatience): Peer[] {
+  function usablePeers({preferred, onlyPreferred}: RelayLimits): Peer[] {
     const now = clock.monotonic();
     const first = preferred === undefined ? undefined : peers.get(preferred);
     const others = onlyPreferred
       ? []
       : [...peers.values()].filter((peer) => peer !== first);
     const ordered = first === undefined ? others : [first, ...others];
-    return ordered.filter((peer) => peer.passedOverUntil <= now);
+    return ordered.filter((peer) => peer.backoffUntil <= now);
   }
 
   return {
-    async relay(req, patience) {
-      const until = types.clock.after(clock.monotonic(), patience.allMs);
-      let mayStand = false;
-      let slow = false;
-      for (const peer of usable(patience)) {
+    async relay(req, limits) {
+      const until = types.clock.after(clock.monotonic(), limits.totalTimeoutMs);
+      let maybeApplied = false;
+      let isSlow = false;
+      for (const peer of usablePeers(limits)) {
         const leftMs = until - clock.monotonic();
         if (leftMs <= 0) break;
-        const timeoutMs = Math.min(patience.eachMs, leftMs);
+        const timeoutMs = Math.min(limits.peerTimeoutMs, leftMs);
         const answer = await peerProtocol.relay(peer.client, req, timeoutMs);
         if (result.isErr(answer)) {
-          if (answer.error.effect === 'unknown') mayStand = true;
-          slow = (await noteUnanswered(peer, answer.error)) || slow;
+          if (answer.error.effect === 'unknown') maybeApplied = true;
+          isSlow = (await checkUnanswered(peer, answer.error)) || isSlow;
           continue;
         }
-        noteAnswer(peer, answer);
-        if (isCertain(answer.value)) {
+        recordAnswer(peer, answer);
+        if (isFinal(answer.value)) {
           return {type: 'answered', res: answer.value};
         } else if (answer.value.type === 'unknown') {
-          mayStand = true;
+          maybeApplied = true;
         }
       }
-      return {type: 'unanswered', mayStand, slow};
+      return {type: 'unanswered', maybeApplied, isSlow};
     },
     apply(instance, record) {
       if (instance === self) return;
       peers.get(instance)?.client.close();
       if (record === undefined) peers.delete(instance);
-      else peers.set(instance, open(record));
+      else peers.set(instance, createPeer(record));
     },
     advisers() {
       const now = clock.monotonic();
       const found = new Map<string, ports.Adviser>();
       for (const [instance, peer] of peers) {
-        if (peer.passedOverUntil <= now) found.set(instance, peer.adviser);
+        if (peer.backoffUntil <= now) found.set(instance, peer.adviser);
       }
       return found;
     },
@@ -189,20 +186,20 @@
       if (peer === undefined) return Promise.resolve(true);
       return peerProtocol.ping(peer.client, timeoutMs);
     },
-    noteLost(instance) {
+    markLost(instance) {
       const peer = peers.get(instance);
-      if (peer !== undefined) passOver(peer);
+      if (peer !== undefined) backOff(peer);
     },
-    mostCores() {
+    maxCores() {
       const now = clock.monotonic();
       const cores = [...peers.values()]
-        .filter((peer) => peer.passedOverUntil <= now)
+        .filter((peer) => peer.backoffUntil <= now)
         .map((peer) => peer.record.cores ?? 0);
       return Math.max(0, ...cores);
     },
     *standbyCandidates() {
       const now = clock.monotonic();
-      for (const [instance, {record, passedOverUntil}] of peers) {
+      for (const [instance, {record, backoffUntil: passedOverUntil}] of peers) {
         if (passedOverUntil > now) continue;
         yield {instance, domain: record.domain, cores: record.cores ?? 0};
       }
@@ -214,7 +211,7 @@
 }
 
 /** Whether another peer could do no better. */
-function isCertain(res: peerProtocol.RelayRes): boolean {
+function isFinal(res: peerProtocol.RelayRes): boolean {
   switch (res.type) {
     case 'ok':
     case 'absent':
--- a/packages/gypsumwall-cell/src/peer_protocol.ts
+++ b/packages/gypsumwall-cell/src/peer_protocol.ts
@@ -26,7 +26,7 @@
 }
 
 /** On top of the time that the peer itself waits; milliseconds. */
-const HOP_MS = 200;
+const HOP_ALLOWANCE_MS = 200;
 
 /** The adviser as reached through a peer. */
 export function createPeerAdviser(
@@ -40,7 +40,7 @@
         method: 'POST',
         path: ADVISE_PATH,
         body: JSON.stringify(req),
-        timeoutMs: timeoutMs + HOP_MS,
+        timeoutMs: timeoutMs + HOP_ALLOWANCE_MS,
       });
       if (result.isErr(answer)) return result.err(answer.error);
       if (answer.value.status !== 200) {
--- a/packages/gypsumwall-cell/src/peer_server.ts
+++ b/packages/gypsumwall-cell/src/peer_server.ts
@@ -11,7 +11,7 @@
 /** Creates the server; it listens when it is told to. */
 export function createPeerServer(
   adviser: ports.Adviser,
-  desk: jobService.JobService,
+  service: jobService.JobService,
   logger: telemetry.logger.Logger,
 ): fastify.FastifyInstance {
   const server = httpServer.createHttpServer();
@@ -32,26 +32,26 @@
   server.get(peerProtocol.PING_PATH, async (_req, res) => res.send({}));
   server.post<{Body: peerProtocol.RelayReq}>(
     peerProtocol.RELAY_PATH,
-    async (req, res) => res.send(await answerRelayed(desk, req.body)),
+    async (req, res) => res.send(await answerRelayed(service, req.body)),
   );
   return server;
 }
 
 /** Answers from this entry's own desk, which hands nothing on. */
 function answerRelayed(
-  desk: jobService.JobService,
+  service: jobService.JobService,
   req: peerProtocol.RelayReq,
 ): Promise<peerProtocol.RelayRes> {
   switch (req.type) {
     case 'submit':
-      return desk.submit(req.id, req.policy, req.request);
+      return service.submit(req.id, req.policy, req.request);
     case 'cancel':
-      return desk.cancel(req.id, req.queue);
+      return service.cancel(req.id, req.queue);
     case 'phase':
-      return desk.isCurrent()
-        ? desk.phaseOf(req.id, req.queue)
-        : desk.finalPhaseOf(req.id, req.queue);
+      return service.isCurrent()
+        ? service.phaseOf(req.id, req.queue)
+        : service.finalPhaseOf(req.id, req.queue);
     case 'pending':
-      return desk.pendingIn(req.queue);
+      return service.pendingIn(req.queue);
   }
 }
--- a/packages/gypsumwall-cell/src/poll_retry.ts
+++ b/packages/gypsumwall-cell/src/poll_retry.ts
@@ -23,7 +23,7 @@
 }
 
 /** The first answer of the look and, if it is overdue, of a second one. */
-export async function pollRetry(
+export async function pollWithRetry(
   link: ports.WorkerLink,
   call: ports.PollCall,
   clock: types.clock.Clock,
--- a/packages/gypsumwall-cell/src/recent_submissions.ts
+++ b/packages/gypsumwall-cell/src/recent_submissions.ts
@@ -15,7 +15,7 @@
   readonly clock: types.clock.Clock;
   /** Sending time of the holder's last append that was confirmed. */
   readonly confirmedAt: () => types.clock.MonotonicMs;
-  readonly takeUp: (job: jobTable.JobEntry) => void;
+  readonly admit: (job: jobTable.JobEntry) => void;
 }
 
 /** Jobs that were read and may have to wait. */
@@ -30,28 +30,28 @@
   parts: RecentSubmissionsParts,
 ): RecentSubmissions {
   const {clock} = parts;
-  const suspension = pauseDetector.createPauseDetector(clock);
-  let inDoubt: {job: jobTable.JobEntry; at: types.clock.MonotonicMs}[] = [];
+  const detector = pauseDetector.createPauseDetector(clock);
+  let unconfirmed: {job: jobTable.JobEntry; at: types.clock.MonotonicMs}[] = [];
 
-  function isSure(readAt: types.clock.MonotonicMs): boolean {
+  function isConfirmed(readAt: types.clock.MonotonicMs): boolean {
     const confirmedAt = parts.confirmedAt();
-    if (confirmedAt <= suspension.lastNoticedAt()) return false;
+    if (confirmedAt <= detector.lastDetectedAt()) return false;
     if (confirmedAt >= readAt) return true;
-    return readAt - confirmedAt < failoverPolicy.FRESH_MS;
+    return readAt - confirmedAt < failoverPolicy.MAX_CONFIRMATION_AGE_MS;
   }
 
   return {
     add(job) {
       const at = clock.monotonic();
-      if (isSure(at)) parts.takeUp(job);
-      else inDoubt.push({job, at});
+      if (isConfirmed(at)) parts.admit(job);
+      else unconfirmed.push({job, at});
     },
     tick() {
-      const before = inDoubt;
-      inDoubt = [];
+      const before = unconfirmed;
+      unconfirmed = [];
       for (const entry of before) {
-        if (isSure(entry.at)) parts.takeUp(entry.job);
-        else inDoubt.push(entry);
+        if (isConfirmed(entry.at)) parts.admit(entry.job);
+        else unconfirmed.push(entry);
       }
     },
   };
--- a/packages/gypsumwall-cell/src/retention.ts
+++ b/packages/gypsumwall-cell/src/retention.ts
@@ -14,7 +14,7 @@
  * How often requests of jobs that are over are dropped: an entry that starts
  * loads what is left, at a millisecond a job; milliseconds.
  */
-const TIDY_MS = 1_000;
+const RETENTION_INTERVAL_MS = 1_000;
 /** Time given to an append; milliseconds. */
 const APPEND_TIMEOUT_MS = 600;
 
@@ -28,7 +28,7 @@
   /** This process's hold on the cell, if it has one. */
   readonly holder: () => cellHolderTypes.CellHolder | undefined;
   /** How long the state of a job that is over can be asked for. */
-  readonly keepOverMs: () => number;
+  readonly retentionMs: () => number;
   readonly clock: types.clock.Clock;
   readonly logger: telemetry.logger.Logger;
 }
@@ -41,46 +41,46 @@
   const {jobs, clock, logger} = parts;
 
   /** Jobs whose requests aren't dropped yet. */
-  let ended: types.ids.JobId[] = [];
+  let endedJobs: types.ids.JobId[] = [];
 
   async function run(): Promise<void> {
     while (!signal.aborted) {
-      await types.clock.pause(clock, TIDY_MS, signal);
+      await types.clock.pause(clock, RETENTION_INTERVAL_MS, signal);
       const holder = parts.holder();
       if (holder === undefined) continue;
-      const before = types.clock.after(clock.monotonic(), -parts.keepOverMs());
-      ended.push(...holder.takeEnded());
+      const before = types.clock.after(clock.monotonic(), -parts.retentionMs());
+      endedJobs.push(...holder.takeEndedJobs());
       await dropRequests();
       // The rest stays in the table and is dropped in the next rounds.
-      const over = jobs.overBefore(before).slice(0, MAX_APPEND_RECORDS / 2);
+      const over = jobs.endedBefore(before).slice(0, MAX_APPEND_RECORDS / 2);
       await dropJobs(over, holder);
     }
   }
 
   /** What the store doesn't take is tried again. */
   async function dropRequests(): Promise<void> {
-    while (ended.length > 0 && !signal.aborted) {
-      const ids = ended.slice(0, MAX_APPEND_RECORDS);
+    while (endedJobs.length > 0 && !signal.aborted) {
+      const ids = endedJobs.slice(0, MAX_APPEND_RECORDS);
       const records = ids.map((jobId): storeRecords.StoreRecord => ({
         kind: 'job',
         jobId,
         job: undefined,
       }));
       if (!(await appendToJobs(records))) return;
-      ended = ended.slice(ids.length);
+      endedJobs = endedJobs.slice(ids.length);
     }
   }
 
   async function dropJobs(
     ids: readonly types.ids.JobId[],
-    by: cellHolderTypes.CellHolder,
+    holder: cellHolderTypes.CellHolder,
   ): Promise<void> {
     const records = ids.flatMap((jobId): storeRecords.StoreRecord[] => [
       {kind: 'job', jobId, job: undefined},
       {kind: 'cancel', jobId, dropped: true},
     ]);
     // Progress goes last: without it the job would look as if never begun.
-    if (await appendToJobs(records)) await by.dropProgress(ids);
+    if (await appendToJobs(records)) await holder.dropProgress(ids);
   }
 
   /** True if there was something and it stands. */
--- a/packages/gypsumwall-cell/src/silent_workers.ts
+++ b/packages/gypsumwall-cell/src/silent_workers.ts
@@ -4,7 +4,7 @@
 
 /** Remembers them for a while. */
 export interface SilentWorkers {
-  note(info: scheduling.workerRegistry.WorkerInfo): void;
+  add(info: scheduling.workerRegistry.WorkerInfo): void;
   /**
    * The silent worker whose address another stay has: it has crashed. Told
    * once; undefined if there is none.
@@ -24,7 +24,7 @@
   const byAddress = new Map<string, SilentWorker>();
 
   return {
-    note({id, address}) {
+    add({id, address}) {
       const now = clock.monotonic();
       for (const [known, {until}] of byAddress) {
         if (until <= now) byAddress.delete(known);
--- a/packages/gypsumwall-cell/src/standby_choice.ts
+++ b/packages/gypsumwall-cell/src/standby_choice.ts
@@ -25,17 +25,17 @@
   self: StandbyCandidate,
   peers: Iterable<StandbyCandidate>,
 ): boolean {
-  let stronger = 0;
+  let strongerPeers = 0;
   for (const peer of peers) {
-    if (peer.domain !== self.domain || !goesBefore(peer, self)) continue;
-    stronger++;
-    if (stronger >= STANDBYS_PER_DOMAIN) return false;
+    if (peer.domain !== self.domain || !outranks(peer, self)) continue;
+    strongerPeers++;
+    if (strongerPeers >= STANDBYS_PER_DOMAIN) return false;
   }
   return true;
 }
 
 /** The same order at every entry; names settle ties. */
-function goesBefore(left: StandbyCandidate, right: StandbyCandidate): boolean {
+function outranks(left: StandbyCandidate, right: StandbyCandidate): boolean {
   if (left.cores !== right.cores) return left.cores > right.cores;
   return left.instance < right.instance;
 }
--- a/packages/gypsumwall-cell/src/store_health.ts
+++ b/packages/gypsumwall-cell/src/store_health.ts
@@ -7,39 +7,39 @@
 import type * as types from '@gypsumwall/types';
 
 /** A read below this is quick; a usual one takes 5 ms; milliseconds. */
-const QUICK_MS = 100;
+const MAX_QUICK_READ_MS = 100;
 
 /** What the reads of one entry say of the store. */
 export interface StoreHealth {
-  noteRead(
+  recordRead(
     sentAt: types.clock.MonotonicMs,
     answeredAt: types.clock.MonotonicMs,
   ): void;
   /** Whether a read that was sent after the moment came back at once. */
-  quickSince(moment: types.clock.MonotonicMs): boolean;
+  hasQuickReadSince(moment: types.clock.MonotonicMs): boolean;
   /** The store has come back from an outage. */
-  noteReturn(): void;
+  recordRecovery(): void;
   /** Aborts at the store's next return. */
-  nextReturn(): AbortSignal;
+  nextRecovery(): AbortSignal;
 }
 
 /** Creates a pulse that has felt nothing yet. */
 export function createStoreHealth(): StoreHealth {
   let lastQuickSentAt = 0;
-  let waiting: AbortController | undefined;
+  let recovery: AbortController | undefined;
   return {
-    noteRead(sentAt, answeredAt) {
-      if (answeredAt - sentAt > QUICK_MS) return;
+    recordRead(sentAt, answeredAt) {
+      if (answeredAt - sentAt > MAX_QUICK_READ_MS) return;
       lastQuickSentAt = Math.max(lastQuickSentAt, sentAt);
     },
-    quickSince: (moment) => lastQuickSentAt > moment,
-    noteReturn() {
-      waiting?.abort();
-      waiting = undefined;
+    hasQuickReadSince: (moment) => lastQuickSentAt > moment,
+    recordRecovery() {
+      recovery?.abort();
+      recovery = undefined;
     },
-    nextReturn() {
-      waiting ??= new AbortController();
-      return waiting.signal;
+    nextRecovery() {
+      recovery ??= new AbortController();
+      return recovery.signal;
     },
   };
 }
--- a/packages/gypsumwall-cell/src/store_probe.ts
+++ b/packages/gypsumwall-cell/src/store_probe.ts
@@ -15,9 +15,9 @@
  * tenth of a second later costs one in thirty of their tries; at ten reads a
  * second an outage costs no more reads than an ordinary second; milliseconds.
  */
-const LOOK_PAUSE_MS = 100;
+const PROBE_INTERVAL_MS = 100;
 /** How often it is checked whether the store is away; milliseconds. */
-const CHECK_PAUSE_MS = 250;
+const CHECK_INTERVAL_MS = 250;
 
 /**
  * Without an answer for so long the store was away, and its next answer is its
@@ -25,7 +25,7 @@
  * given up: whoever failed then must not try again at each answer, since that
  * makes it slower still; milliseconds.
  */
-const AWAY_MS = 400;
+const MIN_OUTAGE_MS = 400;
 
 /** What a probe works on. */
 export interface StoreProbeParts {
@@ -37,29 +37,29 @@
 
 /** Looks whenever the log's follower gets no answer, until the abort. */
 export async function runStoreProbe(
-  {log, follower, storeHealth: pulse, clock}: StoreProbeParts,
+  {log, follower, storeHealth: health, clock}: StoreProbeParts,
   signal: AbortSignal,
 ): Promise<void> {
   let answeredAt = clock.monotonic();
 
-  async function look(from: number): Promise<void> {
+  async function probe(from: number): Promise<void> {
     const sentAt = clock.monotonic();
     const answer = await log.probe(from);
     if (result.isErr(answer)) return;
     const now = clock.monotonic();
-    pulse.noteRead(sentAt, now);
-    if (now - answeredAt >= AWAY_MS) pulse.noteReturn();
+    health.recordRead(sentAt, now);
+    if (now - answeredAt >= MIN_OUTAGE_MS) health.recordRecovery();
     answeredAt = now;
   }
 
-  let away = false;
+  let isUnavailable = false;
   while (!signal.aborted) {
-    const pauseMs = away ? LOOK_PAUSE_MS : CHECK_PAUSE_MS;
+    const pauseMs = isUnavailable ? PROBE_INTERVAL_MS : CHECK_INTERVAL_MS;
     await types.clock.pause(clock, pauseMs, signal);
-    away = follower.reachableSince() === undefined;
-    if (!away) answeredAt = clock.monotonic();
+    isUnavailable = follower.reachableSince() === undefined;
+    if (!isUnavailable) answeredAt = clock.monotonic();
     const position = follower.position();
-    if (!away || position === undefined || signal.aborted) continue;
-    void look(position);
+    if (!isUnavailable || position === undefined || signal.aborted) continue;
+    void probe(position);
   }
 }
