--- a/packages/gypsumwall-cell/src/store_records.ts
+++ b/packages/gypsumwall-cell/src/store_records.ts
@@ -74,7 +74,7 @@
 /** Version of the forms below; readers keep what is newer as it is. */
 const VERSION = 1;
 
-const LETTERS = {
+const KEY_PREFIXES = {
   job: 'j',
   cancel: 'c',
   progress: 's',
@@ -88,25 +88,28 @@
 export function encode(record: StoreRecord): {key: string; value: string} {
   switch (record.kind) {
     case 'job':
-      return {key: LETTERS.job + record.jobId, value: pack(record.job)};
+      return {key: KEY_PREFIXES.job + record.jobId, value: pack(record.job)};
     case 'cancel': {
       const value = record.dropped ? '' : pack({});
-      return {key: LETTERS.cancel + record.jobId, value};
+      return {key: KEY_PREFIXES.cancel + record.jobId, value};
     }
     case 'progress': {
       const {queue, progress} = record;
       const value = pack(progress && {queue, progress});
-      return {key: LETTERS.progress + record.jobId, value};
+      return {key: KEY_PREFIXES.progress + record.jobId, value};
     }
     case 'entry':
-      return {key: LETTERS.entry + record.instance, value: pack(record.entry)};
+      return {
+        key: KEY_PREFIXES.entry + record.instance,
+        value: pack(record.entry),
+      };
     case 'claim':
-      return {key: LETTERS.claim, value: pack(record.claim)};
+      return {key: KEY_PREFIXES.claim, value: pack(record.claim)};
     case 'heartbeat':
-      return {key: LETTERS.heartbeat, value: pack({})};
+      return {key: KEY_PREFIXES.heartbeat, value: pack({})};
     case 'used_worker': {
       const value = pack(record.worker);
-      return {key: LETTERS.used_worker + record.workerId, value};
+      return {key: KEY_PREFIXES.used_worker + record.workerId, value};
     }
   }
 }
@@ -116,11 +119,11 @@
   kind: 'job' | 'progress' | 'used_worker',
   entries: readonly {readonly key: string; readonly value: string}[],
 ): ReadonlySet<Id> {
-  const letter = LETTERS[kind];
+  const prefix = KEY_PREFIXES[kind];
   const ids = new Set<Id>();
   for (const {key, value} of entries) {
-    if (key.startsWith(letter) && value !== '')
-      ids.add(types.ids.brand(key.slice(letter.length)));
+    if (key.startsWith(prefix) && value !== '')
+      ids.add(types.ids.brand(key.slice(prefix.length)));
   }
   return ids;
 }
@@ -143,25 +146,25 @@
 
 function decodeKnown(key: string, value: string): StoreRecord {
   const body = unpack(value);
-  if (key === LETTERS.heartbeat) return {kind: 'heartbeat'};
-  if (key === LETTERS.claim) {
+  if (key === KEY_PREFIXES.heartbeat) return {kind: 'heartbeat'};
+  if (key === KEY_PREFIXES.claim) {
     if (body === undefined) throw new Error('a claim without a value');
     return {kind: 'claim', claim: body as unknown as ClaimRecord};
   }
   const id = key.slice(1);
-  const letter = key.slice(0, 1);
-  switch (letter) {
-    case LETTERS.job:
+  const prefix = key.slice(0, 1);
+  switch (prefix) {
+    case KEY_PREFIXES.job:
       return {kind: 'job', jobId: types.ids.brand(id), job: cast(body)};
-    case LETTERS.cancel: {
+    case KEY_PREFIXES.cancel: {
       const jobId = types.ids.brand<types.ids.JobId>(id);
       return {kind: 'cancel', jobId, dropped: body === undefined};
     }
-    case LETTERS.progress:
+    case KEY_PREFIXES.progress:
       return decodeProgress(types.ids.brand(id), cast<ProgressBody>(body));
-    case LETTERS.entry:
+    case KEY_PREFIXES.entry:
       return {kind: 'entry', instance: id, entry: cast(body)};
-    case LETTERS.used_worker:
+    case KEY_PREFIXES.used_worker:
       return {
         kind: 'used_worker',
         workerId: types.ids.brand(id),
--- a/packages/gypsumwall-cell/src/worker_clock.ts
+++ b/packages/gypsumwall-cell/src/worker_clock.ts
@@ -6,19 +6,19 @@
 import * as types from '@gypsumwall/types';
 
 /** A worker's clock may be this much slow, as the platform tells. */
-const SLOWEST_RATE = 0.98;
+const MIN_CLOCK_RATE = 0.98;
 /** For the granularity of timers on both sides; milliseconds. */
-const MARGIN_MS = 150;
+const TIMER_MARGIN_MS = 150;
 
 /** One worker's clock and lease. */
 export interface WorkerClock {
-  note(clockMs: number, now: types.clock.MonotonicMs): void;
+  recordReading(clockMs: number, now: types.clock.MonotonicMs): void;
   /** A lower bound of what the clock shows; undefined before a reading. */
-  read(now: types.clock.MonotonicMs): number | undefined;
+  lowerBound(now: types.clock.MonotonicMs): number | undefined;
   /** Notes a lease that was sent, whether or not it was answered. */
-  noteLease(until: number): void;
+  recordLease(until: number): void;
   /** Whether every lease that was sent has surely passed. */
-  leasePassed(now: types.clock.MonotonicMs): boolean;
+  hasLeaseExpired(now: types.clock.MonotonicMs): boolean;
 }
 
 /** Creates the view of a clock of which nothing is known. */
@@ -27,20 +27,20 @@
   let leaseUntil: number | undefined;
 
   return {
-    note(clockMs, now) {
+    recordReading(clockMs, now) {
       reading = {clockMs, at: now};
     },
-    read(now) {
+    lowerBound(now) {
       if (reading === undefined) return undefined;
-      return reading.clockMs + (now - reading.at) * SLOWEST_RATE;
+      return reading.clockMs + (now - reading.at) * MIN_CLOCK_RATE;
     },
-    noteLease(until) {
+    recordLease(until) {
       leaseUntil = Math.max(leaseUntil ?? 0, until);
     },
-    leasePassed(now) {
+    hasLeaseExpired(now) {
       if (leaseUntil === undefined) return true;
       if (reading === undefined) return false;
-      const elapsed = (now - reading.at - MARGIN_MS) * SLOWEST_RATE;
+      const elapsed = (now - reading.at - TIMER_MARGIN_MS) * MIN_CLOCK_RATE;
       return reading.clockMs + elapsed > leaseUntil;
     },
   };
--- a/packages/gypsumwall-cell/src/worker_roster.ts
+++ b/packages/gypsumwall-cell/src/worker_roster.ts
@@ -32,7 +32,7 @@
 const EXPIRY_MARGIN = 0.8;
 
 /** Faults remembered, so that each is told once; then told anew. */
-const MOST_UNREADABLE = 1_000;
+const MAX_REPORTED_FAULTS = 1_000;
 
 /** What a roster is made with. */
 export interface RosterOptions {
@@ -83,12 +83,12 @@
   inherit(workers: Iterable<storeRecords.UsedWorkerRecord>): void;
   session(id: types.ids.WorkerId): workerSession.WorkerSession | undefined;
   /** The stay is over. */
-  gone(id: types.ids.WorkerId): void;
+  onGone(id: types.ids.WorkerId): void;
   /** The lease of a worker out of reach has passed. */
-  leasePassed(id: types.ids.WorkerId): void;
+  onLeaseExpired(id: types.ids.WorkerId): void;
   tick(now: types.clock.MonotonicMs): void;
   /** All leases of earlier holders have passed: forgets who never answered. */
-  forgetSilent(): void;
+  removeSilent(): void;
   reachableShare(): number;
   close(): void;
 }
@@ -103,7 +103,7 @@
   unusedAt?: types.clock.MonotonicMs;
   /** From when on all that runs there is stopped. */
   evacuateAt?: types.clock.MonotonicMs;
-  evacuating: boolean;
+  isEvacuating: boolean;
 }
 
 /** Creates an empty roster. */
@@ -111,21 +111,21 @@
   const {clock, logger, scheduler} = options;
   const entries = new Map<types.ids.WorkerId, Entry>();
   /** What was wrong with entries that couldn't be read, by key. */
-  const unreadable = new Map<string, string>();
-  const silent = silentWorkers.createSilentWorkers(clock);
-  let closed = false;
+  const reportedFaults = new Map<string, string>();
+  const recentlySilent = silentWorkers.createSilentWorkers(clock);
+  let isClosed = false;
 
-  function open(
+  function addWorker(
     info: scheduling.workerRegistry.WorkerInfo,
     listed: boolean,
-    recorded: boolean,
+    isRecorded: boolean,
   ): Entry {
-    const crashed = silent.takeRestarted(info);
+    const crashed = recentlySilent.takeRestarted(info);
     if (crashed !== undefined) {
       scheduler.workerGone(crashed, 'crashed', clock.monotonic());
     }
     const session = options.openSession(info);
-    const entry: Entry = {info, listed, session, evacuating: false};
+    const entry: Entry = {info, listed, session, isEvacuating: false};
     entries.set(info.id, entry);
     logger.info('worker_found', {
       worker: info.id,
@@ -133,29 +133,32 @@
       domain: info.domain,
       cpuMillis: info.capacity.cpuMillis,
     });
-    void recordAndRun(entry, recorded);
+    void recordAndRun(entry, isRecorded);
     return entry;
   }
 
-  async function recordAndRun(entry: Entry, recorded: boolean): Promise<void> {
+  async function recordAndRun(
+    entry: Entry,
+    isRecorded: boolean,
+  ): Promise<void> {
     const {info} = entry;
-    if (!recorded) {
+    if (!isRecorded) {
       const worker = {info};
       await options.write([{kind: 'used_worker', workerId: info.id, worker}]);
     }
-    if (!closed && entries.get(info.id) === entry) await entry.session.run();
+    if (!isClosed && entries.get(info.id) === entry) await entry.session.run();
   }
 
-  function put(
+  function updateWorker(
     listed: ports.ListedWorker,
     writtenAfter?: logFollower.ClockReading,
   ): void {
     const {info, leavesInMs} = listed;
     if (!entries.has(info.id) && !options.isUsedPool(info.pool)) {
-      noteUnreadable(info.id, `pool = ${info.pool}: no queue runs there`);
+      reportUnreadable(info.id, `pool = ${info.pool}: no queue runs there`);
       return;
     }
-    const entry = entries.get(info.id) ?? open(info, true, false);
+    const entry = entries.get(info.id) ?? addWorker(info, true, false);
     if (info.draining && !entry.info.draining) {
       logger.info('worker_draining', {worker: info.id, leavesInMs});
       const neededMs = options.longestStopMs + EVACUATION_SLACK_MS;
@@ -165,7 +168,7 @@
     }
     if (!info.draining) {
       entry.evacuateAt = undefined;
-      entry.evacuating = false;
+      entry.isEvacuating = false;
     }
     entry.info = info;
     entry.writtenAfter = writtenAfter;
@@ -205,12 +208,12 @@
     return entry.info.draining && silentMs < listExpiryMs * EXPIRY_MARGIN;
   }
 
-  function removed(id: types.ids.WorkerId): void {
+  function onRemoved(id: types.ids.WorkerId): void {
     if (!hasLeft(id)) {
       unlist(id);
       return;
     }
-    forget(id, 'left', 'as announced');
+    removeWorker(id, 'left', 'as announced');
     options.onLeft(id);
   }
 
@@ -218,14 +221,14 @@
    * Whoever writes a bad entry may write it every second: the log tells each
    * fault once.
    */
-  function noteUnreadable(key: string, error: string): void {
-    if (unreadable.get(key) === error) return;
-    if (unreadable.size >= MOST_UNREADABLE) unreadable.clear();
-    unreadable.set(key, error);
+  function reportUnreadable(key: string, error: string): void {
+    if (reportedFaults.get(key) === error) return;
+    if (reportedFaults.size >= MAX_REPORTED_FAULTS) reportedFaults.clear();
+    reportedFaults.set(key, error);
     logger.warn('worker_unreadable', {key, error});
   }
 
-  function forget(
+  function removeWorker(
     id: types.ids.WorkerId,
     cause: scheduling.schedulerTypes.WorkerLoss,
     reason: string,
@@ -235,7 +238,7 @@
     logger.info('worker_gone', {worker: id, cause, reason});
     entries.delete(id);
     entry.session.close();
-    if (cause === 'silent') silent.note(entry.info);
+    if (cause === 'silent') recentlySilent.add(entry.info);
     scheduler.workerGone(id, cause, clock.monotonic());
     // A successor that doesn't find the worker must find what its crash means.
     void options.flush();
@@ -248,20 +251,20 @@
   return {
     applyList(records, reloaded, writtenAfter) {
       if (reloaded) {
-        const named = new Set(records.map((record) => record.key));
-        for (const id of entries.keys()) if (!named.has(id)) unlist(id);
+        const listedKeys = new Set(records.map((record) => record.key));
+        for (const id of entries.keys()) if (!listedKeys.has(id)) unlist(id);
       }
       for (const {key, value} of records) {
         if (value === '') {
-          removed(types.ids.brand(key));
+          onRemoved(types.ids.brand(key));
           continue;
         }
         const decoded = options.decode(key, value);
         if (result.isOk(decoded)) {
-          put(decoded.value, reloaded ? undefined : writtenAfter);
+          updateWorker(decoded.value, reloaded ? undefined : writtenAfter);
           continue;
         }
-        noteUnreadable(key, decoded.error);
+        reportUnreadable(key, decoded.error);
         unlist(types.ids.brand(key));
       }
       options.onChange();
@@ -270,20 +273,20 @@
       for (const {info} of workers) {
         if (entries.has(info.id)) continue;
         scheduler.putWorker({...info, draining: true});
-        open(info, false, true);
+        addWorker(info, false, true);
       }
     },
     session: (id) => entries.get(id)?.session,
-    gone(id) {
+    onGone(id) {
       const announced = entries.get(id)?.info.draining === true;
       const cause = announced ? 'left' : 'crashed';
-      forget(id, cause, 'another stay answers there');
+      removeWorker(id, cause, 'another stay answers there');
     },
-    leasePassed(id) {
+    onLeaseExpired(id) {
       const entry = entries.get(id);
       if (entry === undefined) return;
       if (!entry.listed) {
-        forget(id, 'silent', 'off the list, and its lease has passed');
+        removeWorker(id, 'silent', 'off the list, and its lease has passed');
         return;
       }
       scheduler.leasePassed(id, clock.monotonic());
@@ -296,17 +299,21 @@
           scheduler.putWorker({...entry.info, draining: true});
         }
         if (entry.evacuateAt === undefined || now < entry.evacuateAt) continue;
-        if (!entry.evacuating) logger.info('worker_evacuated', {worker: id});
-        entry.evacuating = true;
+        if (!entry.isEvacuating) logger.info('worker_evacuated', {worker: id});
+        entry.isEvacuating = true;
         // Runs of an earlier holder may be found there at any time.
         scheduler.evacuate(id);
         options.onChange();
       }
     },
-    forgetSilent() {
+    removeSilent() {
       for (const [id, entry] of entries) {
         if (entry.listed || entry.session.hasReported()) continue;
-        forget(id, 'silent', 'it never answered, and every lease has passed');
+        removeWorker(
+          id,
+          'silent',
+          'it never answered, and every lease has passed',
+        );
       }
     },
     reachableShare() {
@@ -316,7 +323,7 @@
       return reachable.length / listed.length;
     },
     close() {
-      closed = true;
+      isClosed = true;
       for (const entry of entries.values()) entry.session.close();
     },
   };
--- a/packages/gypsumwall-cell/src/worker_session.ts
+++ b/packages/gypsumwall-cell/src/worker_session.ts
@@ -40,7 +40,7 @@
   readonly logger: telemetry.logger.Logger;
   readonly scheduler: scheduling.schedulerTypes.Scheduler;
   /** The longest lease that a worker grants, in milliseconds. */
-  readonly longestLeaseMs: number;
+  readonly maxLeaseMs: number;
   /** Whether leases may be renewed, see the holder. */
   readonly mayRenew: () => boolean;
   /** When this process surely held the cell for the last time. */
@@ -48,13 +48,13 @@
   /** Something to decide about has changed. */
   readonly onChange: () => void;
   /** Resolves when all that was reported so far is stored. */
-  readonly stored: () => Promise<void>;
+  readonly flush: () => Promise<void>;
   /** The worker has answered under our token for the first time. */
   readonly onFirstReport: () => void;
   readonly onFenced: () => void;
   readonly onGone: () => void;
   /** The lease passed while the worker didn't answer. */
-  readonly onLeasePassed: () => void;
+  readonly onLeaseExpired: () => void;
 }
 
 /** The task of one worker. */
@@ -62,7 +62,7 @@
   readonly workerId: types.ids.WorkerId;
   run(): Promise<void>;
   start(order: scheduling.schedulerTypes.StartOrder): Promise<void>;
-  stopRun(run: scheduling.activeJob.Attempt): Promise<void>;
+  stopAttempt(run: scheduling.activeJob.Attempt): Promise<void>;
   /** Whether the worker has answered lately. */
   isReachable(): boolean;
   /** Whether it has ever answered in this session. */
@@ -77,27 +77,27 @@
   // Each stop on its way waits on the signal by itself.
   events.EventEmitter.setMaxListeners(0, closing.signal);
   const workerClock = workerClocks.createWorkerClock();
-  let reachable = false;
-  let reported = false;
+  let isReachable = false;
+  let hasReported = false;
   let lastSequence = 0;
   let lastAskedAt = 0 as types.clock.MonotonicMs;
   let acknowledged = 0;
-  let storing = false;
+  let isStoring = false;
 
-  function setReachable(now: boolean, reason: string): void {
-    if (reachable === now) return;
-    reachable = now;
-    scheduler.setUsable(worker.id, now, clock.monotonic());
-    const event = now ? 'dependency_regained' : 'dependency_lost';
+  function setReachable(reachable: boolean, reason: string): void {
+    if (isReachable === reachable) return;
+    isReachable = reachable;
+    scheduler.setUsable(worker.id, reachable, clock.monotonic());
+    const event = reachable ? 'dependency_regained' : 'dependency_lost';
     logger.info(event, {dependency: 'worker', worker: worker.id, reason});
     options.onChange();
   }
 
-  function nextLease(): number | undefined {
-    const now = workerClock.read(clock.monotonic());
+  function extendLease(): number | undefined {
+    const now = workerClock.lowerBound(clock.monotonic());
     if (now === undefined || !options.mayRenew()) return undefined;
     const until = Math.floor(now + options.leaseMs());
-    workerClock.noteLease(until);
+    workerClock.recordLease(until);
     return until;
   }
 
@@ -105,7 +105,9 @@
    * Looks once more, beside the look that waits for the next end: a run that
    * never came up has no end, and its task would wait for the other look.
    */
-  async function settle(run: scheduling.activeJob.Attempt): Promise<void> {
+  async function pollAfterStop(
+    attempt: scheduling.activeJob.Attempt,
+  ): Promise<void> {
     await pause(1);
     const askedAt = clock.monotonic();
     const answer = await link.poll({
@@ -116,29 +118,32 @@
     });
     if (closing.signal.aborted || result.isErr(answer)) return;
     if (answer.value.type !== 'report') return;
-    logger.debug('run_settled', {task: run.taskId, attempt: run.number});
+    logger.debug('run_settled', {
+      task: attempt.taskId,
+      attempt: attempt.number,
+    });
     await applyReport(answer.value, askedAt);
   }
 
-  async function look(): Promise<void> {
+  async function poll(): Promise<void> {
     // The first look must come back at once: it brings the clock. So must one
     // at a worker that was out of reach: until it does, nothing starts there.
-    const waitMs = reachable && !storing ? POLL_WAIT_MS : 0;
+    const waitMs = isReachable && !isStoring ? POLL_WAIT_MS : 0;
     // A worker out of reach gets no new lease: a look that seems lost may
     // arrive late, so its lease would never surely pass.
     // Nor does an idle one: a long lease without need would outlast a task that
     // starts there later.
-    const needsLease = reachable && !scheduler.isIdle(worker.id);
-    const leaseUntil = needsLease ? nextLease() : undefined;
+    const needsLease = isReachable && !scheduler.isIdle(worker.id);
+    const leaseUntil = needsLease ? extendLease() : undefined;
     const timeoutMs = waitMs + ANSWER_TIMEOUT_MS;
-    const {answer, askedAt} = await pollRetry.pollRetry(
+    const {answer, askedAt} = await pollRetry.pollWithRetry(
       link,
       {token, acknowledged, leaseUntil, waitMs, timeoutMs},
       clock,
     );
     if (closing.signal.aborted) return;
     if (result.isErr(answer)) {
-      await lookFailed(answer.error);
+      await onPollFailed(answer.error);
       return;
     }
     switch (answer.value.type) {
@@ -156,12 +161,12 @@
     }
   }
 
-  async function lookFailed(err: types.stepError.StepError): Promise<void> {
+  async function onPollFailed(err: types.stepError.StepError): Promise<void> {
     setReachable(false, types.stepError.describeError(err));
     scheduler.outOfReach(worker.id);
     // A successor may have renewed a lease that passes after that.
-    if (reported && workerClock.leasePassed(options.confirmedAt())) {
-      options.onLeasePassed();
+    if (hasReported && workerClock.hasLeaseExpired(options.confirmedAt())) {
+      options.onLeaseExpired();
     }
     await pause(RETRY_PAUSE_MS);
   }
@@ -174,11 +179,11 @@
     if (askedAt < lastAskedAt) return;
     lastAskedAt = askedAt;
     const now = clock.monotonic();
-    workerClock.note(report.clockMs, now);
+    workerClock.recordReading(report.clockMs, now);
     // An earlier holder may have given a longer lease than this one does, and
     // none after this answer, since the worker refuses its token by now.
-    if (!reported && report.running.length > 0) {
-      workerClock.noteLease(report.clockMs + options.longestLeaseMs);
+    if (!hasReported && report.running.length > 0) {
+      workerClock.recordLease(report.clockMs + options.maxLeaseMs);
     }
     const ends = report.ends.filter((end) => end.sequence > lastSequence);
     for (const end of ends) lastSequence = Math.max(lastSequence, end.sequence);
@@ -189,21 +194,21 @@
       now,
     );
     setReachable(true, 'answered');
-    if (!reported) {
-      reported = true;
+    if (!hasReported) {
+      hasReported = true;
       options.onFirstReport();
     }
     options.onChange();
-    if (ends.length > 0 || storing) await acknowledge();
+    if (ends.length > 0 || isStoring) await acknowledge();
   }
 
   /** Ends are stored before they are acknowledged: then they are forgotten. */
   async function acknowledge(): Promise<void> {
     const upTo = lastSequence;
-    storing = true;
-    const done = options.stored().then(() => {
+    isStoring = true;
+    const done = options.flush().then(() => {
       acknowledged = Math.max(acknowledged, upTo);
-      storing = acknowledged < lastSequence;
+      isStoring = acknowledged < lastSequence;
     });
     await Promise.race([done, pause(UNSTORED_PAUSE_MS)]);
   }
@@ -243,20 +248,20 @@
   return {
     workerId: worker.id,
     async run() {
-      while (!closing.signal.aborted) await look();
+      while (!closing.signal.aborted) await poll();
     },
     async start(order) {
-      const {attempt: run, payload, checkpoint, ticket} = order;
-      const leaseUntil = nextLease();
+      const {attempt, payload, checkpoint, ticket} = order;
+      const leaseUntil = extendLease();
       if (leaseUntil === undefined) {
         const refused = {type: 'refused', reason: 'other'} as const;
-        scheduler.startAnswered(run, refused, clock.monotonic());
+        scheduler.startAnswered(attempt, refused, clock.monotonic());
         return;
       }
       const sentAt = clock.monotonic();
       const answer = await link.start({
-        taskId: run.taskId,
-        attempt: run.number,
+        taskId: attempt.taskId,
+        attempt: attempt.number,
         payload,
         checkpoint,
         ticket,
@@ -266,10 +271,10 @@
       });
       if (closing.signal.aborted) return;
       const outcome = startOutcome(answer);
-      scheduler.startAnswered(run, outcome, clock.monotonic());
+      scheduler.startAnswered(attempt, outcome, clock.monotonic());
       logger.info('start_answered', {
-        task: run.taskId,
-        attempt: run.number,
+        task: attempt.taskId,
+        attempt: attempt.number,
         worker: worker.id,
         outcome: outcome.type === 'refused' ? outcome.reason : outcome.type,
         tookMs: Math.round(clock.monotonic() - sentAt),
@@ -279,15 +284,15 @@
       });
       options.onChange();
     },
-    async stopRun(run) {
+    async stopAttempt(target) {
       while (!closing.signal.aborted) {
-        const {taskId, number: attempt} = run;
+        const {taskId, number: attempt} = target;
         const timeoutMs = ORDER_TIMEOUT_MS;
         const answer = await link.stop({taskId, attempt, token, timeoutMs});
         if (result.isOk(answer)) {
           if (answer.value.type === 'accepted') {
-            scheduler.stopAnswered(run, clock.monotonic());
-            await settle(run);
+            scheduler.stopAnswered(target, clock.monotonic());
+            await pollAfterStop(target);
             return;
           }
           if (answer.value.type !== 'refused') return;
@@ -295,8 +300,8 @@
         await pause(RETRY_PAUSE_MS);
       }
     },
-    isReachable: () => reachable,
-    hasReported: () => reported,
+    isReachable: () => isReachable,
+    hasReported: () => hasReported,
     close,
   };
 }
