--- a/packages/gypsumwall-cell/src/advice_caller.ts
+++ b/packages/gypsumwall-cell/src/advice_caller.ts
@@ -1,4 +1,7 @@
-/** Has the adviser asked, by whichever entry has the shortest line. */
+/**
+ * Asks the adviser on behalf of the scheduler, through the entry with the
+ * shortest queue of calls.
+ */
 import * as result from 'true-myth/result';
 import * as scheduling from '@gypsumwall/scheduling';
 import type * as telemetry from '@gypsumwall/telemetry';
@@ -6,34 +9,34 @@
 import type * as ports from './ports.js';
 
 /**
- * A call is given this many times what it and those before it in line take,
- * and the slack more. An urgent job has some 500 ms to spare: with a slack of
- * 1.5 s, those that asked through an entry that was lost waited 1.74 s before
- * they asked elsewhere; milliseconds.
+ * Timeout of a call: the expected duration of the call and those queued before
+ * it, times this factor, plus the slack. An urgent job can spare about 500 ms.
+ * With a slack of 1.5 s, jobs whose call went through a lost entry waited 1.74
+ * s before the adviser was asked through another; milliseconds.
  */
 const TIMEOUT_FACTOR = 2;
 const ADVICE_SLACK_MS = 300;
-/** An approval's age when it arrives through a peer, at most; milliseconds. */
+/** Maximum age of an approval when it arrives through a peer; milliseconds. */
 const ADVICE_TRANSIT_MS = 40;
-/** What a caller works on. */
+/** Dependencies of an advice caller. */
 export interface AdviceCallerParts {
   readonly scheduler: scheduling.schedulerTypes.Scheduler;
-  /** Entries that may ask the adviser now, the own one among them. */
+  /** Entries through which the adviser can be asked now, including this one. */
   readonly advisers: () => ReadonlyMap<string, ports.Adviser>;
   readonly clock: types.clock.Clock;
   readonly logger: telemetry.logger.Logger;
   readonly onAnswer: () => void;
 }
 
-/** The calls to the adviser. */
+/** Calls the adviser. */
 export interface AdviceCaller {
-  /** Asks for one wish of the scheduler and tells it the answer. */
+  /** Sends one advice request of the scheduler and reports the answer to it. */
   ask(request: scheduling.schedulerTypes.AdviceRequest): Promise<void>;
   /** How many calls can be made now. */
   capacity(): scheduling.adviserPool.AdviceCapacity;
 }
 
-/** Creates the caller of a holder. */
+/** Creates the advice caller of a holder. */
 export function createAdviceCaller(parts: AdviceCallerParts): AdviceCaller {
   const {scheduler, clock, logger} = parts;
   const pool = scheduling.adviserPool.createAdviserPool<string>();
--- a/packages/gypsumwall-cell/src/apply_records.ts
+++ b/packages/gypsumwall-cell/src/apply_records.ts
@@ -1,7 +1,7 @@
 /**
- * Takes records of the store in one by one. One that can't be decoded or taken
- * in, such as one of another version, must not keep those after it from being
- * known, nor end the process of each entry that reads it.
+ * Applies records of the store one by one. A record that can't be decoded or
+ * applied, for example one of another version, must neither block the records
+ * after it nor end the process of every entry that reads it.
  */
 import * as result from 'true-myth/result';
 import type * as telemetry from '@gypsumwall/telemetry';
@@ -9,7 +9,7 @@
 import type * as ports from './ports.js';
 import * as storeRecords from './store_records.js';
 
-/** Hands each record on that can be decoded; the log tells of the others. */
+/** Applies each record that can be decoded, and logs the others. */
 export function applyRecords(
   records: readonly ports.KeyedRecord[],
   logger: telemetry.logger.Logger,
--- a/packages/gypsumwall-cell/src/batch_appender.ts
+++ b/packages/gypsumwall-cell/src/batch_appender.ts
@@ -1,8 +1,9 @@
 /**
- * Group commit for one log: what comes while an append is on its way goes
- * with the next one. One batch at a time: the store handles the appends of a
- * log one by one, and when it is sixty times slower than usual, a few more of
- * each entry make a line of seconds, at which it refuses them all.
+ * Group commit for one log: records that arrive while an append is in flight
+ * are sent with the next one. Only one batch is in flight, because the store
+ * handles the appends of a log one by one. When the store is sixty times slower
+ * than usual, a few more appends of each entry make a queue of several seconds,
+ * and the store then refuses all appends.
  */
 import * as result from 'true-myth/result';
 import type * as types from '@gypsumwall/types';
@@ -10,14 +11,16 @@
 import type * as ports from './ports.js';
 import type * as storeHealth from './store_health.js';
 
-/** The most records in one call. */
+/** Maximum number of records in one call. */
 const MAX_BATCH_RECORDS = 200;
-/** Time given to one call; others are sent meanwhile, see hedging. */
+/**
+ * Timeout of one call; hedging may send further calls meanwhile; milliseconds.
+ */
 const CALL_TIMEOUT_MS = 2_000;
-/** How long a refusal counts as the store's pace; milliseconds. */
+/** How long a refusal counts as infinite latency of the store; milliseconds. */
 const REFUSAL_MEMORY_MS = 1_000;
 
-/** What an appender is made with. */
+/** Dependencies of an appender. */
 export interface BatchAppenderParts {
   readonly log: ports.KeyedLog;
   readonly clock: types.clock.Clock;
@@ -29,14 +32,14 @@
 
 /** Appends single records. */
 export interface BatchAppender {
-  /** Resolves with the fate of the calls that carried the record. */
+  /** Resolves with the outcome of the calls that contained the record. */
   append(
     entry: ports.KeyedEntry,
     until: types.clock.MonotonicMs,
   ): ports.Answer<ports.AppendOutcome>;
   /**
-   * What appends took lately, or the open one until now, in milliseconds;
-   * undefined if there was none lately, infinite if one was refused.
+   * Recent latency of appends, or the age of the open one if that is larger, in
+   * milliseconds. Undefined without a recent append, infinite after a refusal.
    */
   latencyMs(): number | undefined;
 }
@@ -50,9 +53,9 @@
 }
 
 /**
- * Creates the appender of a log. Once the store is known to be away, an append
- * that was sent before is given up with its effect unknown: its caller has 3 s
- * for five tries, and was held for 2.4 s of them.
+ * Creates the appender of a log. Once the store is known to be unavailable, an
+ * append in flight is given up with an unknown effect: its caller has 3 s for
+ * five tries, and used to be blocked for 2.4 s of them.
  */
 export function createBatchAppender(parts: BatchAppenderParts): BatchAppender {
   const {log, clock} = parts;
@@ -94,7 +97,8 @@
         pending.push({entry, until, resolve});
         if (isSendScheduled) return;
         isSendScheduled = true;
-        // What the same turn of the event loop brings goes along.
+        // Records that arrive in the same turn of the event loop join this
+        // batch.
         setImmediate(sendNext);
       });
     },
--- a/packages/gypsumwall-cell/src/cell_entry.ts
+++ b/packages/gypsumwall-cell/src/cell_entry.ts
@@ -1,6 +1,6 @@
 /**
- * One entry of a cell: follows the logs, serves callers, and holds the cell
- * when nobody else does.
+ * One entry of a cell. It follows the logs, serves callers, and becomes the
+ * cell's holder when no other entry is.
  */
 import type * as scheduling from '@gypsumwall/scheduling';
 import * as types from '@gypsumwall/types';
@@ -29,33 +29,43 @@
 import * as retention from './retention.js';
 
 /**
- * A standby reads the holder's log this often, so that it notices a silent
- * holder in time; milliseconds.
+ * Pause between a standby's reads of the cell's log, short enough to detect a
+ * silent holder in time; milliseconds.
  */
 const STANDBY_PAUSE_MS = 120;
 /**
- * Everybody else reads it this seldom, and at once when a caller asks. What has
- * come since the last read must be short: on a slow link the caller waits for
- * all of it; milliseconds.
+ * Pause between the reads of an entry that is not a standby; a caller's query
+ * triggers a read at once. The records of one pause must be few, because on a
+ * slow link the caller waits until all of them have arrived; milliseconds.
  */
 const OBSERVER_PAUSE_MS = 200;
 /**
- * Only the holder is in a hurry to read the log of jobs. A copy stays well
- * below the age up to which it may be counted in; milliseconds.
+ * Pause between reads of the jobs' log at entries other than the holder, which
+ * alone needs new jobs quickly. Keeps the replica well below the age up to
+ * which its count of pending jobs may be returned; milliseconds.
  */
 const JOBS_PAUSE_MS = 500;
-/** A store that went silent is noticed this much later; milliseconds. */
+/**
+ * How long a read waits at the store for a new record. An unresponsive store is
+ * detected this much later; milliseconds.
+ */
 const READ_WAIT_MS = 250;
-/** The configuration changes seldom; milliseconds. */
+/** The same for the configuration's log, which changes rarely; milliseconds. */
 const CONFIG_READ_WAIT_MS = 1_000;
-/** An entry without store or peers takes itself out after so long; ms. */
+/**
+ * An entry that reaches neither the store nor a peer reports itself as not
+ * ready after this time; milliseconds.
+ */
 const UNREADY_AFTER_MS = 400;
-/** A change of the configuration is in force this much later at most. */
+/** Maximum delay until a configuration change takes effect; milliseconds. */
 const CONFIG_PAUSE_MS = 100;
-/** The holder reads new jobs almost at once; milliseconds. */
+/**
+ * Pause between the holder's reads of the jobs' log, so that it sees new jobs
+ * almost at once; milliseconds.
+ */
 const HOLDER_PAUSE_MS = 6;
 
-/** Creates an entry that does nothing before it is started. */
+/** Creates an entry; it does nothing until `start` is called. */
 export function createCellEntry(
   options: cellEntryTypes.CellEntryOptions,
 ): cellEntryTypes.CellEntry {
@@ -69,7 +79,7 @@
   let isLeaving = false;
   let takeovers: types.clock.MonotonicMs[] = [];
   let lastRecordAt = clock.monotonic();
-  let lastReachableAt = clock.monotonic();
+  let reachableAt = clock.monotonic();
 
   const configs = configKeeper.createConfigKeeper({
     decode: options.decodeConfig,
@@ -110,7 +120,7 @@
     logger,
     storeHealth: health,
     onRecords(records, reloaded) {
-      // One that can't be read shows that the holder lives all the same.
+      // Even a record that can't be decoded shows that the holder is alive.
       lastRecordAt = clock.monotonic();
       if (reloaded) retainLoaded(records);
       applyRecords.applyRecords(records, logger, applyCellRecord);
@@ -142,7 +152,7 @@
     isStandby,
     clock,
   });
-  const forwardingService = forwardingJobService.createForwardingJobService({
+  const service = forwardingJobService.createForwardingJobService({
     local: localService,
     peers,
     clock,
@@ -157,9 +167,10 @@
   }
 
   /**
-   * Jobs are accepted in one log, and begun and ended in the other. What was
-   * read before a suspension is as old as that lasted, which the clock doesn't
-   * tell.
+   * Age of this entry's replica: jobs are accepted in one log and their
+   * progress is stored in another, so the older log decides. Records read
+   * before a suspension of the process count as infinitely old, because the
+   * monotonic clock doesn't show how long the suspension lasted.
    */
   function replicaAgeMs(): number {
     const completeUntil = Math.min(
@@ -171,9 +182,11 @@
   }
 
   /**
-   * What was dropped while this entry was away is named by no record that it
-   * could read: a load names all there is. Without this, jobs and workers that
-   * are long gone were counted, and taken over by this entry as holder.
+   * Drops jobs and workers that a load doesn't contain. Their deletion records
+   * may have been compacted while this entry couldn't read, so a load, which
+   * contains all existing records, is the only evidence. Otherwise removed jobs
+   * and workers would be counted, and this entry would take them over as
+   * holder.
    */
   function retainLoaded(records: readonly ports.KeyedRecord[]): void {
     jobs.retainProgress(storeRecords.idsOf('progress', records));
@@ -207,7 +220,10 @@
     onClaimRead();
   }
 
-  /** A holder that another has replaced is no way to the adviser either. */
+  /**
+   * A replaced holder is probably unreachable, so it isn't used to ask the
+   * adviser either.
+   */
   function markReplacedHolder(before: claimView.CellClaim | undefined): void {
     if (before === undefined) return;
     if (before.instance === state.claim()?.instance) return;
@@ -225,7 +241,7 @@
 
   function onClaimRead(): void {
     const claim = state.claim();
-    // A read may be answered after the stop; nothing would end the holder.
+    // A read may return after the stop, when nothing would stop a new holder.
     if (claim === undefined || stopping.signal.aborted) return;
     logger.info('claim_read', {...claim});
     if (holder !== undefined && holder.claim.offset !== claim.offset) {
@@ -263,7 +279,10 @@
     void created.start();
   }
 
-  /** Judged by the workers seen so far; with none seen nothing is refused. */
+  /**
+   * Judges by the workers seen so far; refuses nothing if none of the pool was
+   * seen.
+   */
   function couldEverFit(
     pool: string,
     step: scheduling.jobRequest.StepRequest,
@@ -278,21 +297,19 @@
   }
 
   /**
-   * An entry that can't take jobs leaves new callers to others: with the store
-   * away for all of them, all are out, and the balancer uses all.
+   * An entry that can't accept jobs reports that it isn't ready, so that the
+   * balancer sends new callers to others. If no entry reaches the store, none
+   * is ready, and the balancer then uses all of them.
    */
   function isReady(): boolean {
     if (isLeaving || configs.config() === undefined) return false;
     if (jobsFollower.position() === undefined) return false;
     const now = clock.monotonic();
-    if (jobsFollower.reachableSince() !== undefined) lastReachableAt = now;
-    return (
-      now - lastReachableAt < UNREADY_AFTER_MS ||
-      forwardingService.hasRelayedRecently()
-    );
+    if (jobsFollower.reachableSince() !== undefined) reachableAt = now;
+    return now - reachableAt < UNREADY_AFTER_MS || service.hasRelayedRecently();
   }
 
-  /** Nobody is before the peers are known. */
+  /** No entry is a standby before it knows its peers. */
   function isStandby(): boolean {
     if (jobsFollower.position() === undefined) return false;
     return standbyChoice.isStandby(self, peers.standbyCandidates());
@@ -304,7 +321,7 @@
   }
 
   return {
-    jobService: forwardingService,
+    jobService: service,
     localJobService: localService,
     config: () => configs.config(),
     isReady,
--- a/packages/gypsumwall-cell/src/cell_entry_types.ts
+++ b/packages/gypsumwall-cell/src/cell_entry_types.ts
@@ -1,4 +1,4 @@
-/** What an entry is made with, and what it offers to its process. */
+/** Options and interface of an entry. */
 import type * as scheduling from '@gypsumwall/scheduling';
 import type * as telemetry from '@gypsumwall/telemetry';
 import type * as types from '@gypsumwall/types';
@@ -7,16 +7,16 @@
 import type * as jobService from './job_service.js';
 import type * as ports from './ports.js';
 
-/** What an entry is made with. */
+/** Options of an entry. */
 export interface CellEntryOptions {
   readonly self: {
-    /** This process; a restarted one has another. */
+    /** Identifies this process; a restarted process gets a new ID. */
     readonly entryId: types.ids.EntryId;
-    /** The instance it runs on. */
+    /** The instance that the process runs on. */
     readonly instance: string;
     readonly domain: types.ids.FailureDomain;
     readonly peerAddress: string;
-    /** Processor of the instance, in cores. */
+    /** Processor capacity of the instance, in cores. */
     readonly cores: number;
   };
   readonly logs: {
@@ -30,40 +30,46 @@
   readonly connect: cellHolderTypes.CellHolderOptions['connect'];
   readonly adviser: ports.Adviser;
   readonly leaseMs: number;
-  /** The longest that a worker takes to stop a task; milliseconds. */
+  /** Maximum time that a worker takes to stop a task; milliseconds. */
   readonly longestStopMs: number;
-  /** Silence after which the list drops a worker; milliseconds, if known. */
+  /**
+   * Silence after which the platform's list removes a worker; milliseconds.
+   * Undefined if unknown.
+   */
   readonly listExpiryMs: number | undefined;
-  /** How long the state of a job that is over can be asked for. */
+  /** How long the state of a finished job can be queried; milliseconds. */
   readonly keepOverMs: () => number;
   readonly clock: types.clock.Clock;
   readonly random: types.random.Random;
   readonly logger: telemetry.logger.Logger;
 }
 
-/** One entry. */
+/** An entry of a cell. */
 export interface CellEntry {
-  /** For callers. */
+  /** Serves callers. */
   readonly jobService: jobService.JobService;
-  /** For peers: hands nothing on. */
+  /** Serves peers; never forwards a call. */
   readonly localJobService: jobService.JobService;
-  /** The newest configuration; undefined before the first. */
+  /** The newest configuration; undefined until one has been read. */
   config(): ports.CellConfig | undefined;
   /** Whether callers can be served. */
   isReady(): boolean;
   start(): void;
-  /** Hands over what it holds; callers are served on. */
+  /** Hands the cell over if this entry holds it; callers are still served. */
   leave(): Promise<void>;
   stop(): void;
   status(): EntryStatus;
 }
 
-/** For gauges and people. */
+/** State of an entry for gauges and operators. */
 export interface EntryStatus {
   readonly holdsCell: boolean;
   readonly configVersion: number | undefined;
   readonly storeReachable: boolean;
-  /** How old its copy of the logs is at most; infinite if nothing is sure. */
+  /**
+   * Maximum age of this entry's replica of the logs, in milliseconds; infinite
+   * if unknown.
+   */
   readonly copyAgeMs: number;
   readonly scheduler: scheduling.schedulerTypes.SchedulerCounts | undefined;
 }
--- a/packages/gypsumwall-cell/src/cell_holder.ts
+++ b/packages/gypsumwall-cell/src/cell_holder.ts
@@ -1,7 +1,7 @@
 /**
- * Holds a cell: schedules its jobs on its workers while the claim is this
- * process's. It ends when a newer claim is read, when the store or a worker
- * refuses its epoch, or when it hands the cell over.
+ * The holder of a cell: schedules the cell's jobs on its workers as long as
+ * this process owns the claim. It ends when a newer claim is read, when the
+ * store or a worker rejects its fencing token, or when it hands the cell over.
  */
 import * as scheduling from '@gypsumwall/scheduling';
 import * as types from '@gypsumwall/types';
@@ -20,38 +20,62 @@
 
 /**
  * A holder whose appends aren't confirmed renews leases for this long. While
- * the store is away nobody can take over, and letting leases go would throw
- * all running work away; outages of 9 s were seen. A successor waits this long
- * and a lease more for workers that it can't reach; milliseconds.
+ * the store is unavailable no other entry can take over, and letting the leases
+ * expire would stop all running work; outages of 9 s were seen. A successor
+ * waits this long plus one lease for workers that it can't reach; milliseconds.
  */
 const RENEW_UNCONFIRMED_MS = 12_000;
-/** An unconfirmed holder looks at its majority from then on; milliseconds. */
+/**
+ * A holder whose appends aren't confirmed checks after this time whether it
+ * still reaches a majority of the workers; milliseconds.
+ */
 const MAJORITY_CHECK_MS = 1_500;
 /**
- * By then a holder that lost its majority knows: the check above, and a look
- * of 1.2 s that must fail first; milliseconds.
+ * Time after which a holder that lost its majority has noticed: the check
+ * above, plus a poll of 1.2 s that must fail first; milliseconds.
  */
 const MAJORITY_LOSS_DETECTION_MS = 3_000;
-/** A worker's clock may be 2% slow; with that and a margin a lease has passed. */
+/**
+ * A worker's clock may be 2% slow. After the lease's length times this factor,
+ * which includes a margin, the lease has expired.
+ */
 const SLOW_CLOCK_FACTOR = 1.05;
-/** Pause between two passes, so that what comes together is decided together. */
+/**
+ * Minimum pause between two scheduling cycles, so that changes that arrive
+ * together are handled in one cycle; milliseconds.
+ */
 const CYCLE_INTERVAL_MS = 3;
 /**
- * A pass over a long line of work takes milliseconds. The pause after it is
- * this many times as long, so that deciding takes a fifth of the processor at
- * most and the rest is left for the calls.
+ * A scheduling cycle over a long queue takes milliseconds. The pause after a
+ * cycle is this many times the cycle's duration, so that scheduling takes at
+ * most a fifth of the processor and leaves the rest to the calls.
  */
 const CYCLE_INTERVAL_FACTOR = 4;
-/** How often time alone may change a decision; milliseconds. */
+/**
+ * Interval at which decisions that depend only on time are checked;
+ * milliseconds.
+ */
 const TICK_MS = 100;
-/** The list of workers changes seldom; a span between reads; milliseconds. */
+/**
+ * Pause between reads of the worker list, which changes rarely, and how long a
+ * read waits for a change; milliseconds.
+ */
 const LIST_PAUSE_MS = 200;
 const LIST_READ_WAIT_MS = 1_000;
-/** Attempts below this were numbered by earlier holders. */
+/**
+ * Numbers of attempts that each holder may use. Lower numbers belong to earlier
+ * holders.
+ */
 const ATTEMPTS_PER_GENERATION = 1_000;
-/** How long a hand-over waits for orders on their way; milliseconds. */
+/**
+ * How long a handover waits for orders in flight, and then for its appends;
+ * milliseconds.
+ */
 const HANDOVER_TIMEOUT_MS = 400;
-/** How often it looks meanwhile whether they are answered; milliseconds. */
+/**
+ * Interval at which a handover checks whether these orders were answered;
+ * milliseconds.
+ */
 const ORDERS_CHECK_INTERVAL_MS = 10;
 
 /** Creates the holder of a claim that was just read. */
@@ -114,7 +138,8 @@
     logger,
     storeHealth: options.storeHealth,
     onRecords: (records, reloaded) =>
-      // What is read now wasn't there when the log was last read to its end.
+      // The records read now were written after the log was last read to its
+      // end.
       roster.applyList(
         records,
         reloaded,
@@ -135,7 +160,7 @@
     confirmedAt: () => writer.confirmedAt(),
     admit: (job) => admitJob(job, false),
   });
-  /** Jobs whose end is stored and whose requests aren't needed any more. */
+  /** Jobs whose end is stored, and whose requests can be dropped. */
   let endedJobs: types.ids.JobId[] = [];
   let lastWrite: Promise<void> = Promise.resolve();
   let ordersInFlight = 0;
@@ -185,14 +210,20 @@
     });
   }
 
-  /** See the gate of a takeover for what rests on this. */
+  /**
+   * Whether leases may be renewed. The failover barrier of a successor relies
+   * on these limits.
+   */
   function mayRenew(): boolean {
     const unconfirmedMs = clock.monotonic() - writer.confirmedAt();
     if (unconfirmedMs > RENEW_UNCONFIRMED_MS) return false;
     return unconfirmedMs < MAJORITY_CHECK_MS || roster.reachableShare() > 0.5;
   }
 
-  /** Stores what has changed; resolves when all before stands too. */
+  /**
+   * Stores changed progress; resolves once this and all earlier progress is
+   * stored.
+   */
   function flush(): Promise<void> {
     const dirty = scheduler.takeDirty();
     if (dirty.length === 0) return lastWrite;
@@ -224,7 +255,7 @@
     isCycleScheduled = false;
     if (!isScheduling || stopping.signal.aborted) return;
     sendStops();
-    // A start takes a lease along, so nothing can start without.
+    // Each start includes a lease, so nothing can be started without one.
     if (!mayRenew()) return;
     const startedAt = clock.monotonic();
     const decisions = scheduler.decide(
@@ -301,7 +332,7 @@
     claim,
     async start() {
       void writer.run();
-      // Everything that was accepted before the claim has to be known.
+      // All jobs that were accepted before the claim must be known first.
       while (!stopping.signal.aborted && !(await options.catchUpJobs())) {
         await types.clock.pause(clock, TICK_MS, stopping.signal);
       }
--- a/packages/gypsumwall-cell/src/cell_holder_types.ts
+++ b/packages/gypsumwall-cell/src/cell_holder_types.ts
@@ -1,4 +1,4 @@
-/** What a cell's holder is made with, and what it does for its entry. */
+/** Options and interface of a cell's holder. */
 import type * as scheduling from '@gypsumwall/scheduling';
 import type * as telemetry from '@gypsumwall/telemetry';
 import type * as types from '@gypsumwall/types';
@@ -9,7 +9,7 @@
 import type * as storeHealth from './store_health.js';
 import type * as workerRoster from './worker_roster.js';
 
-/** What a holder is made with. */
+/** Options of a holder. */
 export interface CellHolderOptions {
   readonly claim: claimView.CellClaim;
   readonly cellLog: ports.KeyedLog;
@@ -19,19 +19,22 @@
   readonly connect: (
     worker: scheduling.workerRegistry.WorkerInfo,
   ) => ports.WorkerLink;
-  /** Entries that may ask the adviser now, this one among them. */
+  /** Entries through which the adviser can be asked now, including this one. */
   readonly advisers: () => ReadonlyMap<string, ports.Adviser>;
   readonly jobs: jobTable.JobTable;
   readonly state: cellState.CellState;
-  /** Reads the jobs' log to its end. */
+  /** Reads the jobs' log to its end; false if that failed. */
   readonly catchUpJobs: () => Promise<boolean>;
   readonly policyOf: (
     queue: string,
   ) => scheduling.jobRequest.QueuePolicy | undefined;
   readonly leaseMs: number;
-  /** The longest that a worker takes to stop a task; milliseconds. */
+  /** Maximum time that a worker takes to stop a task; milliseconds. */
   readonly longestStopMs: number;
-  /** Silence after which the list drops a worker; milliseconds, if known. */
+  /**
+   * Silence after which the platform's list removes a worker; milliseconds.
+   * Undefined if unknown.
+   */
   readonly listExpiryMs: number | undefined;
   readonly storeHealth: storeHealth.StoreHealth;
   readonly clock: types.clock.Clock;
@@ -39,19 +42,24 @@
   readonly onFenced: () => void;
 }
 
-/** A cell's holder. */
+/** The holder of a cell. */
 export interface CellHolder {
   readonly claim: claimView.CellClaim;
-  /** Takes inherited work over; resolves once it decides. */
+  /**
+   * Takes over existing jobs and workers; resolves once scheduling has begun.
+   */
   start(): Promise<void>;
   onJobAdded(job: jobTable.JobEntry): void;
   onJobCancelled(id: types.ids.JobId): void;
   onPoliciesChanged(): void;
-  /** Jobs whose end is stored, handed over once. */
+  /** Returns jobs whose end has been stored since the last call. */
   takeEndedJobs(): types.ids.JobId[];
-  /** Drops jobs from the cell's log that are over for long. */
+  /** Drops the progress of jobs from the cell's log after their retention. */
   dropProgress(ids: readonly types.ids.JobId[]): Promise<void>;
-  /** Lets another entry take the cell at once, and ends. */
+  /**
+   * Releases the claim so that another entry can take the cell at once, and
+   * stops.
+   */
   handOver(): Promise<void>;
   stop(): void;
   counts(): scheduling.schedulerTypes.SchedulerCounts;
--- a/packages/gypsumwall-cell/src/cell_state.ts
+++ b/packages/gypsumwall-cell/src/cell_state.ts
@@ -1,6 +1,6 @@
 /**
- * What the cell's log says beside the progress of jobs: who holds the cell,
- * and which workers may hold runs of it.
+ * The state that the cell's log contains besides the progress of jobs: who
+ * holds the cell, and which workers may run attempts of it.
  */
 import type * as types from '@gypsumwall/types';
 import * as claimView from './claim_view.js';
@@ -14,11 +14,11 @@
     storeRecords.UsedWorkerRecord
   >;
   apply(record: storeRecords.StoreRecord, offset: number): void;
-  /** The store names no other workers than these. */
+  /** Drops all other workers, because a load of the log contains only these. */
   retainUsedWorkers(ids: ReadonlySet<types.ids.WorkerId>): void;
 }
 
-/** Creates the state of a cell that nobody has held yet. */
+/** Creates the state of a cell that was never held. */
 export function createCellState(): CellState {
   let claim: claimView.CellClaim | undefined;
   const usedWorkers = new Map<
--- a/packages/gypsumwall-cell/src/cell_writer.ts
+++ b/packages/gypsumwall-cell/src/cell_writer.ts
@@ -1,7 +1,7 @@
 /**
- * The holder's appends to the cell's log: one batch at a time, fenced by the
- * claim's epoch and numbered, so that a batch whose answer was lost is sent
- * again and still stands once.
+ * The holder's appends to the cell's log. One batch is sent at a time, fenced
+ * by the claim's epoch and numbered, so that a batch whose answer was lost can
+ * be sent again and is still stored once.
  */
 import * as result from 'true-myth/result';
 import type * as telemetry from '@gypsumwall/telemetry';
@@ -12,43 +12,51 @@
 import * as storeRecords from './store_records.js';
 import * as failoverPolicy from './failover_policy.js';
 
-/** Time given to one call; many are on their way at once, see hedging. */
+/**
+ * Timeout of one call. A hedged append may have several calls in flight;
+ * milliseconds.
+ */
 const CALL_TIMEOUT_MS = 2_000;
-/** An append is tried this long before it is reported and tried anew. */
+/**
+ * An append that fails for this long is logged and tried again; milliseconds.
+ */
 const RETRY_ROUND_MS = 4_000;
 /**
- * Pause between batches, so that the ends of some milliseconds share a call;
- * each call is paid for, and a start waits for one at most; milliseconds.
+ * Pause between batches, so that the task ends of some milliseconds share one
+ * call. Each call has a cost, and a start waits for at most one call;
+ * milliseconds.
  */
 const BATCH_PAUSE_MS = 10;
-/** A batch stays well below what the store takes in one call. */
+/** Keeps a batch well below the store's limit for one call. */
 const MAX_BATCH_RECORDS = 500;
 
-/** What a writer is made with. */
+/** Options of a writer. */
 export interface CellWriterOptions {
   readonly log: ports.KeyedLog;
   readonly epoch: number;
   readonly storeHealth: storeHealth.StoreHealth;
   readonly clock: types.clock.Clock;
   readonly logger: telemetry.logger.Logger;
-  /** A higher epoch was seen: this process doesn't hold the cell any more. */
+  /**
+   * The store has seen a higher epoch: this process no longer holds the cell.
+   */
   readonly onFenced: () => void;
 }
 
-/** Writes for the holder. */
+/** Appends to the cell's log for the holder. */
 export interface CellWriter {
-  /** Resolves once the records stand in the log. */
+  /** Resolves once the records are stored in the log. */
   write(records: readonly storeRecords.StoreRecord[]): Promise<void>;
-  /** Sending time of the last append that was confirmed. */
+  /** When the last confirmed append was sent. */
   confirmedAt(): types.clock.MonotonicMs;
-  /** Appends until it is stopped or fenced. */
+  /** Appends until the writer is stopped or fenced. */
   run(): Promise<void>;
   stop(): void;
 }
 
 interface AppendAnswer {
   readonly outcome: ports.AppendOutcome;
-  /** When the call that was answered had been sent. */
+  /** When the answered call was sent. */
   readonly askedAt: types.clock.MonotonicMs;
 }
 
@@ -57,14 +65,14 @@
   readonly resolve: () => void;
 }
 
-/** Creates the writer of a claim that was just read in the log. */
+/** Creates the writer of a claim that was just read from the log. */
 export function createCellWriter(options: CellWriterOptions): CellWriter {
   const {log, clock, logger} = options;
   const stopping = new AbortController();
   const hedger = hedge.createHedger(clock, options.storeHealth);
   let queue: PendingWrite[] = [];
   let resume = () => {};
-  // The claim itself was sequence 0 of its epoch.
+  // Sequence 0 of the epoch is the claim itself.
   let sequence = 1;
   let confirmedAt = clock.monotonic();
 
@@ -103,13 +111,14 @@
     return result.map((outcome) => ({outcome, askedAt}), answer);
   }
 
-  /** Whether the batch stands in the log. */
+  /** Whether the batch is stored in the log. */
   function isAppended(outcome: ports.AppendOutcome): boolean {
     switch (outcome.type) {
       case 'appended':
         return true;
       case 'out_of_sequence':
-        // The batch arrived before, longer ago than the store remembers.
+        // An earlier call stored the batch, too long ago for the store to
+        // recognise the repeat.
         if (outcome.expected === sequence + 1) return true;
         logger.error('cell_sequence_lost', {
           sequence,
@@ -129,7 +138,7 @@
   const pause = (spanMs: number) =>
     types.clock.pause(clock, spanMs, stopping.signal);
 
-  /** Waits for something to write, a heartbeat's span at most. */
+  /** Waits for records to write, at most for one heartbeat interval. */
   async function waitForWork(): Promise<void> {
     if (queue.length > 0) return;
     const resumed = new AbortController();
@@ -176,7 +185,8 @@
         for (const pending of batch) pending.resolve();
         await pause(BATCH_PAUSE_MS);
       }
-      // What is left was never stored, and its callers must not go on.
+      // The remaining records were never stored, so their promises must not
+      // resolve.
       queue = [];
     },
     stop,
--- a/packages/gypsumwall-cell/src/claim_view.ts
+++ b/packages/gypsumwall-cell/src/claim_view.ts
@@ -1,23 +1,25 @@
 /**
- * Who holds the cell, as its log tells. A claim is appended only where the
- * log ends, so whoever claims has read everything before; its offset is its
- * place in the order of claims and its fencing token at the store and at the
- * workers.
+ * Who holds the cell according to its log. A claim is only appended if it is
+ * the next record after all that the claimant has read. Its offset orders the
+ * claims and serves as fencing token at the store and at the workers.
  */
 import type * as storeRecords from './store_records.js';
 
 /** The newest claim. */
 export interface CellClaim extends storeRecords.ClaimRecord {
-  /** Offset of the claim; a release keeps the claim's. */
+  /** Offset of the claim; its release doesn't change it. */
   readonly offset: number;
 }
 
-/** The fencing token of a claim; a worker starts from 0, so it is above. */
+/**
+ * The fencing token of a claim. Workers start with token 0, so every claim's
+ * token is higher.
+ */
 export function tokenOf(claim: CellClaim): number {
   return claim.offset + 1;
 }
 
-/** Folds one claim record into what was known before. */
+/** Applies a claim record to the previously known claim. */
 export function foldClaim(
   before: CellClaim | undefined,
   record: storeRecords.ClaimRecord,
--- a/packages/gypsumwall-cell/src/config_keeper.ts
+++ b/packages/gypsumwall-cell/src/config_keeper.ts
@@ -1,30 +1,36 @@
-/** Keeps the operator's newest configuration, as an entry has read it. */
+/** Stores the newest operator's configuration that an entry has read. */
 import * as result from 'true-myth/result';
 import type * as scheduling from '@gypsumwall/scheduling';
 import type * as telemetry from '@gypsumwall/telemetry';
 import type * as ports from './ports.js';
 
-/** What a keeper is made with. */
+/** Options of a configuration keeper. */
 export interface ConfigKeeperOptions {
-  /** Reads a record of the configuration's log; undefined: of other use. */
+  /**
+   * Decodes a record of the configuration's log; undefined if the record is not
+   * a cell configuration.
+   */
   readonly decode: (
     key: string,
     value: string,
   ) => result.Result<ports.CellConfig | undefined, string>;
   readonly logger: telemetry.logger.Logger;
-  /** A newer configuration is in force. */
+  /** Called when a newer configuration takes effect. */
   readonly onChanged: () => void;
 }
 
 /** The configuration of one entry. */
 export interface ConfigKeeper {
-  /** Folds a record; an older version changes nothing. */
+  /** Applies a record; an older version is ignored. */
   apply(record: ports.KeyedRecord): void;
-  /** Undefined before the first. */
+  /** Undefined until a configuration has been read. */
   config(): ports.CellConfig | undefined;
-  /** What is set for a queue; undefined if there is no such queue. */
+  /** The policy of a queue; undefined if there is no such queue. */
   policyOf(queue: string): scheduling.jobRequest.QueuePolicy | undefined;
-  /** Whether any queue's tasks run in a pool; any may before the first. */
+  /**
+   * Whether tasks of any queue run in the pool; true for all pools until a
+   * configuration has been read.
+   */
   isUsedPool(pool: string): boolean;
 }
 
@@ -42,7 +48,7 @@
         return;
       }
       const next = decoded.value;
-      // A late read must never bring an older version back.
+      // A delayed read must never restore an older version.
       if (next === undefined || next.version <= (config?.version ?? -1)) return;
       config = next;
       logger.info('config_applied', {
--- a/packages/gypsumwall-cell/src/election.ts
+++ b/packages/gypsumwall-cell/src/election.ts
@@ -1,6 +1,7 @@
 /**
- * Tries to take the cell whenever it may be taken. The claim is appended only
- * where the log ends, so one of several entries that try gets it.
+ * Claims the cell when it is vacant. A claim is only appended if the log still
+ * ends where the claimant has read it, so only one of several entries that
+ * claim succeeds.
  */
 import * as result from 'true-myth/result';
 import type * as telemetry from '@gypsumwall/telemetry';
@@ -11,34 +12,40 @@
 import * as storeRecords from './store_records.js';
 import * as failoverPolicy from './failover_policy.js';
 
-/** How often it is looked whether the cell may be taken; milliseconds. */
+/**
+ * Interval at which a standby checks whether the cell is vacant; milliseconds.
+ */
 const ELECTION_CHECK_INTERVAL_MS = 50;
-/** The same for entries that don't stand by; milliseconds. */
+/** The same for entries that are not standbys; milliseconds. */
 const OBSERVER_CHECK_INTERVAL_MS = 250;
 /**
- * Entries that don't stand by leave the cell to those that do for so long:
- * these claim it within 0.36 s of finding it free; milliseconds.
+ * How long an entry that is not a standby waits before it claims a vacant cell,
+ * so that the standbys come first. They claim it within 0.36 s; milliseconds.
  */
 const OBSERVER_DELAY_MS = 600;
-/** Entries try to take the cell this far apart, by chance; milliseconds. */
+/**
+ * Maximum random delay before a claim, so that entries don't claim at the same
+ * time; milliseconds.
+ */
 const ELECTION_JITTER_MS = 120;
 /**
- * An entry leaves the cell to stronger ones for so long. The holder of 246
- * workers took 0.39 of a core on the mean of a quiet day, and the small
- * instances there have 0.32: the calls would wait in line. Twice the spread,
- * so that each of the stronger ones has tried; if all of them are gone, a
- * takeover is that much later; milliseconds.
+ * How long an entry waits before it claims if a peer has more processor
+ * capacity. The holder of 246 workers used 0.39 of a core on average on a quiet
+ * day, and the small instances of that deployment have 0.32 of a core, so calls
+ * would queue up. The delay is twice the jitter, so that each stronger entry
+ * has tried before. If all stronger entries are lost, a takeover is delayed by
+ * this time; milliseconds.
  */
 const OUTRANKED_DELAY_MS = 240;
 /**
- * At a cell's very first start nobody has read who else takes part; entries
- * register within this time; milliseconds.
+ * Delay of the first claim of a new cell, when no entry has read which others
+ * take part. Entries register within this time; milliseconds.
  */
 const FIRST_CLAIM_DELAY_MS = 400;
-/** Time given to the append of a claim; milliseconds. */
+/** Timeout of the append of a claim; milliseconds. */
 const CLAIM_TIMEOUT_MS = 600;
 
-/** What an election looks at. */
+/** Dependencies of an election. */
 export interface ElectionParts {
   readonly self: failoverPolicy.FailoverView['self'];
   readonly cellLog: ports.KeyedLog;
@@ -46,14 +53,16 @@
   readonly claim: () => claimView.CellClaim | undefined;
   /** When a record of the cell's log was last read. */
   readonly lastRecordAt: () => types.clock.MonotonicMs;
-  /** See the probe of the holder. */
+  /** Whether the holder probe considers the holder lost. */
   readonly isHolderLost: () => boolean;
   readonly takeovers: () => readonly types.clock.MonotonicMs[];
   readonly isHolder: () => boolean;
   readonly isLeaving: () => boolean;
-  /** See the choice of standbys. */
+  /** Whether this entry is a standby of its failure domain. */
   readonly isStandby: () => boolean;
-  /** Whether a peer has more processor, or the peers aren't known yet. */
+  /**
+   * Whether a peer has more processor capacity, or the peers aren't known yet.
+   */
   readonly isOutranked: () => boolean;
   readonly clock: types.clock.Clock;
   readonly random: types.random.Random;
@@ -98,9 +107,8 @@
       await pause(parts.random.next() * ELECTION_JITTER_MS);
       if (findVacancy() === 'never_held') await pause(FIRST_CLAIM_DELAY_MS);
       if (parts.isOutranked()) await pause(OUTRANKED_DELAY_MS);
-      // What is on its way may bring the holder's next record: a read that
-      // takes long to arrive looks like silence, and each claim for that was a
-      // write in vain.
+      // A read in flight may contain the holder's next record: a slow read
+      // looks like silence, and every claim because of that failed.
       if (findVacancy() === undefined || !(await follower.catchUp())) continue;
       const reason = findVacancy();
       if (reason !== undefined) await claimCell(reason);
@@ -132,7 +140,7 @@
         ? answer.value.type
         : types.stepError.describeError(answer.error),
     });
-    // Whether it stands is read from the log, also if the answer was lost.
+    // The log shows whether the claim was stored, even if the answer was lost.
     await follower.catchUp();
   }
 
--- a/packages/gypsumwall-cell/src/entry_registration.ts
+++ b/packages/gypsumwall-cell/src/entry_registration.ts
@@ -1,4 +1,4 @@
-/** Makes an entry known to its peers, by a record in the jobs' log. */
+/** Registers an entry with its peers by a record in the jobs' log. */
 import * as result from 'true-myth/result';
 import type * as telemetry from '@gypsumwall/telemetry';
 import * as types from '@gypsumwall/types';
@@ -6,12 +6,12 @@
 import type * as ports from './ports.js';
 import * as storeRecords from './store_records.js';
 
-/** Time given to the append of an entry's own record; milliseconds. */
+/** Timeout of the append of the entry's record; milliseconds. */
 const REGISTER_TIMEOUT_MS = 600;
-/** How long an entry waits before it registers again; milliseconds. */
+/** Pause between two tries to register; milliseconds. */
 const REGISTER_RETRY_MS = 300;
 
-/** What registering works on. */
+/** Dependencies of the registration. */
 export interface RegistrationParts {
   readonly self: cellEntryTypes.CellEntryOptions['self'];
   readonly jobsLog: ports.KeyedLog;
@@ -19,7 +19,7 @@
   readonly logger: telemetry.logger.Logger;
 }
 
-/** Tries until the record stands or the signal aborts. */
+/** Retries until the record is stored or the signal aborts. */
 export async function registerEntry(
   {self, jobsLog, clock, logger}: RegistrationParts,
   signal: AbortSignal,
--- a/packages/gypsumwall-cell/src/failover_barrier.ts
+++ b/packages/gypsumwall-cell/src/failover_barrier.ts
@@ -1,22 +1,23 @@
 /**
- * Tells which workers of earlier holders are accounted for: a worker has
- * answered under the new fencing token, so that it lists all it runs and
- * refuses the old holder; or its stay is over; or every lease that the old
- * holder may have given has passed. Until then its tasks may be running, and
- * starting them elsewhere would run them twice.
- *
- * A holder whose appends aren't confirmed renews leases only while more than
- * half of the workers answer it, and for a bounded time. Once more than half
- * of them answer to the new holder, the old one meets one that refuses it. So
- * leases have passed one span after whichever of the two comes first.
+ * Tracks which workers of earlier holders are accounted for. A worker is
+ * accounted for once it has answered under the new fencing token, since it then
+ * lists all running attempts and refuses the old holder; or once its
+ * incarnation has ended; or once every lease that an old holder may have
+ * granted has expired. Until then its tasks may still run, and starting them
+ * elsewhere would run them twice. An old holder whose appends aren't confirmed
+ * renews leases only while more than half of the workers answer it, and only
+ * for a limited time. Once more than half of the workers have answered the new
+ * holder, at least one of any majority refuses the old one. Old leases have
+ * therefore expired one lease after whichever of the two limits is reached
+ * first.
  */
 import type * as types from '@gypsumwall/types';
 
-/** When leases of an old holder have surely passed. */
+/** When all leases of old holders have expired. */
 export interface LeaseBounds {
-  /** However many workers have answered. */
+  /** Regardless of how many workers have answered. */
   readonly latestAt: types.clock.MonotonicMs;
-  /** After more than half have answered; milliseconds. */
+  /** Time after more than half of the workers have answered; milliseconds. */
   readonly afterMajorityMs: number;
 }
 
@@ -24,12 +25,15 @@
 export interface FailoverBarrier {
   markAccounted(worker: types.ids.WorkerId, now: types.clock.MonotonicMs): void;
   isAccounted(worker: types.ids.WorkerId): boolean;
-  /** Accounts for all once old leases have surely passed. */
+  /** Accounts for all workers once old leases have expired. */
   tick(now: types.clock.MonotonicMs): void;
   unaccounted(): number;
 }
 
-/** Creates a gate; `onAccounted` hears of every step, perhaps at once. */
+/**
+ * Creates a barrier. `onAccounted` is called after each change, possibly during
+ * the call that causes it.
+ */
 export function createFailoverBarrier(
   workers: readonly types.ids.WorkerId[],
   bounds: LeaseBounds,
--- a/packages/gypsumwall-cell/src/failover_policy.ts
+++ b/packages/gypsumwall-cell/src/failover_policy.ts
@@ -1,48 +1,51 @@
 /**
- * When an entry may take the cell over. The holder appends something several
- * times in the span below; an entry that reads the log without interruption
- * and finds nothing for so long takes the holder as dead. If it isn't, its
- * next append is refused by the store, and the workers refuse its orders.
+ * Decides when an entry may take over the cell. The holder appends several
+ * records within the maximum silence; an entry that reads the log without
+ * interruption and finds none for that long considers the holder dead. If the
+ * holder is alive after all, the store rejects its next append, and the workers
+ * refuse its orders.
  */
 import type * as types from '@gypsumwall/types';
 import type * as claimView from './claim_view.js';
 
-/** The holder's longest pause between two appends; milliseconds. */
+/** Maximum pause between two appends of the holder; milliseconds. */
 export const HEARTBEAT_MS = 200;
 /**
- * Silence after which a holder is taken as dead. Worked out for a store that
+ * Silence after which a holder is considered dead. Calculated for a store that
  * is sixty times slower than usual: an append and a read of 240 ms each and a
- * reader's pause of 120 ms make 600 ms between two records of a sound holder.
- * A longer silence lets every job that comes meanwhile be late; milliseconds.
+ * reader's pause of 120 ms add up to 600 ms between two records of a healthy
+ * holder. Every job that is submitted during a longer silence would be late;
+ * milliseconds.
  */
 export const MAX_SILENCE_MS = 900;
 /**
- * How long after its last confirmed append a holder takes up new jobs. It
- * must be well below the silence, since then a job that was accepted after a
- * takeover is never started by the old holder; milliseconds.
+ * How long after its last confirmed append a holder accepts new jobs for
+ * scheduling. Must be well below the maximum silence, so that an old holder
+ * never starts a job that was accepted after a takeover; milliseconds.
  */
 export const MAX_CONFIRMATION_AGE_MS = 600;
 
 /**
- * Silence from which on peers ask a holder whether it lives: two of its
- * records are missing by then; milliseconds.
+ * Silence after which peers ping a holder: two of its records are missing by
+ * then; milliseconds.
  */
 export const PROBE_AFTER_MS = 380;
 /**
- * Holders that seem lost one after the other within this time may only be busy
- * taking over: reading the logs and meeting all workers keeps a small instance
- * from writing and answering for a second. The next one is as busy, and none
- * of them ever starts a task: 73 holders were seen in 45 s. So from the third
- * on each is given twice the time of the one before, up to eight times, until
- * one has the time that it needs. All these times add up to 15 s, so that none
- * is forgotten before; milliseconds.
+ * Time within which successive takeovers count as related. Holders that seem
+ * lost shortly after each other may only be busy taking over: reading the logs
+ * and contacting all workers keeps a small instance from writing and answering
+ * for a second. Its successor is just as busy, and none of them ever starts a
+ * task: 73 holders were seen in 45 s. From the third on, each holder is
+ * therefore allowed twice the silence of the one before, up to eight times,
+ * until one has enough time. All these silences add up to 15 s, so that no
+ * takeover is forgotten too early; milliseconds.
  */
 export const TAKEOVER_WINDOW_MS = 20_000;
-/** So many may really be lost in a row, and are replaced at once. */
+/** This many holders may be lost in a row and are replaced without backoff. */
 const TAKEOVERS_BEFORE_BACKOFF = 2;
 const MAX_DOUBLINGS = 3;
 
-/** What the decision looks at. */
+/** State on which the decision is based. */
 export interface FailoverView {
   readonly claim: claimView.CellClaim | undefined;
   readonly self: {
@@ -51,21 +54,27 @@
   };
   /** When a record of the cell's log was last read. */
   readonly lastRecordAt: types.clock.MonotonicMs;
-  /** Since when the log answers without fail; undefined: it doesn't. */
+  /**
+   * Since when every read of the log has been answered; undefined while reads
+   * fail.
+   */
   readonly reachableSince: types.clock.MonotonicMs | undefined;
   /** Whether the holder is silent and doesn't answer its peers either. */
   readonly isHolderLost: boolean;
-  /** When holders were replaced that hadn't handed the cell over; ascending. */
+  /** When holders were replaced that hadn't released the cell; ascending. */
   readonly takeovers: readonly types.clock.MonotonicMs[];
   readonly leaving: boolean;
   readonly now: types.clock.MonotonicMs;
 }
 
-/** Why the cell may be taken. */
+/** Why the cell may be taken over. */
 export type Vacancy =
   'never_held' | 'released' | 'own_predecessor' | 'lost' | 'silent';
 
-/** Since when the log is silent while it is read; undefined: it isn't read. */
+/**
+ * Since when the log has been silent although it is read; undefined while reads
+ * fail.
+ */
 export function silentSince({
   lastRecordAt,
   reachableSince,
@@ -75,7 +84,7 @@
   return lastRecordAt > reachableSince ? lastRecordAt : reachableSince;
 }
 
-/** How many times the usual silence a holder is given. */
+/** Factor by which a holder may exceed the usual silence. */
 function backoffFactor({takeovers, now}: FailoverView): number {
   const recent = takeovers.filter((at) => now - at < TAKEOVER_WINDOW_MS).length;
   const doublings = Math.max(0, recent - TAKEOVERS_BEFORE_BACKOFF);
@@ -90,7 +99,7 @@
   if (claim === undefined) return 'never_held';
   if (claim.state === 'released') return 'released';
   if (claim.holder === self.entryId) return undefined;
-  // An instance runs one process: the one that claimed has ended.
+  // An instance runs one process, so the process that claimed has ended.
   if (claim.instance === self.instance) return 'own_predecessor';
   const baseMs = view.isHolderLost ? PROBE_AFTER_MS : MAX_SILENCE_MS;
   const silentMs = view.now - since;
