--- a/packages/gypsumwall-cell/src/__fixtures__/cell_world.ts
+++ b/packages/gypsumwall-cell/src/__fixtures__/cell_world.ts
@@ -1,4 +1,4 @@
-/** Entries over one store in memory, with workers in memory. */
+/** Entries that share one in-memory store, with in-memory workers. */
 import * as result from 'true-myth/result';
 import type * as scheduling from '@gypsumwall/scheduling';
 import * as telemetry from '@gypsumwall/telemetry';
@@ -19,7 +19,7 @@
   targetMs: 1_000,
 };
 
-/** Silence after which the list drops a worker; milliseconds. */
+/** Silence after which the list removes a worker; milliseconds. */
 const LIST_EXPIRY_MS = 3_000;
 
 /** A request of one step of small tasks. */
@@ -59,11 +59,11 @@
     cores: number,
     address?: string,
   ): Promise<fakeWorkers.FakeWorker>;
-  /** Lists a worker as one that leaves in so many milliseconds. */
+  /** Lists a worker as draining; it leaves after the given milliseconds. */
   drain(worker: fakeWorkers.FakeWorker, leavesInMs: number): Promise<void>;
-  /** Takes a worker off the list. */
+  /** Removes a worker from the list. */
   unlist(worker: fakeWorkers.FakeWorker): Promise<void>;
-  /** Starts an entry; `view` may give it logs of its own troubles. */
+  /** Starts an entry; `view` may give it logs with faults of its own. */
   addEntry(
     instance: string,
     view?: FakeStore,
@@ -73,7 +73,7 @@
   stop(): void;
 }
 
-/** Creates a world with nothing in it. */
+/** Creates a world without entries and workers. */
 export function createCellWorld(leaseMs = 1_000): CellWorld {
   const store: FakeStore = {
     jobs: fakeLogs.createFakeLog('jobs'),
@@ -145,7 +145,7 @@
   return {info, leavesInMs};
 }
 
-/** A log whose calls can be troubled for one entry alone. */
+/** A log whose faults affect one entry only. */
 export function createLogView(shared: fakeLogs.FakeLog): fakeLogs.FakeLog {
   const view = fakeLogs.createFakeLog(shared.name);
   const down = fakeLogs.createFakeLog(shared.name);
@@ -158,7 +158,7 @@
   return view;
 }
 
-/** Waits until the condition holds; fails after the time. */
+/** Waits until the condition holds; throws after the timeout. */
 export async function until(
   condition: () => boolean | Promise<boolean>,
   what: string,
--- a/packages/gypsumwall-cell/src/__fixtures__/fake_log.ts
+++ b/packages/gypsumwall-cell/src/__fixtures__/fake_log.ts
@@ -1,33 +1,36 @@
 /**
- * A keyed log in memory with the store's conditions: appends at an offset,
- * epochs and sequences. Answers can be lost before or after the effect.
+ * An in-memory keyed log with the conditions of the store: the expected end,
+ * epochs and sequence numbers. Answers can be lost before or after the effect.
  */
 import * as result from 'true-myth/result';
 import * as types from '@gypsumwall/types';
 import type * as ports from '../ports.js';
 
-/** What happens to the next calls. */
+/** Fault of the following calls. */
 export type Fault =
   | 'none'
-  /** Refused; nothing is done. */
+  /** Refused without effect. */
   | 'down'
-  /** Nothing is done, and there is no answer until the call's time is up. */
+  /** Without effect, and unanswered until the call's timeout. */
   | 'silent'
-  /** Done, and the answer is lost. */
+  /** Takes effect, but the answer is lost. */
   | 'answer_lost';
 
-/** As the platform's client waits for a read beside its wait; milliseconds. */
+/**
+ * Time that the platform's client allows for a read in addition to its wait;
+ * milliseconds.
+ */
 const READ_TIMEOUT_MS = 500;
 
-/** A log whose calls can be troubled. */
+/** A log with injectable faults. */
 export interface FakeLog extends ports.KeyedLog {
   fault: Fault;
   /** All records, by offset. */
   readonly records: ports.KeyedRecord[];
   appends: number;
-  /** The most records that one read brings. */
+  /** Maximum number of records that one read returns. */
   maxReadRecords: number;
-  /** Forgets all but the newest record of each key. */
+  /** Drops all but the newest record of each key. */
   compact(): void;
 }
 
--- a/packages/gypsumwall-cell/src/__fixtures__/fake_worker.ts
+++ b/packages/gypsumwall-cell/src/__fixtures__/fake_worker.ts
@@ -1,13 +1,13 @@
 /**
- * A worker in memory: fencing, leases on a clock of its own, runs that end
- * when they are told to, ends that are repeated until they are acknowledged.
+ * An in-memory worker: fencing, leases on a clock of its own, attempts that end
+ * on request, and ended attempts that are reported until they are acknowledged.
  */
 import * as result from 'true-myth/result';
 import type * as scheduling from '@gypsumwall/scheduling';
 import * as types from '@gypsumwall/types';
 import type * as ports from '../ports.js';
 
-/** One run, as it was on the worker. */
+/** One attempt on the worker. */
 export interface FakeAttempt {
   readonly taskId: types.ids.TaskId;
   readonly attempt: number;
@@ -17,25 +17,25 @@
 /** A worker that can be cut off. */
 export interface FakeWorker {
   readonly info: scheduling.workerRegistry.WorkerInfo;
-  /** Connections; each holder has its own. */
+  /** Opens a connection; each holder has its own. */
   connect(): ports.WorkerLink;
-  /** No call gets through or is answered. */
+  /** Whether calls are neither delivered nor answered. */
   cut: boolean;
-  /** Another stay answers at its address. */
+  /** Whether another incarnation answers at its address. */
   isReplaced: boolean;
-  /** Orders are carried out, and not answered. */
+  /** Whether orders take effect without being answered. */
   losesAnswers: boolean;
-  /** So many looks that wait for an end are lost. */
+  /** Number of waiting polls that will be lost. */
   pollsToLose: number;
-  /** How long a stop takes; milliseconds. */
+  /** Duration of a stop; milliseconds. */
   stopMs: number;
   readonly running: Map<string, FakeAttempt>;
-  /** Every start that was carried out. */
+  /** Every start that took effect. */
   readonly started: FakeAttempt[];
   end(taskId: string, how: scheduling.jobSteps.RunEnd): void;
 }
 
-/** Creates a worker with room for so many cores. */
+/** Creates a worker with the given number of cores. */
 export function createFakeWorker(
   name: string,
   cores: number,
--- a/packages/gypsumwall-cell/src/__fixtures__/worker_move_model.ts
+++ b/packages/gypsumwall-cell/src/__fixtures__/worker_move_model.ts
@@ -1,21 +1,21 @@
 /**
- * A model of one worker that moves between two shards: two logs, four entries
- * that claim shards, calls that are late, lost or overtake each other. The
- * protocol's rules are those of docs/design/007; a fault leaves one out.
+ * A model of one worker that moves between two shards. There are two logs, four
+ * entries that claim shards, and calls that are late, lost or out of order. The
+ * protocol's rules are those of docs/design/007; each fault omits one of them.
  */
 
-/** Ticks a holder acts for without an append that was taken. */
+/** Number of ticks that a holder acts without a successful append. */
 const MAX_UNCONFIRMED_TICKS = 2;
-/** Ticks a lease is given for. */
+/** Length of a lease in ticks. */
 const LEASE_TICKS = 3;
-/** After a claim, every lease of earlier holders has passed by then. */
+/** Ticks after a claim until every lease of earlier holders has expired. */
 const LEASES_EXPIRED_TICKS = MAX_UNCONFIRMED_TICKS + LEASE_TICKS;
-/** More claims would leave no holder the time for anything. */
+/** With more claims no holder would have time to do anything. */
 const MAX_CLAIMS = 4;
-/** Above every epoch of one log. */
+/** Larger than every epoch of a log. */
 const EPOCHS_PER_GENERATION = 1_000_000;
 
-/** A rule that is left out. */
+/** The rule that is omitted. */
 export type Fault =
   | 'none'
   | 'lease_not_waited_out'
@@ -59,7 +59,7 @@
 /** A pick that chooses the newest call or answer. */
 export const NEWEST = -1;
 
-/** One thing that happens; `pick` chooses an entry, call or answer. */
+/** One event; `pick` chooses an entry, call or answer. */
 export interface Operation {
   readonly name: EntryOperation | OtherOperation;
   readonly pick: number;
@@ -82,7 +82,7 @@
 interface Answer {
   readonly call: Call;
   readonly taken: boolean;
-  /** What ran when the call was answered. */
+  /** Attempts that were running when the call was answered. */
   readonly running: readonly number[];
 }
 
@@ -91,25 +91,31 @@
   readonly epoch: number;
   readonly claimedAt: number;
   confirmedAt: number;
-  /** Moves of the worker, where it belongs to the holder's shard. */
+  /**
+   * Number of moves of the worker; undefined unless it belongs to the holder's
+   * shard.
+   */
   generation: number | undefined;
-  /** It is known what earlier holders left on the worker. */
+  /** Whether the holder knows what earlier holders left on the worker. */
   isAccounted: boolean;
-  /** An attempt that may run, and until when at the latest. */
+  /** An attempt that may be running, until the lease's end at the latest. */
   open?: {readonly attempt: number};
   leaseUntil: number;
 }
 
-/** A run of the model. */
+/** One execution of the model. */
 export interface WorkerMoveModel {
   apply(operation: Operation): void;
-  /** What rule is broken, if any. */
+  /** The rule that is violated; undefined if there is none. */
   brokenRule(): string | undefined;
-  /** Attempts that ran, by the shard that ordered them. */
+  /** Number of attempts that ran, by the shard that ordered them. */
   startsOf(shard: Shard): number;
 }
 
-/** Creates a model: the worker belongs to shard 0, nobody holds a claim. */
+/**
+ * Creates a model in which the worker belongs to shard 0 and nobody holds a
+ * claim.
+ */
 export function createWorkerMoveModel({
   fenced,
   fault,
@@ -124,9 +130,11 @@
   ];
   const calls: Call[] = [];
   const answers: Answer[] = [];
-  /** The token that each attempt was ordered under. */
+  /** The token that each attempt was ordered with. */
   const attempts: number[] = [];
-  /** Attempts that a holder has taken for over: their tasks may run again. */
+  /**
+   * Attempts that a holder considers over, so that their tasks may run again.
+   */
   const over = new Set<number>();
   const starts = [0, 0];
   const worker = {
@@ -142,13 +150,16 @@
     logs[shard]!.findLastIndex((record) => record.kind === 'claim');
   const isNewest = ({shard, epoch}: Holder) => newestEpoch(shard) === epoch;
 
-  /** Moves of the worker if it belongs to the shard. */
+  /** Number of moves of the worker, if it belongs to the shard. */
   function generationAt(shard: Shard): number | undefined {
     const last = logs[shard]!.findLast((record) => record.kind !== 'claim');
     return last?.kind === 'adopt' ? last.generation : undefined;
   }
 
-  /** Tokens of one shard rise with its epochs, over shards with the moves. */
+  /**
+   * Tokens increase with the epochs within a shard, and with the moves between
+   * shards.
+   */
   function tokenOf({generation, epoch}: Holder): number {
     return generation! * EPOCHS_PER_GENERATION + epoch + 1;
   }
@@ -175,7 +186,7 @@
     };
   }
 
-  /** An append under the holder's epoch; the log refuses an older one. */
+  /** Appends under the holder's epoch; the log rejects an older epoch. */
   function append(entry: number, record: LogRecord | undefined): boolean {
     const holder = holders[entry]!;
     if (!isNewest(holder)) {
@@ -200,7 +211,7 @@
 
   function renew(holder: Holder): void {
     if (!mayAct(holder) || !owns(holder)) return;
-    // A renewal keeps all runs alive, also those of an earlier holder.
+    // A renewal extends all attempts, also those of an earlier holder.
     if (!holder.isAccounted && fault !== 'renewal_before_answer') return;
     send(holder, 'renew', -1, lease(holder));
   }
@@ -226,8 +237,8 @@
   }
 
   /**
-   * What time alone settles, once an append was taken after it: before that a
-   * successor may have renewed the lease.
+   * Settles what depends on time alone, once an append succeeded after it:
+   * before that, a successor may have renewed the lease.
    */
   function settle(holder: Holder): void {
     if (!owns(holder)) return;
@@ -249,7 +260,7 @@
     holder.open = undefined;
   }
 
-  /** All attempts of earlier holders are over but those that are listed. */
+  /** All attempts of earlier holders are over, except the listed ones. */
   function markOver(holder: Holder, listed: readonly number[]): void {
     attempts.forEach((token, attempt) => {
       const earlier = token < tokenOf(holder);
@@ -280,7 +291,7 @@
     if (own?.kind === 'release' && own.generation >= generation) return;
     if (!append(entry, {kind: 'adopt', generation})) return;
     holder.generation = generation;
-    // The release says that nothing of the other shard can run any more.
+    // The release guarantees that nothing of the other shard can run any more.
     holder.isAccounted = true;
     holder.leaseUntil = 0;
     markOver(holder, []);
@@ -330,7 +341,7 @@
     if (call.kind === 'look' && !holder.isAccounted) account(holder, running);
   }
 
-  /** Without a fence a late order of an earlier holder may still come. */
+  /** Without fencing a late order of an earlier holder may still arrive. */
   function account(holder: Holder, running: readonly number[]): void {
     if (!fenced && fault !== 'look_without_fence') return;
     holder.isAccounted = true;
@@ -410,7 +421,7 @@
   };
 }
 
-/** Whether an operation is one of an entry; `pick` is the entry then. */
+/** Whether the operation is one of an entry; `pick` is the entry then. */
 export function isEntryOperation(
   name: Operation['name'],
 ): name is EntryOperation {
--- a/packages/gypsumwall-cell/src/__tests__/age_of_answers.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/age_of_answers.test.ts
@@ -11,7 +11,7 @@
 const {test} = nodeTest;
 const id = (text: string) => types.ids.brand<types.ids.JobId>(text);
 const {queue} = worlds.POLICY;
-/** Longer than a copy counts as current; milliseconds. */
+/** Longer than a replica counts as current; milliseconds. */
 const STALE_AFTER_MS = 1_700;
 /** How long callers wait for an answer; milliseconds. */
 const CALLER_TIMEOUT_MS = 3_000;
@@ -47,7 +47,10 @@
   return answer.type === 'ok' ? answer.value : answer.type;
 }
 
-/** An entry of its own troubles beside one that holds the cell. */
+/**
+ * A world with one entry, and a view of its store with separate faults for a
+ * second entry.
+ */
 function createWorld() {
   const world = worlds.createCellWorld();
   const {jobs, cell} = world.store;
@@ -59,9 +62,9 @@
   return {world, view, first: world.addEntry('a')};
 }
 
-// The caller is told 410 of a job that was accepted and is done. Its request
-// has been dropped from one log, and the other, which still knows it, hasn't
-// been loaded yet: the entry has just started, and its peers don't answer.
+// Guards against 410 for an accepted job that is done. The entry has just
+// started: the job's request has been dropped from one log, the other log,
+// which still contains the job, isn't loaded yet, and no peer answers.
 test('a job is not told as absent before both logs are read', async () => {
   const {world, view, first} = createWorld();
   try {
@@ -90,9 +93,9 @@
   }
 });
 
-// The job is done, and its caller hears that it runs. Its entry can't tell and
-// asks a peer; that one has been turned away as well, and its word, from a copy
-// as old, is taken for certain, so that no other is asked.
+// Guards against a finished job that is reported as running. The entry asks a
+// peer that the store refuses as well; the peer's answer comes from an equally
+// stale replica and is taken as definite, so no other peer is asked.
 test('a peer with an old copy does not answer for a state', async () => {
   const {world, view, first} = createWorld();
   const second = world.addEntry('b', view);
@@ -125,9 +128,10 @@
   }
 });
 
-// The caller is told for good that a job waits which was cancelled and is
-// forgotten. The entry was away until the store had dropped the records
-// between; the load names what there is, and what isn't named stays.
+// Guards against a job that is reported as queued for good although it was
+// cancelled and dropped. The entry couldn't read until the store had compacted
+// the deletion records; a load only contains existing records, and the entry
+// kept what the load didn't contain.
 test('what a load does not name any more is forgotten', async () => {
   const {world, view, first} = createWorld();
   try {
@@ -138,7 +142,7 @@
     view.cell.fault = 'down';
     await first.jobService.cancel(id('job'), queue);
     await worlds.until(async () => (await pending(first)) === 0, 'cancelled');
-    // As retention does once the job's state needn't be kept any more.
+    // Like retention after the retention period of the job's state.
     const jobId = id('job');
     await world.store.jobs.append(
       [
@@ -162,9 +166,10 @@
   }
 });
 
-// A job that is long over waits for good at an entry that loaded the jobs' log
-// just before its last records were dropped, and the cell's log just after: a
-// dropped request is no word on the job. As holder it would run the job again.
+// Guards against a finished job that stays queued at an entry, which would run
+// it again as holder. The entry loaded the jobs' log just before the job's last
+// records were dropped, and the cell's log just after. A dropped request must
+// not be taken for a queued job.
 test('a job whose request is dropped does not wait', () => {
   const jobs = jobTables.createJobTable({
     onAdded: () => {},
@@ -183,9 +188,9 @@
   assert.equal(jobs.pendingIn(queue), 0);
 });
 
-// The caller is told for good that its job is too large (400), while a worker
-// that has room for it takes such jobs. The entry judges by its copy of the
-// cell's log, which is as old as the store has turned it away.
+// Guards against a permanent refusal (400) of a job as too large while a worker
+// accepts such jobs. The entry judges by a replica of the cell's log that is
+// stale because the store has refused the entry.
 test('no job is too large by an old copy', async () => {
   const {world, view, first} = createWorld();
   try {
@@ -221,9 +226,10 @@
   }
 });
 
-// The caller's cancel gets no answer in its time, nor does its second try. The
-// job was accepted elsewhere while the store turned this entry away, which now
-// reads for seconds what it missed; peers know the job and aren't asked.
+// Guards against a cancellation that isn't answered before its deadline, nor
+// when it is retried. The job was accepted elsewhere while the store refused
+// this entry, which now needs seconds to read what it missed. Peers know the
+// job but weren't asked.
 test('a cancel is answered in time by an entry that is far behind', async () => {
   const {world, view, first} = createWorld();
   try {
@@ -251,9 +257,9 @@
   }
 });
 
-// The cell's holder is sound, and yet another entry claims the cell again and
-// again: a read of the log that arrives for longer than a holder may be silent
-// looks like silence, and such reads are waited for.
+// Guards against an entry that claims the cell repeatedly although its holder
+// is healthy. A read of the log that takes longer than a holder may be silent
+// looks like silence, so the entry must wait for such reads.
 test('an entry whose read still arrives takes no holder for silent', async () => {
   const {world, view, first} = createWorld();
   try {
--- a/packages/gypsumwall-cell/src/__tests__/apply_records.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/apply_records.test.ts
@@ -5,8 +5,8 @@
 
 const {test} = nodeTest;
 
-// Callers find no entry any more, and none stays up: one record was written by
-// another version, and each entry that reads it ends.
+// Guards against a record of another version that ends every entry that reads
+// it, so that callers find no entry at all.
 test('a record that can not be taken in keeps none after it back', () => {
   const records = [
     {key: 'claim', value: '{"v":99}', offset: 0},
--- a/packages/gypsumwall-cell/src/__tests__/cell_entry.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/cell_entry.test.ts
@@ -30,7 +30,7 @@
   return answer.type === 'ok' ? answer.value : answer.type;
 }
 
-/** How many jobs wait, or how the question was refused. */
+/** Number of pending jobs, or how the query was refused. */
 async function pending(
   entry: cellEntryTypes.CellEntry,
 ): Promise<number | string> {
@@ -38,7 +38,10 @@
   return answer.type === 'ok' ? answer.value : answer.type;
 }
 
-/** Waits until the entry tells the phase: entries read the log with a lag. */
+/**
+ * Waits until the entry reports the phase, because entries read the log with a
+ * delay.
+ */
 async function waitForPhase(
   entry: cellEntryTypes.CellEntry,
   name: string,
@@ -78,8 +81,8 @@
   }
 });
 
-// The caller's task must not run twice. Its holder dies while the task runs;
-// the next entry takes the cell over, finds the run and waits for its end.
+// Guards against a task that runs twice. Its holder stops while the task runs;
+// the next entry takes over the cell, finds the attempt and waits for its end.
 test('a run goes on when its holder dies, and is not started again', async () => {
   const world = worlds.createCellWorld(4_000);
   try {
@@ -103,9 +106,9 @@
   }
 });
 
-// The caller's job stands still after a takeover, and its task may run twice.
-// The last worker to answer the new holder isn't on the list yet, which is
-// slow to come; it must not be taken for one that never answered.
+// Guards against a job that makes no progress after a takeover and whose task
+// may run twice. The last worker to answer the new holder isn't on the list
+// yet, which is read late; it must not be taken for one that never answered.
 test('a worker that answers before the list is read keeps its runs', async () => {
   const world = worlds.createCellWorld(4_000);
   try {
@@ -130,8 +133,8 @@
   }
 });
 
-// A holder is cut off from the store but reaches the workers, and another
-// takes over. The old one's orders are refused, and it gives up.
+// A holder is cut off from the store but still reaches the workers, and another
+// entry takes over. The old holder's orders are refused, and it gives up.
 test('a holder that the store turns away is replaced and gives up', async () => {
   const world = worlds.createCellWorld(4_000);
   try {
@@ -176,8 +179,8 @@
   }
 });
 
-// A worker carries an order out and its answer is lost. The task is stopped
-// there before it starts anywhere else, so at no time do two runs exist.
+// A worker executes an order, but its answer is lost. The task is stopped there
+// before it starts anywhere else, so that two attempts never run at once.
 test('a start without an answer is settled before the next', async () => {
   const world = worlds.createCellWorld();
   try {
@@ -198,8 +201,9 @@
   }
 });
 
-// A worker is cut off with a task. The task starts elsewhere only after the
-// worker's lease has surely passed, though others have room all the while.
+// A worker is cut off while it runs a task. The task starts elsewhere only
+// after the worker's lease has expired, although another worker is free all the
+// time.
 test('a task on a worker out of reach waits for the lease', async () => {
   const world = worlds.createCellWorld(800);
   try {
@@ -253,8 +257,8 @@
   }
 });
 
-// Every start of a busy cell comes late. A small instance took the cell before
-// a large one had tried, and its processor is too slow for all the calls.
+// Guards against late starts in a busy cell: a small instance claimed the cell
+// before a large one tried, and its processor is too slow for all the calls.
 test('the strongest entry takes the cell, though others came before', async () => {
   const world = worlds.createCellWorld();
   try {
--- a/packages/gypsumwall-cell/src/__tests__/copy_age.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/copy_age.test.ts
@@ -12,9 +12,9 @@
 import * as storeHealth from '../store_health.js';
 
 const {test} = nodeTest;
-/** The oldest copy that callers may be answered from; milliseconds. */
+/** Maximum age of a replica that callers may be answered from; milliseconds. */
 const MAX_AGE_MS = 2_000;
-/** Longer than any suspension that may pass unnoticed; milliseconds. */
+/** Longer than any suspension that may go undetected; milliseconds. */
 const SUSPENDED_MS = 10_000;
 
 const pause = (spanMs: number) =>
@@ -42,8 +42,9 @@
   });
 }
 
-// The caller is told a number in which jobs wait that run: the store turns the
-// entry away from the log that tells what was begun, and from no other.
+// Guards against a count of pending jobs that includes running ones. The store
+// refuses the entry's reads of the log with the progress of jobs, and of no
+// other log.
 test('a copy is as old as the older of its two logs', async () => {
   const world = worlds.createCellWorld();
   try {
@@ -60,7 +61,7 @@
   }
 });
 
-// The same of an entry that has just started and hasn't loaded that log yet.
+// The same for an entry that has just started and hasn't loaded that log yet.
 test('a copy without one of its logs is not current', async () => {
   const world = worlds.createCellWorld();
   try {
@@ -75,8 +76,9 @@
   }
 });
 
-// The caller is told how many waited before the instance was suspended: the
-// clock that ages are measured with stood still meanwhile.
+// Guards against a count of pending jobs from before the instance was
+// suspended: the monotonic clock, by which ages are measured, stops during a
+// suspension.
 test('a copy of before a suspension is not current', async () => {
   const system = types.clock.createSystemClock();
   let suspendedMs = 0;
@@ -99,8 +101,8 @@
   }
 });
 
-// The caller is told a number that lacks a job which was accepted while the
-// answer of a read was on its way, for as long as that took.
+// Guards against a count that lacks a job which was accepted while the answer
+// to a read was in transit, however long that took.
 test('a copy is as old as the sending of the read', async () => {
   const log = fakeLogs.createFakeLog();
   const follower = createFollower(log);
@@ -119,8 +121,8 @@
   assert.ok((follower.completeUntil() ?? Infinity) < acceptedAt);
 });
 
-// The caller is told that there is no such job, though it was accepted before
-// the question: the reading that the question shared had found the end before.
+// Guards against an accepted job that is reported as absent: the read that the
+// query shared had determined the log's end before the job was stored.
 test('a question shares no reading that began before it', async () => {
   const log = fakeLogs.createFakeLog();
   const seen: string[] = [];
@@ -142,7 +144,8 @@
   await before;
 });
 
-// The caller is told 410, or 200 without a number, by way of a peer.
+// Guards against 410, or 200 without a count, for a query that was forwarded to
+// a peer.
 test('a peer answers how many wait, or refuses', async () => {
   const world = worlds.createCellWorld();
   const view = {...world.store, cell: worlds.createLogView(world.store.cell)};
@@ -169,8 +172,9 @@
   }
 });
 
-// A job is unknown for good at an entry that was loading when it was accepted:
-// its page had been read, and the log is read on from a later one.
+// Guards against a job that stays unknown because it was accepted during a
+// load: its page had been read already, and the log was read on from the end
+// given by a later page.
 test('a load of several pages goes on from the first', async () => {
   const log = fakeLogs.createFakeLog();
   await log.append([{key: 'b', value: '1'}], {timeoutMs: 1});
--- a/packages/gypsumwall-cell/src/__tests__/crashed_worker.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/crashed_worker.test.ts
@@ -1,4 +1,6 @@
-/** Load: a task that crashes each worker that starts it, over real sessions. */
+/**
+ * Load: a task that crashes every worker that starts it, with real sessions.
+ */
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
 import * as types from '@gypsumwall/types';
@@ -10,7 +12,10 @@
 const JOB = types.ids.brand<types.ids.JobId>('job');
 const MAX_STARTS = 5;
 const LEASE_MS = 1_000;
-/** The list's removal, its grace and the lease that has to pass. */
+/**
+ * The removal from the list, its grace period, and the lease that has to
+ * expire; milliseconds.
+ */
 const REMOVAL_MS = 8_000;
 
 const pause = (spanMs: number): Promise<void> =>
@@ -21,7 +26,7 @@
   return answer.type === 'ok' ? answer.value : answer.type;
 }
 
-/** Machines whose workers crash when they start a task, and come back. */
+/** Machines whose workers crash when they start a task, and restart. */
 async function createMachines(world: worlds.CellWorld, count: number) {
   const workers: fakeWorkers.FakeWorker[] = [];
   const current = new Map<string, fakeWorkers.FakeWorker>();
@@ -39,7 +44,7 @@
     lives: workers,
     crashes: () => crashes,
     starts: () => workers.flatMap((worker) => worker.started).length,
-    /** Ends the workers that run something; they are back after a while. */
+    /** Crashes all busy workers; each of them restarts after a while. */
     async crashBusy(isBack: (worker: fakeWorkers.FakeWorker) => Promise<void>) {
       for (const [machine, worker] of current) {
         if (worker.running.size === 0) continue;
@@ -54,7 +59,7 @@
   };
 }
 
-/** Lets busy workers crash until there were so many crashes. */
+/** Crashes busy workers until the given number of crashes. */
 async function crashUntil(
   machines: Awaited<ReturnType<typeof createMachines>>,
   crashes: number,
@@ -84,8 +89,8 @@
   );
 }
 
-// Guards against a task that crashes its workers and is started without end,
-// and against entries that show its job as running.
+// Guards against a task that crashes its workers and is started again
+// endlessly, and against entries that report its job as running.
 test('every entry shows the job of a task that crashes its workers as failed', async () => {
   const world = worlds.createCellWorld(LEASE_MS);
   try {
@@ -105,7 +110,7 @@
   }
 });
 
-// Guards against crashes that are forgotten with the process that heard them.
+// Guards against crashes that are forgotten when the holder's process ends.
 test('a successor goes on from the crashes that the store has', async () => {
   const world = worlds.createCellWorld(LEASE_MS);
   try {
@@ -123,8 +128,8 @@
   }
 });
 
-// Guards against crashes that don't count since the worker was given up for
-// silent before it came back.
+// Guards against crashes that aren't counted because the worker was removed as
+// silent before it restarted.
 test('a worker that is back after it was given up for silent has crashed', async () => {
   const world = worlds.createCellWorld(LEASE_MS);
   try {
--- a/packages/gypsumwall-cell/src/__tests__/earlier_leases.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/earlier_leases.test.ts
@@ -9,14 +9,15 @@
 const pause = (spanMs: number) =>
   new Promise((resolve) => setTimeout(resolve, spanMs));
 
-// Guards against two runs of a task at once: a lease never shortens, so the
-// longer one of an earlier holder outlasts the shorter one of its successor.
+// Guards against two attempts of a task at once: leases never get shorter, so
+// the longer lease of an earlier holder outlasts the shorter one of its
+// successor.
 test("a successor waits for an earlier holder's longer lease on a worker", async () => {
   const leaseMs = 8_000;
   const world = worlds.createCellWorld(leaseMs);
   try {
     const leaving = await world.addWorker('w1', 1);
-    // No stop is carried out before it is cut off.
+    // No stop completes before the worker is cut off.
     leaving.stopMs = NEVER_MS;
     const first = world.addEntry('a');
     await worlds.until(() => first.status().storeReachable, 'the store');
@@ -24,7 +25,7 @@
     await worlds.until(() => leaving.running.size === 1, 'the task');
     const other = await world.addWorker('w2', 1);
     await pause(500);
-    // The worker's lease is renewed at each look, so it runs until then.
+    // Each poll renews the worker's lease, so the task runs until then.
     const leaseUntil = performance.now() + leaseMs - 500;
     first.stop();
     await world.drain(leaving, NEVER_MS);
@@ -41,8 +42,9 @@
   }
 });
 
-// Guards against two runs of a task at once: the clock doesn't count a
-// suspension, so an entry seems younger than the silence for which it is dropped.
+// Guards against two attempts of a task at once: the monotonic clock doesn't
+// count a suspension, so a list entry seems younger than the silence after
+// which it is removed.
 test('a removal read after a suspension does not count as having left', async () => {
   const world = worlds.createCellWorld(4_000);
   const base = types.clock.createSystemClock();
@@ -71,8 +73,8 @@
   }
 });
 
-// Guards against lasting tasks that stand still for far longer than they may
-// where their worker and the holder are lost together.
+// Guards against long-running tasks that are interrupted for much too long when
+// their worker and the holder are lost together.
 test('a lasting task runs again soon after its worker and the holder are lost', async () => {
   const boundMs = 9_000;
   const world = worlds.createCellWorld(10_000);
@@ -100,8 +102,9 @@
   }
 });
 
-// Guards against lasting tasks that stand still for a lease: a successor that
-// reads an old announcement counts its time from when it was read.
+// Guards against long-running tasks that are interrupted for a whole lease
+// because a successor counts the announced time from when it read the old
+// announcement.
 test('a successor empties a leaving worker before its announced moment', async () => {
   const announcedMs = 6_000;
   const world = worlds.createCellWorld(4_000);
--- a/packages/gypsumwall-cell/src/__tests__/forwarding_job_service.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/forwarding_job_service.test.ts
@@ -13,12 +13,12 @@
 interface Situation {
   readonly own: jobService.JobServiceAnswer<undefined>;
   readonly relayed: peerDirectory.RelayOutcome;
-  /** What the holder alone comes to, if that is something else. */
+  /** Outcome of the calls to the holder, if it differs from `relayed`. */
   readonly byHolder?: peerDirectory.RelayOutcome;
   readonly reachable: boolean;
-  /** Whether the store is found to turn the entry away at its own append. */
+  /** Whether the store turns out to refuse the entry when it appends. */
   readonly refusesAppend?: boolean;
-  /** Whether the own copy of the logs is current. */
+  /** Whether the entry's replica of the logs is current. */
   readonly current?: boolean;
   readonly latencyMs?: number | 'unknown';
 }
@@ -90,8 +90,9 @@
   assert.deepEqual(answer, {type: 'ok', asked: ['any peer']});
 });
 
-// The caller is told that nothing ran, and the job runs. A peer had got the
-// call and its answer was lost; then the own desk refused.
+// Guards against a caller who is told that nothing ran while the job runs. A
+// peer had received the call and its answer was lost; then the local job
+// service refused.
 test('a call that a peer may have done is not told as refused', async () => {
   const relayed = {
     type: 'unanswered',
@@ -109,9 +110,10 @@
   assert.equal(refused.type, 'not_run');
 });
 
-// The job is done, and its caller hears for six seconds that it runs; another
-// hears that 4 jobs wait where 20 do. The store answers their entry again, which
-// is still reading what it missed; its peers know.
+// Guards against a finished job that is reported as running for six seconds,
+// and against a count of 4 pending jobs where there are 20. The store answers
+// the entry again, which is still reading what it missed; its peers know the
+// answers.
 test('questions go to a peer while the own copy is old', async () => {
   const relayed = {type: 'answered', res: {type: 'ok', value: 20}} as const;
   const situation = {own: OK, relayed, reachable: true};
@@ -137,8 +139,8 @@
   assert.equal(answer.type, 'not_run');
 });
 
-// Load: a store ninety times slower than usual takes 0.7 s for an append and
-// handles those of a log one by one; seven entries made a line of 2.5 s.
+// Load: a store ninety times slower than usual needs 0.7 s for an append and
+// handles those of a log one by one; seven entries made a queue of 2.5 s.
 test("calls share the holder's appends while the store is slow", async () => {
   const slow = {own: OK, relayed: PEER_OK, reachable: true, latencyMs: 700};
   assert.deepEqual(await submit(slow), {type: 'ok', asked: ['holder']});
@@ -146,10 +148,10 @@
   assert.deepEqual(await submit(quick), {type: 'ok', asked: ['own']});
 });
 
-// For as long as a failure domain is cut off, all its callers are refused,
-// though every other domain could serve them. Its entries answer each other's
-// questions about jobs, took that for a way to the store, told the balancer
-// that they were ready, and so kept their callers.
+// Guards against a failure domain whose callers are all refused for as long as
+// it is cut off, although every other domain could serve them. Its entries
+// answered each other's queries about jobs, took that as proof of access to the
+// store, reported themselves as ready, and so kept their callers.
 test('only what a peer stored shows a way to the store', async () => {
   const situation = {own: REFUSED, relayed: PEER_OK, reachable: false};
   const desk = createService(situation);
@@ -159,10 +161,10 @@
   assert.equal(desk.hasRelayedRecently(), true, 'after a job was stored');
 });
 
-// Load: 28 jobs a second through 45 entries, and a store that turns forty
-// times as slow. Each entry sent one append of its own before it knew; the
-// store took them one by one, refused what waited for over 2 s, and 234 jobs of
-// 360 were lost.
+// Load: 28 jobs a second through 45 entries, and a store that becomes forty
+// times slower. Each entry sent one append before it noticed; the store handled
+// them one by one, refused those that waited for over 2 s, and 234 of 360 jobs
+// were lost.
 test("a call goes through the holder where the store's pace isn't known", async () => {
   const unknown = {reachable: true, latencyMs: 'unknown'} as const;
   const answered = {...unknown, own: OK, relayed: PEER_OK};
@@ -179,8 +181,8 @@
   assert.equal(doubt.type, 'unknown', 'the holder may have stored it');
 });
 
-// Its append takes 0.4 s, and 0.8 s with the one before it. An entry that gave
-// up on it appended itself, and so made the line longer.
+// The holder's append takes 0.4 s, or 0.8 s with the one before it. An entry
+// that gave up on the holder appended by itself and so lengthened the queue.
 test('a holder that lives and is slow is waited for', async () => {
   const slow = {type: 'unanswered', maybeApplied: true, isSlow: true} as const;
   const unknown = {reachable: true, latencyMs: 'unknown'} as const;
@@ -188,8 +190,9 @@
   assert.deepEqual(answer, {type: 'unknown', asked: ['holder', 'holder']});
 });
 
-// Guards against calls that go from peer to peer while too many appends are in
-// line: each peer adds one, and the line stays full after the store is sound.
+// Guards against calls that go from peer to peer while too many appends are
+// queued: each peer adds one, and the queue stays full after the store has
+// recovered.
 test('what a full line refuses goes to the holder alone', async () => {
   const refused = {
     type: 'unanswered',
@@ -211,7 +214,7 @@
   assert.deepEqual(byHolder, {type: 'ok', asked: ['own', 'holder']});
 });
 
-// Guards against callers who are refused though any peer could serve them.
+// Guards against callers who are refused although any peer could serve them.
 test('what the store turns away goes to any peer', async () => {
   const answer = await submit({
     own: REFUSED,
--- a/packages/gypsumwall-cell/src/__tests__/holder_probe.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/holder_probe.test.ts
@@ -32,16 +32,17 @@
   return {lost: probe.isLost(), asked};
 }
 
-// Load: 13 jobs a second, and the holder loses power just as the store is back
-// from an outage. Jobs that are taken meanwhile wait for its successor; with
-// silence alone that is 1.1 s, and urgent jobs have half of it to spare.
+// Load: 13 jobs a second, and the holder loses power just when the store has
+// recovered from an outage. Jobs accepted meanwhile wait for the holder's
+// successor: for 1.1 s if silence alone decides, and urgent jobs can spare half
+// of that.
 test('a silent holder that answers no peer is lost', async () => {
   const {lost} = await probeFor(500, false);
   assert.equal(lost, true);
 });
 
-// A slow store makes a sound holder silent as well; its peers must not depose
-// it for that.
+// A slow store makes a healthy holder silent as well; its peers must not
+// replace it for that.
 test('a silent holder that answers its peers is not lost', async () => {
   const {lost, asked} = await probeFor(500, true);
   assert.equal(lost, false);
--- a/packages/gypsumwall-cell/src/__tests__/http_client.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/http_client.test.ts
@@ -8,7 +8,7 @@
 
 const {test} = nodeTest;
 
-/** Serves from a thread of its own, since the test blocks this one. */
+/** Serves from a thread of its own, because the test blocks the main thread. */
 const SERVER = `
   const http = require('node:http');
   const {parentPort} = require('node:worker_threads');
@@ -33,10 +33,10 @@
   while (performance.now() < end);
 }
 
-// A gang is stopped and started again elsewhere though all its workers took it
-// at once. The process that sent the starts was busy for longer than an answer
-// is waited for; the answers lay there, and their time was up before anybody
-// looked at them.
+// Guards against a gang that is stopped and started again elsewhere although
+// all its workers accepted it at once. The process that sent the starts was
+// busy for longer than the timeout of an answer; the answers had arrived, but
+// the timeouts fired before they were read.
 test('an answer that lies there is read before its call is given up', async () => {
   await withServer(async (port) => {
     const client = httpClient.createHttpClient(`127.0.0.1:${port}`, 1);
@@ -48,7 +48,7 @@
     } as const;
     await client.call(call);
     const answer = client.call(call);
-    // After these a turn of the loop begins, with the timers that are due.
+    // After this a turn of the event loop begins with the due timers.
     await new Promise((resolve) => setImmediate(resolve));
     block(200);
     const {isOk} = await answer;
--- a/packages/gypsumwall-cell/src/__tests__/late_evacuation.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/late_evacuation.test.ts
@@ -6,7 +6,7 @@
 const {test} = nodeTest;
 const LEASE_MS = 8_000;
 const TASKS = 4;
-/** It is to be emptied as soon as that is read. */
+/** The worker is to be evacuated as soon as this is read; milliseconds. */
 const ANNOUNCED_MS = 500;
 const SILENT_MS = 1_500;
 
@@ -16,8 +16,8 @@
   return {...request, steps};
 }
 
-// Guards against runs that stay on a leaving worker, where a new holder hears
-// of them only after it has evacuated that worker.
+// Guards against attempts that remain on a leaving worker because a new holder
+// learns of them only after it has evacuated that worker.
 test('runs found after the evacuation of their worker are stopped', async () => {
   const world = worlds.createCellWorld(LEASE_MS);
   try {
--- a/packages/gypsumwall-cell/src/__tests__/lease_length.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/lease_length.test.ts
@@ -4,9 +4,12 @@
 
 const {test} = nodeTest;
 const MAX_LEASE_MS = 10_000;
-/** A cut of a failure domain that running work has to ride out. */
+/** A cut of a failure domain that running work has to survive; milliseconds. */
 const CUT_MS = 6_000;
-/** What a lasting task may be away, less the adviser's call and the start. */
+/**
+ * How long a long-running task may be interrupted, minus the adviser call and
+ * the start; milliseconds.
+ */
 const MAX_ABSENCE_MS = 9_000 - 1_500;
 
 const lengthOf = (fields: Partial<leaseLengths.LeaseView>) =>
@@ -17,8 +20,8 @@
     ...fields,
   });
 
-// Guards against work that is lost in a cut, and lasting tasks that wait for a
-// lease for too long.
+// Guards against work that is lost in a network cut, and against long-running
+// tasks that wait too long for a lease to expire.
 test('a lease is as long as what it protects asks for', () => {
   assert.equal(lengthOf({}), MAX_LEASE_MS);
   const longRunning = lengthOf({hasLongRunning: true});
--- a/packages/gypsumwall-cell/src/__tests__/leaving_worker.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/leaving_worker.test.ts
@@ -1,6 +1,6 @@
 /**
- * Load: tasks on a worker that leaves at the very moment that it has announced,
- * and whose stops take 900 ms. The list is read 200 ms late.
+ * Load: tasks on a worker that leaves exactly when it has announced, and whose
+ * stops take 900 ms. The list is read 200 ms late.
  */
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
@@ -13,7 +13,7 @@
 const LIST_LAG_MS = 200;
 const LEASE_MS = 4_000;
 const TASKS = 4;
-/** Well below what a lease that has to pass would take. */
+/** Much shorter than the time until a lease expires; milliseconds. */
 const MAX_DELAY_MS = LEASE_MS / 2;
 
 const pause = (spanMs: number) =>
@@ -35,8 +35,9 @@
   return {world, entry, leaving, other, isBack};
 }
 
-// Guards against lasting tasks that stand still for a lease, since the worker
-// left before their stops were carried out and nobody heard of their ends.
+// Guards against long-running tasks that are interrupted for a lease because
+// the worker left before their stops were completed, so that nobody received
+// their ends.
 test('a worker that leaves is emptied while its ends can be heard', async () => {
   const {world, leaving, isBack} = await createBusyWorld(true);
   try {
@@ -53,8 +54,8 @@
   }
 });
 
-// Guards against tasks that wait for a lease though the list tells that their
-// worker has left, where its stops were lost.
+// Guards against tasks that wait for a lease to expire although the list shows
+// that their worker has left, when the stops were lost.
 test('tasks of a worker that has left run again without waiting for its lease', async () => {
   const {world, leaving, isBack} = await createBusyWorld(false);
   try {
@@ -68,8 +69,8 @@
   }
 });
 
-// Guards against two runs of a task at once: the list drops a worker that it
-// doesn't hear of as well, and its tasks may run on.
+// Guards against two attempts of a task at once: the list also removes a worker
+// that it has lost contact with, and whose tasks may still run.
 test('a worker that was silent before it was dropped may still run tasks', async () => {
   const {world, leaving, other} = await createBusyWorld(false);
   try {
@@ -84,7 +85,8 @@
   }
 });
 
-// Guards against jobs that a successor holds back for a worker that has left.
+// Guards against jobs that a successor delays because of a worker that has
+// left.
 test('a successor does not wait for a worker that has left', async () => {
   const longLeaseMs = 4 * LEASE_MS;
   const busy = await createBusyWorld(false, longLeaseMs);
--- a/packages/gypsumwall-cell/src/__tests__/log_follower.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/log_follower.test.ts
@@ -11,9 +11,9 @@
 const logger = telemetry.logger.createLogger('silent');
 const clock = types.clock.createSystemClock();
 
-// The caller is told that there is no such job, of one that was accepted two
-// seconds before. The entry was further behind than one read brings, and took
-// that part for the whole log; a new holder would have missed jobs the same way.
+// Guards against a job that is reported as absent two seconds after it was
+// accepted. The entry was further behind than one read returns and took that
+// part for the whole log; a new holder would have missed jobs the same way.
 test('an entry that is far behind reads to the end of the log', async () => {
   const log = fakeLogs.createFakeLog();
   const seen: string[] = [];
@@ -34,10 +34,10 @@
   assert.deepEqual(seen, keys);
 });
 
-// For seconds after the store's return callers are told to come back: each
-// question about a job that the entry hasn't read yet read all that was missed
-// beside the others. On a link of 10 Mbit/s, which carries a read in 0.1 s, ten
-// at once took longer than a read is given, and none of them got anywhere.
+// Guards against callers who have to retry for seconds after the store has
+// recovered. Each query about a job that the entry hadn't read yet read the
+// whole backlog by itself. On a link of 10 Mbit/s, which transfers one read in
+// 0.1 s, ten parallel reads exceeded their timeouts, and none made progress.
 test('questions share one reading of what an entry has missed', async () => {
   const log = fakeLogs.createFakeLog();
   let sent = 0;
@@ -67,7 +67,7 @@
   }
   void follower.run();
   const asked = Array.from({length: 10}, () => follower.catchUp());
-  // What was stored before a question must be known with its answer.
+  // A record that was stored before a query must be known to its answer.
   await log.append([{key: 'last', value: '1'}], {timeoutMs: 1});
   assert.equal(await follower.catchUp(), true);
   follower.stop();
@@ -76,9 +76,9 @@
   assert.ok(sent <= 2 * seen, `${sent} records for ${seen}`);
 });
 
-// The caller is told that there is no such job, four seconds after it was
-// accepted. The entry had started anew and was still loading a large log over a
-// thin link; the question shared that load, which had begun before the job was
+// Guards against a job that is reported as absent four seconds after it was
+// accepted. The entry had restarted and was still loading a large log over a
+// slow link; the query shared that load, which had begun before the job was
 // stored, and took it for the whole log.
 test('a load that began before a question is not enough for it', async () => {
   const log = fakeLogs.createFakeLog();
--- a/packages/gypsumwall-cell/src/__tests__/log_order.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/log_order.test.ts
@@ -10,7 +10,10 @@
 
 const {test} = nodeTest;
 
-/** Wait of the reads of a running follower, told apart by it; milliseconds. */
+/**
+ * How long reads of a running follower wait, by which they can be recognised;
+ * milliseconds.
+ */
 const RUN_WAIT_MS = 10;
 
 function createFollower(
@@ -42,7 +45,7 @@
 const pause = (spanMs: number) =>
   new Promise((resolve) => setTimeout(resolve, spanMs));
 
-/** Keeps all records; those before `first` can't be read one by one. */
+/** Stores all records; those before `first` count as compacted. */
 function createPagedLog() {
   const records: ports.KeyedRecord[] = [];
   const newestOfKeys = () => {
@@ -55,13 +58,13 @@
     add(key: string, value: string) {
       records.push({key, value, offset: records.length});
     },
-    /** One record at a time. */
+    /** Returns one record at a time. */
     read(from: number): ports.ReadOutcome {
       if (from < this.first) return {type: 'compacted'};
       const part = records.slice(from, from + 1);
       return {type: 'records', records: part, endOffset: records.length};
     },
-    /** One key a page. */
+    /** Returns one key per page. */
     page(after: string | undefined): ports.NewestPage {
       const left = newestOfKeys().filter(({key}) => key > (after ?? ''));
       return {
@@ -73,11 +76,11 @@
   };
 }
 
-// A job that is done is told to run, for good. Two reads were on their way when
-// the store dropped old records. The first brought a load, after which the log
-// was read on. The second's answer came late and brought another load; it put
-// what was read meanwhile back to what it was, and the position with it, and a
-// read from the later position then passed over what lies between.
+// Guards against a finished job that is reported as running for good. Two reads
+// were in flight when the store compacted old records. The first caused a load,
+// after which the log was read on. The second was answered late and caused
+// another load, which reset the records read meanwhile and the position; a read
+// from the later position then skipped the records between.
 test('a late word of dropped records brings no old record back', async () => {
   const stored = createPagedLog();
   const [lateCompacted, heldPage, heldRead] = [1, 2, 3].map(createGate);
@@ -116,7 +119,7 @@
   await follower.catchUp();
   assert.equal(follower.position(), 3);
   lateCompacted!.open();
-  // Time for a second load, if there is to be one.
+  // Time for a second load, in case there is one.
   await pause(50);
   stored.add('k', 'done');
   stored.add('z', '1');
@@ -132,9 +135,9 @@
   assert.equal(known.get('k'), 'done');
 });
 
-// From one bad answer of the store on, some questions about jobs get 500, for
-// good: whoever waited for the next reading when the bad one ended is still
-// waited for, and so each later question that comes during a reading.
+// Guards against queries about jobs that fail with 500 for good after one bad
+// answer of the store. A caller that was waiting for the next read when the bad
+// one failed kept the broken promise queued, and all later queries shared it.
 test('a reading that broke off is not shared for good', async () => {
   const log = fakeLogs.createFakeLog();
   const follower = createFollower(log, () => {});
@@ -157,8 +160,9 @@
   );
 });
 
-// The number of waiting jobs lacks some, and is told as complete. One record
-// couldn't be taken in; those that came with it count as known all the same.
+// Guards against an incomplete count of pending jobs that is returned as
+// complete: one record couldn't be applied, and those read together with it
+// counted as known.
 test('a copy that lacks records does not count as complete', async () => {
   const log = fakeLogs.createFakeLog();
   const seen: string[] = [];
@@ -182,9 +186,9 @@
   assert.ok(!complete || seen.includes('job'), 'the job was never handed on');
 });
 
-// The store is asked without a pause, by every entry: the next record is larger
-// than the largest read, so each answer says that the log goes on, and brings
-// nothing.
+// Guards against entries that read without a pause. The next record is larger
+// than the largest read, so each answer says that the log goes on but contains
+// no record.
 test('a log that goes on and brings nothing is not read without pause', async () => {
   const log = fakeLogs.createFakeLog();
   let reads = 0;
--- a/packages/gypsumwall-cell/src/__tests__/lost_looks.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/lost_looks.test.ts
@@ -6,9 +6,10 @@
 const {test} = nodeTest;
 const job = (name: string) => types.ids.brand<types.ids.JobId>(name);
 
-// Load: workers that leave one call in twenty unanswered. The caller's task is
-// done, and the look that should tell so is lost. The end was heard of 1.2 s
-// later, and new tasks kept off the worker as if it were out of reach.
+// Load: workers that leave one call in twenty unanswered. A task has ended, and
+// the poll that should report it is lost. The end was reported 1.2 s later, and
+// no new tasks were sent to the worker meanwhile, because it counted as
+// unreachable.
 test('an end is heard of soon though a look was lost', async () => {
   const world = worlds.createCellWorld(4_000);
   try {
@@ -24,7 +25,7 @@
     await worlds.until(
       () => entry.status().scheduler?.jobs === 0,
       'the end is heard of',
-      // The look's wait of 0.7 s, and then a second one at once.
+      // The poll's wait of 0.7 s, and then a second poll at once.
       1_000,
     );
     assert.equal(worker.started.length, 1);
--- a/packages/gypsumwall-cell/src/__tests__/lost_peers.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/lost_peers.test.ts
@@ -9,7 +9,7 @@
 import type * as ports from '../ports.js';
 
 const {test} = nodeTest;
-/** Nothing listens there. */
+/** An address that nothing listens at. */
 const CLOSED = '127.0.0.1:1';
 
 function createSteppedClock() {
@@ -38,8 +38,8 @@
 const ask = (adviser: ports.Adviser | undefined) =>
   adviser!.ask('job.0.0', [], 50);
 
-// Every few seconds one urgent job is late for as long as an entry is gone for
-// good: each time its pass is over, the next call goes through it again.
+// Guards against one late urgent job every few seconds for as long as an entry
+// is lost: whenever its backoff ended, the next call went through it again.
 test('a peer that stays away is tried less and less often', async () => {
   const clock = createSteppedClock();
   const {peers, register} = createDirectory(clock);
@@ -56,8 +56,9 @@
   peers.close();
 });
 
-// Some urgent jobs are late right after each takeover: nothing has been asked
-// through the lost holder's instance, so its line is short, and it never answers.
+// Guards against urgent jobs that are late right after each takeover: no call
+// has been sent through the lost holder's instance yet, so its queue is the
+// shortest, but it never answers.
 test('a lost holder is passed over before anything was asked through it', () => {
   const clock = createSteppedClock();
   const {peers} = createDirectory(clock);
@@ -68,8 +69,9 @@
   peers.close();
 });
 
-// An urgent job has half a second to spare. The entry that asks for it is
-// gone, and its call was given 1.5 s beside the 20 ms that it takes.
+// Guards against an urgent job that misses its deadline because the entry asked
+// for advice is lost. The job can spare half a second, and its call had a
+// timeout of 1.5 s on top of the 20 ms that it takes.
 test('a call of an urgent job is given up in time to ask elsewhere', async () => {
   const timeouts: number[] = [];
   const caller = adviceCallers.createAdviceCaller({
--- a/packages/gypsumwall-cell/src/__tests__/lost_worker.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/lost_worker.test.ts
@@ -5,7 +5,10 @@
 
 const {test} = nodeTest;
 const LEASE_MS = 10_000;
-/** Six seconds without a run, and three more in which it is seen. */
+/**
+ * Six seconds without a running attempt, and three more until that is noticed;
+ * milliseconds.
+ */
 const MAX_ABSENCE_MS = 9_000;
 
 function longRunningRequest() {
@@ -14,8 +17,8 @@
   return {...request, steps};
 }
 
-// Guards against a lasting task that stands still for a whole lease after its
-// worker was lost for good.
+// Guards against a long-running task that is interrupted for a whole lease
+// after its worker was lost for good.
 test('a lasting task runs again soon after its worker is lost', async () => {
   const world = worlds.createCellWorld(LEASE_MS);
   try {
@@ -26,7 +29,7 @@
     await entry.jobService.submit(jobId, worlds.POLICY, longRunningRequest());
     await worlds.until(() => lost.running.size === 1, 'the task');
     const other = await world.addWorker('w2', 1);
-    // The lease that came with the start has been renewed by then.
+    // By now the lease that came with the start has been renewed.
     await new Promise((resolve) => setTimeout(resolve, 1_000));
     lost.cut = true;
     const lostAt = performance.now();
--- a/packages/gypsumwall-cell/src/__tests__/old_copy.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/old_copy.test.ts
@@ -6,7 +6,7 @@
 
 const {test} = nodeTest;
 
-/** Hands jobs in that wait, as the world has no workers. */
+/** Submits jobs, which stay queued because the world has no workers. */
 async function submit(
   entry: cellEntryTypes.CellEntry,
   names: readonly string[],
@@ -22,7 +22,7 @@
   }
 }
 
-/** How many jobs wait, or how the question was refused. */
+/** Number of pending jobs, or how the query was refused. */
 async function pending(
   entry: cellEntryTypes.CellEntry,
 ): Promise<number | string> {
@@ -33,11 +33,11 @@
 const names = (prefix: string, count: number) =>
   Array.from({length: count}, (_none, number) => `${prefix}${number}`);
 
-// The caller is told that 4 jobs wait while 20 have waited for five seconds.
-// The store turns one entry away for seconds while others accept jobs; then it
-// answers again, and the entry is far behind and reads on. All the while it
-// counts in its own copy of the logs, which lacks what the others accepted.
-// Shown by the age of the copy beside each answer: 17 told at an age of 8.9 s.
+// Guards against a count of 4 pending jobs where 20 have been pending for five
+// seconds. The store refuses one entry for seconds while others accept jobs;
+// then it answers again, and the entry reads its long backlog. All that time
+// the entry counted in its own replica, which lacks the jobs accepted by
+// others: it once returned 17 from a replica that was 8.9 s old.
 test('an entry with an old copy tells no number of waiting jobs', async () => {
   const world = worlds.createCellWorld();
   try {
--- a/packages/gypsumwall-cell/src/__tests__/relayed_questions.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/relayed_questions.test.ts
@@ -26,7 +26,7 @@
   totalTimeoutMs: 500,
 };
 
-/** A desk that refuses all by itself. */
+/** A job service whose local calls are all refused. */
 function createService(
   reachable: boolean,
   relay: (req: peerProtocol.RelayReq) => peerDirectory.RelayOutcome,
@@ -54,9 +54,10 @@
   });
 }
 
-// A job is refused that a peer would have taken. Just before, another caller
-// asked how many wait, which no peer could tell, as their copies of the logs
-// were old too; they reach the store all the same.
+// Guards against a job that is refused although a peer would have accepted it.
+// Just before, another caller had asked for the number of pending jobs, which
+// no peer could answer because their replicas were stale too; they reach the
+// store all the same.
 test('a question that no peer can answer keeps no job from them', async () => {
   const taken = {type: 'ok', value: undefined} as const;
   const service = createService(false, (req) =>
@@ -67,17 +68,18 @@
   assert.equal(answer.type, 'ok');
 });
 
-// The caller is told to come back, while any peer knows the job. One read of
-// the log failed, at an entry whose copy is current but lacks the newest job.
+// Guards against a caller who has to retry although any peer knows the job. One
+// read of the log failed, at an entry whose replica is current but lacks the
+// newest job.
 test('a state that this entry can not tell is asked of a peer', async () => {
   const known = {type: 'ok', value: 'queued'} as const;
   const desk = createService(true, () => ({type: 'answered', res: known}));
   assert.deepEqual(await desk.phaseOf(id, queue), known);
 });
 
-// The caller gets 500 while the entries are replaced one by one. The peer that
-// is asked is of a version that doesn't know the question, and its answer is
-// empty, as the peer server of that version leaves it.
+// Guards against 500 during a rolling update: the peer that is asked has an
+// older version without this query, and its peer server returns an empty
+// answer.
 test('a peer that does not know the question is passed by', async () => {
   const server = fastify.fastify();
   server.post('/relay', async (_req, res) => res.send(undefined));
--- a/packages/gypsumwall-cell/src/__tests__/renewed_lease.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/renewed_lease.test.ts
@@ -8,14 +8,20 @@
 
 const {test} = nodeTest;
 const LEASE_MS = 1_800;
-/** The successor claims and renews before the lease passes. */
+/**
+ * The successor claims the cell and renews the lease before it expires;
+ * milliseconds.
+ */
 const STORE_CUT_AFTER_MS = 800;
 const WATCHED_MS = 3_000;
-/** The successor looks at a worker it reaches more often than that. */
+/**
+ * Longer than the interval at which the successor polls a worker that it
+ * reaches; milliseconds.
+ */
 const POLL_MS = 300;
 const CUT_MS = 60;
 
-/** Has calls of some holders to a worker lost; holders count from 0. */
+/** Drops the calls of some holders to a worker; holders count from 0. */
 function cutFor(
   worker: fakeWorkers.FakeWorker,
   isCut: (holder: number) => boolean,
@@ -52,8 +58,8 @@
 
 const pause = (ms: number) => new Promise((resolve) => setTimeout(resolve, ms));
 
-// Guards against a holder that takes a worker's lease for passed although its
-// successor has renewed it: the task then runs on two workers. The holder is
+// Guards against a holder that considers a worker's lease expired although its
+// successor has renewed it, so that the task runs on two workers. The holder is
 // cut off from the store and from one worker, the successor from the other.
 test('a lease that a successor has renewed is not taken for passed', async () => {
   const world = worlds.createCellWorld(LEASE_MS);
--- a/packages/gypsumwall-cell/src/__tests__/retention.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/retention.test.ts
@@ -9,7 +9,10 @@
 import * as retention from '../retention.js';
 
 const {test} = nodeTest;
-/** Well below what one append carries in its timeout on the slowest link. */
+/**
+ * Much less than one append can transfer within its timeout on the slowest
+ * link.
+ */
 const MAX_APPEND_RECORDS = 1_000;
 
 function idsOf(count: number): types.ids.JobId[] {
@@ -18,7 +21,7 @@
   );
 }
 
-/** Tidies the ends that a holder hands over once. */
+/** Starts retention with a holder that returns the given jobs once. */
 function startRetention(
   jobsLog: fakeLogs.FakeLog,
   ended: types.ids.JobId[],
@@ -47,9 +50,9 @@
   return stopping;
 }
 
-// Entries that start load the requests of jobs that are long over, and take
-// that much longer until they answer. The store was away for the one moment at
-// which these were to be dropped, and nobody tries again.
+// Guards against entries that take longer to start because they load the
+// requests of jobs that finished long ago. The store was unavailable at the one
+// moment at which these were to be dropped, and nothing retried.
 test('requests that were not dropped are dropped later', async () => {
   const log = fakeLogs.createFakeLog();
   log.fault = 'down';
@@ -63,7 +66,8 @@
   }
 });
 
-// Guards against one append that grows with a rush until it never fits its time.
+// Guards against one append that grows with a burst of finished jobs until it
+// always exceeds its timeout.
 test('many requests are dropped in several appends', async () => {
   const log = fakeLogs.createFakeLog();
   const append = log.append.bind(log);
--- a/packages/gypsumwall-cell/src/__tests__/safeguards.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/safeguards.test.ts
@@ -27,8 +27,8 @@
 const logger = telemetry.logger.createLogger('silent');
 const clock = types.clock.createSystemClock();
 
-// The answer to an append is lost after it took effect. Appended again without
-// a number, the batch would stand twice.
+// The answer to an append is lost after it took effect. Without a sequence
+// number the repeated batch would be stored twice.
 test('a batch whose answer was lost stands once', async () => {
   const log = fakeLogs.createFakeLog();
   const writer = cellWriter.createCellWriter({
@@ -108,9 +108,10 @@
   );
 });
 
-// Nobody's job is ever started: 73 holders in 45 s. Taking over 160 workers keeps
-// a small instance too busy to write or to answer its peers for a second; the
-// next one takes over from it after half of that, and is as busy.
+// Guards against a cell in which no job ever starts: 73 holders were seen in 45
+// s. Taking over 160 workers keeps a small instance too busy to write or to
+// answer its peers for a second. The next one took over after half of that time
+// and was just as busy.
 test('holders that are busy taking over are not replaced for ever', () => {
   const busyMs = 1_000;
   const takeovers: types.clock.MonotonicMs[] = [];
@@ -131,8 +132,8 @@
   assert.ok(takeovers.length <= 6, `${takeovers.length} takeovers`);
 });
 
-// An entry that couldn't read the log has heard nothing either, and would take
-// the cell from a sound holder as soon as it reads again.
+// An entry that couldn't read the log has seen no records either, and would
+// take the cell from a healthy holder as soon as it reads again.
 test('silence counts only while the log is read', () => {
   const now = at(60_000);
   const since = at(now - failoverPolicy.MAX_SILENCE_MS + 1);
@@ -183,8 +184,8 @@
   assert.equal(barrier.unaccounted(), 0);
 });
 
-// A worker's clock is 2% slow. A lease of 1,000 ms on it passes up to 1,020 ms
-// later on ours; a task that starts elsewhere before runs twice.
+// A worker's clock is 2% slow, so a lease of 1,000 ms on it expires up to 1,020
+// ms later on ours; a task that starts elsewhere earlier runs twice.
 test('a lease has passed only when the slowest clock says so', () => {
   const times = workerClock.createWorkerClock();
   times.recordReading(10_000, at(0));
@@ -194,8 +195,7 @@
   assert.ok(times.lowerBound(at(1_000))! <= 10_980, 'a lower bound');
 });
 
-// The instance is suspended for seconds. The monotonic clock doesn't show it,
-// the time of day does.
+// The instance is suspended for seconds, which only the wall clock shows.
 test('a suspension is noticed', () => {
   let wall = 50_000;
   let monotonic = 1_000;
@@ -215,7 +215,7 @@
   assert.equal(watch.lastDetectedAt(), 1_510);
 });
 
-// An old holder is cut off from the store's appends and still reads. It must
+// An old holder is cut off from the store's appends but still reads. It must
 // not start a job that its successor starts as well.
 test('a job read in doubt waits for a later confirmation', () => {
   let now = 10_000;
@@ -241,8 +241,9 @@
   assert.deepEqual(taken, ['sure', 'doubt']);
 });
 
-// At a store that loses a third of its answers a call is sent again soon; at
-// one that is slow it isn't, since that made a line at which it refused all.
+// With a store that loses a third of its answers a call is soon sent again.
+// With a slow store it isn't, because that made a queue so long that the store
+// refused all calls.
 test('a call is sent again only while reads come back quickly', async () => {
   for (const [quick, expected] of [
     [true, 2],
@@ -296,8 +297,8 @@
   assert.equal(jobs.pendingIn('plans'), 0);
 });
 
-// An entry starts anew after a job is over. Its request has been dropped from
-// the store to keep loads short, and callers still ask for it.
+// An entry starts after a job has finished. The job's request has been dropped
+// from the store to keep loads short, but callers still ask for the job.
 test('a job that is over is known without its request', () => {
   const jobs = table();
   const jobId = job('a');
--- a/packages/gypsumwall-cell/src/__tests__/slow_peers.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/slow_peers.test.ts
@@ -8,7 +8,7 @@
 
 const {test} = nodeTest;
 
-/** A peer that takes calls, never answers them, and may answer a ping. */
+/** A peer that accepts calls, never answers them, and may answer a ping. */
 async function openPeer(answersPing: boolean) {
   const server = http.createServer((req, res) => {
     if (answersPing && req.url === peerProtocol.PING_PATH) res.end('{}');
@@ -31,9 +31,9 @@
   return {peers, close};
 }
 
-// Load: 45 entries and a slow store. The holder took a call and waited for its
-// append; for that it was passed over, got no calls any more, and its peers
-// appended one by one, which made the line at the store longer.
+// Load: 45 entries and a slow store. The holder received a call and waited for
+// its append. Its peers avoided it for that, sent it no more calls and appended
+// one by one, which lengthened the store's queue.
 test('a peer that answers a ping is slow, and not passed over', async () => {
   for (const answersPing of [true, false]) {
     const {peers, close} = await openPeer(answersPing);
--- a/packages/gypsumwall-cell/src/__tests__/slow_store.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/slow_store.test.ts
@@ -1,7 +1,7 @@
 /**
- * Load: a store that turns slow: it takes 0.24 s for an append where 4 ms are
- * usual, handles those of a log one by one and refuses what would wait for over
- * 2 s; and 60 entries that each have two jobs a second to append.
+ * Load: a store that becomes slow. It needs 0.24 s for an append instead of the
+ * usual 4 ms, handles those of a log one by one and refuses those that would
+ * wait for over 2 s. 60 entries have two jobs a second each to append.
  */
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
@@ -24,9 +24,9 @@
 const ROUND_MS = 500;
 const USUAL_APPEND_MS = 4;
 const SLOW_APPEND_MS = 240;
-/** The store turns slow after so many rounds. */
+/** The round in which the store becomes slow. */
 const SLOW_FROM = 2;
-/** From here on the line of the first slow second has been worked off. */
+/** From this round on the queue of the first slow second has been processed. */
 const SETTLED_FROM = 8;
 const MAX_QUEUE_MS = 2_000;
 const CALLER_TIMEOUT_MS = 3_000;
@@ -35,7 +35,7 @@
 
 const pause = (spanMs: number) => types.clock.pause(clock, spanMs);
 
-/** A log in front of which appends stand in line; counts those refused. */
+/** A log at which appends queue up; counts those that it refuses. */
 function createSlowLog() {
   const log = fakeLogs.createFakeLog('jobs');
   const append = log.append.bind(log);
@@ -84,7 +84,7 @@
   });
 }
 
-/** Peers of which only the holder is there, and slow. */
+/** Peers of which only the holder exists, and is slow. */
 function peersWith(holder: jobServices.JobService) {
   const relay: peerDirectory.PeerDirectory['relay'] = async (req, patience) => {
     if (req.type !== 'submit') throw new Error(`unexpected: ${req.type}`);
@@ -105,12 +105,12 @@
   return {relay} as unknown as peerDirectory.PeerDirectory;
 }
 
-// Guards against entries that keep a slow store from the holder's shared
-// appends by trying their own again and again.
+// Guards against entries that block the holder's shared appends at a slow store
+// by retrying their own.
 test('jobs of many entries are stored at a slow store', async () => {
   const {log, turnSlow, refused} = createSlowLog();
   const holder = createOwnService(log, true);
-  // Entries that know no holder append by themselves, and go on doing so.
+  // Entries that know no holder append by themselves, and continue to do so.
   let holderIsKnown = false;
   const services = Array.from({length: ENTRIES}, () =>
     forwardingJobServices.createForwardingJobService({
--- a/packages/gypsumwall-cell/src/__tests__/standby_choice.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/standby_choice.test.ts
@@ -28,7 +28,7 @@
   );
 }
 
-// Guards against work at rest that grows with the number of entries.
+// Guards against idle work that grows with the number of entries.
 test('each failure domain has two standbys, however many entries it has', () => {
   for (const perDomain of [2, 20, 60]) {
     const standbys = standbysOf(deployment(5, perDomain));
@@ -37,14 +37,14 @@
   }
 });
 
-// Guards against a small entry that takes a cell which needs a large one.
+// Guards against a small entry that takes over a cell which needs a large one.
 test('the strongest entries of a failure domain stand by', () => {
   for (const {cores} of standbysOf(deployment(5, 20))) {
     assert.equal(cores, 1.35);
   }
 });
 
-// Guards against a failure domain whose standbys are gone and not replaced.
+// Guards against a failure domain whose standbys are lost and not replaced.
 test('the next strongest stands by for one that is passed over', () => {
   const entries = deployment(1, 5);
   const lost = standbysOf(entries);
@@ -81,7 +81,8 @@
   }
 });
 
-// Guards against callers who hear of an end only with the next slow read.
+// Guards against callers who learn of a job's end only with the next periodic
+// read.
 test('an entry that reads seldom tells of an end at once', async () => {
   const world = worlds.createCellWorld();
   try {
--- a/packages/gypsumwall-cell/src/__tests__/store_away.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/store_away.test.ts
@@ -20,13 +20,13 @@
   return {world, entry};
 }
 
-// Load: 13 jobs a second, and a store that was silent for 6.6 s. Callers try
+// Load: 13 jobs a second, and a store that didn't answer for 6.6 s. Callers try
 // five times within 3 s, so each tenth of a second until the first job is
-// stored again is a job lost. Entries had looked every 1.2 s, and took the
-// first job 0.8 s after the store was back.
+// stored again loses a job. Entries had probed every 1.2 s, and accepted the
+// first job 0.8 s after the store had recovered.
 test('a store that was silent is used again within 0.3 s', async () => {
   const {world, entry} = await openWorld();
-  // Of lengths that end at each point between two tries of a read by itself.
+  // These durations end at different points between two tries of a single read.
   for (const silentMs of [1_000, 1_225, 1_450, 1_675]) {
     setFault(world, 'silent');
     await worlds.until(() => !entry.status().storeReachable, 'it is noticed');
@@ -49,9 +49,10 @@
   world.stop();
 });
 
-// The caller waits 2.4 s for an answer of which the entry knows long before
-// that none will come, and has no time left to ask again. The append was sent
-// just before the store went silent; then the reads fail as well.
+// Guards against a caller who waits 2.4 s for an answer although the entry
+// knows long before that none will come, so that no time is left for a retry.
+// The append was sent just before the store stopped answering; then the reads
+// fail as well.
 test('a call in doubt is answered once the store is known to be away', async () => {
   const {world, entry} = await openWorld();
   setFault(world, 'silent');
--- a/packages/gypsumwall-cell/src/__tests__/worker_move.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/worker_move.test.ts
@@ -10,7 +10,7 @@
 
 type Names = readonly models.Operation['name'][];
 
-/** Without these a run gets nowhere. */
+/** Without these groups a sequence achieves nothing. */
 const CORE_GROUPS: readonly Names[] = [
   ['claim', 'adopt'],
   ['confirm', 'order', 'deliver'],
@@ -28,7 +28,7 @@
   ['tick', 'settle'],
 ];
 
-/** Entries that take part; 0 and 1 are of one shard. */
+/** Entries that take part; 0 and 1 belong to one shard. */
 const ENTRIES: readonly number[][] = [
   [0, 1],
   [0, 1, 2],
@@ -37,8 +37,8 @@
 ];
 
 /**
- * Few kinds of groups and entries at a time: with all of them, runs that leave
- * out what would end a long wait are rare (swarm testing).
+ * Uses few kinds of groups and entries at a time (swarm testing): with all of
+ * them, sequences that omit the operations ending a long wait are rare.
  */
 const OPERATIONS: fc.Arbitrary<models.Operation[]> = fc
   .record({
@@ -67,7 +67,10 @@
     ),
   );
 
-/** Plays many interleavings; the shortest one found that breaks a rule. */
+/**
+ * Tries many interleavings; returns the shortest one found that violates a
+ * rule.
+ */
 function search(options: models.ModelOptions) {
   const property = fc.property(OPERATIONS, (operations) => {
     const model = models.createWorkerMoveModel(options);
@@ -115,7 +118,7 @@
     });
   }
 
-  // Guards against tokens that only rise within one shard's log.
+  // Guards against tokens that increase only within one shard's log.
   test(`${worker}: takes orders of the shard that it moved to`, () => {
     const model = play(
       {fenced, fault: 'none'},
@@ -131,8 +134,9 @@
   claim 0, order 0, deliver, answer, tick, tick, confirm 0,
   claim 1, look 1, deliver, answer, renew 1, deliver, tick, settle 0`;
 
-// Guards against a holder that takes a lease for passed which its successor
-// has renewed: the successor keeps the run, the holder starts the task again.
+// Guards against a holder that considers a lease expired which its successor
+// has renewed: the successor keeps the attempt, and the holder starts the task
+// again.
 test('a passed lease counts only after a later append', () => {
   const unconfirmed = {
     fenced: true,
--- a/packages/gypsumwall-cell/src/__tests__/worker_roster.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/worker_roster.test.ts
@@ -60,9 +60,9 @@
   return {key: name, value: JSON.stringify({...info, pool}), offset: 0};
 };
 
-// Another program writes to the list of workers. Its entries name none to be
-// called, the sound ones beside them hold, and the log tells each fault once,
-// though the entry is written anew every second.
+// Another program writes to the list of workers. The workers of its entries
+// must not be called, valid entries beside them are used, and each fault is
+// logged once, although the entry is rewritten every second.
 test('bad and foreign entries are passed over, and told once', () => {
   const {roster, opened, warned} = createRoster();
   for (let beat = 0; beat < 3; beat++) {
@@ -76,8 +76,8 @@
   assert.match(warned[1]!, /pool = theirs/);
 });
 
-// Guards against a successor that finds neither a crashed worker on the record
-// nor the crash in the progress of its jobs.
+// Guards against a successor that finds neither a crashed worker among the used
+// ones nor its crash in the progress of the jobs.
 test('progress is stored before a crashed worker is taken off the record', () => {
   const {roster, calls} = createRoster();
   roster.applyList([listed('w1', 'pool')], false);
--- a/packages/gypsumwall-cell/src/__tests__/worker_session.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/worker_session.test.ts
@@ -52,9 +52,9 @@
   return {session, isUsable, orderOf};
 }
 
-// A failure domain is cut off. Until the looks had told so, for up to 1.2 s,
-// each new job got tasks on its workers; each such task is held for as long as
-// the lease lasts, since it may be running.
+// A failure domain is cut off. Until polls had detected that, which took up to
+// 1.2 s, each new job got tasks on its workers. Each such task is blocked for
+// as long as the lease lasts, because it may be running.
 test('a worker that leaves an order unanswered gets no more for now', async () => {
   const worker = fakeWorkers.createFakeWorker('w1', 4);
   const {session, isUsable, orderOf} = openSession(worker);
@@ -70,8 +70,8 @@
   }
 });
 
-// Guards against a warning of a leak that hides a real one: each stop of a
-// worker that doesn't answer waits by itself.
+// Guards against a listener leak warning that hides a real leak: every stop of
+// a worker that doesn't answer waits on its own.
 test('many stops of one worker warn of no leak', async () => {
   const worker = fakeWorkers.createFakeWorker('w1', 4);
   const {session, isUsable, orderOf} = openSession(worker);
