--- a/packages/gypsumwall-cell/src/__fixtures__/fake_log.ts
+++ b/packages/gypsumwall-cell/src/__fixtures__/fake_log.ts
@@ -48,7 +48,7 @@
       step,
       peer: name,
       effect,
-      message: 'as told',
+      message: 'injected fault',
     });
   }
 
--- a/packages/gypsumwall-cell/src/__fixtures__/fake_worker.ts
+++ b/packages/gypsumwall-cell/src/__fixtures__/fake_worker.ts
@@ -57,7 +57,7 @@
       step: 'call',
       peer: name,
       effect: 'unknown',
-      message: 'as told',
+      message: 'injected fault',
     });
   }
 
--- a/packages/gypsumwall-cell/src/__fixtures__/worker_move_model.ts
+++ b/packages/gypsumwall-cell/src/__fixtures__/worker_move_model.ts
@@ -18,12 +18,12 @@
 /** The rule that is omitted. */
 export type Fault =
   | 'none'
-  | 'lease_not_waited_out'
-  | 'passed_lease_not_confirmed'
+  | 'lease_not_awaited'
+  | 'expired_lease_not_confirmed'
   | 'open_orders_move'
   | 'silence_means_refused'
   | 'renewal_before_answer'
-  | 'look_without_fence'
+  | 'poll_without_fence'
   | 'release_without_epoch';
 
 /** Whether the worker refuses tokens lower than one it has seen. */
@@ -37,7 +37,7 @@
   'confirm',
   'order',
   'renew',
-  'look',
+  'poll',
   'stop',
   'settle',
   'release',
@@ -72,7 +72,7 @@
   | {readonly kind: 'release' | 'adopt'; readonly generation: number};
 
 interface Call {
-  readonly kind: 'start' | 'renew' | 'look' | 'stop';
+  readonly kind: 'start' | 'renew' | 'poll' | 'stop';
   readonly from: Holder;
   readonly token: number;
   readonly attempt: number;
@@ -181,7 +181,7 @@
       claimedAt: now,
       confirmedAt: now,
       generation: generationAt(shard),
-      isAccounted: isFirst || fault === 'lease_not_waited_out',
+      isAccounted: isFirst || fault === 'lease_not_awaited',
       leaseUntil: 0,
     };
   }
@@ -242,7 +242,7 @@
    */
   function settle(holder: Holder): void {
     if (!owns(holder)) return;
-    const unconfirmed = fault === 'passed_lease_not_confirmed';
+    const unconfirmed = fault === 'expired_lease_not_confirmed';
     const until = unconfirmed ? now : holder.confirmedAt;
     if (!holder.isAccounted) {
       if (until - holder.claimedAt < LEASES_EXPIRED_TICKS) return;
@@ -320,7 +320,7 @@
         worker.stopped.add(call.attempt);
         worker.running.delete(call.attempt);
         return true;
-      case 'look':
+      case 'poll':
         return true;
     }
   }
@@ -338,12 +338,12 @@
     if (call.kind === 'stop' && holder.open?.attempt === call.attempt) {
       close(holder);
     }
-    if (call.kind === 'look' && !holder.isAccounted) account(holder, running);
+    if (call.kind === 'poll' && !holder.isAccounted) account(holder, running);
   }
 
   /** Without fencing a late order of an earlier holder may still arrive. */
   function account(holder: Holder, running: readonly number[]): void {
-    if (!fenced && fault !== 'look_without_fence') return;
+    if (!fenced && fault !== 'poll_without_fence') return;
     holder.isAccounted = true;
     markOver(holder, running);
     const [attempt] = running;
@@ -365,8 +365,8 @@
     confirm: (_, entry) => void append(entry, undefined),
     order,
     renew,
-    look(holder) {
-      if (owns(holder)) send(holder, 'look');
+    poll(holder) {
+      if (owns(holder)) send(holder, 'poll');
     },
     stop,
     settle,
@@ -411,9 +411,11 @@
       else otherOperations[name](pick);
     },
     brokenRule() {
-      if (worker.running.size > 1) return 'two attempts share the room of one';
+      if (worker.running.size > 1)
+        return 'two attempts use the capacity of one';
       for (const attempt of worker.running) {
-        if (over.has(attempt)) return 'an attempt runs that counts as over';
+        if (over.has(attempt))
+          return 'an attempt that counts as over is running';
       }
       return undefined;
     },
--- a/packages/gypsumwall-cell/src/__tests__/age_of_answers.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/age_of_answers.test.ts
@@ -65,7 +65,7 @@
 // Guards against 410 for an accepted job that is done. The entry has just
 // started: the job's request has been dropped from one log, the other log,
 // which still contains the job, isn't loaded yet, and no peer answers.
-test('a job is not told as absent before both logs are read', async () => {
+test('a job is not reported as absent before both logs are read', async () => {
   const {world, view, first} = createWorld();
   try {
     const worker = await world.addWorker('w1', 4);
@@ -96,11 +96,11 @@
 // Guards against a finished job that is reported as running. The entry asks a
 // peer that the store refuses as well; the peer's answer comes from an equally
 // stale replica and is taken as definite, so no other peer is asked.
-test('a peer with an old copy does not answer for a state', async () => {
+test('a peer with a stale replica does not answer a query for a state', async () => {
   const {world, view, first} = createWorld();
   const second = world.addEntry('b', view);
   const server = peerServers.createPeerServer(
-    {ask: () => Promise.reject(new Error('nobody asks'))},
+    {ask: () => Promise.reject(new Error('unexpected advice request'))},
     second.localJobService,
     telemetry.logger.createLogger('silent'),
   );
@@ -132,12 +132,15 @@
 // cancelled and dropped. The entry couldn't read until the store had compacted
 // the deletion records; a load only contains existing records, and the entry
 // kept what the load didn't contain.
-test('what a load does not name any more is forgotten', async () => {
+test('jobs that a load does not contain are dropped', async () => {
   const {world, view, first} = createWorld();
   try {
     const second = world.addEntry('b', view);
     await submit(first, 'job');
-    await worlds.until(async () => (await pending(second)) === 1, 'it waits');
+    await worlds.until(
+      async () => (await pending(second)) === 1,
+      'the job is pending',
+    );
     view.jobs.fault = 'down';
     view.cell.fault = 'down';
     await first.jobService.cancel(id('job'), queue);
@@ -170,7 +173,7 @@
 // it again as holder. The entry loaded the jobs' log just before the job's last
 // records were dropped, and the cell's log just after. A dropped request must
 // not be taken for a queued job.
-test('a job whose request is dropped does not wait', () => {
+test('a job whose request was dropped is not pending', () => {
   const jobs = jobTables.createJobTable({
     onAdded: () => {},
     onCancelled: () => {},
@@ -191,16 +194,19 @@
 // Guards against a permanent refusal (400) of a job as too large while a worker
 // accepts such jobs. The entry judges by a replica of the cell's log that is
 // stale because the store has refused the entry.
-test('no job is too large by an old copy', async () => {
+test('a stale replica refuses no job as too large', async () => {
   const {world, view, first} = createWorld();
   try {
     const small = await world.addWorker('small', 1);
     const second = world.addEntry('b', view);
     await submit(first, 'job');
-    await worlds.until(() => small.running.size === 1, 'the small one works');
+    await worlds.until(
+      () => small.running.size === 1,
+      'the small worker runs a task',
+    );
     await worlds.until(
       async () => (await phase(second.localJobService, 'job')) === 'running',
-      'both know',
+      'both entries know the job',
     );
     view.cell.fault = 'down';
     const large = await world.addWorker('large', 8);
@@ -211,7 +217,7 @@
       async () =>
         (await first.jobService.submit(id('one'), worlds.POLICY, request))
           .type === 'ok',
-      'the other entry takes such a job',
+      'the other entry accepts such a job',
     );
     await worlds.until(() => large.running.size === 1, 'it runs');
     await pause(STALE_AFTER_MS);
@@ -260,7 +266,7 @@
 // Guards against an entry that claims the cell repeatedly although its holder
 // is healthy. A read of the log that takes longer than a holder may be silent
 // looks like silence, so the entry must wait for such reads.
-test('an entry whose read still arrives takes no holder for silent', async () => {
+test('an entry with a slow read does not consider the holder silent', async () => {
   const {world, view, first} = createWorld();
   try {
     await worlds.until(() => first.status().holdsCell, 'the cell is held');
--- a/packages/gypsumwall-cell/src/__tests__/apply_records.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/apply_records.test.ts
@@ -7,7 +7,7 @@
 
 // Guards against a record of another version that ends every entry that reads
 // it, so that callers find no entry at all.
-test('a record that can not be taken in keeps none after it back', () => {
+test('a record that can not be applied does not block later ones', () => {
   const records = [
     {key: 'claim', value: '{"v":99}', offset: 0},
     {key: 'beat', value: '{"v":1}', offset: 1},
--- a/packages/gypsumwall-cell/src/__tests__/cell_entry.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/cell_entry.test.ts
@@ -60,7 +60,7 @@
   return [...worker.running.keys()];
 }
 
-test('a job taken by one entry runs, and any entry tells of it', async () => {
+test('a job accepted by one entry runs, and any entry returns its state', async () => {
   const world = worlds.createCellWorld();
   try {
     const worker = await world.addWorker('w1', 4);
@@ -71,7 +71,7 @@
     for (const entry of entries) {
       await worlds.until(
         async () => (await pending(entry)) === 0,
-        'no job waits',
+        'no pending job',
       );
     }
     for (const entry of entries) await waitForPhase(entry, 'job', 'completed');
@@ -83,7 +83,7 @@
 
 // Guards against a task that runs twice. Its holder stops while the task runs;
 // the next entry takes over the cell, finds the attempt and waits for its end.
-test('a run goes on when its holder dies, and is not started again', async () => {
+test('an attempt goes on when its holder stops, and is not started again', async () => {
   const world = worlds.createCellWorld(4_000);
   try {
     const worker = await world.addWorker('w1', 4);
@@ -109,7 +109,7 @@
 // Guards against a job that makes no progress after a takeover and whose task
 // may run twice. The last worker to answer the new holder isn't on the list
 // yet, which is read late; it must not be taken for one that never answered.
-test('a worker that answers before the list is read keeps its runs', async () => {
+test('a worker that answers before the list is read keeps its attempts', async () => {
   const world = worlds.createCellWorld(4_000);
   try {
     const worker = await world.addWorker('w1', 1);
@@ -123,7 +123,7 @@
     await worlds.until(() => second.status().holdsCell, 'a takeover');
     await worlds.until(
       () => second.status().scheduler?.runs === 1,
-      'the run is found',
+      'the attempt is found',
     );
     worker.end(runningTasks(worker)[0]!, 'done');
     await waitForPhase(second, 'job', 'completed');
@@ -135,7 +135,7 @@
 
 // A holder is cut off from the store but still reaches the workers, and another
 // entry takes over. The old holder's orders are refused, and it gives up.
-test('a holder that the store turns away is replaced and gives up', async () => {
+test('a holder that the store refuses is replaced and gives up', async () => {
   const world = worlds.createCellWorld(4_000);
   try {
     const worker = await world.addWorker('w1', 1);
@@ -153,7 +153,10 @@
     view.jobs.fault = 'down';
     view.cell.fault = 'down';
     await worlds.until(() => second.status().holdsCell, 'a takeover');
-    await worlds.until(() => !first.status().holdsCell, 'the old one ends');
+    await worlds.until(
+      () => !first.status().holdsCell,
+      'the old holder gives up',
+    );
     await submit(second, 'next');
     worker.end(runningTasks(worker)[0]!, 'done');
     await worlds.until(() => worker.started.length === 2, 'the next task');
@@ -172,7 +175,7 @@
     await worlds.until(() => second.status().storeReachable, 'the store');
     const startedAt = performance.now();
     await first.leave();
-    await worlds.until(() => second.status().holdsCell, 'the hand-over');
+    await worlds.until(() => second.status().holdsCell, 'the handover');
     assert.ok(performance.now() - startedAt < 1_000);
   } finally {
     world.stop();
@@ -188,7 +191,10 @@
     worker.losesAnswers = true;
     const entry = world.addEntry('a');
     await submit(entry, 'job');
-    await worlds.until(() => worker.started.length === 1, 'the unheard start');
+    await worlds.until(
+      () => worker.started.length === 1,
+      'the unanswered start',
+    );
     worker.losesAnswers = false;
     await worlds.until(() => worker.started.length === 2, 'the next attempt');
     assert.deepEqual(
@@ -204,7 +210,7 @@
 // A worker is cut off while it runs a task. The task starts elsewhere only
 // after the worker's lease has expired, although another worker is free all the
 // time.
-test('a task on a worker out of reach waits for the lease', async () => {
+test('a task on an unreachable worker waits for the lease to expire', async () => {
   const world = worlds.createCellWorld(800);
   try {
     const cut = await world.addWorker('w1', 1);
@@ -214,14 +220,14 @@
     cut.cut = true;
     const cutAt = performance.now();
     const other = await world.addWorker('w2', 1);
-    await worlds.until(() => other.started.length === 1, 'the second run');
-    assert.ok(performance.now() - cutAt > 700, 'before the lease had passed');
+    await worlds.until(() => other.started.length === 1, 'the second attempt');
+    assert.ok(performance.now() - cutAt > 700, 'before the lease had expired');
   } finally {
     world.stop();
   }
 });
 
-test('a cancelled job is stopped, and every entry tells so', async () => {
+test('a cancelled job is stopped, and every entry reports it', async () => {
   const world = worlds.createCellWorld();
   try {
     const worker = await world.addWorker('w1', 4);
@@ -237,7 +243,7 @@
   }
 });
 
-test('a job is refused at once while the store is away', async () => {
+test('a job is refused at once while the store is unavailable', async () => {
   const world = worlds.createCellWorld();
   try {
     const entry = world.addEntry('a');
@@ -259,7 +265,7 @@
 
 // Guards against late starts in a busy cell: a small instance claimed the cell
 // before a large one tried, and its processor is too slow for all the calls.
-test('the strongest entry takes the cell, though others came before', async () => {
+test('the strongest entry takes the cell, although others started earlier', async () => {
   const world = worlds.createCellWorld();
   try {
     const small = ['a', 'b', 'c'].map((name) =>
@@ -276,7 +282,7 @@
   }
 });
 
-test('a small entry takes the cell when the strongest is gone', async () => {
+test('a small entry takes the cell when the strongest is lost', async () => {
   const world = worlds.createCellWorld();
   try {
     const large = world.addEntry('a', undefined, 1.4);
--- a/packages/gypsumwall-cell/src/__tests__/copy_age.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/copy_age.test.ts
@@ -45,7 +45,7 @@
 // Guards against a count of pending jobs that includes running ones. The store
 // refuses the entry's reads of the log with the progress of jobs, and of no
 // other log.
-test('a copy is as old as the older of its two logs', async () => {
+test('a replica is as old as the older of its two logs', async () => {
   const world = worlds.createCellWorld();
   try {
     world.addEntry('a');
@@ -54,7 +54,7 @@
     await worlds.until(async () => (await pending(entry)) === 0, 'current');
     view.cell.fault = 'down';
     await pause(MAX_AGE_MS);
-    assert.ok(entry.status().storeReachable, 'the jobs are read');
+    assert.ok(entry.status().storeReachable, 'the log of jobs is read');
     assert.equal(await pending(entry), 'not_run');
   } finally {
     world.stop();
@@ -62,7 +62,7 @@
 });
 
 // The same for an entry that has just started and hasn't loaded that log yet.
-test('a copy without one of its logs is not current', async () => {
+test('a replica without one of its logs is not current', async () => {
   const world = worlds.createCellWorld();
   try {
     const view = {...world.store, cell: worlds.createLogView(world.store.cell)};
@@ -79,7 +79,7 @@
 // Guards against a count of pending jobs from before the instance was
 // suspended: the monotonic clock, by which ages are measured, stops during a
 // suspension.
-test('a copy of before a suspension is not current', async () => {
+test('a replica from before a suspension is not current', async () => {
   const system = types.clock.createSystemClock();
   let suspendedMs = 0;
   const clock = {
@@ -95,7 +95,10 @@
     suspendedMs = SUSPENDED_MS;
     assert.equal(await pending(entry), 'not_run');
     view.jobs.fault = 'none';
-    await worlds.until(async () => (await pending(entry)) === 0, 'once read');
+    await worlds.until(
+      async () => (await pending(entry)) === 0,
+      'current again',
+    );
   } finally {
     world.stop();
   }
@@ -103,7 +106,7 @@
 
 // Guards against a count that lacks a job which was accepted while the answer
 // to a read was in transit, however long that took.
-test('a copy is as old as the sending of the read', async () => {
+test('the age of a replica counts from the sending of the read', async () => {
   const log = fakeLogs.createFakeLog();
   const follower = createFollower(log);
   await follower.catchUp();
@@ -123,7 +126,7 @@
 
 // Guards against an accepted job that is reported as absent: the read that the
 // query shared had determined the log's end before the job was stored.
-test('a question shares no reading that began before it', async () => {
+test('a query does not share a read that began before it', async () => {
   const log = fakeLogs.createFakeLog();
   const seen: string[] = [];
   const follower = createFollower(log, (records) => {
@@ -146,12 +149,12 @@
 
 // Guards against 410, or 200 without a count, for a query that was forwarded to
 // a peer.
-test('a peer answers how many wait, or refuses', async () => {
+test('a peer returns the number of pending jobs, or refuses', async () => {
   const world = worlds.createCellWorld();
   const view = {...world.store, cell: worlds.createLogView(world.store.cell)};
   const entry = world.addEntry('a', view);
   const server = peerServers.createPeerServer(
-    {ask: () => Promise.reject(new Error('nobody asks'))},
+    {ask: () => Promise.reject(new Error('unexpected advice request'))},
     entry.localJobService,
     telemetry.logger.createLogger('silent'),
   );
@@ -175,7 +178,7 @@
 // Guards against a job that stays unknown because it was accepted during a
 // load: its page had been read already, and the log was read on from the end
 // given by a later page.
-test('a load of several pages goes on from the first', async () => {
+test('after a load of several pages the log is read on from the first', async () => {
   const log = fakeLogs.createFakeLog();
   await log.append([{key: 'b', value: '1'}], {timeoutMs: 1});
   log.newest = async (after) => {
--- a/packages/gypsumwall-cell/src/__tests__/crashed_worker.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/crashed_worker.test.ts
@@ -84,14 +84,14 @@
       await machines.crashBusy(() => pause(300));
       return (await stateOf(entry())) === 'failed';
     },
-    'the job is shown as failed',
+    'the job is reported as failed',
     30_000,
   );
 }
 
 // Guards against a task that crashes its workers and is started again
 // endlessly, and against entries that report its job as running.
-test('every entry shows the job of a task that crashes its workers as failed', async () => {
+test('every entry reports the job of a task that crashes its workers as failed', async () => {
   const world = worlds.createCellWorld(LEASE_MS);
   try {
     const machines = await createMachines(world, 3);
@@ -102,7 +102,7 @@
     await crashUntilFailed(() => entry, machines);
     await worlds.until(
       async () => (await stateOf(other)) === 'failed',
-      'another entry shows it',
+      'another entry reports it',
     );
     assert.ok(machines.starts() <= MAX_STARTS, `${machines.starts()} starts`);
   } finally {
@@ -111,7 +111,7 @@
 });
 
 // Guards against crashes that are forgotten when the holder's process ends.
-test('a successor goes on from the crashes that the store has', async () => {
+test('a successor continues from the crashes that are stored', async () => {
   const world = worlds.createCellWorld(LEASE_MS);
   try {
     const machines = await createMachines(world, 3);
@@ -130,7 +130,7 @@
 
 // Guards against crashes that aren't counted because the worker was removed as
 // silent before it restarted.
-test('a worker that is back after it was given up for silent has crashed', async () => {
+test('a worker that restarts after it was removed as silent has crashed', async () => {
   const world = worlds.createCellWorld(LEASE_MS);
   try {
     const machines = await createMachines(world, 3);
--- a/packages/gypsumwall-cell/src/__tests__/earlier_leases.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/earlier_leases.test.ts
@@ -34,7 +34,11 @@
     await pause(500);
     leaving.cut = true;
     while (performance.now() < leaseUntil) {
-      assert.equal(other.started.length, 0, 'started beside the first run');
+      assert.equal(
+        other.started.length,
+        0,
+        'started in parallel with the first attempt',
+      );
       await pause(50);
     }
   } finally {
@@ -45,7 +49,7 @@
 // Guards against two attempts of a task at once: the monotonic clock doesn't
 // count a suspension, so a list entry seems younger than the silence after
 // which it is removed.
-test('a removal read after a suspension does not count as having left', async () => {
+test('a removal that is read after a suspension does not count as a departure', async () => {
   const world = worlds.createCellWorld(4_000);
   const base = types.clock.createSystemClock();
   let suspendedMs = 0;
@@ -67,7 +71,11 @@
     suspendedMs = 3_000;
     await world.unlist(cutOff);
     await pause(1_000);
-    assert.equal(other.started.length, 0, 'started beside the first run');
+    assert.equal(
+      other.started.length,
+      0,
+      'started in parallel with the first attempt',
+    );
   } finally {
     world.stop();
   }
@@ -105,7 +113,7 @@
 // Guards against long-running tasks that are interrupted for a whole lease
 // because a successor counts the announced time from when it read the old
 // announcement.
-test('a successor empties a leaving worker before its announced moment', async () => {
+test('a successor evacuates a leaving worker before it leaves', async () => {
   const announcedMs = 6_000;
   const world = worlds.createCellWorld(4_000);
   try {
--- a/packages/gypsumwall-cell/src/__tests__/forwarding_job_service.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/forwarding_job_service.test.ts
@@ -81,7 +81,7 @@
 const OK = {type: 'ok', value: undefined} as const;
 const PEER_OK = {type: 'answered', res: OK} as const;
 
-test('a call is answered by a peer while the store turns this entry away', async () => {
+test('a call is answered by a peer while the store refuses this entry', async () => {
   const answer = await submit({
     own: REFUSED,
     relayed: PEER_OK,
@@ -93,7 +93,7 @@
 // Guards against a caller who is told that nothing ran while the job runs. A
 // peer had received the call and its answer was lost; then the local job
 // service refused.
-test('a call that a peer may have done is not told as refused', async () => {
+test('a call that a peer may have applied is not reported as refused', async () => {
   const relayed = {
     type: 'unanswered',
     maybeApplied: true,
@@ -114,7 +114,7 @@
 // and against a count of 4 pending jobs where there are 20. The store answers
 // the entry again, which is still reading what it missed; its peers know the
 // answers.
-test('questions go to a peer while the own copy is old', async () => {
+test('queries go to a peer while the local replica is stale', async () => {
   const relayed = {type: 'answered', res: {type: 'ok', value: 20}} as const;
   const situation = {own: OK, relayed, reachable: true};
   const asked: string[] = [];
@@ -128,7 +128,7 @@
   assert.equal(asked.length, 2, 'no peer was asked');
 });
 
-test('no number is told where neither the entry nor a peer is current', async () => {
+test('no count is returned if neither the entry nor a peer is current', async () => {
   const relayed = {
     type: 'unanswered',
     maybeApplied: false,
@@ -152,11 +152,11 @@
 // it is cut off, although every other domain could serve them. Its entries
 // answered each other's queries about jobs, took that as proof of access to the
 // store, reported themselves as ready, and so kept their callers.
-test('only what a peer stored shows a way to the store', async () => {
+test('only a record that a peer stored proves access to the store', async () => {
   const situation = {own: REFUSED, relayed: PEER_OK, reachable: false};
   const desk = createService(situation);
   await desk.phaseOf(id, 'plans');
-  assert.equal(desk.hasRelayedRecently(), false, 'after a question');
+  assert.equal(desk.hasRelayedRecently(), false, 'after a query');
   await desk.submit(id, worlds.POLICY, worlds.request(1));
   assert.equal(desk.hasRelayedRecently(), true, 'after a job was stored');
 });
@@ -165,7 +165,7 @@
 // times slower. Each entry sent one append before it noticed; the store handled
 // them one by one, refused those that waited for over 2 s, and 234 of 360 jobs
 // were lost.
-test("a call goes through the holder where the store's pace isn't known", async () => {
+test("a call goes through the holder while the store's latency is unknown", async () => {
   const unknown = {reachable: true, latencyMs: 'unknown'} as const;
   const answered = {...unknown, own: OK, relayed: PEER_OK};
   assert.deepEqual(await submit(answered), {type: 'ok', asked: ['holder']});
@@ -183,7 +183,7 @@
 
 // The holder's append takes 0.4 s, or 0.8 s with the one before it. An entry
 // that gave up on the holder appended by itself and so lengthened the queue.
-test('a holder that lives and is slow is waited for', async () => {
+test('an entry waits for a holder that is alive but slow', async () => {
   const slow = {type: 'unanswered', maybeApplied: true, isSlow: true} as const;
   const unknown = {reachable: true, latencyMs: 'unknown'} as const;
   const answer = await submit({...unknown, own: OK, relayed: slow});
@@ -193,7 +193,7 @@
 // Guards against calls that go from peer to peer while too many appends are
 // queued: each peer adds one, and the queue stays full after the store has
 // recovered.
-test('what a full line refuses goes to the holder alone', async () => {
+test('a call refused by a full queue goes to the holder alone', async () => {
   const refused = {
     type: 'unanswered',
     maybeApplied: false,
@@ -215,7 +215,7 @@
 });
 
 // Guards against callers who are refused although any peer could serve them.
-test('what the store turns away goes to any peer', async () => {
+test('a call goes to any peer if the store refuses the entry', async () => {
   const answer = await submit({
     own: REFUSED,
     relayed: PEER_OK,
--- a/packages/gypsumwall-cell/src/__tests__/holder_probe.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/holder_probe.test.ts
@@ -49,7 +49,7 @@
   assert.ok(asked > 0);
 });
 
-test('a holder that writes is left in peace', async () => {
+test('a holder that writes is not pinged', async () => {
   const {lost, asked} = await probeFor(0, false);
   assert.equal(lost, false);
   assert.equal(asked, 0);
--- a/packages/gypsumwall-cell/src/__tests__/http_client.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/http_client.test.ts
@@ -37,7 +37,7 @@
 // all its workers accepted it at once. The process that sent the starts was
 // busy for longer than the timeout of an answer; the answers had arrived, but
 // the timeouts fired before they were read.
-test('an answer that lies there is read before its call is given up', async () => {
+test('an answer that has arrived is read before its call times out', async () => {
   await withServer(async (port) => {
     const client = httpClient.createHttpClient(`127.0.0.1:${port}`, 1);
     const call = {
@@ -57,7 +57,7 @@
   });
 });
 
-test('a call without an answer is given up in its time', async () => {
+test('a call without an answer times out', async () => {
   const server = http.createServer(() => {});
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const {port} = server.address() as net.AddressInfo;
--- a/packages/gypsumwall-cell/src/__tests__/late_evacuation.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/late_evacuation.test.ts
@@ -18,7 +18,7 @@
 
 // Guards against attempts that remain on a leaving worker because a new holder
 // learns of them only after it has evacuated that worker.
-test('runs found after the evacuation of their worker are stopped', async () => {
+test('attempts found after the evacuation of their worker are stopped', async () => {
   const world = worlds.createCellWorld(LEASE_MS);
   try {
     const leaving = await world.addWorker('w1', TASKS);
--- a/packages/gypsumwall-cell/src/__tests__/lease_length.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/lease_length.test.ts
@@ -22,7 +22,7 @@
 
 // Guards against work that is lost in a network cut, and against long-running
 // tasks that wait too long for a lease to expire.
-test('a lease is as long as what it protects asks for', () => {
+test('the length of a lease depends on what it protects', () => {
   assert.equal(lengthOf({}), MAX_LEASE_MS);
   const longRunning = lengthOf({hasLongRunning: true});
   assert.ok(longRunning > CUT_MS && longRunning < MAX_ABSENCE_MS);
--- a/packages/gypsumwall-cell/src/__tests__/leaving_worker.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/leaving_worker.test.ts
@@ -38,7 +38,7 @@
 // Guards against long-running tasks that are interrupted for a lease because
 // the worker left before their stops were completed, so that nobody received
 // their ends.
-test('a worker that leaves is emptied while its ends can be heard', async () => {
+test('a leaving worker is evacuated while it can report the ends', async () => {
   const {world, leaving, isBack} = await createBusyWorld(true);
   try {
     leaving.stopMs = STOP_MS;
@@ -71,7 +71,7 @@
 
 // Guards against two attempts of a task at once: the list also removes a worker
 // that it has lost contact with, and whose tasks may still run.
-test('a worker that was silent before it was dropped may still run tasks', async () => {
+test('a worker that was silent before its removal may still run tasks', async () => {
   const {world, leaving, other} = await createBusyWorld(false);
   try {
     await world.drain(leaving, 4 * LEASE_MS);
--- a/packages/gypsumwall-cell/src/__tests__/log_follower.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/log_follower.test.ts
@@ -38,7 +38,7 @@
 // recovered. Each query about a job that the entry hadn't read yet read the
 // whole backlog by itself. On a link of 10 Mbit/s, which transfers one read in
 // 0.1 s, ten parallel reads exceeded their timeouts, and none made progress.
-test('questions share one reading of what an entry has missed', async () => {
+test('queries share one read of the backlog', async () => {
   const log = fakeLogs.createFakeLog();
   let sent = 0;
   const read = log.read.bind(log);
@@ -80,7 +80,7 @@
 // accepted. The entry had restarted and was still loading a large log over a
 // slow link; the query shared that load, which had begun before the job was
 // stored, and took it for the whole log.
-test('a load that began before a question is not enough for it', async () => {
+test('a load that began before a query is not sufficient for it', async () => {
   const log = fakeLogs.createFakeLog();
   await log.append([{key: 'a', value: '1'}], {timeoutMs: 1});
   const newest = log.newest.bind(log);
@@ -108,7 +108,7 @@
   assert.deepEqual(seen, ['a', 'job']);
 });
 
-test('records that were compacted away are loaded anew, each key once', async () => {
+test('after a compaction the log is loaded again, each key once', async () => {
   const log = fakeLogs.createFakeLog();
   const seen: string[] = [];
   const append = (key: string, value: string) =>
--- a/packages/gypsumwall-cell/src/__tests__/log_order.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/log_order.test.ts
@@ -81,7 +81,7 @@
 // after which the log was read on. The second was answered late and caused
 // another load, which reset the records read meanwhile and the position; a read
 // from the later position then skipped the records between.
-test('a late word of dropped records brings no old record back', async () => {
+test('a late answer about compacted records restores no old record', async () => {
   const stored = createPagedLog();
   const [lateCompacted, heldPage, heldRead] = [1, 2, 3].map(createGate);
   let loads = 0;
@@ -138,7 +138,7 @@
 // Guards against queries about jobs that fail with 500 for good after one bad
 // answer of the store. A caller that was waiting for the next read when the bad
 // one failed kept the broken promise queued, and all later queries shared it.
-test('a reading that broke off is not shared for good', async () => {
+test('a failed read is not shared for good', async () => {
   const log = fakeLogs.createFakeLog();
   const follower = createFollower(log, () => {});
   await follower.catchUp();
@@ -163,14 +163,14 @@
 // Guards against an incomplete count of pending jobs that is returned as
 // complete: one record couldn't be applied, and those read together with it
 // counted as known.
-test('a copy that lacks records does not count as complete', async () => {
+test('a replica that lacks records does not count as complete', async () => {
   const log = fakeLogs.createFakeLog();
   const seen: string[] = [];
   const follower = createFollower(log, (records) => {
     for (const {key} of records) {
       if (key === 'bad' && !seen.includes(key)) {
         seen.push(key);
-        throw new Error('a record that is none');
+        throw new Error('not a record');
       }
       seen.push(key);
     }
@@ -183,13 +183,13 @@
   const acknowledgedAt = performance.now();
   await follower.catchUp();
   const complete = (follower.completeUntil() ?? 0) >= acknowledgedAt;
-  assert.ok(!complete || seen.includes('job'), 'the job was never handed on');
+  assert.ok(!complete || seen.includes('job'), 'the job was never passed on');
 });
 
 // Guards against entries that read without a pause. The next record is larger
 // than the largest read, so each answer says that the log goes on but contains
 // no record.
-test('a log that goes on and brings nothing is not read without pause', async () => {
+test('a log whose next record is never returned is not read without pause', async () => {
   const log = fakeLogs.createFakeLog();
   let reads = 0;
   log.read = async (from) => {
--- a/packages/gypsumwall-cell/src/__tests__/lost_looks.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/lost_looks.test.ts
@@ -10,7 +10,7 @@
 // the poll that should report it is lost. The end was reported 1.2 s later, and
 // no new tasks were sent to the worker meanwhile, because it counted as
 // unreachable.
-test('an end is heard of soon though a look was lost', async () => {
+test('an end is reported soon although a poll was lost', async () => {
   const world = worlds.createCellWorld(4_000);
   try {
     const worker = await world.addWorker('w1', 4);
@@ -19,12 +19,12 @@
     await entry.jobService.submit(job('job'), worlds.POLICY, worlds.request(1));
     await worlds.until(() => worker.running.size === 1, 'the task runs');
     worker.pollsToLose = 1;
-    await worlds.until(() => worker.pollsToLose === 0, 'a look is lost');
+    await worlds.until(() => worker.pollsToLose === 0, 'a poll is lost');
     const [task] = [...worker.running.keys()];
     worker.end(task!, 'done');
     await worlds.until(
       () => entry.status().scheduler?.jobs === 0,
-      'the end is heard of',
+      'the end is reported',
       // The poll's wait of 0.7 s, and then a second poll at once.
       1_000,
     );
--- a/packages/gypsumwall-cell/src/__tests__/lost_peers.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/lost_peers.test.ts
@@ -40,7 +40,7 @@
 
 // Guards against one late urgent job every few seconds for as long as an entry
 // is lost: whenever its backoff ended, the next call went through it again.
-test('a peer that stays away is tried less and less often', async () => {
+test('a peer that stays unreachable is tried less and less often', async () => {
   const clock = createSteppedClock();
   const {peers, register} = createDirectory(clock);
   for (const backoffMs of [2_000, 4_000, 8_000]) {
@@ -52,27 +52,27 @@
   }
   await ask(peers.advisers().get('lost'));
   register(1);
-  assert.equal(peers.advisers().size, 1, 'it started anew');
+  assert.equal(peers.advisers().size, 1, 'it restarted');
   peers.close();
 });
 
 // Guards against urgent jobs that are late right after each takeover: no call
 // has been sent through the lost holder's instance yet, so its queue is the
 // shortest, but it never answers.
-test('a lost holder is passed over before anything was asked through it', () => {
+test('a lost holder is avoided before any call was sent through it', () => {
   const clock = createSteppedClock();
   const {peers} = createDirectory(clock);
   assert.equal(peers.maxCores(), 1);
   peers.markLost('lost');
   assert.equal(peers.advisers().size, 0);
-  assert.equal(peers.maxCores(), 0, 'nor is the cell left to it');
+  assert.equal(peers.maxCores(), 0, 'the cell is not left to it either');
   peers.close();
 });
 
 // Guards against an urgent job that misses its deadline because the entry asked
 // for advice is lost. The job can spare half a second, and its call had a
 // timeout of 1.5 s on top of the 20 ms that it takes.
-test('a call of an urgent job is given up in time to ask elsewhere', async () => {
+test('an urgent call times out early enough to be sent elsewhere', async () => {
   const timeouts: number[] = [];
   const caller = adviceCallers.createAdviceCaller({
     scheduler: scheduling.scheduler.createScheduler({
--- a/packages/gypsumwall-cell/src/__tests__/lost_worker.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/lost_worker.test.ts
@@ -19,7 +19,7 @@
 
 // Guards against a long-running task that is interrupted for a whole lease
 // after its worker was lost for good.
-test('a lasting task runs again soon after its worker is lost', async () => {
+test('a long-running task runs again soon after its worker is lost', async () => {
   const world = worlds.createCellWorld(LEASE_MS);
   try {
     const lost = await world.addWorker('w1', 1);
--- a/packages/gypsumwall-cell/src/__tests__/old_copy.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/old_copy.test.ts
@@ -38,25 +38,31 @@
 // then it answers again, and the entry reads its long backlog. All that time
 // the entry counted in its own replica, which lacks the jobs accepted by
 // others: it once returned 17 from a replica that was 8.9 s old.
-test('an entry with an old copy tells no number of waiting jobs', async () => {
+test('an entry with a stale replica returns no number of pending jobs', async () => {
   const world = worlds.createCellWorld();
   try {
     const view = {...world.store, jobs: worlds.createLogView(world.store.jobs)};
     const first = world.addEntry('a');
     const second = world.addEntry('b', view);
     await submit(first, names('early', 4));
-    await worlds.until(async () => (await pending(second)) === 4, 'four wait');
+    await worlds.until(
+      async () => (await pending(second)) === 4,
+      'four pending jobs',
+    );
 
     view.jobs.fault = 'down';
     await submit(first, names('late', 16));
-    await worlds.until(async () => (await pending(first)) === 20, 'all wait');
+    await worlds.until(
+      async () => (await pending(first)) === 20,
+      'all pending jobs',
+    );
     const end = performance.now() + 2_500;
     let reported: number | string = 4;
     while (reported === 4 && performance.now() < end) {
       await new Promise((resolve) => setTimeout(resolve, 50));
       reported = await pending(second);
     }
-    assert.equal(reported, 'not_run', 'while the store turns it away');
+    assert.equal(reported, 'not_run', 'while the store refuses it');
 
     world.store.jobs.maxReadRecords = 1;
     view.jobs.fault = 'none';
--- a/packages/gypsumwall-cell/src/__tests__/relayed_questions.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/relayed_questions.test.ts
@@ -58,7 +58,7 @@
 // Just before, another caller had asked for the number of pending jobs, which
 // no peer could answer because their replicas were stale too; they reach the
 // store all the same.
-test('a question that no peer can answer keeps no job from them', async () => {
+test('a query that no peer can answer does not stop jobs from being forwarded', async () => {
   const taken = {type: 'ok', value: undefined} as const;
   const service = createService(false, (req) =>
     req.type === 'submit' ? {type: 'answered', res: taken} : UNANSWERED,
@@ -71,7 +71,7 @@
 // Guards against a caller who has to retry although any peer knows the job. One
 // read of the log failed, at an entry whose replica is current but lacks the
 // newest job.
-test('a state that this entry can not tell is asked of a peer', async () => {
+test('a state that this entry does not know is queried at a peer', async () => {
   const known = {type: 'ok', value: 'queued'} as const;
   const desk = createService(true, () => ({type: 'answered', res: known}));
   assert.deepEqual(await desk.phaseOf(id, queue), known);
@@ -80,7 +80,7 @@
 // Guards against 500 during a rolling update: the peer that is asked has an
 // older version without this query, and its peer server returns an empty
 // answer.
-test('a peer that does not know the question is passed by', async () => {
+test('a peer that does not know the query is skipped', async () => {
   const server = fastify.fastify();
   server.post('/relay', async (_req, res) => res.send(undefined));
   await server.listen({host: '127.0.0.1', port: 0});
--- a/packages/gypsumwall-cell/src/__tests__/renewed_lease.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/renewed_lease.test.ts
@@ -52,7 +52,7 @@
     step: 'call',
     peer: 'worker',
     effect: 'unknown',
-    message: 'as told',
+    message: 'injected fault',
   });
 }
 
@@ -61,7 +61,7 @@
 // Guards against a holder that considers a worker's lease expired although its
 // successor has renewed it, so that the task runs on two workers. The holder is
 // cut off from the store and from one worker, the successor from the other.
-test('a lease that a successor has renewed is not taken for passed', async () => {
+test('a lease that a successor has renewed is not considered expired', async () => {
   const world = worlds.createCellWorld(LEASE_MS);
   try {
     const kept = await world.addWorker('kept', 1);
@@ -96,7 +96,7 @@
       await pause(5);
     }
     assert.ok(second.status().holdsCell, 'the successor holds the cell');
-    assert.ok(kept.running.has(task!), 'the successor kept the run');
+    assert.ok(kept.running.has(task!), 'the successor kept the attempt');
   } finally {
     world.stop();
   }
--- a/packages/gypsumwall-cell/src/__tests__/safeguards.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/safeguards.test.ts
@@ -29,7 +29,7 @@
 
 // The answer to an append is lost after it took effect. Without a sequence
 // number the repeated batch would be stored twice.
-test('a batch whose answer was lost stands once', async () => {
+test('a batch whose answer was lost is stored once', async () => {
   const log = fakeLogs.createFakeLog();
   const writer = cellWriter.createCellWriter({
     log,
@@ -97,7 +97,7 @@
   assert.equal(failoverPolicy.vacancyOf(early), undefined);
 });
 
-test('a holder that answers nobody is replaced before silence alone counts', () => {
+test('a holder that answers no peer is replaced earlier than a silent one', () => {
   const early = view({isHolderLost: true, now: at(500)});
   assert.equal(failoverPolicy.vacancyOf(early), 'lost');
   const away = view({isHolderLost: true, reachableSince: undefined});
@@ -112,19 +112,16 @@
 // s. Taking over 160 workers keeps a small instance too busy to write or to
 // answer its peers for a second. The next one took over after half of that time
 // and was just as busy.
-test('holders that are busy taking over are not replaced for ever', () => {
+test('holders that are busy taking over are not replaced endlessly', () => {
   const busyMs = 1_000;
   const takeovers: types.clock.MonotonicMs[] = [];
   let lastRecordAt = at(0);
   for (let now = at(0); now < 60_000; now = at(now + 10)) {
     const heldFor = now - (takeovers.at(-1) ?? -Infinity);
     if (takeovers.length > 0 && heldFor > busyMs) lastRecordAt = now;
-    const holderLost = now - lastRecordAt > 450;
+    const isHolderLost = now - lastRecordAt > 450;
     const held = {lastRecordAt, reachableSince: at(0), takeovers, now};
-    if (
-      failoverPolicy.vacancyOf(view({...held, isHolderLost: holderLost})) ===
-      undefined
-    )
+    if (failoverPolicy.vacancyOf(view({...held, isHolderLost})) === undefined)
       continue;
     takeovers.push(now);
     lastRecordAt = now;
@@ -152,7 +149,7 @@
   assert.equal(failoverPolicy.vacancyOf(restarted), 'own_predecessor');
 });
 
-test('workers are accounted for one by one, or when all leases have passed', () => {
+test('workers are accounted for one by one, or when all leases have expired', () => {
   let steps = 0;
   const barrier = failoverBarrier.createFailoverBarrier(
     [worker('a'), worker('b'), worker('c')],
@@ -163,14 +160,18 @@
   assert.ok(barrier.isAccounted(worker('a')));
   assert.ok(!barrier.isAccounted(worker('b')));
   barrier.tick(at(19_999));
-  assert.equal(barrier.unaccounted(), 2, 'no majority: the latest bound holds');
+  assert.equal(
+    barrier.unaccounted(),
+    2,
+    'no majority: the latest bound applies',
+  );
   barrier.markAccounted(worker('b'), at(19_999));
   barrier.tick(at(20_001));
   assert.equal(barrier.unaccounted(), 0);
   assert.equal(steps, 3);
 });
 
-test('with a majority accounted for, leases have passed sooner', () => {
+test('with a majority accounted for, leases expire sooner', () => {
   const barrier = failoverBarrier.createFailoverBarrier(
     [worker('a'), worker('b'), worker('c')],
     {latestAt: at(20_000), afterMajorityMs: 5_000},
@@ -186,7 +187,7 @@
 
 // A worker's clock is 2% slow, so a lease of 1,000 ms on it expires up to 1,020
 // ms later on ours; a task that starts elsewhere earlier runs twice.
-test('a lease has passed only when the slowest clock says so', () => {
+test('a lease has expired only according to the slowest clock', () => {
   const times = workerClock.createWorkerClock();
   times.recordReading(10_000, at(0));
   times.recordLease(11_000);
@@ -196,28 +197,28 @@
 });
 
 // The instance is suspended for seconds, which only the wall clock shows.
-test('a suspension is noticed', () => {
+test('a suspension is detected', () => {
   let wall = 50_000;
   let monotonic = 1_000;
-  const watch = pauseDetector.createPauseDetector({
+  const detector = pauseDetector.createPauseDetector({
     monotonic: () => at(monotonic),
     wall: () => wall as types.clock.WallMs,
     sleepUntil: () => Promise.resolve(),
   });
   monotonic += 500;
   wall += 510;
-  assert.equal(watch.lastDetectedAt(), 0);
+  assert.equal(detector.lastDetectedAt(), 0);
   monotonic += 10;
   wall += 4_000;
-  assert.equal(watch.lastDetectedAt(), 1_510);
+  assert.equal(detector.lastDetectedAt(), 1_510);
   monotonic += 10;
   wall += 10;
-  assert.equal(watch.lastDetectedAt(), 1_510);
+  assert.equal(detector.lastDetectedAt(), 1_510);
 });
 
 // An old holder is cut off from the store's appends but still reads. It must
 // not start a job that its successor starts as well.
-test('a job read in doubt waits for a later confirmation', () => {
+test('a job that is read without a recent confirmation waits for the next one', () => {
   let now = 10_000;
   let confirmed = 9_900;
   const taken: string[] = [];
@@ -231,14 +232,14 @@
     admit: (entry) => taken.push(entry.id),
   });
   const entry = (name: string) => ({id: job(name)}) as jobTable.JobEntry;
-  jobs.add(entry('sure'));
+  jobs.add(entry('confirmed'));
   now += failoverPolicy.MAX_CONFIRMATION_AGE_MS;
-  jobs.add(entry('doubt'));
+  jobs.add(entry('unconfirmed'));
   jobs.tick();
-  assert.deepEqual(taken, ['sure']);
+  assert.deepEqual(taken, ['confirmed']);
   confirmed = now + 1;
   jobs.tick();
-  assert.deepEqual(taken, ['sure', 'doubt']);
+  assert.deepEqual(taken, ['confirmed', 'unconfirmed']);
 });
 
 // With a store that loses a third of its answers a call is soon sent again.
@@ -249,15 +250,15 @@
     [true, 2],
     [false, 1],
   ] as const) {
-    const pulse = storeHealth.createStoreHealth();
-    const hedger = hedge.createHedger(clock, pulse);
+    const health = storeHealth.createStoreHealth();
+    const hedger = hedge.createHedger(clock, health);
     let calls = 0;
     const call = () => {
       calls++;
       const tookMs = calls === 1 ? 300 : 1;
       setTimeout(() => {
         const now = clock.monotonic();
-        if (quick) pulse.recordRead(now, types.clock.after(now, 5));
+        if (quick) health.recordRead(now, types.clock.after(now, 5));
       }, 20);
       return new Promise<result.Result<string, types.stepError.StepError>>(
         (resolve) => setTimeout(() => resolve(result.ok('done')), tookMs),
@@ -283,7 +284,7 @@
   return {kind: 'job', jobId: job(name), job: record};
 }
 
-test('the first record of an id is the job, and a repeat changes nothing', () => {
+test('the first record of an ID defines the job, and a repeat changes nothing', () => {
   const jobs = table();
   jobs.apply(accepted('a'), at(0));
   const progress = {
@@ -299,7 +300,7 @@
 
 // An entry starts after a job has finished. The job's request has been dropped
 // from the store to keep loads short, but callers still ask for the job.
-test('a job that is over is known without its request', () => {
+test('a finished job is known without its request', () => {
   const jobs = table();
   const jobId = job('a');
   const progress = {
@@ -316,14 +317,14 @@
   assert.equal(jobs.get(jobId), undefined);
 });
 
-test('a cancellation that is read before its job holds', () => {
+test('a cancellation that is read before its job is effective', () => {
   const jobs = table();
   jobs.apply({kind: 'cancel', jobId: job('a'), dropped: false}, at(0));
   jobs.apply(accepted('a'), at(1));
   assert.equal(jobs.get(job('a'))?.progress.phase, 'cancelled');
 });
 
-test('records come back as they were written; newer ones are told apart', () => {
+test('records are decoded as they were encoded; newer versions are detected', () => {
   const record = accepted('a');
   const {key, value} = storeRecords.encode(record);
   const decoded = storeRecords.decode(key, value);
@@ -334,7 +335,7 @@
   assert.match(newer.error, /version = 2/);
 });
 
-test('the longest prefix names the queue', () => {
+test('the longest matching prefix selects the queue', () => {
   const route = (pathPrefix: string): ports.QueueRoute => ({
     host: 'h',
     pathPrefix,
--- a/packages/gypsumwall-cell/src/__tests__/slow_peers.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/slow_peers.test.ts
@@ -34,7 +34,7 @@
 // Load: 45 entries and a slow store. The holder received a call and waited for
 // its append. Its peers avoided it for that, sent it no more calls and appended
 // one by one, which lengthened the store's queue.
-test('a peer that answers a ping is slow, and not passed over', async () => {
+test('a peer that answers a ping is slow and is not avoided', async () => {
   for (const answersPing of [true, false]) {
     const {peers, close} = await openPeer(answersPing);
     const outcome = await peers.relay(
--- a/packages/gypsumwall-cell/src/__tests__/slow_store.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/slow_store.test.ts
@@ -53,7 +53,7 @@
         step: 'append',
         peer: 'store',
         effect: 'not_run',
-        message: 'too many wait',
+        message: 'too many queued appends',
       });
     }
     freeAt += appendMs;
@@ -107,7 +107,7 @@
 
 // Guards against entries that block the holder's shared appends at a slow store
 // by retrying their own.
-test('jobs of many entries are stored at a slow store', async () => {
+test('jobs of many entries are stored in a slow store', async () => {
   const {log, turnSlow, refused} = createSlowLog();
   const holder = createOwnService(log, true);
   // Entries that know no holder append by themselves, and continue to do so.
@@ -152,6 +152,6 @@
   await submitted;
   const settled = ENTRIES * (ROUNDS - SETTLED_FROM);
   assert.ok(stored >= settled * 0.9, `${stored} of ${settled} stored`);
-  assert.equal(timedOut, 0, 'nobody is held until the deadline');
+  assert.equal(timedOut, 0, 'no caller is blocked until the deadline');
   assert.ok(refused() <= 2 * ENTRIES, `${refused()} appends refused`);
 });
--- a/packages/gypsumwall-cell/src/__tests__/standby_choice.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/standby_choice.test.ts
@@ -38,14 +38,14 @@
 });
 
 // Guards against a small entry that takes over a cell which needs a large one.
-test('the strongest entries of a failure domain stand by', () => {
+test('the strongest entries of a failure domain are standbys', () => {
   for (const {cores} of standbysOf(deployment(5, 20))) {
     assert.equal(cores, 1.35);
   }
 });
 
 // Guards against a failure domain whose standbys are lost and not replaced.
-test('the next strongest stands by for one that is passed over', () => {
+test('the next strongest entry replaces a standby that is avoided', () => {
   const entries = deployment(1, 5);
   const lost = standbysOf(entries);
   const left = standbysOf(entries.filter((one) => !lost.includes(one)));
@@ -53,7 +53,7 @@
 });
 
 // Guards against 97 entries that each read every log eight times a second.
-test('entries that do not stand by read the logs seldom', async () => {
+test('entries that are not standbys read the logs rarely', async () => {
   const world = worlds.createCellWorld();
   try {
     for (const name of ['a', 'b', 'c']) world.addEntry(name, undefined, 2);
@@ -83,7 +83,7 @@
 
 // Guards against callers who learn of a job's end only with the next periodic
 // read.
-test('an entry that reads seldom tells of an end at once', async () => {
+test('an entry that reads rarely reports an end at once', async () => {
   const world = worlds.createCellWorld();
   try {
     const worker = await world.addWorker('w1', 4);
--- a/packages/gypsumwall-cell/src/__tests__/store_away.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/store_away.test.ts
@@ -24,15 +24,22 @@
 // five times within 3 s, so each tenth of a second until the first job is
 // stored again loses a job. Entries had probed every 1.2 s, and accepted the
 // first job 0.8 s after the store had recovered.
-test('a store that was silent is used again within 0.3 s', async () => {
+test('a store that did not answer is used again within 0.3 s of its recovery', async () => {
   const {world, entry} = await openWorld();
   // These durations end at different points between two tries of a single read.
   for (const silentMs of [1_000, 1_225, 1_450, 1_675]) {
     setFault(world, 'silent');
-    await worlds.until(() => !entry.status().storeReachable, 'it is noticed');
+    await worlds.until(
+      () => !entry.status().storeReachable,
+      'the outage is detected',
+    );
     await new Promise((resolve) => setTimeout(resolve, silentMs));
     setFault(world, 'none');
-    await worlds.until(() => entry.status().storeReachable, 'it is back', 300);
+    await worlds.until(
+      () => entry.status().storeReachable,
+      'the recovery is detected',
+      300,
+    );
   }
   const before = world.store.cell.records.length;
   const answer = await entry.jobService.submit(
@@ -53,7 +60,7 @@
 // knows long before that none will come, so that no time is left for a retry.
 // The append was sent just before the store stopped answering; then the reads
 // fail as well.
-test('a call in doubt is answered once the store is known to be away', async () => {
+test('a call with an unknown effect is answered once the store is known to be unavailable', async () => {
   const {world, entry} = await openWorld();
   setFault(world, 'silent');
   const sentAt = performance.now();
--- a/packages/gypsumwall-cell/src/__tests__/worker_move.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/worker_move.test.ts
@@ -22,7 +22,7 @@
   ...models.OTHER_OPERATIONS.map((name) => [name]),
   ['order', 'deliver', 'answer'],
   ['confirm', 'renew', 'deliver', 'tick'],
-  ['look', 'deliver', 'answer'],
+  ['poll', 'deliver', 'answer'],
   ['stop', 'deliver', 'answer'],
   ['confirm', 'release'],
   ['tick', 'settle'],
@@ -105,13 +105,13 @@
   });
 
   const faults: models.Fault[] = [
-    'lease_not_waited_out',
+    'lease_not_awaited',
     'open_orders_move',
     'silence_means_refused',
     'renewal_before_answer',
     'release_without_epoch',
   ];
-  if (!fenced) faults.push('look_without_fence');
+  if (!fenced) faults.push('poll_without_fence');
   for (const fault of faults) {
     test(`${worker}: the search finds ${fault}`, () => {
       assert.equal(search({fenced, fault}).failed, true);
@@ -119,10 +119,10 @@
   }
 
   // Guards against tokens that increase only within one shard's log.
-  test(`${worker}: takes orders of the shard that it moved to`, () => {
+  test(`${worker}: accepts orders of the shard that it moved to`, () => {
     const model = play(
       {fenced, fault: 'none'},
-      `claim 0, claim 1, look 1, deliver, answer,
+      `claim 0, claim 1, poll 1, deliver, answer,
        tick, tick, tick, tick, tick, confirm 1, settle 1, release 1,
        claim 2, adopt 2, order 2, deliver`,
     );
@@ -130,19 +130,19 @@
   });
 }
 
-const PASSED_LEASE = `
+const EXPIRED_LEASE = `
   claim 0, order 0, deliver, answer, tick, tick, confirm 0,
-  claim 1, look 1, deliver, answer, renew 1, deliver, tick, settle 0`;
+  claim 1, poll 1, deliver, answer, renew 1, deliver, tick, settle 0`;
 
 // Guards against a holder that considers a lease expired which its successor
 // has renewed: the successor keeps the attempt, and the holder starts the task
 // again.
-test('a passed lease counts only after a later append', () => {
+test('an expired lease counts only after a later append', () => {
   const unconfirmed = {
     fenced: true,
-    fault: 'passed_lease_not_confirmed',
+    fault: 'expired_lease_not_confirmed',
   } as const;
-  assert.notEqual(play(unconfirmed, PASSED_LEASE).brokenRule(), undefined);
+  assert.notEqual(play(unconfirmed, EXPIRED_LEASE).brokenRule(), undefined);
   const sound = {fenced: true, fault: 'none'} as const;
-  assert.equal(play(sound, PASSED_LEASE).brokenRule(), undefined);
+  assert.equal(play(sound, EXPIRED_LEASE).brokenRule(), undefined);
 });
--- a/packages/gypsumwall-cell/src/__tests__/worker_roster.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/worker_roster.test.ts
@@ -63,7 +63,7 @@
 // Another program writes to the list of workers. The workers of its entries
 // must not be called, valid entries beside them are used, and each fault is
 // logged once, although the entry is rewritten every second.
-test('bad and foreign entries are passed over, and told once', () => {
+test('invalid and foreign list entries are skipped and logged once', () => {
   const {roster, opened, warned} = createRoster();
   for (let beat = 0; beat < 3; beat++) {
     const bad = {key: 'x', value: 'bad', offset: beat};
@@ -78,7 +78,7 @@
 
 // Guards against a successor that finds neither a crashed worker among the used
 // ones nor its crash in the progress of the jobs.
-test('progress is stored before a crashed worker is taken off the record', () => {
+test('progress is stored before a crashed worker is removed from the used workers', () => {
   const {roster, calls} = createRoster();
   roster.applyList([listed('w1', 'pool')], false);
   calls.length = 0;
--- a/packages/gypsumwall-cell/src/__tests__/worker_session.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/worker_session.test.ts
@@ -55,7 +55,7 @@
 // A failure domain is cut off. Until polls had detected that, which took up to
 // 1.2 s, each new job got tasks on its workers. Each such task is blocked for
 // as long as the lease lasts, because it may be running.
-test('a worker that leaves an order unanswered gets no more for now', async () => {
+test('a worker that leaves an order unanswered gets no further ones for now', async () => {
   const worker = fakeWorkers.createFakeWorker('w1', 4);
   const {session, isUsable, orderOf} = openSession(worker);
   void session.run();
@@ -64,7 +64,7 @@
     worker.losesAnswers = true;
     await session.start(orderOf('job.0.0.0'));
     assert.equal(isUsable(), false);
-    await worlds.until(isUsable, 'a look is answered', 1_000);
+    await worlds.until(isUsable, 'a poll is answered', 1_000);
   } finally {
     session.close();
   }
@@ -72,7 +72,7 @@
 
 // Guards against a listener leak warning that hides a real leak: every stop of
 // a worker that doesn't answer waits on its own.
-test('many stops of one worker warn of no leak', async () => {
+test('many stops of one worker cause no leak warning', async () => {
   const worker = fakeWorkers.createFakeWorker('w1', 4);
   const {session, isUsable, orderOf} = openSession(worker);
   const warnings: Error[] = [];
--- a/packages/gypsumwall-cell/src/forwarding_job_service.ts
+++ b/packages/gypsumwall-cell/src/forwarding_job_service.ts
@@ -71,7 +71,7 @@
 export function createForwardingJobService(
   options: ForwardingJobServiceOptions,
 ): ForwardingJobService {
-  const {local: own, peers, clock, logger} = options;
+  const {local: localService, peers, clock, logger} = options;
   let relayedAt: types.clock.MonotonicMs | undefined;
   const pausedUntil = new Map<
     peerProtocol.RelayReq['type'],
@@ -182,7 +182,7 @@
       if (relayed.type === 'answered') return answerOf(relayed.res);
       return withUncertainty(await ask(), relayed.maybeApplied);
     }
-    const latencyMs = own.storeLatencyMs();
+    const latencyMs = localService.storeLatencyMs();
     if (latencyMs !== undefined && latencyMs > SLOW_STORE_MS) {
       return waitForHolder(req, SLOW_HOLDER_TIMEOUT_MS, ask);
     }
@@ -215,30 +215,30 @@
   return {
     submit: (id, policy, request) =>
       serve({type: 'submit', id, policy, request}, () =>
-        own.submit(id, policy, request),
+        localService.submit(id, policy, request),
       ),
     cancel: (id, queue) =>
-      serve({type: 'cancel', id, queue}, () => own.cancel(id, queue)),
+      serve({type: 'cancel', id, queue}, () => localService.cancel(id, queue)),
     async phaseOf(id, queue) {
-      if (options.storeReachable() && own.isCurrent()) {
-        const direct = await own.phaseOf(id, queue);
+      if (options.storeReachable() && localService.isCurrent()) {
+        const direct = await localService.phaseOf(id, queue);
         if (direct.type !== 'not_run') return direct;
       }
-      const over = await own.finalPhaseOf(id, queue);
+      const over = await localService.finalPhaseOf(id, queue);
       if (over.type === 'ok') return over;
       const relayed = await relayToAny({type: 'phase', id, queue});
       if (relayed.type === 'answered') return answerOf(relayed.res);
-      return own.phaseOf(id, queue);
+      return localService.phaseOf(id, queue);
     },
     async pendingIn(queue) {
-      const direct = await own.pendingIn(queue);
+      const direct = await localService.pendingIn(queue);
       if (direct.type === 'ok') return direct;
       const relayed = await relayToAny({type: 'pending', queue});
       return relayed.type === 'answered' ? answerOf(relayed.res) : direct;
     },
-    finalPhaseOf: (id, queue) => own.finalPhaseOf(id, queue),
-    isCurrent: () => own.isCurrent(),
-    storeLatencyMs: () => own.storeLatencyMs(),
+    finalPhaseOf: (id, queue) => localService.finalPhaseOf(id, queue),
+    isCurrent: () => localService.isCurrent(),
+    storeLatencyMs: () => localService.storeLatencyMs(),
     hasRelayedRecently: () =>
       relayedAt !== undefined &&
       clock.monotonic() - relayedAt < RELAYED_RECENTLY_MS,
--- a/packages/gypsumwall-cell/src/hedge.ts
+++ b/packages/gypsumwall-cell/src/hedge.ts
@@ -96,7 +96,7 @@
     sentAt: types.clock.MonotonicMs,
     {
       until,
-      shouldGiveUp: isHopeless,
+      shouldGiveUp,
     }: Pick<HedgeOptions<unknown>, 'until' | 'shouldGiveUp'>,
   ): Promise<void> {
     const resendAt = earlier(types.clock.after(sentAt, MAX_RESEND_MS), until);
@@ -105,7 +105,7 @@
       const change = race.change();
       await clock.sleepUntil(checkAt, change);
       if (change.aborted || clock.monotonic() >= resendAt) return;
-      if (health.hasQuickReadSince(sentAt) || isHopeless?.() === true) return;
+      if (health.hasQuickReadSince(sentAt) || shouldGiveUp?.() === true) return;
       checkAt = earlier(
         types.clock.after(clock.monotonic(), CHECK_INTERVAL_MS),
         until,
@@ -119,7 +119,7 @@
       call,
       until,
       shouldGiveUp: isHopeless,
-      isRefusalFinal: endsOnRefusal,
+      isRefusalFinal,
       signal,
     }) {
       const race = createRace(() => timed(call));
@@ -132,7 +132,7 @@
         if (race.isSettled() || clock.monotonic() >= until) break;
         if (isHopeless?.() === true) break;
         if (race.open() > 0) continue;
-        if (race.isRefused() && endsOnRefusal?.() === true) break;
+        if (race.isRefused() && isRefusalFinal?.() === true) break;
         await types.clock.pause(clock, REFUSAL_PAUSE_MS, signal);
       }
       signal?.removeEventListener('abort', giveUp);
--- a/packages/gypsumwall-cell/src/http_client.ts
+++ b/packages/gypsumwall-cell/src/http_client.ts
@@ -97,7 +97,11 @@
           if (pieceTimeoutMs !== undefined) timer.restart(pieceTimeoutMs);
         });
         res.on('error', fail);
-        res.on('aborted', () => fail(new Error('the answer broke off')));
+        res.on('aborted', () =>
+          fail(
+            new Error('the connection closed before the answer was complete'),
+          ),
+        );
         res.on('end', () => {
           timer.stop();
           const body = chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks);
@@ -208,7 +212,7 @@
         step,
         peer,
         effect: 'unknown',
-        message: `an answer of ${answer.body.length} bytes: ${types.stepError.messageOf(thrown)}`,
+        message: `can't decode an answer of ${answer.body.length} bytes: ${types.stepError.messageOf(thrown)}`,
       }),
     );
   }
--- a/packages/gypsumwall-cell/src/http_server.ts
+++ b/packages/gypsumwall-cell/src/http_server.ts
@@ -23,5 +23,5 @@
 }
 
 function refuseSchemas(): never {
-  throw new Error('schema: this server compiles none; check the body itself');
+  throw new Error('schemas are not supported; check the body in the handler');
 }
--- a/packages/gypsumwall-cell/src/job_service.ts
+++ b/packages/gypsumwall-cell/src/job_service.ts
@@ -283,11 +283,14 @@
       if (fault !== undefined) return {type: 'invalid', message: fault};
       const oversized = findOversizedStep(policy.pool, request);
       if (oversized !== undefined) {
-        const message = `step ${oversized}: no worker has room for its size`;
+        const message = `step ${oversized}: its tasks are too large for every worker`;
         return {type: 'invalid', message};
       }
       if (follower.reachableSince() === undefined) {
-        logger.info('job_refused', {job: id, reason: 'the store is away'});
+        logger.info('job_refused', {
+          job: id,
+          reason: 'the store is unavailable',
+        });
         return {type: 'not_run', retryAfterMs: STORE_RETRY_AFTER_MS};
       }
       const job = {request, policy, acceptedAt: clock.wall()};
--- a/packages/gypsumwall-cell/src/peer_directory.ts
+++ b/packages/gypsumwall-cell/src/peer_directory.ts
@@ -208,8 +208,8 @@
     },
     *standbyCandidates() {
       const now = clock.monotonic();
-      for (const [instance, {record, backoffUntil: passedOverUntil}] of peers) {
-        if (passedOverUntil > now) continue;
+      for (const [instance, {record, backoffUntil}] of peers) {
+        if (backoffUntil > now) continue;
         yield {instance, domain: record.domain, cores: record.cores ?? 0};
       }
     },
--- a/packages/gypsumwall-cell/src/store_records.ts
+++ b/packages/gypsumwall-cell/src/store_records.ts
@@ -153,7 +153,7 @@
   const body = unpack(value);
   if (key === KEY_PREFIXES.heartbeat) return {kind: 'heartbeat'};
   if (key === KEY_PREFIXES.claim) {
-    if (body === undefined) throw new Error('a claim without a value');
+    if (body === undefined) throw new Error('the claim has no value');
     return {kind: 'claim', claim: body as unknown as ClaimRecord};
   }
   const id = key.slice(1);
@@ -176,7 +176,7 @@
         worker: cast(body),
       };
     default:
-      throw new Error(`the key's kind isn't known`);
+      throw new Error(`unknown kind of key`);
   }
 }
 
@@ -197,7 +197,7 @@
   if (value === '') return undefined;
   const body = JSON.parse(value) as {v?: unknown} | null;
   if (body?.v !== VERSION) {
-    throw new Error(`version = ${String(body?.v)}: this program reads 1`);
+    throw new Error(`version = ${String(body?.v)}: this program supports 1`);
   }
   return body as {v: number};
 }
--- a/packages/gypsumwall-cell/src/worker_roster.ts
+++ b/packages/gypsumwall-cell/src/worker_roster.ts
@@ -168,7 +168,7 @@
   ): void {
     const {info, leavesInMs} = listed;
     if (!entries.has(info.id) && !options.isUsedPool(info.pool)) {
-      reportUnreadable(info.id, `pool = ${info.pool}: no queue runs there`);
+      reportUnreadable(info.id, `pool = ${info.pool}: no queue uses this pool`);
       return;
     }
     const entry = entries.get(info.id) ?? addWorker(info, true, false);
@@ -230,7 +230,7 @@
       unlist(id);
       return;
     }
-    removeWorker(id, 'left', 'as announced');
+    removeWorker(id, 'left', 'left as announced');
     options.onLeft(id);
   }
 
@@ -298,13 +298,17 @@
     onGone(id) {
       const announced = entries.get(id)?.info.draining === true;
       const cause = announced ? 'left' : 'crashed';
-      removeWorker(id, cause, 'another stay answers there');
+      removeWorker(id, cause, 'another incarnation answers at its address');
     },
     onLeaseExpired(id) {
       const entry = entries.get(id);
       if (entry === undefined) return;
       if (!entry.listed) {
-        removeWorker(id, 'silent', 'off the list, and its lease has passed');
+        removeWorker(
+          id,
+          'silent',
+          'not on the list, and its lease has expired',
+        );
         return;
       }
       scheduler.leasePassed(id, clock.monotonic());
@@ -330,7 +334,7 @@
         removeWorker(
           id,
           'silent',
-          'it never answered, and every lease has passed',
+          'never answered, and every lease has expired',
         );
       }
     },
