--- a/packages/gypsumwall-cell/src/__fixtures__/fake_worker.ts
+++ b/packages/gypsumwall-cell/src/__fixtures__/fake_worker.ts
@@ -75,10 +75,10 @@
   }
 
   function endAttempt(key: string, how: scheduling.jobSteps.RunEnd): void {
-    const run = running.get(key);
-    if (run === undefined) return;
+    const ended = running.get(key);
+    if (ended === undefined) return;
     running.delete(key);
-    const {taskId, attempt} = run;
+    const {taskId, attempt} = ended;
     ends.push({sequence: ++sequence, taskId, attempt, how, checkpoint: ''});
     const resumed = resumePolls;
     resumePolls = [];
@@ -102,9 +102,9 @@
     if (isFenced(call.token)) return {type: 'fenced'};
     leaseUntil = Math.max(leaseUntil, call.leaseUntil);
     const {taskId, attempt, token} = call;
-    const run = {taskId, attempt, token};
-    if (!running.has(taskId)) started.push(run);
-    running.set(taskId, run);
+    const attempted = {taskId, attempt, token};
+    if (!running.has(taskId)) started.push(attempted);
+    running.set(taskId, attempted);
     return {type: 'accepted', clockMs: clockMs()};
   }
 
@@ -146,8 +146,8 @@
         if (worker.isReplaced) return result.ok({type: 'gone'});
         if (worker.cut) return unanswered(call.timeoutMs);
         if (isFenced(call.token)) return result.ok({type: 'fenced'});
-        const run = running.get(call.taskId);
-        if (run?.attempt === call.attempt) stopAttempt(call.taskId);
+        const current = running.get(call.taskId);
+        if (current?.attempt === call.attempt) stopAttempt(call.taskId);
         return result.ok({type: 'accepted', clockMs: clockMs()});
       },
       async poll(call) {
--- a/packages/gypsumwall-cell/src/__tests__/cell_entry.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/cell_entry.test.ts
@@ -198,7 +198,7 @@
     worker.losesAnswers = false;
     await worlds.until(() => worker.started.length === 2, 'the next attempt');
     assert.deepEqual(
-      worker.started.map((run) => run.attempt),
+      worker.started.map((start) => start.attempt),
       [1, 2],
     );
     assert.equal(worker.running.size, 1);
--- a/packages/gypsumwall-cell/src/__tests__/crashed_worker.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/crashed_worker.test.ts
@@ -41,7 +41,7 @@
 
   for (let nth = 0; nth < count; nth++) await startWorker(`m${nth}`);
   return {
-    lives: workers,
+    workers,
     crashes: () => crashes,
     starts: () => workers.flatMap((worker) => worker.started).length,
     /** Crashes all busy workers; each of them restarts after a while. */
--- a/packages/gypsumwall-cell/src/__tests__/forwarding_job_service.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/forwarding_job_service.test.ts
@@ -154,11 +154,11 @@
 // store, reported themselves as ready, and so kept their callers.
 test('only a record that a peer stored proves access to the store', async () => {
   const situation = {own: REFUSED, relayed: PEER_OK, reachable: false};
-  const desk = createService(situation);
-  await desk.phaseOf(id, 'plans');
-  assert.equal(desk.hasRelayedRecently(), false, 'after a query');
-  await desk.submit(id, worlds.POLICY, worlds.request(1));
-  assert.equal(desk.hasRelayedRecently(), true, 'after a job was stored');
+  const service = createService(situation);
+  await service.phaseOf(id, 'plans');
+  assert.equal(service.hasRelayedRecently(), false, 'after a query');
+  await service.submit(id, worlds.POLICY, worlds.request(1));
+  assert.equal(service.hasRelayedRecently(), true, 'after a job was stored');
 });
 
 // Load: 28 jobs a second through 45 entries, and a store that becomes forty
--- a/packages/gypsumwall-cell/src/__tests__/relayed_questions.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/relayed_queries.test.ts
@@ -73,8 +73,8 @@
 // newest job.
 test('a state that this entry does not know is queried at a peer', async () => {
   const known = {type: 'ok', value: 'queued'} as const;
-  const desk = createService(true, () => ({type: 'answered', res: known}));
-  assert.deepEqual(await desk.phaseOf(id, queue), known);
+  const service = createService(true, () => ({type: 'answered', res: known}));
+  assert.deepEqual(await service.phaseOf(id, queue), known);
 });
 
 // Guards against 500 during a rolling update: the peer that is asked has an
--- a/packages/gypsumwall-cell/src/__tests__/renewed_lease.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/renewed_lease.test.ts
@@ -88,7 +88,7 @@
       if (performance.now() - cutAt > STORE_CUT_AFTER_MS) {
         view.cell.fault = 'down';
       }
-      const starts = other.started.filter((run) => run.taskId === task);
+      const starts = other.started.filter((start) => start.taskId === task);
       if (starts.length > 0) {
         await pause(POLL_MS);
         assert.ok(!kept.running.has(task!), 'the task runs on both workers');
--- a/packages/gypsumwall-cell/src/__tests__/safeguards.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/safeguards.test.ts
@@ -100,9 +100,9 @@
 test('a holder that answers no peer is replaced earlier than a silent one', () => {
   const early = view({isHolderLost: true, now: at(500)});
   assert.equal(failoverPolicy.vacancyOf(early), 'lost');
-  const away = view({isHolderLost: true, reachableSince: undefined});
+  const unreachable = view({isHolderLost: true, reachableSince: undefined});
   assert.equal(
-    failoverPolicy.vacancyOf(away),
+    failoverPolicy.vacancyOf(unreachable),
     undefined,
     'the log is not read',
   );
@@ -136,8 +136,8 @@
   const since = at(now - failoverPolicy.MAX_SILENCE_MS + 1);
   const justBack = view({now, reachableSince: since});
   assert.equal(failoverPolicy.vacancyOf(justBack), undefined);
-  const away = view({now, reachableSince: undefined});
-  assert.equal(failoverPolicy.vacancyOf(away), undefined);
+  const unreachable = view({now, reachableSince: undefined});
+  assert.equal(failoverPolicy.vacancyOf(unreachable), undefined);
 });
 
 test('a restarted holder replaces its predecessor at once', () => {
--- a/packages/gypsumwall-cell/src/__tests__/store_away.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/store_unavailable.test.ts
@@ -7,9 +7,9 @@
 const {test} = nodeTest;
 const job = (name: string) => types.ids.brand<types.ids.JobId>(name);
 
-function setFault(world: worlds.CellWorld, trouble: fakeLogs.Fault): void {
-  world.store.jobs.fault = trouble;
-  world.store.cell.fault = trouble;
+function setFault(world: worlds.CellWorld, fault: fakeLogs.Fault): void {
+  world.store.jobs.fault = fault;
+  world.store.cell.fault = fault;
 }
 
 async function openWorld() {
--- a/packages/gypsumwall-cell/src/__tests__/worker_move.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/worker_move.test.ts
@@ -85,8 +85,8 @@
 /** Applies operations given as `name` or `name pick`. */
 function play(options: models.ModelOptions, script: string) {
   const model = models.createWorkerMoveModel(options);
-  for (const line of script.trim().split(/\s*,\s*/)) {
-    const [name, pick] = line.split(' ');
+  for (const step of script.trim().split(/\s*,\s*/)) {
+    const [name, pick] = step.split(' ');
     model.apply({
       name: name as models.Operation['name'],
       pick: Number(pick ?? 0),
@@ -143,6 +143,6 @@
     fault: 'expired_lease_not_confirmed',
   } as const;
   assert.notEqual(play(unconfirmed, EXPIRED_LEASE).brokenRule(), undefined);
-  const sound = {fenced: true, fault: 'none'} as const;
-  assert.equal(play(sound, EXPIRED_LEASE).brokenRule(), undefined);
+  const noFault = {fenced: true, fault: 'none'} as const;
+  assert.equal(play(noFault, EXPIRED_LEASE).brokenRule(), undefined);
 });
--- a/packages/gypsumwall-cell/src/hedge.ts
+++ b/packages/gypsumwall-cell/src/hedge.ts
@@ -115,22 +115,16 @@
 
   return {
     latencyMs,
-    async hedge({
-      call,
-      until,
-      shouldGiveUp: isHopeless,
-      isRefusalFinal,
-      signal,
-    }) {
+    async hedge({call, until, shouldGiveUp, isRefusalFinal, signal}) {
       const race = createRace(() => timed(call));
       const giveUp = () => race.giveUp();
       signal?.addEventListener('abort', giveUp);
       for (;;) {
         const sentAt = clock.monotonic();
         race.send();
-        await waitToResend(race, sentAt, {until, shouldGiveUp: isHopeless});
+        await waitToResend(race, sentAt, {until, shouldGiveUp});
         if (race.isSettled() || clock.monotonic() >= until) break;
-        if (isHopeless?.() === true) break;
+        if (shouldGiveUp?.() === true) break;
         if (race.open() > 0) continue;
         if (race.isRefused() && isRefusalFinal?.() === true) break;
         await types.clock.pause(clock, REFUSAL_PAUSE_MS, signal);
--- a/packages/gypsumwall-cell/src/worker_session.ts
+++ b/packages/gypsumwall-cell/src/worker_session.ts
@@ -8,7 +8,7 @@
 import type * as scheduling from '@gypsumwall/scheduling';
 import type * as telemetry from '@gypsumwall/telemetry';
 import * as types from '@gypsumwall/types';
-import * as pollRetry from './poll_retry.js';
+import * as pollWithRetry from './poll_with_retry.js';
 import type * as ports from './ports.js';
 import * as workerClocks from './worker_clock.js';
 
@@ -70,7 +70,7 @@
   readonly workerId: types.ids.WorkerId;
   run(): Promise<void>;
   start(order: scheduling.schedulerTypes.StartOrder): Promise<void>;
-  stopAttempt(run: scheduling.activeJob.Attempt): Promise<void>;
+  stopAttempt(attempt: scheduling.activeJob.Attempt): Promise<void>;
   /** Whether the last call to the worker was answered. */
   isReachable(): boolean;
   /** Whether the worker has ever answered in this session. */
@@ -146,7 +146,7 @@
     const needsLease = isReachable && !scheduler.isIdle(worker.id);
     const leaseUntil = needsLease ? extendLease() : undefined;
     const timeoutMs = waitMs + ANSWER_TIMEOUT_MS;
-    const {answer, askedAt} = await pollRetry.pollWithRetry(
+    const {answer, askedAt} = await pollWithRetry.pollWithRetry(
       link,
       {token, acknowledged, leaseUntil, waitMs, timeoutMs},
       clock,
