--- a/packages/gypsumwall-cell/src/__tests__/forwarding_job_service.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/forwarding_job_service.test.ts
@@ -52,9 +52,9 @@
     ping: () => Promise.resolve(true),
     advisers: () => new Map(),
     close: () => {},
-    relay: (_req, patience) => {
-      asked.push(patience.onlyPreferred ? 'holder' : 'any peer');
-      const byHolder = patience.onlyPreferred ? situation.byHolder : undefined;
+    relay: (_req, limits) => {
+      asked.push(limits.onlyPreferred ? 'holder' : 'any peer');
+      const byHolder = limits.onlyPreferred ? situation.byHolder : undefined;
       return Promise.resolve(byHolder ?? situation.relayed);
     },
   };
--- a/packages/gypsumwall-cell/src/cell_holder.ts
+++ b/packages/gypsumwall-cell/src/cell_holder.ts
@@ -63,8 +63,8 @@
 const LIST_PAUSE_MS = 200;
 const LIST_READ_WAIT_MS = 1_000;
 /**
- * Numbers of attempts that each holder may use. Lower numbers belong to earlier
- * holders.
+ * Size of the range of attempt numbers that each holder has. Numbers below its
+ * range belong to earlier holders.
  */
 const ATTEMPTS_PER_GENERATION = 1_000;
 /**
@@ -161,7 +161,7 @@
     admit: (job) => admitJob(job, false),
   });
   /** Jobs whose end is stored, and whose requests can be dropped. */
-  let endedJobs: types.ids.JobId[] = [];
+  let ended: types.ids.JobId[] = [];
   let lastWrite: Promise<void> = Promise.resolve();
   let ordersInFlight = 0;
   let isCycleScheduled = false;
@@ -234,8 +234,7 @@
     lastWrite = writer.write(records).then(() => {
       scheduler.stored(dirty);
       for (const {jobId, progress} of dirty) {
-        if (scheduling.jobProgress.isOver(progress.phase))
-          endedJobs.push(jobId);
+        if (scheduling.jobProgress.isOver(progress.phase)) ended.push(jobId);
       }
       requestCycle();
     });
@@ -364,9 +363,9 @@
       requestCycle();
     },
     takeEndedJobs() {
-      const ended = endedJobs;
-      endedJobs = [];
-      return ended;
+      const taken = ended;
+      ended = [];
+      return taken;
     },
     dropProgress: (ids) =>
       writer.write(
--- a/packages/gypsumwall-cell/src/forwarding_job_service.ts
+++ b/packages/gypsumwall-cell/src/forwarding_job_service.ts
@@ -20,7 +20,7 @@
  */
 const SLOW_HOLDER_TIMEOUT_MS = 2_500;
 /** The same, after a first try that timed out; milliseconds. */
-const SLOW_HOLDER_RETRY_TIMEOUT_MS = 2_000;
+const SLOW_RETRY_TIMEOUT_MS = 2_000;
 /**
  * If the holder took longer than this, the entry doesn't try the call itself,
  * because its caller would wait until the deadline; milliseconds.
@@ -96,7 +96,10 @@
     return outcome;
   }
 
-  /** Asks any peer, unless none could answer a moment ago. */
+  /**
+   * Forwards a call to any peer, unless none could answer a call of this type a
+   * moment ago.
+   */
   async function relayToAny(
     req: peerProtocol.RelayReq,
   ): Promise<peerDirectory.RelayOutcome> {
@@ -117,8 +120,8 @@
   }
 
   /**
-   * Asks the holder, which combines calls in batches; does nothing on the
-   * holder itself.
+   * Forwards a call to the holder, which appends it in a batch with others;
+   * does nothing on the holder itself.
    */
   async function relayToHolder(
     req: peerProtocol.RelayReq,
@@ -145,11 +148,10 @@
   }
 
   /**
-   * Forwards a call that the store refused here to the holder, which may still
-   * reach the store or have its batch in the queue. Other peers are asked only
-   * if the store refuses this entry altogether: when too many appends are
-   * queued, calls that go from peer to peer are refused by each of them and
-   * keep the queue full.
+   * Forwards a call that the store refused here to the holder, whose appends
+   * the store may still accept. Other peers are asked only if the store refuses
+   * this entry altogether: when too many appends are queued, calls that go from
+   * peer to peer are refused by each of them and keep the queue full.
    */
   async function forwardRefused<Value>(
     req: peerProtocol.RelayReq,
@@ -159,7 +161,7 @@
     if (viaHolder.type === 'answered') return answerOf(viaHolder.res);
     if (viaHolder.isSlow) {
       const answerRefused = () => Promise.resolve(refused);
-      return waitForHolder(req, SLOW_HOLDER_RETRY_TIMEOUT_MS, answerRefused);
+      return waitForHolder(req, SLOW_RETRY_TIMEOUT_MS, answerRefused);
     }
     if (options.storeReachable()) {
       return withUncertainty(refused, viaHolder.maybeApplied);
@@ -187,17 +189,16 @@
       return waitForHolder(req, SLOW_HOLDER_TIMEOUT_MS, ask);
     }
     // Without a recent append an entry doesn't know the store's latency. The
-    // holder does, because it appends all the time. Without this query each of
-    // 45 entries sent one append to a slow store before it knew; this made a
-    // queue of 19 s, the store refused all appends for 6 s, and 234 of 360 jobs
-    // were lost.
+    // holder does, because it appends all the time. Before entries asked the
+    // holder, each of 45 entries sent one append to a slow store before it
+    // knew; this made a queue of 19 s, the store refused all appends for 6 s,
+    // and 234 of 360 jobs were lost.
     const viaHolder =
       latencyMs === undefined
         ? await relayToHolder(req, PEER_TIMEOUT_MS)
         : NOT_RELAYED;
     if (viaHolder.type === 'answered') return answerOf(viaHolder.res);
-    if (viaHolder.isSlow)
-      return waitForHolder(req, SLOW_HOLDER_RETRY_TIMEOUT_MS, ask);
+    if (viaHolder.isSlow) return waitForHolder(req, SLOW_RETRY_TIMEOUT_MS, ask);
     const direct = await ask();
     if (direct.type !== 'not_run' && direct.type !== 'unknown') return direct;
     if (direct.type === 'not_run') {
@@ -224,8 +225,8 @@
         const direct = await localService.phaseOf(id, queue);
         if (direct.type !== 'not_run') return direct;
       }
-      const over = await localService.finalPhaseOf(id, queue);
-      if (over.type === 'ok') return over;
+      const final = await localService.finalPhaseOf(id, queue);
+      if (final.type === 'ok') return final;
       const relayed = await relayToAny({type: 'phase', id, queue});
       if (relayed.type === 'answered') return answerOf(relayed.res);
       return localService.phaseOf(id, queue);
--- a/packages/gypsumwall-cell/src/hedge.ts
+++ b/packages/gypsumwall-cell/src/hedge.ts
@@ -67,18 +67,17 @@
   health: storeHealth.StoreHealth,
 ): Hedger {
   let latency: number | undefined;
-  let measuredAt = clock.monotonic();
+  let updatedAt = clock.monotonic();
 
   function latencyMs(): number | undefined {
-    if (clock.monotonic() - measuredAt > MAX_LATENCY_AGE_MS)
-      latency = undefined;
+    if (clock.monotonic() - updatedAt > MAX_LATENCY_AGE_MS) latency = undefined;
     return latency;
   }
 
   function recordLatency(tookMs: number): void {
     const before = latencyMs() ?? 0;
     latency = before + (tookMs - before) * NEWEST_LATENCY_WEIGHT;
-    measuredAt = clock.monotonic();
+    updatedAt = clock.monotonic();
   }
 
   async function timed<Value>(
--- a/packages/gypsumwall-cell/src/job_service.ts
+++ b/packages/gypsumwall-cell/src/job_service.ts
@@ -220,7 +220,7 @@
    * The phase according to the log's end, or the known phase if the log can't
    * be read in time.
    */
-  async function refreshedPhase(
+  async function refreshPhase(
     job: jobTable.JobEntry,
   ): Promise<scheduling.jobProgress.JobPhase> {
     if (!scheduling.jobProgress.isOver(job.progress.phase)) {
@@ -309,7 +309,7 @@
     async phaseOf(id, queue) {
       const found = await find(id, queue);
       if (found.type !== 'ok') return found;
-      return {type: 'ok', value: await refreshedPhase(found.value)};
+      return {type: 'ok', value: await refreshPhase(found.value)};
     },
     finalPhaseOf(id, queue) {
       const job = jobs.get(id);
--- a/packages/gypsumwall-cell/src/log_follower.ts
+++ b/packages/gypsumwall-cell/src/log_follower.ts
@@ -271,10 +271,10 @@
    * because a read that was sent during the outage is never answered.
    */
   async function readDuringOutage(failurePauseMs: number): Promise<boolean> {
-    const returned = options.storeHealth.nextRecovery();
-    if (await completesBeforeAbort(readOnce(0), returned)) return true;
+    const recovered = options.storeHealth.nextRecovery();
+    if (await completesBeforeAbort(readOnce(0), recovered)) return true;
     const until = types.clock.after(clock.monotonic(), failurePauseMs);
-    await clock.sleepUntil(until, returned);
+    await clock.sleepUntil(until, recovered);
     return false;
   }
 
--- a/packages/gypsumwall-cell/src/pause_detector.ts
+++ b/packages/gypsumwall-cell/src/pause_detector.ts
@@ -10,7 +10,7 @@
  * A larger change of the difference between the clocks is not drift;
  * milliseconds.
  */
-const DRIFT_TOLERANCE_MS = 250;
+const MAX_DRIFT_MS = 250;
 
 /** Watches one process. */
 export interface PauseDetector {
@@ -26,8 +26,7 @@
     lastDetectedAt() {
       const now = clock.monotonic();
       const current = clock.wall() - now;
-      if (Math.abs(current - clockOffset) > DRIFT_TOLERANCE_MS)
-        detectedAt = now;
+      if (Math.abs(current - clockOffset) > MAX_DRIFT_MS) detectedAt = now;
       clockOffset = current;
       return detectedAt;
     },
--- a/packages/gypsumwall-cell/src/worker_session.ts
+++ b/packages/gypsumwall-cell/src/worker_session.ts
@@ -71,7 +71,10 @@
   run(): Promise<void>;
   start(order: scheduling.schedulerTypes.StartOrder): Promise<void>;
   stopAttempt(attempt: scheduling.activeJob.Attempt): Promise<void>;
-  /** Whether the last call to the worker was answered. */
+  /**
+   * Whether the worker is reachable: false from an unanswered poll or start
+   * until its next report.
+   */
   isReachable(): boolean;
   /** Whether the worker has ever answered in this session. */
   hasReported(): boolean;
