--- a/packages/gypsumwall-cell/src/__fixtures__/worker_move_model.ts
+++ b/packages/gypsumwall-cell/src/__fixtures__/worker_move_model.ts
@@ -81,7 +81,7 @@
 
 interface Answer {
   readonly call: Call;
-  readonly taken: boolean;
+  readonly isAccepted: boolean;
   /** Attempts that were running when the call was answered. */
   readonly running: readonly number[];
 }
@@ -298,8 +298,9 @@
   }
 
   function deliver(call: Call, answered: boolean): void {
-    const taken = receive(call);
-    if (answered) answers.push({call, taken, running: [...worker.running]});
+    const isAccepted = receive(call);
+    if (answered)
+      answers.push({call, isAccepted, running: [...worker.running]});
   }
 
   function receive(call: Call): boolean {
@@ -325,11 +326,11 @@
     }
   }
 
-  function onAnswer({call, taken, running}: Answer): void {
+  function onAnswer({call, isAccepted, running}: Answer): void {
     const holder = call.from;
     if (!holders.includes(holder) || !owns(holder)) return;
     if (call.token !== tokenOf(holder)) return;
-    if (!taken) {
+    if (!isAccepted) {
       if (call.kind === 'start' && holder.open?.attempt === call.attempt) {
         close(holder);
       }
--- a/packages/gypsumwall-cell/src/__tests__/log_order.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/log_order.test.ts
@@ -85,7 +85,7 @@
   const stored = createPagedLog();
   const [lateCompacted, heldPage, heldRead] = [1, 2, 3].map(createGate);
   let loads = 0;
-  let held = false;
+  let isPageHeld = false;
   const log: ports.KeyedLog = {
     ...fakeLogs.createFakeLog(),
     async newest(after) {
@@ -93,7 +93,7 @@
       const page = stored.page(after);
       await pause(1);
       if (after === 'a' && loads === 3) {
-        held = true;
+        isPageHeld = true;
         await heldPage!.passed;
       }
       return result.ok(page);
@@ -102,7 +102,7 @@
       await pause(1);
       if (waitMs === RUN_WAIT_MS) await lateCompacted!.passed;
       const answer = stored.read(from);
-      if (held && from === 4) await heldRead!.passed;
+      if (isPageHeld && from === 4) await heldRead!.passed;
       return result.ok(answer);
     },
   };
@@ -136,8 +136,9 @@
 });
 
 // Guards against queries about jobs that fail with 500 for good after one bad
-// answer of the store. A caller that was waiting for the next read when the bad
-// one failed kept the broken promise queued, and all later queries shared it.
+// answer of the store. The promise of a queued read was rejected together with
+// the read before it and never cleared, so all later queries shared the
+// rejection.
 test('a failed read is not shared for good', async () => {
   const log = fakeLogs.createFakeLog();
   const follower = createFollower(log, () => {});
--- a/packages/gypsumwall-cell/src/__tests__/slow_store.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/slow_store.test.ts
@@ -86,10 +86,10 @@
 
 /** Peers of which only the holder exists, and is slow. */
 function peersWith(holder: jobServices.JobService) {
-  const relay: peerDirectory.PeerDirectory['relay'] = async (req, patience) => {
+  const relay: peerDirectory.PeerDirectory['relay'] = async (req, limits) => {
     if (req.type !== 'submit') throw new Error(`unexpected: ${req.type}`);
     const answer = holder.submit(req.id, req.policy, req.request);
-    const late = pause(patience.peerTimeoutMs).then(() => undefined);
+    const late = pause(limits.peerTimeoutMs).then(() => undefined);
     const res = await Promise.race([answer, late]);
     if (res === undefined) {
       return {type: 'unanswered', maybeApplied: true, isSlow: true};
