--- a/packages/gypsumwall-cell/src/__tests__/slow_store.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/slow_store.test.ts
@@ -33,7 +33,7 @@
 const clock = types.virtualClock.createVirtualClock();
 const logger = telemetry.logger.createLogger('silent');
 
-const pause = (spanMs: number) => types.clock.pause(clock, spanMs);
+const pause = (spanMs: number) => types.clock.sleepFor(clock, spanMs);
 
 /** A log at which appends queue up; counts those that it refuses. */
 function createSlowLog() {
--- a/packages/gypsumwall-cell/src/cell_holder.ts
+++ b/packages/gypsumwall-cell/src/cell_holder.ts
@@ -333,7 +333,7 @@
       void writer.run();
       // All jobs that were accepted before the claim must be known first.
       while (!stopping.signal.aborted && !(await options.catchUpJobs())) {
-        await types.clock.pause(clock, TICK_MS, stopping.signal);
+        await types.clock.sleepFor(clock, TICK_MS, stopping.signal);
       }
       if (stopping.signal.aborted) return;
       for (const job of jobs.all()) admitJob(job, true);
@@ -380,7 +380,7 @@
       isScheduling = false;
       const until = types.clock.after(clock.monotonic(), HANDOVER_TIMEOUT_MS);
       while (ordersInFlight > 0 && clock.monotonic() < until) {
-        await types.clock.pause(clock, ORDERS_CHECK_INTERVAL_MS);
+        await types.clock.sleepFor(clock, ORDERS_CHECK_INTERVAL_MS);
       }
       const released: storeRecords.ClaimRecord = {
         holder: claim.holder,
@@ -393,7 +393,7 @@
           flush(),
           writer.write([{kind: 'claim', claim: released}]),
         ]),
-        types.clock.pause(clock, HANDOVER_TIMEOUT_MS),
+        types.clock.sleepFor(clock, HANDOVER_TIMEOUT_MS),
       ]);
       stop();
     },
--- a/packages/gypsumwall-cell/src/cell_writer.ts
+++ b/packages/gypsumwall-cell/src/cell_writer.ts
@@ -136,7 +136,7 @@
   }
 
   const pause = (spanMs: number) =>
-    types.clock.pause(clock, spanMs, stopping.signal);
+    types.clock.sleepFor(clock, spanMs, stopping.signal);
 
   /** Waits for records to write, at most for one heartbeat interval. */
   async function waitForWork(): Promise<void> {
--- a/packages/gypsumwall-cell/src/hedge.ts
+++ b/packages/gypsumwall-cell/src/hedge.ts
@@ -126,7 +126,7 @@
         if (shouldGiveUp?.() === true) break;
         if (race.open() > 0) continue;
         if (race.isRefused() && isRefusalFinal?.() === true) break;
-        await types.clock.pause(clock, REFUSAL_PAUSE_MS, signal);
+        await types.clock.sleepFor(clock, REFUSAL_PAUSE_MS, signal);
       }
       signal?.removeEventListener('abort', giveUp);
       return race.outcome();
--- a/packages/gypsumwall-cell/src/holder_probe.ts
+++ b/packages/gypsumwall-cell/src/holder_probe.ts
@@ -66,7 +66,7 @@
         const pauseMs = parts.isStandby()
           ? PROBE_INTERVAL_MS
           : OBSERVER_CHECK_INTERVAL_MS;
-        await types.clock.pause(clock, pauseMs, signal);
+        await types.clock.sleepFor(clock, pauseMs, signal);
         const instance = parts.isStandby() ? silentHolder() : undefined;
         if (instance === undefined) {
           unanswered = 0;
--- a/packages/gypsumwall-cell/src/job_service.ts
+++ b/packages/gypsumwall-cell/src/job_service.ts
@@ -174,7 +174,7 @@
   async function readLogIfOverdue(appended: Promise<unknown>): Promise<void> {
     const answered = new AbortController();
     void appended.then(() => answered.abort());
-    await types.clock.pause(clock, OVERDUE_APPEND_MS, answered.signal);
+    await types.clock.sleepFor(clock, OVERDUE_APPEND_MS, answered.signal);
     if (!answered.signal.aborted) await follower.catchUp();
   }
 
@@ -212,7 +212,7 @@
   }
 
   async function falseAfter(timeoutMs: number): Promise<false> {
-    await types.clock.pause(clock, timeoutMs);
+    await types.clock.sleepFor(clock, timeoutMs);
     return false;
   }
 
--- a/packages/gypsumwall-cell/src/log_follower.ts
+++ b/packages/gypsumwall-cell/src/log_follower.ts
@@ -292,12 +292,12 @@
         if (ok) {
           failurePauseMs = FIRST_RETRY_MS;
           const spanMs = isBehind() ? 0 : options.pauseMs();
-          await types.clock.pause(clock, spanMs, stopping.signal);
+          await types.clock.sleepFor(clock, spanMs, stopping.signal);
           continue;
         }
         // A read during an outage includes the pause.
         if (reachableSince !== undefined) {
-          await types.clock.pause(clock, failurePauseMs, stopping.signal);
+          await types.clock.sleepFor(clock, failurePauseMs, stopping.signal);
         }
         failurePauseMs = Math.min(MAX_RETRY_MS, failurePauseMs * 2);
       }
--- a/packages/gypsumwall-cell/src/store_probe.ts
+++ b/packages/gypsumwall-cell/src/store_probe.ts
@@ -61,7 +61,7 @@
   let isUnavailable = false;
   while (!signal.aborted) {
     const pauseMs = isUnavailable ? PROBE_INTERVAL_MS : CHECK_INTERVAL_MS;
-    await types.clock.pause(clock, pauseMs, signal);
+    await types.clock.sleepFor(clock, pauseMs, signal);
     isUnavailable = follower.reachableSince() === undefined;
     if (!isUnavailable) answeredAt = clock.monotonic();
     const position = follower.position();
--- a/packages/gypsumwall-placement/src/placement_round.ts
+++ b/packages/gypsumwall-placement/src/placement_round.ts
@@ -134,7 +134,7 @@
 ): Miss | undefined {
   const size = sizeFor(parts, job);
   const tasks = job.waiting.size;
-  const whole = types.resources.times(size, tasks);
+  const whole = types.resources.multiply(size, tasks);
   if (!fitsQuota(job, whole)) return 'over_quota';
   parts.reservations.suspend(job);
   const placed = types.resources.fits(whole, parts.books.free)
