--- a/packages/gypsumwall-cell/src/__fixtures__/fake_worker.ts
+++ b/packages/gypsumwall-cell/src/__fixtures__/fake_worker.ts
@@ -1,14 +1,14 @@
 /**
- * A worker in memory: fencing, leases on a clock of its own, runs that end
- * when they are told to, ends that are repeated until they are acknowledged.
+ * An in-memory worker: fencing, leases on a clock of its own, attempts that end
+ * on request, and ended attempts that are reported until they are acknowledged.
  */
 import * as result from 'true-myth/result';
 import type * as scheduling from '@gypsumwall/scheduling';
 import * as types from '@gypsumwall/types';
 import type * as ports from '../ports.js';
 
-/** One run, as it was on the worker. */
-export interface FakeRun {
+/** One attempt on the worker. */
+export interface FakeAttempt {
   readonly taskId: types.ids.TaskId;
   readonly attempt: number;
   readonly token: number;
@@ -17,38 +17,38 @@
 /** A worker that can be cut off. */
 export interface FakeWorker {
   readonly info: scheduling.workerRegistry.WorkerInfo;
-  /** Connections; each holder has its own. */
+  /** Opens a connection; each holder has its own. */
   connect(): ports.WorkerLink;
-  /** No call gets through or is answered. */
+  /** Whether calls are neither delivered nor answered. */
   cut: boolean;
-  /** Another stay answers at its address. */
-  replaced: boolean;
-  /** Orders are carried out, and not answered. */
-  mute: boolean;
-  /** So many looks that wait for an end are lost. */
-  looksToLose: number;
-  /** How long a stop takes; milliseconds. */
+  /** Whether another incarnation answers at its address. */
+  isReplaced: boolean;
+  /** Whether orders take effect without being answered. */
+  losesAnswers: boolean;
+  /** Number of waiting polls that will be lost. */
+  pollsToLose: number;
+  /** Duration of a stop; milliseconds. */
   stopMs: number;
-  readonly running: Map<string, FakeRun>;
-  /** Every start that was carried out. */
-  readonly started: FakeRun[];
+  readonly running: Map<string, FakeAttempt>;
+  /** Every start that took effect. */
+  readonly started: FakeAttempt[];
   end(taskId: string, how: scheduling.jobSteps.RunEnd): void;
 }
 
-/** Creates a worker with room for so many cores. */
+/** Creates a worker with the given number of cores. */
 export function createFakeWorker(
   name: string,
   cores: number,
   address = `${name}:1`,
 ): FakeWorker {
   const startedAt = performance.now();
-  const running = new Map<string, FakeRun>();
-  const started: FakeRun[] = [];
+  const running = new Map<string, FakeAttempt>();
+  const started: FakeAttempt[] = [];
   let ends: scheduling.schedulerTypes.AttemptEnd[] = [];
   let sequence = 0;
   let highestToken = 0;
   let leaseUntil = 0;
-  let wakeLooks: (() => void)[] = [];
+  let resumePolls: (() => void)[] = [];
   const clockMs = () => performance.now() - startedAt + 5_000;
 
   function lost<Value>(): Awaited<ports.Answer<Value>> {
@@ -57,7 +57,7 @@
       step: 'call',
       peer: name,
       effect: 'unknown',
-      message: 'as told',
+      message: 'injected fault',
     });
   }
 
@@ -68,43 +68,43 @@
     return lost();
   }
 
-  function fenced(token: number): boolean {
+  function isFenced(token: number): boolean {
     if (token < highestToken) return true;
     highestToken = token;
     return false;
   }
 
-  function endRun(key: string, how: scheduling.jobSteps.RunEnd): void {
-    const run = running.get(key);
-    if (run === undefined) return;
+  function endAttempt(key: string, how: scheduling.jobSteps.RunEnd): void {
+    const ended = running.get(key);
+    if (ended === undefined) return;
     running.delete(key);
-    const {taskId, attempt} = run;
+    const {taskId, attempt} = ended;
     ends.push({sequence: ++sequence, taskId, attempt, how, checkpoint: ''});
-    const woken = wakeLooks;
-    wakeLooks = [];
-    for (const wake of woken) wake();
+    const resumed = resumePolls;
+    resumePolls = [];
+    for (const resume of resumed) resume();
   }
 
-  function stopRun(key: string): void {
+  function stopAttempt(key: string): void {
     if (worker.stopMs === 0) {
-      endRun(key, 'stopped');
+      endAttempt(key, 'stopped');
       return;
     }
-    setTimeout(() => endRun(key, 'stopped'), worker.stopMs).unref();
+    setTimeout(() => endAttempt(key, 'stopped'), worker.stopMs).unref();
   }
 
   function expire(): void {
     if (leaseUntil === 0 || clockMs() < leaseUntil) return;
-    for (const key of [...running.keys()]) endRun(key, 'lapsed');
+    for (const key of [...running.keys()]) endAttempt(key, 'lapsed');
   }
 
   function start(call: ports.StartCall): ports.OrderAnswer {
-    if (fenced(call.token)) return {type: 'fenced'};
+    if (isFenced(call.token)) return {type: 'fenced'};
     leaseUntil = Math.max(leaseUntil, call.leaseUntil);
     const {taskId, attempt, token} = call;
-    const run = {taskId, attempt, token};
-    if (!running.has(taskId)) started.push(run);
-    running.set(taskId, run);
+    const attempted = {taskId, attempt, token};
+    if (!running.has(taskId)) started.push(attempted);
+    running.set(taskId, attempted);
     return {type: 'accepted', clockMs: clockMs()};
   }
 
@@ -124,39 +124,41 @@
       draining: false,
     },
     cut: false,
-    replaced: false,
-    mute: false,
-    looksToLose: 0,
+    isReplaced: false,
+    losesAnswers: false,
+    pollsToLose: 0,
     stopMs: 0,
     running,
     started,
-    end: endRun,
+    end: endAttempt,
     connect: () => ({
       async start(call) {
         await Promise.resolve();
-        if (worker.replaced) return result.ok({type: 'gone'});
+        if (worker.isReplaced) return result.ok({type: 'gone'});
         if (worker.cut) return unanswered(call.timeoutMs);
         const answer = start(call);
-        return worker.mute ? unanswered(call.timeoutMs) : result.ok(answer);
+        return worker.losesAnswers
+          ? unanswered(call.timeoutMs)
+          : result.ok(answer);
       },
       async stop(call) {
         await Promise.resolve();
-        if (worker.replaced) return result.ok({type: 'gone'});
+        if (worker.isReplaced) return result.ok({type: 'gone'});
         if (worker.cut) return unanswered(call.timeoutMs);
-        if (fenced(call.token)) return result.ok({type: 'fenced'});
-        const run = running.get(call.taskId);
-        if (run?.attempt === call.attempt) stopRun(call.taskId);
+        if (isFenced(call.token)) return result.ok({type: 'fenced'});
+        const current = running.get(call.taskId);
+        if (current?.attempt === call.attempt) stopAttempt(call.taskId);
         return result.ok({type: 'accepted', clockMs: clockMs()});
       },
       async poll(call) {
         await Promise.resolve();
-        if (worker.replaced) return result.ok({type: 'gone'});
+        if (worker.isReplaced) return result.ok({type: 'gone'});
         if (worker.cut) return unanswered(Math.min(call.timeoutMs, 60));
-        if (call.waitMs > 0 && worker.looksToLose > 0) {
-          worker.looksToLose--;
+        if (call.waitMs > 0 && worker.pollsToLose > 0) {
+          worker.pollsToLose--;
           return unanswered(call.timeoutMs);
         }
-        if (fenced(call.token)) return result.ok({type: 'fenced'});
+        if (isFenced(call.token)) return result.ok({type: 'fenced'});
         ends = ends.filter((end) => end.sequence > call.acknowledged);
         if (ends.length === 0 && call.waitMs > 0) await nextEnd(call.waitMs);
         if (call.leaseUntil !== undefined) {
@@ -183,7 +185,7 @@
   function nextEnd(waitMs: number): Promise<void> {
     return new Promise((resolve) => {
       const timer = setTimeout(resolve, Math.min(waitMs, 50));
-      wakeLooks.push(() => {
+      resumePolls.push(() => {
         clearTimeout(timer);
         resolve();
       });
--- a/packages/gypsumwall-cell/src/__fixtures__/worker_move_model.ts
+++ b/packages/gypsumwall-cell/src/__fixtures__/worker_move_model.ts
@@ -1,29 +1,29 @@
 /**
- * A model of one worker that moves between two shards: two logs, four entries
- * that claim shards, calls that are late, lost or overtake each other. The
- * protocol's rules are those of docs/design/007; a fault leaves one out.
+ * A model of one worker that moves between two shards. There are two logs, four
+ * entries that claim shards, and calls that are late, lost or out of order. The
+ * protocol's rules are those of docs/design/007; each fault omits one of them.
  */
 
-/** Ticks a holder acts for without an append that was taken. */
-const UNCONFIRMED = 2;
-/** Ticks a lease is given for. */
-const LEASE = 3;
-/** After a claim, every lease of earlier holders has passed by then. */
-const WAITED_OUT = UNCONFIRMED + LEASE;
-/** More claims would leave no holder the time for anything. */
-const MOST_CLAIMS = 4;
-/** Above every epoch of one log. */
-const EPOCHS = 1_000_000;
-
-/** A rule that is left out. */
+/** Number of ticks that a holder acts without a successful append. */
+const MAX_UNCONFIRMED_TICKS = 2;
+/** Length of a lease in ticks. */
+const LEASE_TICKS = 3;
+/** Ticks after a claim until every lease of earlier holders has expired. */
+const LEASES_EXPIRED_TICKS = MAX_UNCONFIRMED_TICKS + LEASE_TICKS;
+/** With more claims no holder would have time to do anything. */
+const MAX_CLAIMS = 4;
+/** Larger than every epoch of a log. */
+const EPOCHS_PER_GENERATION = 1_000_000;
+
+/** The rule that is omitted. */
 export type Fault =
   | 'none'
-  | 'lease_not_waited_out'
-  | 'passed_lease_not_confirmed'
+  | 'lease_not_awaited'
+  | 'expired_lease_not_confirmed'
   | 'open_orders_move'
   | 'silence_means_refused'
   | 'renewal_before_answer'
-  | 'look_without_fence'
+  | 'poll_without_fence'
   | 'release_without_epoch';
 
 /** Whether the worker refuses tokens lower than one it has seen. */
@@ -37,7 +37,7 @@
   'confirm',
   'order',
   'renew',
-  'look',
+  'poll',
   'stop',
   'settle',
   'release',
@@ -59,7 +59,7 @@
 /** A pick that chooses the newest call or answer. */
 export const NEWEST = -1;
 
-/** One thing that happens; `pick` chooses an entry, call or answer. */
+/** One event; `pick` chooses an entry, call or answer. */
 export interface Operation {
   readonly name: EntryOperation | OtherOperation;
   readonly pick: number;
@@ -72,7 +72,7 @@
   | {readonly kind: 'release' | 'adopt'; readonly generation: number};
 
 interface Call {
-  readonly kind: 'start' | 'renew' | 'look' | 'stop';
+  readonly kind: 'start' | 'renew' | 'poll' | 'stop';
   readonly from: Holder;
   readonly token: number;
   readonly attempt: number;
@@ -81,8 +81,8 @@
 
 interface Answer {
   readonly call: Call;
-  readonly taken: boolean;
-  /** What ran when the call was answered. */
+  readonly isAccepted: boolean;
+  /** Attempts that were running when the call was answered. */
   readonly running: readonly number[];
 }
 
@@ -91,25 +91,31 @@
   readonly epoch: number;
   readonly claimedAt: number;
   confirmedAt: number;
-  /** Moves of the worker, where it belongs to the holder's shard. */
+  /**
+   * Number of moves of the worker; undefined unless it belongs to the holder's
+   * shard.
+   */
   generation: number | undefined;
-  /** It is known what earlier holders left on the worker. */
-  accounted: boolean;
-  /** An attempt that may run, and until when at the latest. */
+  /** Whether the holder knows what earlier holders left on the worker. */
+  isAccounted: boolean;
+  /** An attempt that may be running, until the lease's end at the latest. */
   open?: {readonly attempt: number};
   leaseUntil: number;
 }
 
-/** A run of the model. */
+/** One execution of the model. */
 export interface WorkerMoveModel {
   apply(operation: Operation): void;
-  /** What rule is broken, if any. */
-  broken(): string | undefined;
-  /** Attempts that ran, by the shard that ordered them. */
+  /** The rule that is violated; undefined if there is none. */
+  brokenRule(): string | undefined;
+  /** Number of attempts that ran, by the shard that ordered them. */
   startsOf(shard: Shard): number;
 }
 
-/** Creates a model: the worker belongs to shard 0, nobody holds a claim. */
+/**
+ * Creates a model in which the worker belongs to shard 0 and nobody holds a
+ * claim.
+ */
 export function createWorkerMoveModel({
   fenced,
   fault,
@@ -124,9 +130,11 @@
   ];
   const calls: Call[] = [];
   const answers: Answer[] = [];
-  /** The token that each attempt was ordered under. */
+  /** The token that each attempt was ordered with. */
   const attempts: number[] = [];
-  /** Attempts that a holder has taken for over: their tasks may run again. */
+  /**
+   * Attempts that a holder considers over, so that their tasks may run again.
+   */
   const over = new Set<number>();
   const starts = [0, 0];
   const worker = {
@@ -142,23 +150,27 @@
     logs[shard]!.findLastIndex((record) => record.kind === 'claim');
   const isNewest = ({shard, epoch}: Holder) => newestEpoch(shard) === epoch;
 
-  /** Moves of the worker if it belongs to the shard. */
+  /** Number of moves of the worker, if it belongs to the shard. */
   function generationAt(shard: Shard): number | undefined {
     const last = logs[shard]!.findLast((record) => record.kind !== 'claim');
     return last?.kind === 'adopt' ? last.generation : undefined;
   }
 
-  /** Tokens of one shard rise with its epochs, over shards with the moves. */
+  /**
+   * Tokens increase with the epochs within a shard, and with the moves between
+   * shards.
+   */
   function tokenOf({generation, epoch}: Holder): number {
-    return generation! * EPOCHS + epoch + 1;
+    return generation! * EPOCHS_PER_GENERATION + epoch + 1;
   }
 
-  const mayAct = (holder: Holder) => now - holder.confirmedAt < UNCONFIRMED;
+  const mayAct = (holder: Holder) =>
+    now - holder.confirmedAt < MAX_UNCONFIRMED_TICKS;
   const owns = (holder: Holder) => holder.generation !== undefined;
 
   function claim(entry: number): void {
     const shard: Shard = entry < 2 ? 0 : 1;
-    if (claims >= MOST_CLAIMS) return;
+    if (claims >= MAX_CLAIMS) return;
     if (holders[entry] !== undefined && isNewest(holders[entry])) return;
     claims++;
     const isFirst = newestEpoch(shard) < 0;
@@ -169,18 +181,18 @@
       claimedAt: now,
       confirmedAt: now,
       generation: generationAt(shard),
-      accounted: isFirst || fault === 'lease_not_waited_out',
+      isAccounted: isFirst || fault === 'lease_not_awaited',
       leaseUntil: 0,
     };
   }
 
-  /** An append under the holder's epoch; the log refuses an older one. */
+  /** Appends under the holder's epoch; the log rejects an older epoch. */
   function append(entry: number, record: LogRecord | undefined): boolean {
     const holder = holders[entry]!;
     if (!isNewest(holder)) {
-      const blind =
+      const isUnchecked =
         record?.kind === 'release' && fault === 'release_without_epoch';
-      if (blind) logs[holder.shard]!.push(record);
+      if (isUnchecked) logs[holder.shard]!.push(record);
       holders[entry] = undefined;
       return false;
     }
@@ -191,7 +203,7 @@
 
   function order(holder: Holder): void {
     if (!mayAct(holder) || !owns(holder)) return;
-    if (!holder.accounted || holder.open !== undefined) return;
+    if (!holder.isAccounted || holder.open !== undefined) return;
     const attempt = attempts.push(tokenOf(holder)) - 1;
     holder.open = {attempt};
     send(holder, 'start', attempt, lease(holder));
@@ -199,14 +211,14 @@
 
   function renew(holder: Holder): void {
     if (!mayAct(holder) || !owns(holder)) return;
-    // A renewal keeps all runs alive, also those of an earlier holder.
-    if (!holder.accounted && fault !== 'renewal_before_answer') return;
+    // A renewal extends all attempts, also those of an earlier holder.
+    if (!holder.isAccounted && fault !== 'renewal_before_answer') return;
     send(holder, 'renew', -1, lease(holder));
   }
 
   function lease(holder: Holder): number {
-    holder.leaseUntil = Math.max(holder.leaseUntil, now + LEASE);
-    return now + LEASE;
+    holder.leaseUntil = Math.max(holder.leaseUntil, now + LEASE_TICKS);
+    return now + LEASE_TICKS;
   }
 
   function send(
@@ -225,17 +237,17 @@
   }
 
   /**
-   * What time alone settles, once an append was taken after it: before that a
-   * successor may have renewed the lease.
+   * Settles what depends on time alone, once an append succeeded after it:
+   * before that, a successor may have renewed the lease.
    */
   function settle(holder: Holder): void {
     if (!owns(holder)) return;
-    const unconfirmed = fault === 'passed_lease_not_confirmed';
+    const unconfirmed = fault === 'expired_lease_not_confirmed';
     const until = unconfirmed ? now : holder.confirmedAt;
-    if (!holder.accounted) {
-      if (until - holder.claimedAt < WAITED_OUT) return;
-      holder.accounted = true;
-      takeForOver(holder, []);
+    if (!holder.isAccounted) {
+      if (until - holder.claimedAt < LEASES_EXPIRED_TICKS) return;
+      holder.isAccounted = true;
+      markOver(holder, []);
       return;
     }
     if (holder.open === undefined) return;
@@ -248,8 +260,8 @@
     holder.open = undefined;
   }
 
-  /** All attempts of earlier holders are over but those that are listed. */
-  function takeForOver(holder: Holder, listed: readonly number[]): void {
+  /** All attempts of earlier holders are over, except the listed ones. */
+  function markOver(holder: Holder, listed: readonly number[]): void {
     attempts.forEach((token, attempt) => {
       const earlier = token < tokenOf(holder);
       if (earlier && !listed.includes(attempt)) over.add(attempt);
@@ -258,7 +270,7 @@
 
   function release(entry: number): void {
     const holder = holders[entry]!;
-    if (!owns(holder) || !holder.accounted) return;
+    if (!owns(holder) || !holder.isAccounted) return;
     if (holder.open !== undefined && fault !== 'open_orders_move') return;
     const generation = holder.generation!;
     if (append(entry, {kind: 'release', generation})) {
@@ -279,15 +291,16 @@
     if (own?.kind === 'release' && own.generation >= generation) return;
     if (!append(entry, {kind: 'adopt', generation})) return;
     holder.generation = generation;
-    // The release says that nothing of the other shard can run any more.
-    holder.accounted = true;
+    // The release guarantees that nothing of the other shard can run any more.
+    holder.isAccounted = true;
     holder.leaseUntil = 0;
-    takeForOver(holder, []);
+    markOver(holder, []);
   }
 
   function deliver(call: Call, answered: boolean): void {
-    const taken = receive(call);
-    if (answered) answers.push({call, taken, running: [...worker.running]});
+    const isAccepted = receive(call);
+    if (answered)
+      answers.push({call, isAccepted, running: [...worker.running]});
   }
 
   function receive(call: Call): boolean {
@@ -308,16 +321,16 @@
         worker.stopped.add(call.attempt);
         worker.running.delete(call.attempt);
         return true;
-      case 'look':
+      case 'poll':
         return true;
     }
   }
 
-  function take({call, taken, running}: Answer): void {
+  function onAnswer({call, isAccepted, running}: Answer): void {
     const holder = call.from;
     if (!holders.includes(holder) || !owns(holder)) return;
     if (call.token !== tokenOf(holder)) return;
-    if (!taken) {
+    if (!isAccepted) {
       if (call.kind === 'start' && holder.open?.attempt === call.attempt) {
         close(holder);
       }
@@ -326,18 +339,18 @@
     if (call.kind === 'stop' && holder.open?.attempt === call.attempt) {
       close(holder);
     }
-    if (call.kind === 'look' && !holder.accounted) account(holder, running);
+    if (call.kind === 'poll' && !holder.isAccounted) account(holder, running);
   }
 
-  /** Without a fence a late order of an earlier holder may still come. */
+  /** Without fencing a late order of an earlier holder may still arrive. */
   function account(holder: Holder, running: readonly number[]): void {
-    if (!fenced && fault !== 'look_without_fence') return;
-    holder.accounted = true;
-    takeForOver(holder, running);
+    if (!fenced && fault !== 'poll_without_fence') return;
+    holder.isAccounted = true;
+    markOver(holder, running);
     const [attempt] = running;
     if (attempt === undefined) return;
     holder.open = {attempt};
-    holder.leaseUntil = Math.max(holder.leaseUntil, now + WAITED_OUT);
+    holder.leaseUntil = Math.max(holder.leaseUntil, now + LEASES_EXPIRED_TICKS);
   }
 
   function tick(): void {
@@ -353,8 +366,8 @@
     confirm: (_, entry) => void append(entry, undefined),
     order,
     renew,
-    look(holder) {
-      if (owns(holder)) send(holder, 'look');
+    poll(holder) {
+      if (owns(holder)) send(holder, 'poll');
     },
     stop,
     settle,
@@ -375,7 +388,7 @@
     lose: (pick) => void pickFrom(calls, pick),
     answer(pick) {
       const answer = pickFrom(answers, pick);
-      if (answer !== undefined) take(answer);
+      if (answer !== undefined) onAnswer(answer);
     },
     end_run() {
       for (const attempt of worker.running) worker.stopped.add(attempt);
@@ -398,10 +411,12 @@
       if (isEntryOperation(name)) applyToEntry(name, pick % holders.length);
       else otherOperations[name](pick);
     },
-    broken() {
-      if (worker.running.size > 1) return 'two attempts share the room of one';
+    brokenRule() {
+      if (worker.running.size > 1)
+        return 'two attempts use the capacity of one';
       for (const attempt of worker.running) {
-        if (over.has(attempt)) return 'an attempt runs that counts as over';
+        if (over.has(attempt))
+          return 'an attempt that counts as over is running';
       }
       return undefined;
     },
@@ -409,7 +424,7 @@
   };
 }
 
-/** Whether an operation is one of an entry; `pick` is the entry then. */
+/** Whether the operation is one of an entry; `pick` is the entry then. */
 export function isEntryOperation(
   name: Operation['name'],
 ): name is EntryOperation {
--- a/packages/gypsumwall-cell/src/__tests__/crashed_worker.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/crashed_worker.test.ts
@@ -1,4 +1,6 @@
-/** Load: a task that crashes each worker that starts it, over real sessions. */
+/**
+ * Load: a task that crashes every worker that starts it, with real sessions.
+ */
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
 import * as types from '@gypsumwall/types';
@@ -8,12 +10,15 @@
 
 const {test} = nodeTest;
 const JOB = types.ids.brand<types.ids.JobId>('job');
-const MOST_STARTS = 5;
+const MAX_STARTS = 5;
 const LEASE_MS = 1_000;
-/** The list's removal, its grace and the lease that has to pass. */
-const FORGOTTEN_MS = 8_000;
+/**
+ * The removal from the list, its grace period, and the lease that has to
+ * expire; milliseconds.
+ */
+const REMOVAL_MS = 8_000;
 
-const rest = (spanMs: number): Promise<void> =>
+const pause = (spanMs: number): Promise<void> =>
   new Promise((resolve) => setTimeout(resolve, spanMs));
 
 async function stateOf(entry: cellEntryTypes.CellEntry): Promise<string> {
@@ -21,25 +26,25 @@
   return answer.type === 'ok' ? answer.value : answer.type;
 }
 
-/** Machines whose workers crash when they start a task, and come back. */
+/** Machines whose workers crash when they start a task, and restart. */
 async function createMachines(world: worlds.CellWorld, count: number) {
-  const lives: fakeWorkers.FakeWorker[] = [];
+  const workers: fakeWorkers.FakeWorker[] = [];
   const current = new Map<string, fakeWorkers.FakeWorker>();
   let crashes = 0;
 
-  async function begin(machine: string): Promise<void> {
-    const name = `${machine}-${lives.length}`;
+  async function startWorker(machine: string): Promise<void> {
+    const name = `${machine}-${workers.length}`;
     const worker = await world.addWorker(name, 4, `${machine}:1`);
-    lives.push(worker);
+    workers.push(worker);
     current.set(machine, worker);
   }
 
-  for (let nth = 0; nth < count; nth++) await begin(`m${nth}`);
+  for (let nth = 0; nth < count; nth++) await startWorker(`m${nth}`);
   return {
-    lives,
+    workers,
     crashes: () => crashes,
-    starts: () => lives.flatMap((worker) => worker.started).length,
-    /** Ends the workers that run something; they are back after a while. */
+    starts: () => workers.flatMap((worker) => worker.started).length,
+    /** Crashes all busy workers; each of them restarts after a while. */
     async crashBusy(isBack: (worker: fakeWorkers.FakeWorker) => Promise<void>) {
       for (const [machine, worker] of current) {
         if (worker.running.size === 0) continue;
@@ -47,14 +52,14 @@
         worker.running.clear();
         worker.cut = true;
         await isBack(worker);
-        worker.replaced = true;
-        await begin(machine);
+        worker.isReplaced = true;
+        await startWorker(machine);
       }
     },
   };
 }
 
-/** Lets busy workers crash until there were so many crashes. */
+/** Crashes busy workers until the given number of crashes. */
 async function crashUntil(
   machines: Awaited<ReturnType<typeof createMachines>>,
   crashes: number,
@@ -76,17 +81,17 @@
 ): Promise<void> {
   await worlds.until(
     async () => {
-      await machines.crashBusy(() => rest(300));
+      await machines.crashBusy(() => pause(300));
       return (await stateOf(entry())) === 'failed';
     },
-    'the job is shown as failed',
+    'the job is reported as failed',
     30_000,
   );
 }
 
-// Guards against a task that crashes its workers and is started without end,
-// and against entries that show its job as running.
-test('every entry shows the job of a task that crashes its workers as failed', async () => {
+// Guards against a task that crashes its workers and is started again
+// endlessly, and against entries that report its job as running.
+test('every entry reports the job of a task that crashes its workers as failed', async () => {
   const world = worlds.createCellWorld(LEASE_MS);
   try {
     const machines = await createMachines(world, 3);
@@ -97,35 +102,35 @@
     await crashUntilFailed(() => entry, machines);
     await worlds.until(
       async () => (await stateOf(other)) === 'failed',
-      'another entry shows it',
+      'another entry reports it',
     );
-    assert.ok(machines.starts() <= MOST_STARTS, `${machines.starts()} starts`);
+    assert.ok(machines.starts() <= MAX_STARTS, `${machines.starts()} starts`);
   } finally {
     world.stop();
   }
 });
 
-// Guards against crashes that are forgotten with the process that heard them.
-test('a successor goes on from the crashes that the store has', async () => {
+// Guards against crashes that are forgotten when the holder's process ends.
+test('a successor continues from the crashes that are stored', async () => {
   const world = worlds.createCellWorld(LEASE_MS);
   try {
     const machines = await createMachines(world, 3);
     const first = world.addEntry('a');
     await worlds.until(() => first.status().storeReachable, 'the store');
     await first.jobService.submit(JOB, worlds.POLICY, worlds.request(1));
-    await crashUntil(machines, 2, () => rest(300));
+    await crashUntil(machines, 2, () => pause(300));
     first.stop();
     const second = world.addEntry('b');
     await crashUntilFailed(() => second, machines);
-    assert.ok(machines.starts() <= MOST_STARTS, `${machines.starts()} starts`);
+    assert.ok(machines.starts() <= MAX_STARTS, `${machines.starts()} starts`);
   } finally {
     world.stop();
   }
 });
 
-// Guards against crashes that don't count since the worker was given up for
-// silent before it came back.
-test('a worker that is back after it was given up for silent has crashed', async () => {
+// Guards against crashes that aren't counted because the worker was removed as
+// silent before it restarted.
+test('a worker that restarts after it was removed as silent has crashed', async () => {
   const world = worlds.createCellWorld(LEASE_MS);
   try {
     const machines = await createMachines(world, 3);
@@ -134,10 +139,10 @@
     await entry.jobService.submit(JOB, worlds.POLICY, worlds.request(1));
     await crashUntil(machines, 2, async (worker) => {
       await world.unlist(worker);
-      await rest(FORGOTTEN_MS / 2);
+      await pause(REMOVAL_MS / 2);
     });
     await crashUntilFailed(() => entry, machines);
-    assert.ok(machines.starts() <= MOST_STARTS, `${machines.starts()} starts`);
+    assert.ok(machines.starts() <= MAX_STARTS, `${machines.starts()} starts`);
   } finally {
     world.stop();
   }
--- a/packages/gypsumwall-cell/src/__tests__/earlier_leases.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/earlier_leases.test.ts
@@ -5,45 +5,51 @@
 
 const {test} = nodeTest;
 const JOB_ID = types.ids.brand<types.ids.JobId>('job');
-const FAR_OFF_MS = 60_000;
-const rest = (spanMs: number) =>
+const NEVER_MS = 60_000;
+const pause = (spanMs: number) =>
   new Promise((resolve) => setTimeout(resolve, spanMs));
 
-// Guards against two runs of a task at once: a lease never shortens, so the
-// longer one of an earlier holder outlasts the shorter one of its successor.
+// Guards against two attempts of a task at once: leases never get shorter, so
+// the longer lease of an earlier holder outlasts the shorter one of its
+// successor.
 test("a successor waits for an earlier holder's longer lease on a worker", async () => {
   const leaseMs = 8_000;
   const world = worlds.createCellWorld(leaseMs);
   try {
     const leaving = await world.addWorker('w1', 1);
-    // No stop is carried out before it is cut off.
-    leaving.stopMs = FAR_OFF_MS;
+    // No stop completes before the worker is cut off.
+    leaving.stopMs = NEVER_MS;
     const first = world.addEntry('a');
     await worlds.until(() => first.status().storeReachable, 'the store');
     await first.jobService.submit(JOB_ID, worlds.POLICY, worlds.request(1));
     await worlds.until(() => leaving.running.size === 1, 'the task');
     const other = await world.addWorker('w2', 1);
-    await rest(500);
-    // The worker's lease is renewed at each look, so it runs until then.
+    await pause(500);
+    // Each poll renews the worker's lease, so the task runs until then.
     const leaseUntil = performance.now() + leaseMs - 500;
     first.stop();
-    await world.drain(leaving, FAR_OFF_MS);
+    await world.drain(leaving, NEVER_MS);
     const second = world.addEntry('b');
     await worlds.until(() => second.status().holdsCell, 'the successor');
-    await rest(500);
+    await pause(500);
     leaving.cut = true;
     while (performance.now() < leaseUntil) {
-      assert.equal(other.started.length, 0, 'started beside the first run');
-      await rest(50);
+      assert.equal(
+        other.started.length,
+        0,
+        'started in parallel with the first attempt',
+      );
+      await pause(50);
     }
   } finally {
     world.stop();
   }
 });
 
-// Guards against two runs of a task at once: the clock doesn't count a
-// suspension, so an entry seems younger than the silence for which it is dropped.
-test('a removal read after a suspension does not count as having left', async () => {
+// Guards against two attempts of a task at once: the monotonic clock doesn't
+// count a suspension, so a list entry seems younger than the silence after
+// which it is removed.
+test('a removal that is read after a suspension does not count as a departure', async () => {
   const world = worlds.createCellWorld(4_000);
   const base = types.clock.createSystemClock();
   let suspendedMs = 0;
@@ -58,21 +64,25 @@
     await entry.jobService.submit(JOB_ID, worlds.POLICY, worlds.request(1));
     await worlds.until(() => cutOff.running.size === 1, 'the task');
     const other = await world.addWorker('w2', 1);
-    await world.drain(cutOff, FAR_OFF_MS);
-    await rest(700);
+    await world.drain(cutOff, NEVER_MS);
+    await pause(700);
     // Three seconds pass that the monotonic clock doesn't count.
     cutOff.cut = true;
     suspendedMs = 3_000;
     await world.unlist(cutOff);
-    await rest(1_000);
-    assert.equal(other.started.length, 0, 'started beside the first run');
+    await pause(1_000);
+    assert.equal(
+      other.started.length,
+      0,
+      'started in parallel with the first attempt',
+    );
   } finally {
     world.stop();
   }
 });
 
-// Guards against lasting tasks that stand still for far longer than they may
-// where their worker and the holder are lost together.
+// Guards against long-running tasks that are interrupted for much too long when
+// their worker and the holder are lost together.
 test('a lasting task runs again soon after its worker and the holder are lost', async () => {
   const boundMs = 9_000;
   const world = worlds.createCellWorld(10_000);
@@ -88,9 +98,9 @@
       await world.addWorker('w2', 1),
       await world.addWorker('w3', 1),
     ];
-    await rest(1_000);
+    await pause(1_000);
     world.addEntry('b');
-    await rest(500);
+    await pause(500);
     lost.cut = true;
     first.stop();
     const isBack = () => others.some(({running}) => running.size === 1);
@@ -100,9 +110,10 @@
   }
 });
 
-// Guards against lasting tasks that stand still for a lease: a successor that
-// reads an old announcement counts its time from when it was read.
-test('a successor empties a leaving worker before its announced moment', async () => {
+// Guards against long-running tasks that are interrupted for a whole lease
+// because a successor counts the announced time from when it read the old
+// announcement.
+test('a successor evacuates a leaving worker before it leaves', async () => {
   const announcedMs = 6_000;
   const world = worlds.createCellWorld(4_000);
   try {
@@ -114,10 +125,10 @@
     await first.jobService.submit(JOB_ID, worlds.POLICY, {...request, steps});
     await worlds.until(() => leaving.running.size === 1, 'the task');
     const other = await world.addWorker('w2', 1);
-    await rest(500);
+    await pause(500);
     await world.drain(leaving, announcedMs);
     const leavesAt = performance.now() + announcedMs;
-    await rest(2_000);
+    await pause(2_000);
     first.stop();
     world.addEntry('b');
     const isBack = () => other.running.size === 1;
--- a/packages/gypsumwall-cell/src/__tests__/leaving_worker.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/leaving_worker.test.ts
@@ -1,6 +1,6 @@
 /**
- * Load: tasks on a worker that leaves at the very moment that it has announced,
- * and whose stops take 900 ms. The list is read 200 ms late.
+ * Load: tasks on a worker that leaves exactly when it has announced, and whose
+ * stops take 900 ms. The list is read 200 ms late.
  */
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
@@ -13,10 +13,10 @@
 const LIST_LAG_MS = 200;
 const LEASE_MS = 4_000;
 const TASKS = 4;
-/** Well below what a lease that has to pass would take. */
-const SOON_MS = LEASE_MS / 2;
+/** Much shorter than the time until a lease expires; milliseconds. */
+const MAX_DELAY_MS = LEASE_MS / 2;
 
-const rest = (spanMs: number) =>
+const pause = (spanMs: number) =>
   new Promise((resolve) => setTimeout(resolve, spanMs));
 
 /** A job whose tasks all run on one worker, and a second, idle worker. */
@@ -35,9 +35,10 @@
   return {world, entry, leaving, other, isBack};
 }
 
-// Guards against lasting tasks that stand still for a lease, since the worker
-// left before their stops were carried out and nobody heard of their ends.
-test('a worker that leaves is emptied while its ends can be heard', async () => {
+// Guards against long-running tasks that are interrupted for a lease because
+// the worker left before their stops were completed, so that nobody received
+// their ends.
+test('a leaving worker is evacuated while it can report the ends', async () => {
   const {world, leaving, isBack} = await createBusyWorld(true);
   try {
     leaving.stopMs = STOP_MS;
@@ -47,44 +48,45 @@
     const leftAt = performance.now() + leavesInMs;
     await worlds.until(isBack, 'all tasks on the other worker', 2 * LEASE_MS);
     const lateMs = performance.now() - leftAt;
-    assert.ok(lateMs < SOON_MS, `${Math.round(lateMs)} ms after it left`);
+    assert.ok(lateMs < MAX_DELAY_MS, `${Math.round(lateMs)} ms after it left`);
   } finally {
     world.stop();
   }
 });
 
-// Guards against tasks that wait for a lease though the list tells that their
-// worker has left, where its stops were lost.
+// Guards against tasks that wait for a lease to expire although the list shows
+// that their worker has left, when the stops were lost.
 test('tasks of a worker that has left run again without waiting for its lease', async () => {
   const {world, leaving, isBack} = await createBusyWorld(false);
   try {
     await world.drain(leaving, 2 * LEASE_MS);
-    await rest(700);
+    await pause(700);
     leaving.cut = true;
     await world.unlist(leaving);
-    await worlds.until(isBack, 'all tasks on the other worker', SOON_MS);
+    await worlds.until(isBack, 'all tasks on the other worker', MAX_DELAY_MS);
   } finally {
     world.stop();
   }
 });
 
-// Guards against two runs of a task at once: the list drops a worker that it
-// doesn't hear of as well, and its tasks may run on.
-test('a worker that was silent before it was dropped may still run tasks', async () => {
+// Guards against two attempts of a task at once: the list also removes a worker
+// that it has lost contact with, and whose tasks may still run.
+test('a worker that was silent before its removal may still run tasks', async () => {
   const {world, leaving, other} = await createBusyWorld(false);
   try {
     await world.drain(leaving, 4 * LEASE_MS);
-    await rest(2_800);
+    await pause(2_800);
     leaving.cut = true;
     await world.unlist(leaving);
-    await rest(1_000);
+    await pause(1_000);
     assert.equal(other.started.length, 0);
   } finally {
     world.stop();
   }
 });
 
-// Guards against jobs that a successor holds back for a worker that has left.
+// Guards against jobs that a successor delays because of a worker that has
+// left.
 test('a successor does not wait for a worker that has left', async () => {
   const longLeaseMs = 4 * LEASE_MS;
   const busy = await createBusyWorld(false, longLeaseMs);
@@ -94,12 +96,12 @@
     leaving.cut = true;
     const successor = world.addEntry('b');
     await worlds.until(() => successor.status().holdsCell, 'the successor');
-    await rest(500);
+    await pause(500);
     assert.equal(other.started.length, 0);
     await world.drain(leaving, longLeaseMs);
-    await rest(500);
+    await pause(500);
     await world.unlist(leaving);
-    await worlds.until(isBack, 'all tasks on the other worker', SOON_MS);
+    await worlds.until(isBack, 'all tasks on the other worker', MAX_DELAY_MS);
   } finally {
     world.stop();
   }
--- a/packages/gypsumwall-cell/src/__tests__/log_follower.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/log_follower.test.ts
@@ -11,9 +11,9 @@
 const logger = telemetry.logger.createLogger('silent');
 const clock = types.clock.createSystemClock();
 
-// The caller is told that there is no such job, of one that was accepted two
-// seconds before. The entry was further behind than one read brings, and took
-// that part for the whole log; a new holder would have missed jobs the same way.
+// Guards against a job that is reported as absent two seconds after it was
+// accepted. The entry was further behind than one read returns and took that
+// part for the whole log; a new holder would have missed jobs the same way.
 test('an entry that is far behind reads to the end of the log', async () => {
   const log = fakeLogs.createFakeLog();
   const seen: string[] = [];
@@ -29,16 +29,16 @@
   await follower.catchUp();
   const keys = ['a', 'b', 'c', 'd', 'e'];
   for (const key of keys) await log.append([{key, value: '1'}], {timeoutMs: 1});
-  log.mostInRead = 2;
+  log.maxReadRecords = 2;
   assert.equal(await follower.catchUp(), true);
   assert.deepEqual(seen, keys);
 });
 
-// For seconds after the store's return callers are told to come back: each
-// question about a job that the entry hasn't read yet read all that was missed
-// beside the others. On a link of 10 Mbit/s, which carries a read in 0.1 s, ten
-// at once took longer than a read is given, and none of them got anywhere.
-test('questions share one reading of what an entry has missed', async () => {
+// Guards against callers who have to retry for seconds after the store has
+// recovered. Each query about a job that the entry hadn't read yet read the
+// whole backlog by itself. On a link of 10 Mbit/s, which transfers one read in
+// 0.1 s, ten parallel reads exceeded their timeouts, and none made progress.
+test('queries share one read of the backlog', async () => {
   const log = fakeLogs.createFakeLog();
   let sent = 0;
   const read = log.read.bind(log);
@@ -61,13 +61,13 @@
     readWaitMs: 10,
   });
   await follower.catchUp();
-  log.mostInRead = 2;
+  log.maxReadRecords = 2;
   for (let number = 0; number < 40; number++) {
     await log.append([{key: `a${number}`, value: '1'}], {timeoutMs: 1});
   }
   void follower.run();
   const asked = Array.from({length: 10}, () => follower.catchUp());
-  // What was stored before a question must be known with its answer.
+  // A record that was stored before a query must be known to its answer.
   await log.append([{key: 'last', value: '1'}], {timeoutMs: 1});
   assert.equal(await follower.catchUp(), true);
   follower.stop();
@@ -76,11 +76,11 @@
   assert.ok(sent <= 2 * seen, `${sent} records for ${seen}`);
 });
 
-// The caller is told that there is no such job, four seconds after it was
-// accepted. The entry had started anew and was still loading a large log over a
-// thin link; the question shared that load, which had begun before the job was
+// Guards against a job that is reported as absent four seconds after it was
+// accepted. The entry had restarted and was still loading a large log over a
+// slow link; the query shared that load, which had begun before the job was
 // stored, and took it for the whole log.
-test('a load that began before a question is not enough for it', async () => {
+test('a load that began before a query is not sufficient for it', async () => {
   const log = fakeLogs.createFakeLog();
   await log.append([{key: 'a', value: '1'}], {timeoutMs: 1});
   const newest = log.newest.bind(log);
@@ -108,7 +108,7 @@
   assert.deepEqual(seen, ['a', 'job']);
 });
 
-test('records that were compacted away are loaded anew, each key once', async () => {
+test('after a compaction the log is loaded again, each key once', async () => {
   const log = fakeLogs.createFakeLog();
   const seen: string[] = [];
   const append = (key: string, value: string) =>
--- a/packages/gypsumwall-cell/src/__tests__/lost_peers.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/lost_peers.test.ts
@@ -9,7 +9,7 @@
 import type * as ports from '../ports.js';
 
 const {test} = nodeTest;
-/** Nothing listens there. */
+/** An address that nothing listens at. */
 const CLOSED = '127.0.0.1:1';
 
 function createSteppedClock() {
@@ -38,40 +38,42 @@
 const ask = (adviser: ports.Adviser | undefined) =>
   adviser!.ask('job.0.0', [], 50);
 
-// Every few seconds one urgent job is late for as long as an entry is gone for
-// good: each time its pass is over, the next call goes through it again.
-test('a peer that stays away is tried less and less often', async () => {
+// Guards against one late urgent job every few seconds for as long as an entry
+// is lost: whenever its backoff ended, the next call went through it again.
+test('a peer that stays unreachable is tried less and less often', async () => {
   const clock = createSteppedClock();
   const {peers, register} = createDirectory(clock);
-  for (const awayMs of [2_000, 4_000, 8_000]) {
+  for (const backoffMs of [2_000, 4_000, 8_000]) {
     assert.ok(result.isErr(await ask(peers.advisers().get('lost'))));
-    clock.now += awayMs - 1;
-    assert.equal(peers.advisers().size, 0, `within ${awayMs} ms`);
+    clock.now += backoffMs - 1;
+    assert.equal(peers.advisers().size, 0, `within ${backoffMs} ms`);
     clock.now += 1;
-    assert.equal(peers.advisers().size, 1, `after ${awayMs} ms`);
+    assert.equal(peers.advisers().size, 1, `after ${backoffMs} ms`);
   }
   await ask(peers.advisers().get('lost'));
   register(1);
-  assert.equal(peers.advisers().size, 1, 'it started anew');
+  assert.equal(peers.advisers().size, 1, 'it restarted');
   peers.close();
 });
 
-// Some urgent jobs are late right after each takeover: nothing has been asked
-// through the lost holder's instance, so its line is short, and it never answers.
-test('a lost holder is passed over before anything was asked through it', () => {
+// Guards against urgent jobs that are late right after each takeover: no call
+// has been sent through the lost holder's instance yet, so its queue is the
+// shortest, but it never answers.
+test('a lost holder is avoided before any call was sent through it', () => {
   const clock = createSteppedClock();
   const {peers} = createDirectory(clock);
-  assert.equal(peers.mostCores(), 1);
-  peers.noteLost('lost');
+  assert.equal(peers.maxCores(), 1);
+  peers.markLost('lost');
   assert.equal(peers.advisers().size, 0);
-  assert.equal(peers.mostCores(), 0, 'nor is the cell left to it');
+  assert.equal(peers.maxCores(), 0, 'the cell is not left to it either');
   peers.close();
 });
 
-// An urgent job has half a second to spare. The entry that asks for it is
-// gone, and its call was given 1.5 s beside the 20 ms that it takes.
-test('a call of an urgent job is given up in time to ask elsewhere', async () => {
-  const given: number[] = [];
+// Guards against an urgent job that misses its deadline because the entry asked
+// for advice is lost. The job can spare half a second, and its call had a
+// timeout of 1.5 s on top of the 20 ms that it takes.
+test('an urgent call times out early enough to be sent elsewhere', async () => {
+  const timeouts: number[] = [];
   const caller = adviceCallers.createAdviceCaller({
     scheduler: scheduling.scheduler.createScheduler({
       attemptBase: 0,
@@ -84,7 +86,7 @@
           'a',
           {
             ask: (_step, _workers, timeoutMs) => {
-              given.push(timeoutMs);
+              timeouts.push(timeoutMs);
               return Promise.resolve(result.ok(new Map()));
             },
           },
@@ -109,5 +111,5 @@
     callMs: 20,
     needed: true,
   });
-  assert.deepEqual(given, [340]);
+  assert.deepEqual(timeouts, [340]);
 });
--- a/packages/gypsumwall-cell/src/__tests__/relayed_questions.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/relayed_queries.test.ts
@@ -14,16 +14,20 @@
 const id = types.ids.brand<types.ids.JobId>('job');
 const {queue} = worlds.POLICY;
 const REFUSED = {type: 'not_run', retryAfterMs: 1_000} as const;
-const UNANSWERED = {type: 'unanswered', mayStand: false, slow: false} as const;
-const PATIENCE = {
+const UNANSWERED = {
+  type: 'unanswered',
+  maybeApplied: false,
+  isSlow: false,
+} as const;
+const LIMITS = {
   preferred: undefined,
   onlyPreferred: false,
-  eachMs: 300,
-  allMs: 500,
+  peerTimeoutMs: 300,
+  totalTimeoutMs: 500,
 };
 
-/** A desk that refuses all by itself. */
-function createDesk(
+/** A job service whose local calls are all refused. */
+function createService(
   reachable: boolean,
   relay: (req: peerProtocol.RelayReq) => peerDirectory.RelayOutcome,
 ): forwardingJobService.ForwardingJobService {
@@ -38,7 +42,7 @@
   };
   const clock = types.clock.createSystemClock();
   return forwardingJobService.createForwardingJobService({
-    own,
+    local: own,
     peers: {
       ...peerDirectory.createPeerDirectory('self', clock),
       relay: (req) => Promise.resolve(relay(req)),
@@ -50,31 +54,33 @@
   });
 }
 
-// A job is refused that a peer would have taken. Just before, another caller
-// asked how many wait, which no peer could tell, as their copies of the logs
-// were old too; they reach the store all the same.
-test('a question that no peer can answer keeps no job from them', async () => {
+// Guards against a job that is refused although a peer would have accepted it.
+// Just before, another caller had asked for the number of pending jobs, which
+// no peer could answer because their replicas were stale too; they reach the
+// store all the same.
+test('a query that no peer can answer does not stop jobs from being forwarded', async () => {
   const taken = {type: 'ok', value: undefined} as const;
-  const desk = createDesk(false, (req) =>
+  const service = createService(false, (req) =>
     req.type === 'submit' ? {type: 'answered', res: taken} : UNANSWERED,
   );
-  assert.equal((await desk.pendingIn(queue)).type, 'not_run');
-  const answer = await desk.submit(id, worlds.POLICY, worlds.request(1));
+  assert.equal((await service.pendingIn(queue)).type, 'not_run');
+  const answer = await service.submit(id, worlds.POLICY, worlds.request(1));
   assert.equal(answer.type, 'ok');
 });
 
-// The caller is told to come back, while any peer knows the job. One read of
-// the log failed, at an entry whose copy is current but lacks the newest job.
-test('a state that this entry can not tell is asked of a peer', async () => {
+// Guards against a caller who has to retry although any peer knows the job. One
+// read of the log failed, at an entry whose replica is current but lacks the
+// newest job.
+test('a state that this entry does not know is queried at a peer', async () => {
   const known = {type: 'ok', value: 'queued'} as const;
-  const desk = createDesk(true, () => ({type: 'answered', res: known}));
-  assert.deepEqual(await desk.phaseOf(id, queue), known);
+  const service = createService(true, () => ({type: 'answered', res: known}));
+  assert.deepEqual(await service.phaseOf(id, queue), known);
 });
 
-// The caller gets 500 while the entries are replaced one by one. The peer that
-// is asked is of a version that doesn't know the question, and its answer is
-// empty, as the peer server of that version leaves it.
-test('a peer that does not know the question is passed by', async () => {
+// Guards against 500 during a rolling update: the peer that is asked has an
+// older version without this query, and its peer server returns an empty
+// answer.
+test('a peer that does not know the query is skipped', async () => {
   const server = fastify.fastify();
   server.post('/relay', async (_req, res) => res.send(undefined));
   await server.listen({host: '127.0.0.1', port: 0});
@@ -89,7 +95,7 @@
       domain: types.ids.brand('d1'),
       address: `127.0.0.1:${port}`,
     });
-    const outcome = await peers.relay({type: 'pending', queue}, PATIENCE);
+    const outcome = await peers.relay({type: 'pending', queue}, LIMITS);
     assert.equal(outcome.type, 'unanswered');
   } finally {
     peers.close();
--- a/packages/gypsumwall-cell/src/__tests__/renewed_lease.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/renewed_lease.test.ts
@@ -8,14 +8,20 @@
 
 const {test} = nodeTest;
 const LEASE_MS = 1_800;
-/** The successor claims and renews before the lease passes. */
+/**
+ * The successor claims the cell and renews the lease before it expires;
+ * milliseconds.
+ */
 const STORE_CUT_AFTER_MS = 800;
 const WATCHED_MS = 3_000;
-/** The successor looks at a worker it reaches more often than that. */
-const LOOK_MS = 300;
+/**
+ * Longer than the interval at which the successor polls a worker that it
+ * reaches; milliseconds.
+ */
+const POLL_MS = 300;
 const CUT_MS = 60;
 
-/** Has calls of some holders to a worker lost; holders count from 0. */
+/** Drops the calls of some holders to a worker; holders count from 0. */
 function cutFor(
   worker: fakeWorkers.FakeWorker,
   isCut: (holder: number) => boolean,
@@ -46,16 +52,16 @@
     step: 'call',
     peer: 'worker',
     effect: 'unknown',
-    message: 'as told',
+    message: 'injected fault',
   });
 }
 
 const pause = (ms: number) => new Promise((resolve) => setTimeout(resolve, ms));
 
-// Guards against a holder that takes a worker's lease for passed although its
-// successor has renewed it: the task then runs on two workers. The holder is
+// Guards against a holder that considers a worker's lease expired although its
+// successor has renewed it, so that the task runs on two workers. The holder is
 // cut off from the store and from one worker, the successor from the other.
-test('a lease that a successor has renewed is not taken for passed', async () => {
+test('a lease that a successor has renewed is not considered expired', async () => {
   const world = worlds.createCellWorld(LEASE_MS);
   try {
     const kept = await world.addWorker('kept', 1);
@@ -63,7 +69,7 @@
     let cut = false;
     cutFor(kept, (holder) => cut && holder === 0);
     cutFor(other, (holder) => holder > 0);
-    const view = {...world.store, cell: worlds.viewOf(world.store.cell)};
+    const view = {...world.store, cell: worlds.createLogView(world.store.cell)};
     const first = world.addEntry('a', view);
     await worlds.until(() => first.status().holdsCell, 'the cell is held');
     const second = world.addEntry('b');
@@ -73,24 +79,24 @@
     await worlds.until(running, 'both tasks run');
     const [done] = [...other.running.keys()];
     other.end(done!, 'done');
-    await pause(LOOK_MS);
+    await pause(POLL_MS);
     const [task] = [...kept.running.keys()];
 
     cut = true;
     const cutAt = performance.now();
     while (performance.now() - cutAt < WATCHED_MS) {
       if (performance.now() - cutAt > STORE_CUT_AFTER_MS) {
-        view.cell.trouble = 'down';
+        view.cell.fault = 'down';
       }
-      const starts = other.started.filter((run) => run.taskId === task);
+      const starts = other.started.filter((start) => start.taskId === task);
       if (starts.length > 0) {
-        await pause(LOOK_MS);
+        await pause(POLL_MS);
         assert.ok(!kept.running.has(task!), 'the task runs on both workers');
       }
       await pause(5);
     }
     assert.ok(second.status().holdsCell, 'the successor holds the cell');
-    assert.ok(kept.running.has(task!), 'the successor kept the run');
+    assert.ok(kept.running.has(task!), 'the successor kept the attempt');
   } finally {
     world.stop();
   }
--- a/packages/gypsumwall-cell/src/__tests__/copy_age.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/replica_age.test.ts
@@ -12,9 +12,9 @@
 import * as storeHealth from '../store_health.js';
 
 const {test} = nodeTest;
-/** The oldest copy that callers may be answered from; milliseconds. */
-const OLDEST_MS = 2_000;
-/** Longer than any suspension that may pass unnoticed; milliseconds. */
+/** Maximum age of a replica that callers may be answered from; milliseconds. */
+const MAX_AGE_MS = 2_000;
+/** Longer than any suspension that may go undetected; milliseconds. */
 const SUSPENDED_MS = 10_000;
 
 const pause = (spanMs: number) =>
@@ -42,30 +42,31 @@
   });
 }
 
-// The caller is told a number in which jobs wait that run: the store turns the
-// entry away from the log that tells what was begun, and from no other.
-test('a copy is as old as the older of its two logs', async () => {
+// Guards against a count of pending jobs that includes running ones. The store
+// refuses the entry's reads of the log with the progress of jobs, and of no
+// other log.
+test('a replica is as old as the older of its two logs', async () => {
   const world = worlds.createCellWorld();
   try {
     world.addEntry('a');
-    const view = {...world.store, cell: worlds.viewOf(world.store.cell)};
+    const view = {...world.store, cell: worlds.createLogView(world.store.cell)};
     const entry = world.addEntry('b', view);
     await worlds.until(async () => (await pending(entry)) === 0, 'current');
-    view.cell.trouble = 'down';
-    await pause(OLDEST_MS);
-    assert.ok(entry.status().storeReachable, 'the jobs are read');
+    view.cell.fault = 'down';
+    await pause(MAX_AGE_MS);
+    assert.ok(entry.status().storeReachable, 'the log of jobs is read');
     assert.equal(await pending(entry), 'not_run');
   } finally {
     world.stop();
   }
 });
 
-// The same of an entry that has just started and hasn't loaded that log yet.
-test('a copy without one of its logs is not current', async () => {
+// The same for an entry that has just started and hasn't loaded that log yet.
+test('a replica without one of its logs is not current', async () => {
   const world = worlds.createCellWorld();
   try {
-    const view = {...world.store, cell: worlds.viewOf(world.store.cell)};
-    view.cell.trouble = 'down';
+    const view = {...world.store, cell: worlds.createLogView(world.store.cell)};
+    view.cell.fault = 'down';
     const entry = world.addEntry('b', view);
     await worlds.until(() => entry.status().storeReachable, 'the store');
     await pause(100);
@@ -75,9 +76,10 @@
   }
 });
 
-// The caller is told how many waited before the instance was suspended: the
-// clock that ages are measured with stood still meanwhile.
-test('a copy of before a suspension is not current', async () => {
+// Guards against a count of pending jobs from before the instance was
+// suspended: the monotonic clock, by which ages are measured, stops during a
+// suspension.
+test('a replica from before a suspension is not current', async () => {
   const system = types.clock.createSystemClock();
   let suspendedMs = 0;
   const clock = {
@@ -86,22 +88,25 @@
   };
   const world = worlds.createCellWorld();
   try {
-    const view = {...world.store, jobs: worlds.viewOf(world.store.jobs)};
+    const view = {...world.store, jobs: worlds.createLogView(world.store.jobs)};
     const entry = world.addEntry('a', view, 1, clock);
     await worlds.until(async () => (await pending(entry)) === 0, 'current');
-    view.jobs.trouble = 'down';
+    view.jobs.fault = 'down';
     suspendedMs = SUSPENDED_MS;
     assert.equal(await pending(entry), 'not_run');
-    view.jobs.trouble = 'none';
-    await worlds.until(async () => (await pending(entry)) === 0, 'once read');
+    view.jobs.fault = 'none';
+    await worlds.until(
+      async () => (await pending(entry)) === 0,
+      'current again',
+    );
   } finally {
     world.stop();
   }
 });
 
-// The caller is told a number that lacks a job which was accepted while the
-// answer of a read was on its way, for as long as that took.
-test('a copy is as old as the sending of the read', async () => {
+// Guards against a count that lacks a job which was accepted while the answer
+// to a read was in transit, however long that took.
+test('the age of a replica counts from the sending of the read', async () => {
   const log = fakeLogs.createFakeLog();
   const follower = createFollower(log);
   await follower.catchUp();
@@ -119,9 +124,9 @@
   assert.ok((follower.completeUntil() ?? Infinity) < acceptedAt);
 });
 
-// The caller is told that there is no such job, though it was accepted before
-// the question: the reading that the question shared had found the end before.
-test('a question shares no reading that began before it', async () => {
+// Guards against an accepted job that is reported as absent: the read that the
+// query shared had determined the log's end before the job was stored.
+test('a query does not share a read that began before it', async () => {
   const log = fakeLogs.createFakeLog();
   const seen: string[] = [];
   const follower = createFollower(log, (records) => {
@@ -142,13 +147,14 @@
   await before;
 });
 
-// The caller is told 410, or 200 without a number, by way of a peer.
-test('a peer answers how many wait, or refuses', async () => {
+// Guards against 410, or 200 without a count, for a query that was forwarded to
+// a peer.
+test('a peer returns the number of pending jobs, or refuses', async () => {
   const world = worlds.createCellWorld();
-  const view = {...world.store, cell: worlds.viewOf(world.store.cell)};
+  const view = {...world.store, cell: worlds.createLogView(world.store.cell)};
   const entry = world.addEntry('a', view);
   const server = peerServers.createPeerServer(
-    {ask: () => Promise.reject(new Error('nobody asks'))},
+    {ask: () => Promise.reject(new Error('unexpected advice request'))},
     entry.localJobService,
     telemetry.logger.createLogger('silent'),
   );
@@ -160,8 +166,8 @@
   try {
     await worlds.until(async () => (await pending(entry)) === 0, 'current');
     assert.deepEqual(await ask(), {type: 'ok', value: 0});
-    view.cell.trouble = 'down';
-    await pause(OLDEST_MS);
+    view.cell.fault = 'down';
+    await pause(MAX_AGE_MS);
     assert.equal((await ask()).type, 'not_run');
   } finally {
     await server.close();
@@ -169,9 +175,10 @@
   }
 });
 
-// A job is unknown for good at an entry that was loading when it was accepted:
-// its page had been read, and the log is read on from a later one.
-test('a load of several pages goes on from the first', async () => {
+// Guards against a job that stays unknown because it was accepted during a
+// load: its page had been read already, and the log was read on from the end
+// given by a later page.
+test('after a load of several pages the log is read on from the first', async () => {
   const log = fakeLogs.createFakeLog();
   await log.append([{key: 'b', value: '1'}], {timeoutMs: 1});
   log.newest = async (after) => {
--- a/packages/gypsumwall-cell/src/__tests__/retention.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/retention.test.ts
@@ -9,8 +9,11 @@
 import * as retention from '../retention.js';
 
 const {test} = nodeTest;
-/** Well below what one append carries in its timeout on the slowest link. */
-const MOST_IN_APPEND = 1_000;
+/**
+ * Much less than one append can transfer within its timeout on the slowest
+ * link.
+ */
+const MAX_APPEND_RECORDS = 1_000;
 
 function idsOf(count: number): types.ids.JobId[] {
   return Array.from({length: count}, (_none, number) =>
@@ -18,7 +21,7 @@
   );
 }
 
-/** Tidies the ends that a holder hands over once. */
+/** Starts retention with a holder that returns the given jobs once. */
 function startRetention(
   jobsLog: fakeLogs.FakeLog,
   ended: types.ids.JobId[],
@@ -26,7 +29,7 @@
   const stopping = new AbortController();
   let left = ended;
   const holder = {
-    takeEnded: () => {
+    takeEndedJobs: () => {
       const taken = left;
       left = [];
       return taken;
@@ -36,9 +39,9 @@
   void retention.runRetention(
     {
       jobsLog,
-      jobs: {overBefore: () => []} as unknown as jobTable.JobTable,
+      jobs: {endedBefore: () => []} as unknown as jobTable.JobTable,
       holder: () => holder,
-      keepOverMs: () => 1_000,
+      retentionMs: () => 1_000,
       clock: types.clock.createSystemClock(),
       logger: telemetry.logger.createLogger('silent'),
     },
@@ -47,15 +50,15 @@
   return stopping;
 }
 
-// Entries that start load the requests of jobs that are long over, and take
-// that much longer until they answer. The store was away for the one moment at
-// which these were to be dropped, and nobody tries again.
+// Guards against entries that take longer to start because they load the
+// requests of jobs that finished long ago. The store was unavailable at the one
+// moment at which these were to be dropped, and nothing retried.
 test('requests that were not dropped are dropped later', async () => {
   const log = fakeLogs.createFakeLog();
-  log.trouble = 'down';
+  log.fault = 'down';
   const stopping = startRetention(log, idsOf(2));
   await worlds.until(() => log.appends === 1, 'a first try');
-  log.trouble = 'none';
+  log.fault = 'none';
   try {
     await worlds.until(() => log.records.length === 2, 'dropped', 2_500);
   } finally {
@@ -63,7 +66,8 @@
   }
 });
 
-// Guards against one append that grows with a rush until it never fits its time.
+// Guards against one append that grows with a burst of finished jobs until it
+// always exceeds its timeout.
 test('many requests are dropped in several appends', async () => {
   const log = fakeLogs.createFakeLog();
   const append = log.append.bind(log);
@@ -75,7 +79,7 @@
   const stopping = startRetention(log, idsOf(5_000));
   try {
     await worlds.until(() => log.records.length === 5_000, 'dropped');
-    assert.ok(largest <= MOST_IN_APPEND, `${largest} records at once`);
+    assert.ok(largest <= MAX_APPEND_RECORDS, `${largest} records at once`);
   } finally {
     stopping.abort();
   }
--- a/packages/gypsumwall-cell/src/__tests__/safeguards.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/safeguards.test.ts
@@ -27,9 +27,9 @@
 const logger = telemetry.logger.createLogger('silent');
 const clock = types.clock.createSystemClock();
 
-// The answer to an append is lost after it took effect. Appended again without
-// a number, the batch would stand twice.
-test('a batch whose answer was lost stands once', async () => {
+// The answer to an append is lost after it took effect. Without a sequence
+// number the repeated batch would be stored twice.
+test('a batch whose answer was lost is stored once', async () => {
   const log = fakeLogs.createFakeLog();
   const writer = cellWriter.createCellWriter({
     log,
@@ -41,10 +41,10 @@
   });
   await log.append([], {fence: {epoch: 1, sequence: 0}, timeoutMs: 1});
   void writer.run();
-  log.trouble = 'answer_lost';
+  log.fault = 'answer_lost';
   const written = writer.write([{kind: 'heartbeat'}]);
   await worlds.until(() => log.appends >= 2, 'a first try');
-  log.trouble = 'none';
+  log.fault = 'none';
   await written;
   writer.stop();
   assert.equal(log.records.length, 1);
@@ -83,44 +83,45 @@
     self: {entryId: types.ids.brand('b.1'), instance: 'b'},
     lastRecordAt: at(0),
     reachableSince: at(0),
-    holderLost: false,
+    isHolderLost: false,
     takeovers: [],
     leaving: false,
-    now: at(failoverPolicy.SILENCE_MS + 1),
+    now: at(failoverPolicy.MAX_SILENCE_MS + 1),
     ...fields,
   };
 }
 
 test('a silent holder is replaced', () => {
   assert.equal(failoverPolicy.vacancyOf(view()), 'silent');
-  const early = view({now: at(failoverPolicy.SILENCE_MS - 1)});
+  const early = view({now: at(failoverPolicy.MAX_SILENCE_MS - 1)});
   assert.equal(failoverPolicy.vacancyOf(early), undefined);
 });
 
-test('a holder that answers nobody is replaced before silence alone counts', () => {
-  const early = view({holderLost: true, now: at(500)});
+test('a holder that answers no peer is replaced earlier than a silent one', () => {
+  const early = view({isHolderLost: true, now: at(500)});
   assert.equal(failoverPolicy.vacancyOf(early), 'lost');
-  const away = view({holderLost: true, reachableSince: undefined});
+  const unreachable = view({isHolderLost: true, reachableSince: undefined});
   assert.equal(
-    failoverPolicy.vacancyOf(away),
+    failoverPolicy.vacancyOf(unreachable),
     undefined,
     'the log is not read',
   );
 });
 
-// Nobody's job is ever started: 73 holders in 45 s. Taking over 160 workers keeps
-// a small instance too busy to write or to answer its peers for a second; the
-// next one takes over from it after half of that, and is as busy.
-test('holders that are busy taking over are not replaced for ever', () => {
+// Guards against a cell in which no job ever starts: 73 holders were seen in 45
+// s. Taking over 160 workers keeps a small instance too busy to write or to
+// answer its peers for a second. The next one took over after half of that time
+// and was just as busy.
+test('holders that are busy taking over are not replaced endlessly', () => {
   const busyMs = 1_000;
   const takeovers: types.clock.MonotonicMs[] = [];
   let lastRecordAt = at(0);
   for (let now = at(0); now < 60_000; now = at(now + 10)) {
     const heldFor = now - (takeovers.at(-1) ?? -Infinity);
     if (takeovers.length > 0 && heldFor > busyMs) lastRecordAt = now;
-    const holderLost = now - lastRecordAt > 450;
+    const isHolderLost = now - lastRecordAt > 450;
     const held = {lastRecordAt, reachableSince: at(0), takeovers, now};
-    if (failoverPolicy.vacancyOf(view({...held, holderLost})) === undefined)
+    if (failoverPolicy.vacancyOf(view({...held, isHolderLost})) === undefined)
       continue;
     takeovers.push(now);
     lastRecordAt = now;
@@ -128,15 +129,15 @@
   assert.ok(takeovers.length <= 6, `${takeovers.length} takeovers`);
 });
 
-// An entry that couldn't read the log has heard nothing either, and would take
-// the cell from a sound holder as soon as it reads again.
+// An entry that couldn't read the log has seen no records either, and would
+// take the cell from a healthy holder as soon as it reads again.
 test('silence counts only while the log is read', () => {
   const now = at(60_000);
-  const since = at(now - failoverPolicy.SILENCE_MS + 1);
+  const since = at(now - failoverPolicy.MAX_SILENCE_MS + 1);
   const justBack = view({now, reachableSince: since});
   assert.equal(failoverPolicy.vacancyOf(justBack), undefined);
-  const away = view({now, reachableSince: undefined});
-  assert.equal(failoverPolicy.vacancyOf(away), undefined);
+  const unreachable = view({now, reachableSince: undefined});
+  assert.equal(failoverPolicy.vacancyOf(unreachable), undefined);
 });
 
 test('a restarted holder replaces its predecessor at once', () => {
@@ -148,73 +149,76 @@
   assert.equal(failoverPolicy.vacancyOf(restarted), 'own_predecessor');
 });
 
-test('workers are accounted for one by one, or when all leases have passed', () => {
+test('workers are accounted for one by one, or when all leases have expired', () => {
   let steps = 0;
-  const gate = failoverBarrier.createFailoverBarrier(
+  const barrier = failoverBarrier.createFailoverBarrier(
     [worker('a'), worker('b'), worker('c')],
     {latestAt: at(20_000), afterMajorityMs: 5_000},
     () => steps++,
   );
-  gate.account(worker('a'), at(100));
-  assert.ok(gate.isAccounted(worker('a')));
-  assert.ok(!gate.isAccounted(worker('b')));
-  gate.tick(at(19_999));
-  assert.equal(gate.unaccounted(), 2, 'no majority: the latest bound holds');
-  gate.account(worker('b'), at(19_999));
-  gate.tick(at(20_001));
-  assert.equal(gate.unaccounted(), 0);
+  barrier.markAccounted(worker('a'), at(100));
+  assert.ok(barrier.isAccounted(worker('a')));
+  assert.ok(!barrier.isAccounted(worker('b')));
+  barrier.tick(at(19_999));
+  assert.equal(
+    barrier.unaccounted(),
+    2,
+    'no majority: the latest bound applies',
+  );
+  barrier.markAccounted(worker('b'), at(19_999));
+  barrier.tick(at(20_001));
+  assert.equal(barrier.unaccounted(), 0);
   assert.equal(steps, 3);
 });
 
-test('with a majority accounted for, leases have passed sooner', () => {
-  const gate = failoverBarrier.createFailoverBarrier(
+test('with a majority accounted for, leases expire sooner', () => {
+  const barrier = failoverBarrier.createFailoverBarrier(
     [worker('a'), worker('b'), worker('c')],
     {latestAt: at(20_000), afterMajorityMs: 5_000},
     () => {},
   );
-  gate.account(worker('a'), at(100));
-  gate.account(worker('b'), at(200));
-  gate.tick(at(5_200));
-  assert.equal(gate.unaccounted(), 1);
-  gate.tick(at(5_201));
-  assert.equal(gate.unaccounted(), 0);
+  barrier.markAccounted(worker('a'), at(100));
+  barrier.markAccounted(worker('b'), at(200));
+  barrier.tick(at(5_200));
+  assert.equal(barrier.unaccounted(), 1);
+  barrier.tick(at(5_201));
+  assert.equal(barrier.unaccounted(), 0);
 });
 
-// A worker's clock is 2% slow. A lease of 1,000 ms on it passes up to 1,020 ms
-// later on ours; a task that starts elsewhere before runs twice.
-test('a lease has passed only when the slowest clock says so', () => {
+// A worker's clock is 2% slow, so a lease of 1,000 ms on it expires up to 1,020
+// ms later on ours; a task that starts elsewhere earlier runs twice.
+test('a lease has expired only according to the slowest clock', () => {
   const times = workerClock.createWorkerClock();
-  times.note(10_000, at(0));
-  times.noteLease(11_000);
-  assert.equal(times.leasePassed(at(1_020)), false);
-  assert.equal(times.leasePassed(at(1_200)), true);
-  assert.ok(times.read(at(1_000))! <= 10_980, 'a lower bound');
+  times.recordReading(10_000, at(0));
+  times.recordLease(11_000);
+  assert.equal(times.hasLeaseExpired(at(1_020)), false);
+  assert.equal(times.hasLeaseExpired(at(1_200)), true);
+  assert.ok(times.lowerBound(at(1_000))! <= 10_980, 'a lower bound');
 });
 
-// The instance is suspended for seconds. The monotonic clock doesn't show it,
-// the time of day does.
-test('a suspension is noticed', () => {
+// The instance is suspended for seconds, which only the wall clock shows.
+test('a suspension is detected', () => {
   let wall = 50_000;
   let monotonic = 1_000;
-  const watch = pauseDetector.createPauseDetector({
+  const detector = pauseDetector.createPauseDetector({
     monotonic: () => at(monotonic),
     wall: () => wall as types.clock.WallMs,
     sleepUntil: () => Promise.resolve(),
   });
   monotonic += 500;
   wall += 510;
-  assert.equal(watch.lastNoticedAt(), 0);
+  assert.equal(detector.lastDetectedAt(), 0);
   monotonic += 10;
   wall += 4_000;
-  assert.equal(watch.lastNoticedAt(), 1_510);
+  assert.equal(detector.lastDetectedAt(), 1_510);
   monotonic += 10;
   wall += 10;
-  assert.equal(watch.lastNoticedAt(), 1_510);
+  assert.equal(detector.lastDetectedAt(), 1_510);
 });
 
-// An old holder is cut off from the store's appends and still reads. It must
+// An old holder is cut off from the store's appends but still reads. It must
 // not start a job that its successor starts as well.
-test('a job read in doubt waits for a later confirmation', () => {
+test('a job that is read without a recent confirmation waits for the next one', () => {
   let now = 10_000;
   let confirmed = 9_900;
   const taken: string[] = [];
@@ -225,42 +229,43 @@
       sleepUntil: () => Promise.resolve(),
     },
     confirmedAt: () => at(confirmed),
-    takeUp: (entry) => taken.push(entry.id),
+    admit: (entry) => taken.push(entry.id),
   });
   const entry = (name: string) => ({id: job(name)}) as jobTable.JobEntry;
-  jobs.add(entry('sure'));
-  now += failoverPolicy.FRESH_MS;
-  jobs.add(entry('doubt'));
+  jobs.add(entry('confirmed'));
+  now += failoverPolicy.MAX_CONFIRMATION_AGE_MS;
+  jobs.add(entry('unconfirmed'));
   jobs.tick();
-  assert.deepEqual(taken, ['sure']);
+  assert.deepEqual(taken, ['confirmed']);
   confirmed = now + 1;
   jobs.tick();
-  assert.deepEqual(taken, ['sure', 'doubt']);
+  assert.deepEqual(taken, ['confirmed', 'unconfirmed']);
 });
 
-// At a store that loses a third of its answers a call is sent again soon; at
-// one that is slow it isn't, since that made a line at which it refused all.
+// With a store that loses a third of its answers a call is soon sent again.
+// With a slow store it isn't, because that made a queue so long that the store
+// refused all calls.
 test('a call is sent again only while reads come back quickly', async () => {
   for (const [quick, expected] of [
     [true, 2],
     [false, 1],
   ] as const) {
-    const pulse = storeHealth.createStoreHealth();
-    const hedger = hedge.createHedger(clock, pulse);
+    const health = storeHealth.createStoreHealth();
+    const hedger = hedge.createHedger(clock, health);
     let calls = 0;
     const call = () => {
       calls++;
       const tookMs = calls === 1 ? 300 : 1;
       setTimeout(() => {
         const now = clock.monotonic();
-        if (quick) pulse.noteRead(now, types.clock.after(now, 5));
+        if (quick) health.recordRead(now, types.clock.after(now, 5));
       }, 20);
       return new Promise<result.Result<string, types.stepError.StepError>>(
         (resolve) => setTimeout(() => resolve(result.ok('done')), tookMs),
       );
     };
     const until = types.clock.after(clock.monotonic(), 2_000);
-    const answer = await hedger.hedged({call, until});
+    const answer = await hedger.hedge({call, until});
     assert.ok(result.isOk(answer));
     assert.equal(calls, expected);
   }
@@ -279,7 +284,7 @@
   return {kind: 'job', jobId: job(name), job: record};
 }
 
-test('the first record of an id is the job, and a repeat changes nothing', () => {
+test('the first record of an ID defines the job, and a repeat changes nothing', () => {
   const jobs = table();
   jobs.apply(accepted('a'), at(0));
   const progress = {
@@ -293,9 +298,9 @@
   assert.equal(jobs.pendingIn('plans'), 0);
 });
 
-// An entry starts anew after a job is over. Its request has been dropped from
-// the store to keep loads short, and callers still ask for it.
-test('a job that is over is known without its request', () => {
+// An entry starts after a job has finished. The job's request has been dropped
+// from the store to keep loads short, but callers still ask for the job.
+test('a finished job is known without its request', () => {
   const jobs = table();
   const jobId = job('a');
   const progress = {
@@ -312,14 +317,14 @@
   assert.equal(jobs.get(jobId), undefined);
 });
 
-test('a cancellation that is read before its job holds', () => {
+test('a cancellation that is read before its job is effective', () => {
   const jobs = table();
   jobs.apply({kind: 'cancel', jobId: job('a'), dropped: false}, at(0));
   jobs.apply(accepted('a'), at(1));
   assert.equal(jobs.get(job('a'))?.progress.phase, 'cancelled');
 });
 
-test('records come back as they were written; newer ones are told apart', () => {
+test('records are decoded as they were encoded; newer versions are detected', () => {
   const record = accepted('a');
   const {key, value} = storeRecords.encode(record);
   const decoded = storeRecords.decode(key, value);
@@ -330,7 +335,7 @@
   assert.match(newer.error, /version = 2/);
 });
 
-test('the longest prefix names the queue', () => {
+test('the longest matching prefix selects the queue', () => {
   const route = (pathPrefix: string): ports.QueueRoute => ({
     host: 'h',
     pathPrefix,
--- a/packages/gypsumwall-cell/src/__tests__/slow_store.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/slow_store.test.ts
@@ -1,7 +1,7 @@
 /**
- * Load: a store that turns slow: it takes 0.24 s for an append where 4 ms are
- * usual, handles those of a log one by one and refuses what would wait for over
- * 2 s; and 60 entries that each have two jobs a second to append.
+ * Load: a store that becomes slow. It needs 0.24 s for an append instead of the
+ * usual 4 ms, handles those of a log one by one and refuses those that would
+ * wait for over 2 s. 60 entries have two jobs a second each to append.
  */
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
@@ -24,18 +24,18 @@
 const ROUND_MS = 500;
 const USUAL_APPEND_MS = 4;
 const SLOW_APPEND_MS = 240;
-/** The store turns slow after so many rounds. */
+/** The round in which the store becomes slow. */
 const SLOW_FROM = 2;
-/** From here on the line of the first slow second has been worked off. */
+/** From this round on the queue of the first slow second has been processed. */
 const SETTLED_FROM = 8;
-const LONGEST_LINE_MS = 2_000;
-const CALLER_PATIENCE_MS = 3_000;
+const MAX_QUEUE_MS = 2_000;
+const CALLER_TIMEOUT_MS = 3_000;
 const clock = types.virtualClock.createVirtualClock();
 const logger = telemetry.logger.createLogger('silent');
 
 const pause = (spanMs: number) => types.clock.sleepFor(clock, spanMs);
 
-/** A log in front of which appends stand in line; counts those refused. */
+/** A log at which appends queue up; counts those that it refuses. */
 function createSlowLog() {
   const log = fakeLogs.createFakeLog('jobs');
   const append = log.append.bind(log);
@@ -45,7 +45,7 @@
   log.append = async (entries, options) => {
     const now = clock.monotonic();
     freeAt = Math.max(freeAt, now);
-    if (freeAt - now > LONGEST_LINE_MS) {
+    if (freeAt - now > MAX_QUEUE_MS) {
       refused++;
       await pause(appendMs / 10);
       return result.err<ports.AppendOutcome, types.stepError.StepError>({
@@ -53,7 +53,7 @@
         step: 'append',
         peer: 'store',
         effect: 'not_run',
-        message: 'too many wait',
+        message: 'too many queued appends',
       });
     }
     freeAt += appendMs;
@@ -74,43 +74,47 @@
     jobs: jobTables.createJobTable({onAdded: () => {}, onCancelled: () => {}}),
     follower,
     storeHealth: storeHealths.createStoreHealth(),
-    copyAgeMs: () => Infinity,
+    replicaAgeMs: () => Infinity,
     catchUp: () => Promise.resolve(true),
     refreshStates: () => Promise.resolve(true),
-    mayHandOn: () => !isHolder,
+    canForward: () => !isHolder,
     clock,
     logger,
     couldEverFit: () => true,
   });
 }
 
-/** Peers of which only the holder is there, and slow. */
+/** Peers of which only the holder exists, and is slow. */
 function peersWith(holder: jobServices.JobService) {
-  const relay: peerDirectory.PeerDirectory['relay'] = async (req, patience) => {
+  const relay: peerDirectory.PeerDirectory['relay'] = async (req, limits) => {
     if (req.type !== 'submit') throw new Error(`unexpected: ${req.type}`);
     const answer = holder.submit(req.id, req.policy, req.request);
-    const late = pause(patience.eachMs).then(() => undefined);
+    const late = pause(limits.peerTimeoutMs).then(() => undefined);
     const res = await Promise.race([answer, late]);
     if (res === undefined) {
-      return {type: 'unanswered', mayStand: true, slow: true};
+      return {type: 'unanswered', maybeApplied: true, isSlow: true};
     }
     return res.type === 'ok'
       ? {type: 'answered', res}
-      : {type: 'unanswered', mayStand: res.type === 'unknown', slow: false};
+      : {
+          type: 'unanswered',
+          maybeApplied: res.type === 'unknown',
+          isSlow: false,
+        };
   };
   return {relay} as unknown as peerDirectory.PeerDirectory;
 }
 
-// Guards against entries that keep a slow store from the holder's shared
-// appends by trying their own again and again.
-test('jobs of many entries are stored at a slow store', async () => {
+// Guards against entries that block the holder's shared appends at a slow store
+// by retrying their own.
+test('jobs of many entries are stored in a slow store', async () => {
   const {log, turnSlow, refused} = createSlowLog();
   const holder = createOwnService(log, true);
-  // Entries that know no holder append by themselves, and go on doing so.
+  // Entries that know no holder append by themselves, and continue to do so.
   let holderIsKnown = false;
   const services = Array.from({length: ENTRIES}, () =>
     forwardingJobServices.createForwardingJobService({
-      own: createOwnService(log, false),
+      local: createOwnService(log, false),
       peers: peersWith(holder),
       clock,
       logger,
@@ -119,7 +123,7 @@
     }),
   );
   let stored = 0;
-  let held = 0;
+  let timedOut = 0;
   async function submit(
     service: jobServices.JobService,
     round: number,
@@ -129,7 +133,7 @@
     const startedAt = clock.monotonic();
     const res = await service.submit(id, worlds.POLICY, worlds.request(1));
     if (res.type === 'ok' && round >= SETTLED_FROM) stored++;
-    if (clock.monotonic() - startedAt >= CALLER_PATIENCE_MS) held++;
+    if (clock.monotonic() - startedAt >= CALLER_TIMEOUT_MS) timedOut++;
   }
   async function submitAll(): Promise<void> {
     const calls: Promise<void>[] = [];
@@ -144,10 +148,10 @@
     await Promise.all(calls);
   }
   const submitted = submitAll();
-  await clock.runUntil(ROUNDS * ROUND_MS + 2 * CALLER_PATIENCE_MS);
+  await clock.runUntil(ROUNDS * ROUND_MS + 2 * CALLER_TIMEOUT_MS);
   await submitted;
   const settled = ENTRIES * (ROUNDS - SETTLED_FROM);
   assert.ok(stored >= settled * 0.9, `${stored} of ${settled} stored`);
-  assert.equal(held, 0, 'nobody is held until the deadline');
+  assert.equal(timedOut, 0, 'no caller is blocked until the deadline');
   assert.ok(refused() <= 2 * ENTRIES, `${refused()} appends refused`);
 });
--- a/packages/gypsumwall-cell/src/__tests__/age_of_answers.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/stale_answers.test.ts
@@ -11,10 +11,10 @@
 const {test} = nodeTest;
 const id = (text: string) => types.ids.brand<types.ids.JobId>(text);
 const {queue} = worlds.POLICY;
-/** Longer than a copy counts as current; milliseconds. */
-const OLD_MS = 1_700;
+/** Longer than a replica counts as current; milliseconds. */
+const STALE_AFTER_MS = 1_700;
 /** How long callers wait for an answer; milliseconds. */
-const CALLERS_WAIT_MS = 3_000;
+const CALLER_TIMEOUT_MS = 3_000;
 
 const pause = (spanMs: number) =>
   new Promise((resolve) => setTimeout(resolve, spanMs));
@@ -33,10 +33,10 @@
 }
 
 async function phase(
-  desk: cellEntryTypes.CellEntry['localJobService'],
+  service: cellEntryTypes.CellEntry['localJobService'],
   name: string,
 ): Promise<string> {
-  const answer = await desk.phaseOf(id(name), queue);
+  const answer = await service.phaseOf(id(name), queue);
   return answer.type === 'ok' ? answer.value : answer.type;
 }
 
@@ -47,22 +47,25 @@
   return answer.type === 'ok' ? answer.value : answer.type;
 }
 
-/** An entry of its own troubles beside one that holds the cell. */
+/**
+ * A world with one entry, and a view of its store with separate faults for a
+ * second entry.
+ */
 function createWorld() {
   const world = worlds.createCellWorld();
   const {jobs, cell} = world.store;
   const view = {
     ...world.store,
-    jobs: worlds.viewOf(jobs),
-    cell: worlds.viewOf(cell),
+    jobs: worlds.createLogView(jobs),
+    cell: worlds.createLogView(cell),
   };
   return {world, view, first: world.addEntry('a')};
 }
 
-// The caller is told 410 of a job that was accepted and is done. Its request
-// has been dropped from one log, and the other, which still knows it, hasn't
-// been loaded yet: the entry has just started, and its peers don't answer.
-test('a job is not told as absent before both logs are read', async () => {
+// Guards against 410 for an accepted job that is done. The entry has just
+// started: the job's request has been dropped from one log, the other log,
+// which still contains the job, isn't loaded yet, and no peer answers.
+test('a job is not reported as absent before both logs are read', async () => {
   const {world, view, first} = createWorld();
   try {
     const worker = await world.addWorker('w1', 4);
@@ -81,7 +84,7 @@
         ),
       'its request is dropped',
     );
-    view.cell.trouble = 'down';
+    view.cell.fault = 'down';
     const second = world.addEntry('b', view);
     await worlds.until(() => second.status().storeReachable, 'the store');
     assert.notEqual(await phase(second.jobService, 'job'), 'absent');
@@ -90,14 +93,14 @@
   }
 });
 
-// The job is done, and its caller hears that it runs. Its entry can't tell and
-// asks a peer; that one has been turned away as well, and its word, from a copy
-// as old, is taken for certain, so that no other is asked.
-test('a peer with an old copy does not answer for a state', async () => {
+// Guards against a finished job that is reported as running. The entry asks a
+// peer that the store refuses as well; the peer's answer comes from an equally
+// stale replica and is taken as definite, so no other peer is asked.
+test('a peer with a stale replica does not answer a query for a state', async () => {
   const {world, view, first} = createWorld();
   const second = world.addEntry('b', view);
   const server = peerServers.createPeerServer(
-    {ask: () => Promise.reject(new Error('nobody asks'))},
+    {ask: () => Promise.reject(new Error('unexpected advice request'))},
     second.localJobService,
     telemetry.logger.createLogger('silent'),
   );
@@ -108,14 +111,14 @@
       async () => (await phase(second.localJobService, 'job')) === 'running',
       'it runs',
     );
-    view.jobs.trouble = 'down';
-    view.cell.trouble = 'down';
+    view.jobs.fault = 'down';
+    view.cell.fault = 'down';
     worker.end([...worker.running.keys()][0]!, 'done');
     await worlds.until(
       async () => (await phase(first.localJobService, 'job')) === 'completed',
       'it is done',
     );
-    await pause(OLD_MS);
+    await pause(STALE_AFTER_MS);
     const payload = {type: 'phase', id: 'job', queue};
     const res = await server.inject({method: 'POST', url: '/relay', payload});
     assert.notDeepEqual(res.json(), {type: 'ok', value: 'running'});
@@ -125,20 +128,24 @@
   }
 });
 
-// The caller is told for good that a job waits which was cancelled and is
-// forgotten. The entry was away until the store had dropped the records
-// between; the load names what there is, and what isn't named stays.
-test('what a load does not name any more is forgotten', async () => {
+// Guards against a job that is reported as queued for good although it was
+// cancelled and dropped. The entry couldn't read until the store had compacted
+// the deletion records; a load only contains existing records, and the entry
+// kept what the load didn't contain.
+test('jobs that a load does not contain are dropped', async () => {
   const {world, view, first} = createWorld();
   try {
     const second = world.addEntry('b', view);
     await submit(first, 'job');
-    await worlds.until(async () => (await pending(second)) === 1, 'it waits');
-    view.jobs.trouble = 'down';
-    view.cell.trouble = 'down';
+    await worlds.until(
+      async () => (await pending(second)) === 1,
+      'the job is pending',
+    );
+    view.jobs.fault = 'down';
+    view.cell.fault = 'down';
     await first.jobService.cancel(id('job'), queue);
     await worlds.until(async () => (await pending(first)) === 0, 'cancelled');
-    // As retention does once the job's state needn't be kept any more.
+    // Like retention after the retention period of the job's state.
     const jobId = id('job');
     await world.store.jobs.append(
       [
@@ -154,18 +161,19 @@
     );
     world.store.jobs.compact();
     world.store.cell.compact();
-    view.jobs.trouble = 'none';
-    view.cell.trouble = 'none';
+    view.jobs.fault = 'none';
+    view.cell.fault = 'none';
     await worlds.until(async () => (await pending(second)) === 0, 'forgotten');
   } finally {
     world.stop();
   }
 });
 
-// A job that is long over waits for good at an entry that loaded the jobs' log
-// just before its last records were dropped, and the cell's log just after: a
-// dropped request is no word on the job. As holder it would run the job again.
-test('a job whose request is dropped does not wait', () => {
+// Guards against a finished job that stays queued at an entry, which would run
+// it again as holder. The entry loaded the jobs' log just before the job's last
+// records were dropped, and the cell's log just after. A dropped request must
+// not be taken for a queued job.
+test('a job whose request was dropped is not pending', () => {
   const jobs = jobTables.createJobTable({
     onAdded: () => {},
     onCancelled: () => {},
@@ -183,21 +191,24 @@
   assert.equal(jobs.pendingIn(queue), 0);
 });
 
-// The caller is told for good that its job is too large (400), while a worker
-// that has room for it takes such jobs. The entry judges by its copy of the
-// cell's log, which is as old as the store has turned it away.
-test('no job is too large by an old copy', async () => {
+// Guards against a permanent refusal (400) of a job as too large while a worker
+// accepts such jobs. The entry judges by a replica of the cell's log that is
+// stale because the store has refused the entry.
+test('a stale replica refuses no job as too large', async () => {
   const {world, view, first} = createWorld();
   try {
     const small = await world.addWorker('small', 1);
     const second = world.addEntry('b', view);
     await submit(first, 'job');
-    await worlds.until(() => small.running.size === 1, 'the small one works');
+    await worlds.until(
+      () => small.running.size === 1,
+      'the small worker runs a task',
+    );
     await worlds.until(
       async () => (await phase(second.localJobService, 'job')) === 'running',
-      'both know',
+      'both entries know the job',
     );
-    view.cell.trouble = 'down';
+    view.cell.fault = 'down';
     const large = await world.addWorker('large', 8);
     const {steps, ...rest} = worlds.request(1);
     const size = {...steps[0]!.size, cpuMillis: 4_000};
@@ -206,10 +217,10 @@
       async () =>
         (await first.jobService.submit(id('one'), worlds.POLICY, request))
           .type === 'ok',
-      'the other entry takes such a job',
+      'the other entry accepts such a job',
     );
     await worlds.until(() => large.running.size === 1, 'it runs');
-    await pause(OLD_MS);
+    await pause(STALE_AFTER_MS);
     const answer = await second.jobService.submit(
       id('two'),
       worlds.POLICY,
@@ -221,15 +232,16 @@
   }
 });
 
-// The caller's cancel gets no answer in its time, nor does its second try. The
-// job was accepted elsewhere while the store turned this entry away, which now
-// reads for seconds what it missed; peers know the job and aren't asked.
+// Guards against a cancellation that isn't answered before its deadline, nor
+// when it is retried. The job was accepted elsewhere while the store refused
+// this entry, which now needs seconds to read what it missed. Peers know the
+// job but weren't asked.
 test('a cancel is answered in time by an entry that is far behind', async () => {
   const {world, view, first} = createWorld();
   try {
     const second = world.addEntry('b', view);
     await submit(second, 'early');
-    view.jobs.trouble = 'down';
+    view.jobs.fault = 'down';
     for (let number = 0; number < 60; number++) {
       await submit(first, `late${number}`);
     }
@@ -239,22 +251,22 @@
       await pause(100);
       return answer;
     };
-    world.store.jobs.mostInRead = 1;
-    view.jobs.trouble = 'none';
+    world.store.jobs.maxReadRecords = 1;
+    view.jobs.fault = 'none';
     await worlds.until(() => second.status().storeReachable, 'the store');
     const startedAt = performance.now();
     await second.jobService.cancel(id('late59'), queue);
     const tookMs = performance.now() - startedAt;
-    assert.ok(tookMs < CALLERS_WAIT_MS, `answered after ${tookMs} ms`);
+    assert.ok(tookMs < CALLER_TIMEOUT_MS, `answered after ${tookMs} ms`);
   } finally {
     world.stop();
   }
 });
 
-// The cell's holder is sound, and yet another entry claims the cell again and
-// again: a read of the log that arrives for longer than a holder may be silent
-// looks like silence, and such reads are waited for.
-test('an entry whose read still arrives takes no holder for silent', async () => {
+// Guards against an entry that claims the cell repeatedly although its holder
+// is healthy. A read of the log that takes longer than a holder may be silent
+// looks like silence, so the entry must wait for such reads.
+test('an entry with a slow read does not consider the holder silent', async () => {
   const {world, view, first} = createWorld();
   try {
     await worlds.until(() => first.status().holdsCell, 'the cell is held');
--- a/packages/gypsumwall-cell/src/__tests__/old_copy.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/stale_replica.test.ts
@@ -6,7 +6,7 @@
 
 const {test} = nodeTest;
 
-/** Hands jobs in that wait, as the world has no workers. */
+/** Submits jobs, which stay queued because the world has no workers. */
 async function submit(
   entry: cellEntryTypes.CellEntry,
   names: readonly string[],
@@ -22,7 +22,7 @@
   }
 }
 
-/** How many jobs wait, or how the question was refused. */
+/** Number of pending jobs, or how the query was refused. */
 async function pending(
   entry: cellEntryTypes.CellEntry,
 ): Promise<number | string> {
@@ -33,38 +33,44 @@
 const names = (prefix: string, count: number) =>
   Array.from({length: count}, (_none, number) => `${prefix}${number}`);
 
-// The caller is told that 4 jobs wait while 20 have waited for five seconds.
-// The store turns one entry away for seconds while others accept jobs; then it
-// answers again, and the entry is far behind and reads on. All the while it
-// counts in its own copy of the logs, which lacks what the others accepted.
-// Shown by the age of the copy beside each answer: 17 told at an age of 8.9 s.
-test('an entry with an old copy tells no number of waiting jobs', async () => {
+// Guards against a count of 4 pending jobs where 20 have been pending for five
+// seconds. The store refuses one entry for seconds while others accept jobs;
+// then it answers again, and the entry reads its long backlog. All that time
+// the entry counted in its own replica, which lacks the jobs accepted by
+// others: it once returned 17 from a replica that was 8.9 s old.
+test('an entry with a stale replica returns no number of pending jobs', async () => {
   const world = worlds.createCellWorld();
   try {
-    const view = {...world.store, jobs: worlds.viewOf(world.store.jobs)};
+    const view = {...world.store, jobs: worlds.createLogView(world.store.jobs)};
     const first = world.addEntry('a');
     const second = world.addEntry('b', view);
     await submit(first, names('early', 4));
-    await worlds.until(async () => (await pending(second)) === 4, 'four wait');
+    await worlds.until(
+      async () => (await pending(second)) === 4,
+      'four pending jobs',
+    );
 
-    view.jobs.trouble = 'down';
+    view.jobs.fault = 'down';
     await submit(first, names('late', 16));
-    await worlds.until(async () => (await pending(first)) === 20, 'all wait');
+    await worlds.until(
+      async () => (await pending(first)) === 20,
+      'all pending jobs',
+    );
     const end = performance.now() + 2_500;
-    let told: number | string = 4;
-    while (told === 4 && performance.now() < end) {
+    let reported: number | string = 4;
+    while (reported === 4 && performance.now() < end) {
       await new Promise((resolve) => setTimeout(resolve, 50));
-      told = await pending(second);
+      reported = await pending(second);
     }
-    assert.equal(told, 'not_run', 'while the store turns it away');
+    assert.equal(reported, 'not_run', 'while the store refuses it');
 
-    world.store.jobs.mostInRead = 1;
-    view.jobs.trouble = 'none';
-    while (told === 'not_run') {
-      told = await pending(second);
+    world.store.jobs.maxReadRecords = 1;
+    view.jobs.fault = 'none';
+    while (reported === 'not_run') {
+      reported = await pending(second);
       await new Promise((resolve) => setTimeout(resolve, 1));
     }
-    assert.equal(told, 20, 'the first number after that');
+    assert.equal(reported, 20, 'the first number after that');
   } finally {
     world.stop();
   }
--- a/packages/gypsumwall-cell/src/__tests__/store_away.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/store_unavailable.test.ts
@@ -7,9 +7,9 @@
 const {test} = nodeTest;
 const job = (name: string) => types.ids.brand<types.ids.JobId>(name);
 
-function trouble(world: worlds.CellWorld, trouble: fakeLogs.Trouble): void {
-  world.store.jobs.trouble = trouble;
-  world.store.cell.trouble = trouble;
+function setFault(world: worlds.CellWorld, fault: fakeLogs.Fault): void {
+  world.store.jobs.fault = fault;
+  world.store.cell.fault = fault;
 }
 
 async function openWorld() {
@@ -20,19 +20,26 @@
   return {world, entry};
 }
 
-// Load: 13 jobs a second, and a store that was silent for 6.6 s. Callers try
+// Load: 13 jobs a second, and a store that didn't answer for 6.6 s. Callers try
 // five times within 3 s, so each tenth of a second until the first job is
-// stored again is a job lost. Entries had looked every 1.2 s, and took the
-// first job 0.8 s after the store was back.
-test('a store that was silent is used again within 0.3 s', async () => {
+// stored again loses a job. Entries had probed every 1.2 s, and accepted the
+// first job 0.8 s after the store had recovered.
+test('a store that did not answer is used again within 0.3 s of its recovery', async () => {
   const {world, entry} = await openWorld();
-  // Of lengths that end at each point between two tries of a read by itself.
+  // These durations end at different points between two tries of a single read.
   for (const silentMs of [1_000, 1_225, 1_450, 1_675]) {
-    trouble(world, 'silent');
-    await worlds.until(() => !entry.status().storeReachable, 'it is noticed');
+    setFault(world, 'silent');
+    await worlds.until(
+      () => !entry.status().storeReachable,
+      'the outage is detected',
+    );
     await new Promise((resolve) => setTimeout(resolve, silentMs));
-    trouble(world, 'none');
-    await worlds.until(() => entry.status().storeReachable, 'it is back', 300);
+    setFault(world, 'none');
+    await worlds.until(
+      () => entry.status().storeReachable,
+      'the recovery is detected',
+      300,
+    );
   }
   const before = world.store.cell.records.length;
   const answer = await entry.jobService.submit(
@@ -49,12 +56,13 @@
   world.stop();
 });
 
-// The caller waits 2.4 s for an answer of which the entry knows long before
-// that none will come, and has no time left to ask again. The append was sent
-// just before the store went silent; then the reads fail as well.
-test('a call in doubt is answered once the store is known to be away', async () => {
+// Guards against a caller who waits 2.4 s for an answer although the entry
+// knows long before that none will come, so that no time is left for a retry.
+// The append was sent just before the store stopped answering; then the reads
+// fail as well.
+test('a call with an unknown effect is answered once the store is known to be unavailable', async () => {
   const {world, entry} = await openWorld();
-  trouble(world, 'silent');
+  setFault(world, 'silent');
   const sentAt = performance.now();
   const answer = await entry.jobService.submit(
     job('a'),
--- a/packages/gypsumwall-cell/src/__tests__/worker_move.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/worker_move.test.ts
@@ -6,11 +6,11 @@
 const {test} = nodeTest;
 const SEED = 20;
 const RUNS = 20_000;
-const LONGEST = 80;
+const MAX_GROUPS = 80;
 
 type Names = readonly models.Operation['name'][];
 
-/** Without these a run gets nowhere. */
+/** Without these groups a sequence achieves nothing. */
 const CORE_GROUPS: readonly Names[] = [
   ['claim', 'adopt'],
   ['confirm', 'order', 'deliver'],
@@ -22,13 +22,13 @@
   ...models.OTHER_OPERATIONS.map((name) => [name]),
   ['order', 'deliver', 'answer'],
   ['confirm', 'renew', 'deliver', 'tick'],
-  ['look', 'deliver', 'answer'],
+  ['poll', 'deliver', 'answer'],
   ['stop', 'deliver', 'answer'],
   ['confirm', 'release'],
   ['tick', 'settle'],
 ];
 
-/** Entries that take part; 0 and 1 are of one shard. */
+/** Entries that take part; 0 and 1 belong to one shard. */
 const ENTRIES: readonly number[][] = [
   [0, 1],
   [0, 1, 2],
@@ -37,8 +37,8 @@
 ];
 
 /**
- * Few kinds of groups and entries at a time: with all of them, runs that leave
- * out what would end a long wait are rare (swarm testing).
+ * Uses few kinds of groups and entries at a time (swarm testing): with all of
+ * them, sequences that omit the operations ending a long wait are rare.
  */
 const OPERATIONS: fc.Arbitrary<models.Operation[]> = fc
   .record({
@@ -55,7 +55,7 @@
         entry: fc.constantFrom(...entries),
         pick: fc.constantFrom(models.NEWEST, models.NEWEST, 0, 1, 2),
       }),
-      {maxLength: LONGEST, size: 'max'},
+      {maxLength: MAX_GROUPS, size: 'max'},
     ),
   )
   .map((drawn) =>
@@ -67,13 +67,16 @@
     ),
   );
 
-/** Plays many interleavings; the shortest one found that breaks a rule. */
+/**
+ * Tries many interleavings; returns the shortest one found that violates a
+ * rule.
+ */
 function search(options: models.ModelOptions) {
   const property = fc.property(OPERATIONS, (operations) => {
     const model = models.createWorkerMoveModel(options);
     for (const operation of operations) {
       model.apply(operation);
-      assert.equal(model.broken(), undefined);
+      assert.equal(model.brokenRule(), undefined);
     }
   });
   return fc.check(property, {seed: SEED, numRuns: RUNS});
@@ -82,8 +85,8 @@
 /** Applies operations given as `name` or `name pick`. */
 function play(options: models.ModelOptions, script: string) {
   const model = models.createWorkerMoveModel(options);
-  for (const line of script.trim().split(/\s*,\s*/)) {
-    const [name, pick] = line.split(' ');
+  for (const step of script.trim().split(/\s*,\s*/)) {
+    const [name, pick] = step.split(' ');
     model.apply({
       name: name as models.Operation['name'],
       pick: Number(pick ?? 0),
@@ -102,24 +105,24 @@
   });
 
   const faults: models.Fault[] = [
-    'lease_not_waited_out',
+    'lease_not_awaited',
     'open_orders_move',
     'silence_means_refused',
     'renewal_before_answer',
     'release_without_epoch',
   ];
-  if (!fenced) faults.push('look_without_fence');
+  if (!fenced) faults.push('poll_without_fence');
   for (const fault of faults) {
     test(`${worker}: the search finds ${fault}`, () => {
       assert.equal(search({fenced, fault}).failed, true);
     });
   }
 
-  // Guards against tokens that only rise within one shard's log.
-  test(`${worker}: takes orders of the shard that it moved to`, () => {
+  // Guards against tokens that increase only within one shard's log.
+  test(`${worker}: accepts orders of the shard that it moved to`, () => {
     const model = play(
       {fenced, fault: 'none'},
-      `claim 0, claim 1, look 1, deliver, answer,
+      `claim 0, claim 1, poll 1, deliver, answer,
        tick, tick, tick, tick, tick, confirm 1, settle 1, release 1,
        claim 2, adopt 2, order 2, deliver`,
     );
@@ -127,18 +130,19 @@
   });
 }
 
-const PASSED_LEASE = `
+const EXPIRED_LEASE = `
   claim 0, order 0, deliver, answer, tick, tick, confirm 0,
-  claim 1, look 1, deliver, answer, renew 1, deliver, tick, settle 0`;
+  claim 1, poll 1, deliver, answer, renew 1, deliver, tick, settle 0`;
 
-// Guards against a holder that takes a lease for passed which its successor
-// has renewed: the successor keeps the run, the holder starts the task again.
-test('a passed lease counts only after a later append', () => {
+// Guards against a holder that considers a lease expired which its successor
+// has renewed: the successor keeps the attempt, and the holder starts the task
+// again.
+test('an expired lease counts only after a later append', () => {
   const unconfirmed = {
     fenced: true,
-    fault: 'passed_lease_not_confirmed',
+    fault: 'expired_lease_not_confirmed',
   } as const;
-  assert.notEqual(play(unconfirmed, PASSED_LEASE).broken(), undefined);
-  const sound = {fenced: true, fault: 'none'} as const;
-  assert.equal(play(sound, PASSED_LEASE).broken(), undefined);
+  assert.notEqual(play(unconfirmed, EXPIRED_LEASE).brokenRule(), undefined);
+  const noFault = {fenced: true, fault: 'none'} as const;
+  assert.equal(play(noFault, EXPIRED_LEASE).brokenRule(), undefined);
 });
--- a/packages/gypsumwall-cell/src/__tests__/worker_roster.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/worker_roster.test.ts
@@ -60,10 +60,10 @@
   return {key: name, value: JSON.stringify({...info, pool}), offset: 0};
 };
 
-// Another program writes to the list of workers. Its entries name none to be
-// called, the sound ones beside them hold, and the log tells each fault once,
-// though the entry is written anew every second.
-test('bad and foreign entries are passed over, and told once', () => {
+// Another program writes to the list of workers. The workers of its entries
+// must not be called, valid entries beside them are used, and each fault is
+// logged once, although the entry is rewritten every second.
+test('invalid and foreign list entries are skipped and logged once', () => {
   const {roster, opened, warned} = createRoster();
   for (let beat = 0; beat < 3; beat++) {
     const bad = {key: 'x', value: 'bad', offset: beat};
@@ -76,12 +76,12 @@
   assert.match(warned[1]!, /pool = theirs/);
 });
 
-// Guards against a successor that finds neither a crashed worker on the record
-// nor the crash in the progress of its jobs.
-test('progress is stored before a crashed worker is taken off the record', () => {
+// Guards against a successor that finds neither a crashed worker among the used
+// ones nor its crash in the progress of the jobs.
+test('progress is stored before a crashed worker is removed from the used workers', () => {
   const {roster, calls} = createRoster();
   roster.applyList([listed('w1', 'pool')], false);
   calls.length = 0;
-  roster.gone(types.ids.brand('w1'));
+  roster.onGone(types.ids.brand('w1'));
   assert.deepEqual(calls, ['crashed', 'flush', 'write used_worker']);
 });
--- a/packages/gypsumwall-cell/src/__tests__/worker_session.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/worker_session.test.ts
@@ -22,18 +22,18 @@
     link: worker.connect(),
     token: 1,
     leaseMs: () => 10_000,
-    longestLeaseMs: 10_000,
+    maxLeaseMs: 10_000,
     clock,
     logger: telemetry.logger.createLogger('silent'),
     scheduler,
     mayRenew: () => true,
     confirmedAt: () => clock.monotonic(),
     onChange: () => {},
-    stored: () => Promise.resolve(),
+    flush: () => Promise.resolve(),
     onFirstReport: () => {},
     onFenced: () => {},
     onGone: () => {},
-    onLeasePassed: () => {},
+    onLeaseExpired: () => {},
   });
   const isUsable = () => scheduler.book.workers.get(worker.info.id)!.usable;
   const orderOf = (name: string): scheduling.schedulerTypes.StartOrder => ({
@@ -52,38 +52,38 @@
   return {session, isUsable, orderOf};
 }
 
-// A failure domain is cut off. Until the looks had told so, for up to 1.2 s,
-// each new job got tasks on its workers; each such task is held for as long as
-// the lease lasts, since it may be running.
-test('a worker that leaves an order unanswered gets no more for now', async () => {
+// A failure domain is cut off. Until polls had detected that, which took up to
+// 1.2 s, each new job got tasks on its workers. Each such task is blocked for
+// as long as the lease lasts, because it may be running.
+test('a worker that leaves an order unanswered gets no further ones for now', async () => {
   const worker = fakeWorkers.createFakeWorker('w1', 4);
   const {session, isUsable, orderOf} = openSession(worker);
   void session.run();
   try {
     await worlds.until(isUsable, 'it answers');
-    worker.mute = true;
+    worker.losesAnswers = true;
     await session.start(orderOf('job.0.0.0'));
     assert.equal(isUsable(), false);
-    await worlds.until(isUsable, 'a look is answered', 1_000);
+    await worlds.until(isUsable, 'a poll is answered', 1_000);
   } finally {
     session.close();
   }
 });
 
-// Guards against a warning of a leak that hides a real one: each stop of a
-// worker that doesn't answer waits by itself.
-test('many stops of one worker warn of no leak', async () => {
+// Guards against a listener leak warning that hides a real leak: every stop of
+// a worker that doesn't answer waits on its own.
+test('many stops of one worker cause no leak warning', async () => {
   const worker = fakeWorkers.createFakeWorker('w1', 4);
   const {session, isUsable, orderOf} = openSession(worker);
   const warnings: Error[] = [];
-  const note = (warning: Error) => warnings.push(warning);
-  process.on('warning', note);
+  const record = (warning: Error) => warnings.push(warning);
+  process.on('warning', record);
   void session.run();
   try {
     await worlds.until(isUsable, 'it answers');
-    worker.mute = true;
+    worker.losesAnswers = true;
     const stops = Array.from({length: 20}, (_none, nth) =>
-      session.stopRun(orderOf(`job.0.0.${nth}`).attempt),
+      session.stopAttempt(orderOf(`job.0.0.${nth}`).attempt),
     );
     await new Promise((resolve) => setTimeout(resolve, 600));
     session.close();
@@ -91,6 +91,6 @@
     assert.deepEqual(warnings, []);
   } finally {
     session.close();
-    process.off('warning', note);
+    process.off('warning', record);
   }
 });
--- a/packages/gypsumwall-cell/src/advice_caller.ts
+++ b/packages/gypsumwall-cell/src/advice_caller.ts
@@ -1,4 +1,7 @@
-/** Has the adviser asked, by whichever entry has the shortest line. */
+/**
+ * Asks the adviser on behalf of the scheduler, through the entry with the
+ * shortest queue of calls.
+ */
 import * as result from 'true-myth/result';
 import * as scheduling from '@gypsumwall/scheduling';
 import type * as telemetry from '@gypsumwall/telemetry';
@@ -6,64 +9,64 @@
 import type * as ports from './ports.js';
 
 /**
- * A call is given this many times what it and those before it in line take,
- * and the slack more. An urgent job has some 500 ms to spare: with a slack of
- * 1.5 s, those that asked through an entry that was lost waited 1.74 s before
- * they asked elsewhere; milliseconds.
+ * Timeout of a call: the expected duration of the call and those queued before
+ * it, times this factor, plus the slack. An urgent job can spare about 500 ms.
+ * With a slack of 1.5 s, jobs whose call went through a lost entry waited 1.74
+ * s before the adviser was asked through another; milliseconds.
  */
-const PATIENCE_FACTOR = 2;
+const TIMEOUT_FACTOR = 2;
 const ADVICE_SLACK_MS = 300;
-/** An approval's age when it arrives through a peer, at most; milliseconds. */
+/** Maximum age of an approval when it arrives through a peer; milliseconds. */
 const ADVICE_TRANSIT_MS = 40;
-/** What a caller works on. */
+/** Dependencies of an advice caller. */
 export interface AdviceCallerParts {
   readonly scheduler: scheduling.schedulerTypes.Scheduler;
-  /** Entries that may ask the adviser now, the own one among them. */
+  /** Entries through which the adviser can be asked now, including this one. */
   readonly advisers: () => ReadonlyMap<string, ports.Adviser>;
   readonly clock: types.clock.Clock;
   readonly logger: telemetry.logger.Logger;
   readonly onAnswer: () => void;
 }
 
-/** The calls to the adviser. */
+/** Calls the adviser. */
 export interface AdviceCaller {
-  /** Asks for one wish of the scheduler and tells it the answer. */
-  ask(wish: scheduling.schedulerTypes.AdviceRequest): Promise<void>;
+  /** Sends one advice request of the scheduler and reports the answer to it. */
+  ask(request: scheduling.schedulerTypes.AdviceRequest): Promise<void>;
   /** How many calls can be made now. */
   capacity(): scheduling.adviserPool.AdviceCapacity;
 }
 
-/** Creates the caller of a holder. */
+/** Creates the advice caller of a holder. */
 export function createAdviceCaller(parts: AdviceCallerParts): AdviceCaller {
   const {scheduler, clock, logger} = parts;
-  const lanes = scheduling.adviserPool.createAdviserPool<string>();
+  const pool = scheduling.adviserPool.createAdviserPool<string>();
 
   async function ask(
-    wish: scheduling.schedulerTypes.AdviceRequest,
+    request: scheduling.schedulerTypes.AdviceRequest,
   ): Promise<void> {
-    const {stepRun, workers, callMs, needed} = wish;
+    const {stepRun, workers, callMs, needed} = request;
     const advisers = parts.advisers();
-    const lane = lanes.take([...advisers.keys()], callMs, needed);
-    const adviser = lane === undefined ? undefined : advisers.get(lane);
-    if (lane === undefined || adviser === undefined) {
+    const instance = pool.take([...advisers.keys()], callMs, needed);
+    const adviser = instance === undefined ? undefined : advisers.get(instance);
+    if (instance === undefined || adviser === undefined) {
       const never = 0 as types.clock.MonotonicMs;
-      scheduler.adviceAnswered(wish, undefined, never);
+      scheduler.adviceAnswered(request, undefined, never);
       return;
     }
     const askedAt = clock.monotonic();
-    const timeoutMs = lanes.lineMs(lane) * PATIENCE_FACTOR + ADVICE_SLACK_MS;
+    const timeoutMs = pool.lineMs(instance) * TIMEOUT_FACTOR + ADVICE_SLACK_MS;
     const answer = await adviser.ask(stepRun.id, workers, timeoutMs);
-    lanes.finish(lane, callMs);
+    pool.finish(instance, callMs);
     const now = clock.monotonic();
     const validMs = stepRun.job.policy.advice?.validMs ?? 0;
     scheduler.adviceAnswered(
-      wish,
+      request,
       result.isOk(answer) ? answer.value : undefined,
       types.clock.after(now, validMs - ADVICE_TRANSIT_MS),
     );
     logger.info('advice_answered', {
       step: stepRun.id,
-      by: lane,
+      by: instance,
       named: workers.length,
       approved: result.isOk(answer) ? answer.value.size : undefined,
       tookMs: Math.round(now - askedAt),
@@ -76,6 +79,6 @@
 
   return {
     ask,
-    capacity: () => lanes.capacity([...parts.advisers().keys()]),
+    capacity: () => pool.capacity([...parts.advisers().keys()]),
   };
 }
--- a/packages/gypsumwall-cell/src/cell_entry.ts
+++ b/packages/gypsumwall-cell/src/cell_entry.ts
@@ -1,6 +1,6 @@
 /**
- * One entry of a cell: follows the logs, serves callers, and holds the cell
- * when nobody else does.
+ * One entry of a cell. It follows the logs, serves callers, and becomes the
+ * cell's holder when no other entry is.
  */
 import type * as scheduling from '@gypsumwall/scheduling';
 import * as types from '@gypsumwall/types';
@@ -29,44 +29,54 @@
 import * as retention from './retention.js';
 
 /**
- * A standby reads the holder's log this often, so that it notices a silent
- * holder in time; milliseconds.
+ * Pause between a standby's reads of the cell's log, short enough to detect a
+ * silent holder in time; milliseconds.
  */
 const STANDBY_PAUSE_MS = 120;
 /**
- * Everybody else reads it this seldom, and at once when a caller asks. What has
- * come since the last read must be short: on a slow link the caller waits for
- * all of it; milliseconds.
+ * Pause between the reads of an entry that is not a standby; a caller's query
+ * triggers a read at once. The records of one pause must be few, because on a
+ * slow link the caller waits until all of them have arrived; milliseconds.
  */
 const OBSERVER_PAUSE_MS = 200;
 /**
- * Only the holder is in a hurry to read the log of jobs. A copy stays well
- * below the age up to which it may be counted in; milliseconds.
+ * Pause between reads of the jobs' log at entries other than the holder, which
+ * alone needs new jobs quickly. Keeps the replica well below the age up to
+ * which its count of pending jobs may be returned; milliseconds.
  */
 const JOBS_PAUSE_MS = 500;
-/** A store that went silent is noticed this much later; milliseconds. */
-const FOLLOW_WAIT_MS = 250;
-/** The configuration changes seldom; milliseconds. */
-const CONFIG_WAIT_MS = 1_000;
-/** An entry without store or peers takes itself out after so long; ms. */
+/**
+ * How long a read waits at the store for a new record. An unresponsive store is
+ * detected this much later; milliseconds.
+ */
+const READ_WAIT_MS = 250;
+/** The same for the configuration's log, which changes rarely; milliseconds. */
+const CONFIG_READ_WAIT_MS = 1_000;
+/**
+ * An entry that reaches neither the store nor a peer reports itself as not
+ * ready after this time; milliseconds.
+ */
 const UNREADY_AFTER_MS = 400;
-/** A change of the configuration is in force this much later at most. */
+/** Maximum delay until a configuration change takes effect; milliseconds. */
 const CONFIG_PAUSE_MS = 100;
-/** The holder reads new jobs almost at once; milliseconds. */
+/**
+ * Pause between the holder's reads of the jobs' log, so that it sees new jobs
+ * almost at once; milliseconds.
+ */
 const HOLDER_PAUSE_MS = 6;
 
-/** Creates an entry that does nothing before it is started. */
+/** Creates an entry; it does nothing until `start` is called. */
 export function createCellEntry(
   options: cellEntryTypes.CellEntryOptions,
 ): cellEntryTypes.CellEntry {
   const {self, logs, clock, logger} = options;
   const stopping = new AbortController();
   const state = cellStates.createCellState();
-  const pulse = storeHealth.createStoreHealth();
+  const health = storeHealth.createStoreHealth();
   const peers = peerDirectory.createPeerDirectory(self.instance, clock);
-  const suspension = pauseDetector.createPauseDetector(clock);
+  const detector = pauseDetector.createPauseDetector(clock);
   let holder: cellHolderTypes.CellHolder | undefined;
-  let leaving = false;
+  let isLeaving = false;
   let takeovers: types.clock.MonotonicMs[] = [];
   let lastRecordAt = clock.monotonic();
   let reachableAt = clock.monotonic();
@@ -74,65 +84,65 @@
   const configs = configKeeper.createConfigKeeper({
     decode: options.decodeConfig,
     logger,
-    onChanged: () => holder?.policiesChanged(),
+    onChanged: () => holder?.onPoliciesChanged(),
   });
   const jobs = jobTables.createJobTable({
-    onAdded: (job) => holder?.jobAdded(job),
-    onCancelled: (id) => holder?.jobCancelled(id),
+    onAdded: (job) => holder?.onJobAdded(job),
+    onCancelled: (id) => holder?.onJobCancelled(id),
   });
   const configFollower = logFollower.createLogFollower({
     log: logs.config,
     clock,
     logger,
-    storeHealth: pulse,
+    storeHealth: health,
     onRecords: (records) => records.forEach((record) => configs.apply(record)),
     pauseMs: () => CONFIG_PAUSE_MS,
-    readWaitMs: CONFIG_WAIT_MS,
+    readWaitMs: CONFIG_READ_WAIT_MS,
   });
   const jobsFollower = logFollower.createLogFollower({
     log: logs.jobs,
     clock,
     logger,
-    storeHealth: pulse,
+    storeHealth: health,
     onRecords(records, reloaded) {
       if (reloaded) {
-        const named = storeRecords.idsOf<types.ids.JobId>('job', records);
-        jobs.keepRequests(named, clock.monotonic());
+        const loadedIds = storeRecords.idsOf<types.ids.JobId>('job', records);
+        jobs.retainRequests(loadedIds, clock.monotonic());
       }
       applyRecords.applyRecords(records, logger, applyJobRecord);
     },
     pauseMs: () => (holder === undefined ? JOBS_PAUSE_MS : HOLDER_PAUSE_MS),
-    readWaitMs: FOLLOW_WAIT_MS,
+    readWaitMs: READ_WAIT_MS,
   });
   const cellFollower = logFollower.createLogFollower({
     log: logs.cell,
     clock,
     logger,
-    storeHealth: pulse,
+    storeHealth: health,
     onRecords(records, reloaded) {
-      // One that can't be read shows that the holder lives all the same.
+      // Even a record that can't be decoded shows that the holder is alive.
       lastRecordAt = clock.monotonic();
-      if (reloaded) keepNamed(records);
+      if (reloaded) retainLoaded(records);
       applyRecords.applyRecords(records, logger, applyCellRecord);
     },
     pauseMs: () => (isStandby() ? STANDBY_PAUSE_MS : OBSERVER_PAUSE_MS),
-    readWaitMs: FOLLOW_WAIT_MS,
+    readWaitMs: READ_WAIT_MS,
   });
-  const ownDesk = jobService.createJobService({
+  const localService = jobService.createJobService({
     jobsLog: logs.jobs,
     jobs,
     follower: jobsFollower,
-    storeHealth: pulse,
-    copyAgeMs,
+    storeHealth: health,
+    replicaAgeMs,
     catchUp: catchUpOnJobs,
     refreshStates,
-    mayHandOn: () => holderElsewhere() !== undefined,
+    canForward: () => remoteHolder() !== undefined,
     clock,
     logger,
     couldEverFit,
   });
   const holderProbe = holderProbes.createHolderProbe({
-    holder: holderElsewhere,
+    holder: remoteHolder,
     silentSince: () =>
       failoverPolicy.silentSince({
         lastRecordAt,
@@ -142,47 +152,50 @@
     isStandby,
     clock,
   });
-  const desk = forwardingJobService.createForwardingJobService({
-    own: ownDesk,
+  const service = forwardingJobService.createForwardingJobService({
+    local: localService,
     peers,
     clock,
     logger,
     storeReachable: () => jobsFollower.reachableSince() !== undefined,
-    holder: holderElsewhere,
+    holder: remoteHolder,
   });
 
-  function holderElsewhere(): string | undefined {
+  function remoteHolder(): string | undefined {
     const instance = state.claim()?.instance;
     return instance === self.instance ? undefined : instance;
   }
 
   /**
-   * Jobs are accepted in one log, and begun and ended in the other. What was
-   * read before a suspension is as old as that lasted, which the clock doesn't
-   * tell.
+   * Age of this entry's replica: jobs are accepted in one log and their
+   * progress is stored in another, so the older log decides. Records read
+   * before a suspension of the process count as infinitely old, because the
+   * monotonic clock doesn't show how long the suspension lasted.
    */
-  function copyAgeMs(): number {
+  function replicaAgeMs(): number {
     const completeUntil = Math.min(
       jobsFollower.completeUntil() ?? -Infinity,
       cellFollower.completeUntil() ?? -Infinity,
     );
-    if (completeUntil <= suspension.lastNoticedAt()) return Infinity;
+    if (completeUntil <= detector.lastDetectedAt()) return Infinity;
     return clock.monotonic() - completeUntil;
   }
 
   /**
-   * What was dropped while this entry was away is named by no record that it
-   * could read: a load names all there is. Without this, jobs and workers that
-   * are long gone were counted, and taken over by this entry as holder.
+   * Drops jobs and workers that a load doesn't contain. Their deletion records
+   * may have been compacted while this entry couldn't read, so a load, which
+   * contains all existing records, is the only evidence. Otherwise removed jobs
+   * and workers would be counted, and this entry would take them over as
+   * holder.
    */
-  function keepNamed(records: readonly ports.KeyedRecord[]): void {
-    jobs.keepProgress(storeRecords.idsOf('progress', records));
-    state.keepUsedWorkers(storeRecords.idsOf('used_worker', records));
+  function retainLoaded(records: readonly ports.KeyedRecord[]): void {
+    jobs.retainProgress(storeRecords.idsOf('progress', records));
+    state.retainUsedWorkers(storeRecords.idsOf('used_worker', records));
   }
 
   async function refreshStates(): Promise<boolean> {
     const ageMs = clock.monotonic() - (cellFollower.completeUntil() ?? 0);
-    return ageMs <= jobService.FRESH_STATE_MS || cellFollower.catchUp();
+    return ageMs <= jobService.MAX_STATE_AGE_MS || cellFollower.catchUp();
   }
 
   async function catchUpOnJobs(): Promise<boolean> {
@@ -203,37 +216,40 @@
     state.apply(record, offset);
     jobs.apply(record, lastRecordAt);
     if (record.kind !== 'claim') return;
-    noteLostHolder(before);
-    claimRead();
+    markReplacedHolder(before);
+    onClaimRead();
   }
 
-  /** A holder that another has replaced is no way to the adviser either. */
-  function noteLostHolder(before: claimView.CellClaim | undefined): void {
+  /**
+   * A replaced holder is probably unreachable, so it isn't used to ask the
+   * adviser either.
+   */
+  function markReplacedHolder(before: claimView.CellClaim | undefined): void {
     if (before === undefined) return;
     if (before.instance === state.claim()?.instance) return;
-    peers.noteLost(before.instance);
-    if (before.state === 'held') noteTakeover();
+    peers.markLost(before.instance);
+    if (before.state === 'held') recordTakeover();
   }
 
-  function noteTakeover(): void {
+  function recordTakeover(): void {
     const now = clock.monotonic();
     takeovers = takeovers.filter(
-      (at) => now - at < failoverPolicy.STORM_WINDOW_MS,
+      (at) => now - at < failoverPolicy.TAKEOVER_WINDOW_MS,
     );
     takeovers.push(now);
   }
 
-  function claimRead(): void {
+  function onClaimRead(): void {
     const claim = state.claim();
-    // A read may be answered after the stop; nothing would end the holder.
+    // A read may return after the stop, when nothing would stop a new holder.
     if (claim === undefined || stopping.signal.aborted) return;
     logger.info('claim_read', {...claim});
     if (holder !== undefined && holder.claim.offset !== claim.offset) {
       holder.stop();
       holder = undefined;
     }
-    const mine = claim.holder === self.entryId && claim.state === 'held';
-    if (mine && holder === undefined && !leaving) becomeHolder(claim);
+    const isOwn = claim.holder === self.entryId && claim.state === 'held';
+    if (isOwn && holder === undefined && !isLeaving) becomeHolder(claim);
   }
 
   function becomeHolder(claim: claimView.CellClaim): void {
@@ -252,7 +268,7 @@
       leaseMs: options.leaseMs,
       longestStopMs: options.longestStopMs,
       listExpiryMs: options.listExpiryMs,
-      storeHealth: pulse,
+      storeHealth: health,
       clock,
       logger,
       onFenced: () => {
@@ -263,33 +279,37 @@
     void created.start();
   }
 
-  /** Judged by the workers seen so far; with none seen nothing is refused. */
+  /**
+   * Judges by the workers seen so far; refuses nothing if none of the pool was
+   * seen.
+   */
   function couldEverFit(
     pool: string,
     step: scheduling.jobRequest.StepRequest,
   ): boolean {
-    let seen = false;
+    let isPoolKnown = false;
     for (const {info} of state.usedWorkers.values()) {
       if (info.pool !== pool) continue;
-      seen = true;
+      isPoolKnown = true;
       if (types.resources.fits(step.size, info.capacity)) return true;
     }
-    return !seen;
+    return !isPoolKnown;
   }
 
   /**
-   * An entry that can't take jobs leaves new callers to others: with the store
-   * away for all of them, all are out, and the balancer uses all.
+   * An entry that can't accept jobs reports that it isn't ready, so that the
+   * balancer sends new callers to others. If no entry reaches the store, none
+   * is ready, and the balancer then uses all of them.
    */
   function isReady(): boolean {
-    if (leaving || configs.config() === undefined) return false;
+    if (isLeaving || configs.config() === undefined) return false;
     if (jobsFollower.position() === undefined) return false;
     const now = clock.monotonic();
     if (jobsFollower.reachableSince() !== undefined) reachableAt = now;
-    return now - reachableAt < UNREADY_AFTER_MS || desk.relayedLately();
+    return now - reachableAt < UNREADY_AFTER_MS || service.hasRelayedRecently();
   }
 
-  /** Nobody is before the peers are known. */
+  /** No entry is a standby before it knows its peers. */
   function isStandby(): boolean {
     if (jobsFollower.position() === undefined) return false;
     return standbyChoice.isStandby(self, peers.standbyCandidates());
@@ -297,12 +317,12 @@
 
   function isOutranked(): boolean {
     const peersKnown = jobsFollower.position() !== undefined;
-    return !peersKnown || peers.mostCores() > self.cores;
+    return !peersKnown || peers.maxCores() > self.cores;
   }
 
   return {
-    jobService: desk,
-    localJobService: ownDesk,
+    jobService: service,
+    localJobService: localService,
     config: () => configs.config(),
     isReady,
     start() {
@@ -310,7 +330,7 @@
       void jobsFollower.run();
       void cellFollower.run();
       void storeProbe.runStoreProbe(
-        {log: logs.jobs, follower: jobsFollower, storeHealth: pulse, clock},
+        {log: logs.jobs, follower: jobsFollower, storeHealth: health, clock},
         stopping.signal,
       );
       void entryRegistration.registerEntry(
@@ -328,7 +348,7 @@
           isHolderLost: () => holderProbe.isLost(),
           takeovers: () => takeovers,
           isHolder: () => holder !== undefined,
-          isLeaving: () => leaving,
+          isLeaving: () => isLeaving,
           isOutranked,
           isStandby,
           clock,
@@ -340,12 +360,19 @@
       const {keepOverMs} = options;
       const held = () => holder;
       void retention.runRetention(
-        {jobsLog: logs.jobs, jobs, holder: held, keepOverMs, clock, logger},
+        {
+          jobsLog: logs.jobs,
+          jobs,
+          holder: held,
+          retentionMs: keepOverMs,
+          clock,
+          logger,
+        },
         stopping.signal,
       );
     },
     async leave() {
-      leaving = true;
+      isLeaving = true;
       const held = holder;
       await held?.handOver();
       if (holder === held) holder = undefined;
@@ -362,7 +389,7 @@
       holdsCell: holder !== undefined,
       configVersion: configs.config()?.version,
       storeReachable: jobsFollower.reachableSince() !== undefined,
-      copyAgeMs: copyAgeMs(),
+      copyAgeMs: replicaAgeMs(),
       scheduler: holder?.counts(),
     }),
   };
--- a/packages/gypsumwall-cell/src/cell_holder.ts
+++ b/packages/gypsumwall-cell/src/cell_holder.ts
@@ -1,7 +1,7 @@
 /**
- * Holds a cell: schedules its jobs on its workers while the claim is this
- * process's. It ends when a newer claim is read, when the store or a worker
- * refuses its epoch, or when it hands the cell over.
+ * The holder of a cell: schedules the cell's jobs on its workers as long as
+ * this process owns the claim. It ends when a newer claim is read, when the
+ * store or a worker rejects its fencing token, or when it hands the cell over.
  */
 import * as scheduling from '@gypsumwall/scheduling';
 import * as types from '@gypsumwall/types';
@@ -9,7 +9,7 @@
 import type * as cellHolderTypes from './cell_holder_types.js';
 import * as cellWriter from './cell_writer.js';
 import * as claimView from './claim_view.js';
-import * as freshness from './recent_submissions.js';
+import * as recentSubmissions from './recent_submissions.js';
 import type * as jobTable from './job_table.js';
 import * as leaseLength from './lease_length.js';
 import * as logFollower from './log_follower.js';
@@ -20,39 +20,63 @@
 
 /**
  * A holder whose appends aren't confirmed renews leases for this long. While
- * the store is away nobody can take over, and letting leases go would throw
- * all running work away; outages of 9 s were seen. A successor waits this long
- * and a lease more for workers that it can't reach; milliseconds.
+ * the store is unavailable no other entry can take over, and letting the leases
+ * expire would stop all running work; outages of 9 s were seen. A successor
+ * waits this long plus one lease for workers that it can't reach; milliseconds.
  */
 const RENEW_UNCONFIRMED_MS = 12_000;
-/** An unconfirmed holder looks at its majority from then on; milliseconds. */
+/**
+ * A holder whose appends aren't confirmed checks after this time whether it
+ * still reaches a majority of the workers; milliseconds.
+ */
 const MAJORITY_CHECK_MS = 1_500;
 /**
- * By then a holder that lost its majority knows: the check above, and a look
- * of 1.2 s that must fail first; milliseconds.
+ * Time after which a holder that lost its majority has noticed: the check
+ * above, plus a poll of 1.2 s that must fail first; milliseconds.
+ */
+const MAJORITY_LOSS_DETECTION_MS = 3_000;
+/**
+ * A worker's clock may be 2% slow. After the lease's length times this factor,
+ * which includes a margin, the lease has expired.
  */
-const MAJORITY_LOST_MS = 3_000;
-/** A worker's clock may be 2% slow; with that and a margin a lease has passed. */
 const SLOW_CLOCK_FACTOR = 1.05;
-/** Pause between two passes, so that what comes together is decided together. */
+/**
+ * Minimum pause between two scheduling cycles, so that changes that arrive
+ * together are handled in one cycle; milliseconds.
+ */
 const CYCLE_INTERVAL_MS = 3;
 /**
- * A pass over a long line of work takes milliseconds. The pause after it is
- * this many times as long, so that deciding takes a fifth of the processor at
- * most and the rest is left for the calls.
+ * A scheduling cycle over a long queue takes milliseconds. The pause after a
+ * cycle is this many times the cycle's duration, so that scheduling takes at
+ * most a fifth of the processor and leaves the rest to the calls.
  */
 const CYCLE_INTERVAL_FACTOR = 4;
-/** How often time alone may change a decision; milliseconds. */
+/**
+ * Interval at which decisions that depend only on time are checked;
+ * milliseconds.
+ */
 const TICK_MS = 100;
-/** The list of workers changes seldom; a span between reads; milliseconds. */
+/**
+ * Pause between reads of the worker list, which changes rarely, and how long a
+ * read waits for a change; milliseconds.
+ */
 const LIST_PAUSE_MS = 200;
-const LIST_WAIT_MS = 1_000;
-/** Attempts below this were numbered by earlier holders. */
+const LIST_READ_WAIT_MS = 1_000;
+/**
+ * Size of the range of attempt numbers that each holder has. Numbers below its
+ * range belong to earlier holders.
+ */
 const ATTEMPTS_PER_GENERATION = 1_000;
-/** How long a hand-over waits for orders on their way; milliseconds. */
-const HAND_OVER_WAIT_MS = 400;
-/** How often it looks meanwhile whether they are answered; milliseconds. */
-const ORDERS_LOOK_MS = 10;
+/**
+ * How long a handover waits for orders in flight, and then for its appends;
+ * milliseconds.
+ */
+const HANDOVER_TIMEOUT_MS = 400;
+/**
+ * Interval at which a handover checks whether these orders were answered;
+ * milliseconds.
+ */
+const ORDERS_CHECK_INTERVAL_MS = 10;
 
 /** Creates the holder of a claim that was just read. */
 export function createCellHolder(
@@ -64,7 +88,7 @@
   const stopping = new AbortController();
   const scheduler = scheduling.scheduler.createScheduler({
     attemptBase: claim.generation * ATTEMPTS_PER_GENERATION,
-    isAccounted: (worker) => gate.isAccounted(worker),
+    isAccounted: (worker) => barrier.isAccounted(worker),
     onEvent: (event) => logger.info(event.type, {...event, type: undefined}),
   });
   const writer = cellWriter.createCellWriter({
@@ -73,7 +97,7 @@
     storeHealth: options.storeHealth,
     clock,
     logger,
-    onFenced: depose,
+    onFenced: stopFenced,
   });
   const roster = workerRoster.createWorkerRoster({
     clock,
@@ -83,25 +107,26 @@
     isUsedPool: options.isUsedPool,
     longestStopMs: options.longestStopMs,
     listExpiryMs: options.listExpiryMs,
-    onLeft: (id) => gate.account(id, clock.monotonic()),
+    onLeft: (id) => barrier.markAccounted(id, clock.monotonic()),
     openSession,
     write: (records) => writer.write(records),
     flush,
     onChange: requestCycle,
   });
-  const gate = failoverBarrier.createFailoverBarrier(
+  const barrier = failoverBarrier.createFailoverBarrier(
     [...options.state.usedWorkers.keys()],
     {
       latestAt: types.clock.after(
         claimedAt,
         RENEW_UNCONFIRMED_MS + options.leaseMs * SLOW_CLOCK_FACTOR,
       ),
-      afterMajorityMs: MAJORITY_LOST_MS + options.leaseMs * SLOW_CLOCK_FACTOR,
+      afterMajorityMs:
+        MAJORITY_LOSS_DETECTION_MS + options.leaseMs * SLOW_CLOCK_FACTOR,
     },
     () => {
       scheduler.workerAccounted();
-      if (gate.unaccounted() > 0) return;
-      roster.forgetSilent();
+      if (barrier.unaccounted() > 0) return;
+      roster.removeSilent();
       logger.info('takeover_complete', {
         tookMs: Math.round(clock.monotonic() - claimedAt),
       });
@@ -113,14 +138,15 @@
     logger,
     storeHealth: options.storeHealth,
     onRecords: (records, reloaded) =>
-      // What is read now wasn't there when the log was last read to its end.
+      // The records read now were written after the log was last read to its
+      // end.
       roster.applyList(
         records,
         reloaded,
         workerFollower.completeUntilReading(),
       ),
     pauseMs: () => LIST_PAUSE_MS,
-    readWaitMs: LIST_WAIT_MS,
+    readWaitMs: LIST_READ_WAIT_MS,
   });
   const adviceCalls = adviceCaller.createAdviceCaller({
     scheduler,
@@ -129,21 +155,21 @@
     logger,
     onAnswer: requestCycle,
   });
-  const recentSubmissions = freshness.createRecentSubmissions({
+  const submissions = recentSubmissions.createRecentSubmissions({
     clock,
     confirmedAt: () => writer.confirmedAt(),
-    takeUp: (job) => takeUp(job, false),
+    admit: (job) => admitJob(job, false),
   });
-  /** Jobs whose end is stored and whose requests aren't needed any more. */
-  let over: types.ids.JobId[] = [];
+  /** Jobs whose end is stored, and whose requests can be dropped. */
+  let ended: types.ids.JobId[] = [];
   let lastWrite: Promise<void> = Promise.resolve();
-  let ordersOnTheirWay = 0;
-  let passPlanned = false;
-  let lastPassMs = 0;
-  let deciding = false;
+  let ordersInFlight = 0;
+  let isCycleScheduled = false;
+  let lastCycleMs = 0;
+  let isScheduling = false;
   let tickTimer: NodeJS.Timeout | undefined;
 
-  function depose(): void {
+  function stopFenced(): void {
     if (stopping.signal.aborted) return;
     logger.warn('cell_lost', {generation: claim.generation, token});
     stop();
@@ -158,40 +184,46 @@
       link: options.connect(worker),
       token,
       leaseMs: () => leaseMsOn(worker.id),
-      longestLeaseMs: options.leaseMs,
+      maxLeaseMs: options.leaseMs,
       clock,
       logger,
       scheduler,
       mayRenew,
       confirmedAt: () => writer.confirmedAt(),
       onChange: requestCycle,
-      stored: flush,
-      onFirstReport: () => gate.account(worker.id, clock.monotonic()),
-      onFenced: depose,
+      flush,
+      onFirstReport: () => barrier.markAccounted(worker.id, clock.monotonic()),
+      onFenced: stopFenced,
       onGone: () => {
-        roster.gone(worker.id);
-        gate.account(worker.id, clock.monotonic());
+        roster.onGone(worker.id);
+        barrier.markAccounted(worker.id, clock.monotonic());
       },
-      onLeasePassed: () => roster.leasePassed(worker.id),
+      onLeaseExpired: () => roster.onLeaseExpired(worker.id),
     });
   }
 
   function leaseMsOn(id: types.ids.WorkerId): number {
     return leaseLength.leaseLength({
-      longestMs: options.leaseMs,
-      runsLasting: scheduler.runsLasting(id),
+      maxMs: options.leaseMs,
+      hasLongRunning: scheduler.runsLasting(id),
       isLeaving: scheduler.book.workers.get(id)?.info.draining ?? false,
     });
   }
 
-  /** See the gate of a takeover for what rests on this. */
+  /**
+   * Whether leases may be renewed. The failover barrier of a successor relies
+   * on these limits.
+   */
   function mayRenew(): boolean {
     const unconfirmedMs = clock.monotonic() - writer.confirmedAt();
     if (unconfirmedMs > RENEW_UNCONFIRMED_MS) return false;
     return unconfirmedMs < MAJORITY_CHECK_MS || roster.reachableShare() > 0.5;
   }
 
-  /** Stores what has changed; resolves when all before stands too. */
+  /**
+   * Stores changed progress; resolves once this and all earlier progress is
+   * stored.
+   */
   function flush(): Promise<void> {
     const dirty = scheduler.takeDirty();
     if (dirty.length === 0) return lastWrite;
@@ -202,7 +234,7 @@
     lastWrite = writer.write(records).then(() => {
       scheduler.stored(dirty);
       for (const {jobId, progress} of dirty) {
-        if (scheduling.jobProgress.isOver(progress.phase)) over.push(jobId);
+        if (scheduling.jobProgress.isOver(progress.phase)) ended.push(jobId);
       }
       requestCycle();
     });
@@ -210,19 +242,19 @@
   }
 
   function requestCycle(): void {
-    if (passPlanned || !deciding) return;
-    passPlanned = true;
+    if (isCycleScheduled || !isScheduling) return;
+    isCycleScheduled = true;
     setTimeout(
-      pass,
-      Math.max(CYCLE_INTERVAL_MS, lastPassMs * CYCLE_INTERVAL_FACTOR),
+      runCycle,
+      Math.max(CYCLE_INTERVAL_MS, lastCycleMs * CYCLE_INTERVAL_FACTOR),
     );
   }
 
-  function pass(): void {
-    passPlanned = false;
-    if (!deciding || stopping.signal.aborted) return;
+  function runCycle(): void {
+    isCycleScheduled = false;
+    if (!isScheduling || stopping.signal.aborted) return;
     sendStops();
-    // A start takes a lease along, so nothing can start without.
+    // Each start includes a lease, so nothing can be started without one.
     if (!mayRenew()) return;
     const startedAt = clock.monotonic();
     const decisions = scheduler.decide(
@@ -230,24 +262,24 @@
       clock.wall(),
       adviceCalls.capacity(),
     );
-    lastPassMs = clock.monotonic() - startedAt;
+    lastCycleMs = clock.monotonic() - startedAt;
     void flush();
-    for (const order of decisions.starts) void startRun(order);
-    for (const wish of decisions.advice) void adviceCalls.ask(wish);
+    for (const order of decisions.starts) void startAttempt(order);
+    for (const request of decisions.advice) void adviceCalls.ask(request);
   }
 
   function sendStops(): void {
-    for (const run of scheduler.takeStops()) {
+    for (const attempt of scheduler.takeStops()) {
       logger.info('stop_decided', {
-        task: run.taskId,
-        attempt: run.number,
-        worker: run.workerId,
+        task: attempt.taskId,
+        attempt: attempt.number,
+        worker: attempt.workerId,
       });
-      void roster.session(run.workerId)?.stopRun(run);
+      void roster.session(attempt.workerId)?.stopAttempt(attempt);
     }
   }
 
-  async function startRun(
+  async function startAttempt(
     order: scheduling.schedulerTypes.StartOrder,
   ): Promise<void> {
     const session = roster.session(order.attempt.workerId);
@@ -256,12 +288,12 @@
       scheduler.startAnswered(order.attempt, refused, clock.monotonic());
       return;
     }
-    ordersOnTheirWay++;
+    ordersInFlight++;
     await session.start(order);
-    ordersOnTheirWay--;
+    ordersInFlight--;
   }
 
-  function takeUp(job: jobTable.JobEntry, inherited: boolean): void {
+  function admitJob(job: jobTable.JobEntry, inherited: boolean): void {
     const {record} = job;
     if (record === undefined || scheduler.hasJob(job.id)) return;
     const wall = clock.wall();
@@ -280,14 +312,14 @@
 
   function tick(): void {
     const now = clock.monotonic();
-    recentSubmissions.tick();
-    gate.tick(now);
+    submissions.tick();
+    barrier.tick(now);
     roster.tick(now);
     requestCycle();
   }
 
   function stop(): void {
-    deciding = false;
+    isScheduling = false;
     stopping.abort();
     clearInterval(tickTimer);
     workerFollower.stop();
@@ -299,14 +331,14 @@
     claim,
     async start() {
       void writer.run();
-      // Everything that was accepted before the claim has to be known.
+      // All jobs that were accepted before the claim must be known first.
       while (!stopping.signal.aborted && !(await options.catchUpJobs())) {
         await types.clock.sleepFor(clock, TICK_MS, stopping.signal);
       }
       if (stopping.signal.aborted) return;
-      for (const job of jobs.all()) takeUp(job, true);
+      for (const job of jobs.all()) admitJob(job, true);
       scheduler.workerAccounted();
-      deciding = true;
+      isScheduling = true;
       roster.inherit(options.state.usedWorkers.values());
       void workerFollower.run();
       tickTimer = setInterval(tick, TICK_MS);
@@ -314,25 +346,25 @@
         generation: claim.generation,
         token,
         jobs: scheduler.counts().jobs,
-        usedWorkers: gate.unaccounted(),
+        usedWorkers: barrier.unaccounted(),
       });
     },
-    jobAdded(job) {
-      if (!deciding) return;
-      recentSubmissions.add(job);
+    onJobAdded(job) {
+      if (!isScheduling) return;
+      submissions.add(job);
       requestCycle();
     },
-    jobCancelled(id) {
+    onJobCancelled(id) {
       scheduler.cancelJob(id);
       requestCycle();
     },
-    policiesChanged() {
+    onPoliciesChanged() {
       scheduler.updatePolicies(options.policyOf);
       requestCycle();
     },
-    takeEnded() {
-      const taken = over;
-      over = [];
+    takeEndedJobs() {
+      const taken = ended;
+      ended = [];
       return taken;
     },
     dropProgress: (ids) =>
@@ -345,10 +377,10 @@
         })),
       ),
     async handOver() {
-      deciding = false;
-      const until = types.clock.after(clock.monotonic(), HAND_OVER_WAIT_MS);
-      while (ordersOnTheirWay > 0 && clock.monotonic() < until) {
-        await types.clock.sleepFor(clock, ORDERS_LOOK_MS);
+      isScheduling = false;
+      const until = types.clock.after(clock.monotonic(), HANDOVER_TIMEOUT_MS);
+      while (ordersInFlight > 0 && clock.monotonic() < until) {
+        await types.clock.sleepFor(clock, ORDERS_CHECK_INTERVAL_MS);
       }
       const released: storeRecords.ClaimRecord = {
         holder: claim.holder,
@@ -361,7 +393,7 @@
           flush(),
           writer.write([{kind: 'claim', claim: released}]),
         ]),
-        types.clock.sleepFor(clock, HAND_OVER_WAIT_MS),
+        types.clock.sleepFor(clock, HANDOVER_TIMEOUT_MS),
       ]);
       stop();
     },
--- a/packages/gypsumwall-cell/src/forwarding_job_service.ts
+++ b/packages/gypsumwall-cell/src/forwarding_job_service.ts
@@ -1,9 +1,10 @@
 /**
- * The desk that callers meet: answers from this entry's own desk while it
- * reaches the store, and hands calls to a peer while the store turns this
- * entry away or is slow. So it does with questions until it has read what it
- * missed. A slow store appends one batch at a time, so calls of
- * all entries go through the holder then and share its batches.
+ * The job service that callers use. It answers from this entry's local job
+ * service while the store is available, and forwards calls to a peer while the
+ * store refuses this entry or is slow. Queries are also forwarded until this
+ * entry has read the records it missed. A slow store handles one append at a
+ * time, so all entries then send their calls through the holder, which combines
+ * them in batches.
  */
 import type * as telemetry from '@gypsumwall/telemetry';
 import * as types from '@gypsumwall/types';
@@ -11,41 +12,47 @@
 import type * as peerDirectory from './peer_directory.js';
 import type * as peerProtocol from './peer_protocol.js';
 
-/** Appends that take longer than this go through the holder; milliseconds. */
+/** Append latency above which calls go through the holder; milliseconds. */
 const SLOW_STORE_MS = 60;
-/** A slow store takes two of its appends for a call; milliseconds. */
-const SLOW_RELAY_MS = 2_500;
-/** The same, after a first try that was given up. */
-const REST_OF_SLOW_RELAY_MS = 2_000;
 /**
- * After so long at the holder a call isn't sent by this entry as well: its
- * caller would wait until its deadline; milliseconds.
+ * Timeout of a call through the holder while the store is slow: two of its
+ * appends; milliseconds.
  */
-const LATEST_DIRECT_MS = 800;
-/** When a caller that was refused after that should come back; milliseconds. */
+const SLOW_HOLDER_TIMEOUT_MS = 2_500;
+/** The same, after a first try that timed out; milliseconds. */
+const SLOW_RETRY_TIMEOUT_MS = 2_000;
+/**
+ * If the holder took longer than this, the entry doesn't try the call itself,
+ * because its caller would wait until the deadline; milliseconds.
+ */
+const MAX_DIRECT_DELAY_MS = 800;
+/** When a caller should retry after such a refusal; milliseconds. */
 const RETRY_AFTER_MS = 1_000;
-/** A sound peer answers in 20 ms; callers must not be held; milliseconds. */
-const EACH_RELAY_MS = 300;
-const ALL_RELAYS_MS = 500;
 /**
- * After a call that no peer could answer none of its type is handed on. Each
- * type by itself: a peer whose copy of the logs is old can't tell how many jobs
- * wait, and takes one all the same; milliseconds.
+ * Timeouts for one peer's answer and for all peers together. A healthy peer
+ * answers in 20 ms, and callers must not be blocked; milliseconds.
+ */
+const PEER_TIMEOUT_MS = 300;
+const ALL_PEERS_TIMEOUT_MS = 500;
+/**
+ * After no peer could answer a call, calls of the same type aren't forwarded
+ * for this long. Each type is counted separately: a peer with a stale replica
+ * can't count pending jobs but can still accept one; milliseconds.
  */
-const HOPELESS_MS = 400;
+const UNANSWERED_PAUSE_MS = 400;
 /** How long an entry counts as served by its peers; milliseconds. */
-const RELAYED_LATELY_MS = 1_500;
+const RELAYED_RECENTLY_MS = 1_500;
 
-/** Nobody was asked. */
+/** The outcome if no peer was asked. */
 const NOT_RELAYED = {
   type: 'unanswered',
-  mayStand: false,
-  slow: false,
+  maybeApplied: false,
+  isSlow: false,
 } as const;
 
-/** What a relaying desk is made with. */
+/** Options of a forwarding job service. */
 export interface ForwardingJobServiceOptions {
-  readonly own: jobService.JobService;
+  readonly local: jobService.JobService;
   readonly peers: peerDirectory.PeerDirectory;
   readonly clock: types.clock.Clock;
   readonly logger: telemetry.logger.Logger;
@@ -54,74 +61,80 @@
   readonly holder: () => string | undefined;
 }
 
-/** A desk with a way round the store. */
+/** A job service that can reach the store through peers. */
 export interface ForwardingJobService extends jobService.JobService {
-  /** Whether peers have stored something for this entry lately. */
-  relayedLately(): boolean;
+  /** Whether a peer has stored a record for this entry recently. */
+  hasRelayedRecently(): boolean;
 }
 
-/** Creates the desk. */
+/** Creates the job service. */
 export function createForwardingJobService(
   options: ForwardingJobServiceOptions,
 ): ForwardingJobService {
-  const {own, peers, clock, logger} = options;
+  const {local: localService, peers, clock, logger} = options;
   let relayedAt: types.clock.MonotonicMs | undefined;
-  const hopelessUntil = new Map<
+  const pausedUntil = new Map<
     peerProtocol.RelayReq['type'],
     types.clock.MonotonicMs
   >();
 
   async function relay(
     req: peerProtocol.RelayReq,
-    patience: peerDirectory.RelayPatience,
+    limits: peerDirectory.RelayLimits,
   ): Promise<peerDirectory.RelayOutcome> {
-    const outcome = await peers.relay(req, patience);
+    const outcome = await peers.relay(req, limits);
     const answered = outcome.type === 'answered';
     logger.info('call_relayed', {
       job: req.type === 'pending' ? undefined : req.id,
       call: req.type,
       outcome: answered ? outcome.res.type : outcome.type,
-      mayStand: answered ? undefined : outcome.mayStand,
+      mayStand: answered ? undefined : outcome.maybeApplied,
     });
-    if (answered && showsWayToStore(req, outcome.res)) {
+    if (answered && provesStoreAccess(req, outcome.res)) {
       relayedAt = clock.monotonic();
     }
     return outcome;
   }
 
-  /** Tries any peer, unless none could answer just now. */
+  /**
+   * Forwards a call to any peer, unless none could answer a call of this type a
+   * moment ago.
+   */
   async function relayToAny(
     req: peerProtocol.RelayReq,
   ): Promise<peerDirectory.RelayOutcome> {
-    if (clock.monotonic() < (hopelessUntil.get(req.type) ?? 0)) {
+    if (clock.monotonic() < (pausedUntil.get(req.type) ?? 0)) {
       return NOT_RELAYED;
     }
     const outcome = await relay(req, {
       preferred: options.holder(),
       onlyPreferred: false,
-      eachMs: EACH_RELAY_MS,
-      allMs: ALL_RELAYS_MS,
+      peerTimeoutMs: PEER_TIMEOUT_MS,
+      totalTimeoutMs: ALL_PEERS_TIMEOUT_MS,
     });
     if (outcome.type === 'unanswered') {
-      const until = types.clock.after(clock.monotonic(), HOPELESS_MS);
-      hopelessUntil.set(req.type, until);
+      const until = types.clock.after(clock.monotonic(), UNANSWERED_PAUSE_MS);
+      pausedUntil.set(req.type, until);
     }
     return outcome;
   }
 
-  /** Through the holder, whose batches are shared; not if this is the holder. */
+  /**
+   * Forwards a call to the holder, which appends it in a batch with others;
+   * does nothing on the holder itself.
+   */
   async function relayToHolder(
     req: peerProtocol.RelayReq,
     withinMs: number,
   ): Promise<peerDirectory.RelayOutcome> {
     const preferred = options.holder();
     if (preferred === undefined) return NOT_RELAYED;
-    const patience = {eachMs: withinMs, allMs: withinMs};
-    return relay(req, {preferred, onlyPreferred: true, ...patience});
+    const limits = {peerTimeoutMs: withinMs, totalTimeoutMs: withinMs};
+    return relay(req, {preferred, onlyPreferred: true, ...limits});
   }
 
-  /** The holder's answer, however long its store takes. */
-  async function askSlowHolder<Value>(
+  /** Waits for the holder's answer for as long as a slow store needs. */
+  async function waitForHolder<Value>(
     req: peerProtocol.RelayReq,
     withinMs: number,
     ask: () => Promise<jobService.JobServiceAnswer<Value>>,
@@ -129,110 +142,117 @@
     const askedAt = clock.monotonic();
     const relayed = await relayToHolder(req, withinMs);
     if (relayed.type === 'answered') return answerOf(relayed.res);
-    if (relayed.mayStand) return {type: 'unknown'};
-    if (clock.monotonic() - askedAt < LATEST_DIRECT_MS) return ask();
+    if (relayed.maybeApplied) return {type: 'unknown'};
+    if (clock.monotonic() - askedAt < MAX_DIRECT_DELAY_MS) return ask();
     return {type: 'not_run', retryAfterMs: RETRY_AFTER_MS};
   }
 
   /**
-   * What the store refused here: through the holder, which may be served or
-   * whose batches have their turn. Any peer is asked only where the store has
-   * turned this entry away: with too many appends in line, calls that go from
-   * peer to peer are refused at each and keep the line full.
+   * Forwards a call that the store refused here to the holder, whose appends
+   * the store may still accept. Other peers are asked only if the store refuses
+   * this entry altogether: when too many appends are queued, calls that go from
+   * peer to peer are refused by each of them and keep the queue full.
    */
-  async function handOn<Value>(
+  async function forwardRefused<Value>(
     req: peerProtocol.RelayReq,
     refused: jobService.JobServiceAnswer<Value>,
   ): Promise<jobService.JobServiceAnswer<Value>> {
-    const viaHolder = await relayToHolder(req, EACH_RELAY_MS);
+    const viaHolder = await relayToHolder(req, PEER_TIMEOUT_MS);
     if (viaHolder.type === 'answered') return answerOf(viaHolder.res);
-    if (viaHolder.slow) {
+    if (viaHolder.isSlow) {
       const answerRefused = () => Promise.resolve(refused);
-      return askSlowHolder(req, REST_OF_SLOW_RELAY_MS, answerRefused);
+      return waitForHolder(req, SLOW_RETRY_TIMEOUT_MS, answerRefused);
     }
     if (options.storeReachable()) {
-      return withDoubt(refused, viaHolder.mayStand);
+      return withUncertainty(refused, viaHolder.maybeApplied);
     }
     const relayed = await relayToAny(req);
     if (relayed.type === 'answered') return answerOf(relayed.res);
-    return withDoubt(refused, relayed.mayStand || viaHolder.mayStand);
+    return withUncertainty(
+      refused,
+      relayed.maybeApplied || viaHolder.maybeApplied,
+    );
   }
 
-  /** The own desk's answer, or a peer's where that is better. */
-  async function answer<Value>(
+  /** Returns the local answer, or a peer's answer where that is better. */
+  async function serve<Value>(
     req: peerProtocol.RelayReq,
     ask: () => Promise<jobService.JobServiceAnswer<Value>>,
   ): Promise<jobService.JobServiceAnswer<Value>> {
     if (!options.storeReachable()) {
       const relayed = await relayToAny(req);
       if (relayed.type === 'answered') return answerOf(relayed.res);
-      return withDoubt(await ask(), relayed.mayStand);
+      return withUncertainty(await ask(), relayed.maybeApplied);
     }
-    const latencyMs = own.storeLatencyMs();
+    const latencyMs = localService.storeLatencyMs();
     if (latencyMs !== undefined && latencyMs > SLOW_STORE_MS) {
-      return askSlowHolder(req, SLOW_RELAY_MS, ask);
+      return waitForHolder(req, SLOW_HOLDER_TIMEOUT_MS, ask);
     }
-    // Without an append of its own lately an entry doesn't know the store's
-    // pace, and the holder, which appends all the time, does. Of 45 entries
-    // each had sent one append to a slow store before it knew: a line of 19 s,
-    // at which the store refused all for 6 s, and 234 jobs of 360 were lost.
+    // Without a recent append an entry doesn't know the store's latency. The
+    // holder does, because it appends all the time. Before entries asked the
+    // holder, each of 45 entries sent one append to a slow store before it
+    // knew; this made a queue of 19 s, the store refused all appends for 6 s,
+    // and 234 of 360 jobs were lost.
     const viaHolder =
       latencyMs === undefined
-        ? await relayToHolder(req, EACH_RELAY_MS)
+        ? await relayToHolder(req, PEER_TIMEOUT_MS)
         : NOT_RELAYED;
     if (viaHolder.type === 'answered') return answerOf(viaHolder.res);
-    if (viaHolder.slow) return askSlowHolder(req, REST_OF_SLOW_RELAY_MS, ask);
+    if (viaHolder.isSlow) return waitForHolder(req, SLOW_RETRY_TIMEOUT_MS, ask);
     const direct = await ask();
     if (direct.type !== 'not_run' && direct.type !== 'unknown') return direct;
     if (direct.type === 'not_run') {
-      const handedOn = await handOn<Value>(req, direct);
-      return withDoubt(handedOn, viaHolder.mayStand);
+      const forwarded = await forwardRefused<Value>(req, direct);
+      return withUncertainty(forwarded, viaHolder.maybeApplied);
     }
     const relayed = await relayToAny(req);
     if (relayed.type === 'answered') return answerOf(relayed.res);
-    return withDoubt(direct, relayed.mayStand || viaHolder.mayStand);
+    return withUncertainty(
+      direct,
+      relayed.maybeApplied || viaHolder.maybeApplied,
+    );
   }
 
   return {
     submit: (id, policy, request) =>
-      answer({type: 'submit', id, policy, request}, () =>
-        own.submit(id, policy, request),
+      serve({type: 'submit', id, policy, request}, () =>
+        localService.submit(id, policy, request),
       ),
     cancel: (id, queue) =>
-      answer({type: 'cancel', id, queue}, () => own.cancel(id, queue)),
+      serve({type: 'cancel', id, queue}, () => localService.cancel(id, queue)),
     async phaseOf(id, queue) {
-      if (options.storeReachable() && own.isCurrent()) {
-        const direct = await own.phaseOf(id, queue);
+      if (options.storeReachable() && localService.isCurrent()) {
+        const direct = await localService.phaseOf(id, queue);
         if (direct.type !== 'not_run') return direct;
       }
-      const over = await own.finalPhaseOf(id, queue);
-      if (over.type === 'ok') return over;
+      const final = await localService.finalPhaseOf(id, queue);
+      if (final.type === 'ok') return final;
       const relayed = await relayToAny({type: 'phase', id, queue});
       if (relayed.type === 'answered') return answerOf(relayed.res);
-      return own.phaseOf(id, queue);
+      return localService.phaseOf(id, queue);
     },
     async pendingIn(queue) {
-      const direct = await own.pendingIn(queue);
+      const direct = await localService.pendingIn(queue);
       if (direct.type === 'ok') return direct;
       const relayed = await relayToAny({type: 'pending', queue});
       return relayed.type === 'answered' ? answerOf(relayed.res) : direct;
     },
-    finalPhaseOf: (id, queue) => own.finalPhaseOf(id, queue),
-    isCurrent: () => own.isCurrent(),
-    storeLatencyMs: () => own.storeLatencyMs(),
-    relayedLately: () =>
+    finalPhaseOf: (id, queue) => localService.finalPhaseOf(id, queue),
+    isCurrent: () => localService.isCurrent(),
+    storeLatencyMs: () => localService.storeLatencyMs(),
+    hasRelayedRecently: () =>
       relayedAt !== undefined &&
-      clock.monotonic() - relayedAt < RELAYED_LATELY_MS,
+      clock.monotonic() - relayedAt < RELAYED_RECENTLY_MS,
   };
 }
 
 /**
- * Whether the peer must have reached the store. Entries of a failure domain
- * that is cut off know each other's jobs and answer questions about them; one
- * that took such an answer for a way to the store stayed ready, and all its
- * callers were refused for as long as the cut lasted.
+ * Whether the answer proves that the peer has reached the store. Entries of a
+ * failure domain that is cut off know each other's jobs and answer queries
+ * about them. An entry that took such an answer as proof stayed ready, and all
+ * its callers were refused for as long as the cut lasted.
  */
-function showsWayToStore(
+function provesStoreAccess(
   req: peerProtocol.RelayReq,
   res: peerProtocol.RelayRes,
 ): boolean {
@@ -254,12 +274,13 @@
 }
 
 /**
- * A peer that got the call and didn't answer may have done it: the caller
- * would be told that nothing ran of a job that runs.
+ * Turns a refusal into "unknown" if a peer may have applied the call. A peer
+ * that received the call without answering may have done so, and the caller
+ * must not be told that nothing runs.
  */
-function withDoubt<Value>(
+function withUncertainty<Value>(
   direct: jobService.JobServiceAnswer<Value>,
-  mayStand: boolean,
+  maybeApplied: boolean,
 ): jobService.JobServiceAnswer<Value> {
-  return direct.type === 'not_run' && mayStand ? {type: 'unknown'} : direct;
+  return direct.type === 'not_run' && maybeApplied ? {type: 'unknown'} : direct;
 }
--- a/packages/gypsumwall-cell/src/hedge.ts
+++ b/packages/gypsumwall-cell/src/hedge.ts
@@ -1,74 +1,83 @@
 /**
- * Sends an idempotent call again while the first is still open, and takes
- * whichever answer comes first. At a store that loses a third of its answers
- * a caller waits a fraction of a second and not a whole timeout. At a store
- * that is slow nothing is sent again: it handles the calls of a log one by
- * one, and calls sent in vain made a line at which it refused them all.
+ * Hedged calls: sends an idempotent call again while earlier ones are in
+ * flight, and returns the first answer. With a store that loses a third of its
+ * answers, a caller then waits a fraction of a second instead of a whole
+ * timeout. With a slow store nothing is sent again: it handles the calls of a
+ * log one by one, and repeated calls made a queue so long that it refused them
+ * all.
  */
 import * as result from 'true-myth/result';
 import * as types from '@gypsumwall/types';
 import type * as ports from './ports.js';
 import type * as storeHealth from './store_health.js';
 
-/** No call is sent again sooner; a usual answer takes 10 ms; milliseconds. */
-const SOONEST_MS = 120;
-/** How often it is looked whether the store is sound; milliseconds. */
-const CHECK_MS = 30;
-/** Then a call is sent again in any case; milliseconds. */
-const LATEST_MS = 1_200;
-/** Weight of the newest answer in what answers take. */
-const NEWEST_WEIGHT = 0.5;
-/** What an answer took says little after so long; milliseconds. */
-const FORGET_AFTER_MS = 1_000;
+/**
+ * Minimum time until a call is sent again; an answer usually takes 10 ms;
+ * milliseconds.
+ */
+const MIN_RESEND_MS = 120;
+/**
+ * Interval at which it is checked whether the store answers quickly;
+ * milliseconds.
+ */
+const CHECK_INTERVAL_MS = 30;
+/** After this time a call is sent again in any case; milliseconds. */
+const MAX_RESEND_MS = 1_200;
+/** Weight of the newest answer in the moving average of the latency. */
+const NEWEST_LATENCY_WEIGHT = 0.5;
+/** A measured latency is discarded after this time; milliseconds. */
+const MAX_LATENCY_AGE_MS = 1_000;
 /** Pause after an answer that refuses the call; milliseconds. */
-const REFUSED_PAUSE_MS = 40;
+const REFUSAL_PAUSE_MS = 40;
 
-/** How one call is hedged. */
+/** Options of one hedged call. */
 export interface HedgeOptions<Value> {
   readonly call: () => ports.Answer<Value>;
-  /** The last moment at which another call is sent. */
+  /** Deadline for sending another call. */
   readonly until: types.clock.MonotonicMs;
   /**
-   * Whether to wait no longer: the caller can do more with a word now than
-   * with an answer later. Not asked before a usual answer is overdue.
+   * Whether to stop waiting because an immediate failure is more useful to the
+   * caller than a late answer. Only evaluated once the usual latency is
+   * exceeded.
    */
-  readonly isHopeless?: () => boolean;
+  readonly shouldGiveUp?: () => boolean;
   /**
-   * Whether a refusal is the outcome, and not tried again: another way is
-   * open, and tries of all entries keep an overloaded store from its work.
+   * Whether a refusal is returned instead of retried, because the caller has an
+   * alternative. Retries of all entries would keep an overloaded store busy.
    */
-  readonly endsOnRefusal?: () => boolean;
+  readonly isRefusalFinal?: () => boolean;
   readonly signal?: AbortSignal;
 }
 
 /** Hedges the calls to one log. */
 export interface Hedger {
   /**
-   * The first answer, or the last error once time is up or the signal aborts.
-   * If any call may have had an effect, the error says so.
+   * Resolves with the first answer, or with the last error after the deadline
+   * or an abort. The error's effect is unknown if any of the calls may have
+   * taken effect.
    */
-  hedged<Value>(options: HedgeOptions<Value>): ports.Answer<Value>;
-  /** What answers took lately, in milliseconds; undefined if there were none. */
+  hedge<Value>(options: HedgeOptions<Value>): ports.Answer<Value>;
+  /** Recent latency in milliseconds; undefined without a recent answer. */
   latencyMs(): number | undefined;
 }
 
-/** Creates a hedger that has seen no answer yet. */
+/** Creates a hedger without a measured latency. */
 export function createHedger(
   clock: types.clock.Clock,
-  pulse: storeHealth.StoreHealth,
+  health: storeHealth.StoreHealth,
 ): Hedger {
   let latency: number | undefined;
-  let notedAt = clock.monotonic();
+  let updatedAt = clock.monotonic();
 
   function latencyMs(): number | undefined {
-    if (clock.monotonic() - notedAt > FORGET_AFTER_MS) latency = undefined;
+    if (clock.monotonic() - updatedAt > MAX_LATENCY_AGE_MS) latency = undefined;
     return latency;
   }
 
-  function note(tookMs: number): void {
+  function recordLatency(tookMs: number): void {
     const before = latencyMs() ?? 0;
-    latency = before + (tookMs - before) * NEWEST_WEIGHT;
-    notedAt = clock.monotonic();
+    latency = before + (tookMs - before) * NEWEST_LATENCY_WEIGHT;
+    updatedAt = clock.monotonic();
   }
 
   async function timed<Value>(
@@ -76,42 +85,48 @@
   ): Promise<Awaited<ports.Answer<Value>>> {
     const sentAt = clock.monotonic();
     const answer = await call();
-    if (result.isOk(answer)) note(clock.monotonic() - sentAt);
+    if (result.isOk(answer)) recordLatency(clock.monotonic() - sentAt);
     return answer;
   }
 
-  /** Waits for an answer, or for a reason to think that it is lost. */
-  async function waitForDoubt(
+  /** Waits for an answer, or for a reason to assume that the answer is lost. */
+  async function waitToResend(
     race: Race<unknown>,
     sentAt: types.clock.MonotonicMs,
-    {until, isHopeless}: Pick<HedgeOptions<unknown>, 'until' | 'isHopeless'>,
+    {
+      until,
+      shouldGiveUp,
+    }: Pick<HedgeOptions<unknown>, 'until' | 'shouldGiveUp'>,
   ): Promise<void> {
-    const latest = earlier(types.clock.after(sentAt, LATEST_MS), until);
-    let checkAt = earlier(types.clock.after(sentAt, SOONEST_MS), until);
+    const resendAt = earlier(types.clock.after(sentAt, MAX_RESEND_MS), until);
+    let checkAt = earlier(types.clock.after(sentAt, MIN_RESEND_MS), until);
     for (;;) {
       const change = race.change();
       await clock.sleepUntil(checkAt, change);
-      if (change.aborted || clock.monotonic() >= latest) return;
-      if (pulse.quickSince(sentAt) || isHopeless?.() === true) return;
-      checkAt = earlier(types.clock.after(clock.monotonic(), CHECK_MS), until);
+      if (change.aborted || clock.monotonic() >= resendAt) return;
+      if (health.hasQuickReadSince(sentAt) || shouldGiveUp?.() === true) return;
+      checkAt = earlier(
+        types.clock.after(clock.monotonic(), CHECK_INTERVAL_MS),
+        until,
+      );
     }
   }
 
   return {
     latencyMs,
-    async hedged({call, until, isHopeless, endsOnRefusal, signal}) {
+    async hedge({call, until, shouldGiveUp, isRefusalFinal, signal}) {
       const race = createRace(() => timed(call));
       const giveUp = () => race.giveUp();
       signal?.addEventListener('abort', giveUp);
       for (;;) {
         const sentAt = clock.monotonic();
         race.send();
-        await waitForDoubt(race, sentAt, {until, isHopeless});
-        if (race.isOver() || clock.monotonic() >= until) break;
-        if (isHopeless?.() === true) break;
+        await waitToResend(race, sentAt, {until, shouldGiveUp});
+        if (race.isSettled() || clock.monotonic() >= until) break;
+        if (shouldGiveUp?.() === true) break;
         if (race.open() > 0) continue;
-        if (race.isRefused() && endsOnRefusal?.() === true) break;
-        await types.clock.sleepFor(clock, REFUSED_PAUSE_MS, signal);
+        if (race.isRefused() && isRefusalFinal?.() === true) break;
+        await types.clock.sleepFor(clock, REFUSAL_PAUSE_MS, signal);
       }
       signal?.removeEventListener('abort', giveUp);
       return race.outcome();
@@ -128,11 +143,11 @@
 
 interface Race<Value> {
   send(): void;
-  /** Aborts at the next answer of any call. */
+  /** Returns a signal that aborts at the next answer of any call. */
   change(): AbortSignal;
   open(): number;
-  isOver(): boolean;
-  /** Whether every call that was answered did nothing. */
+  isSettled(): boolean;
+  /** Whether every answered call had no effect. */
   isRefused(): boolean;
   giveUp(): void;
   outcome(): Awaited<ports.Answer<Value>>;
@@ -142,18 +157,20 @@
   let answer: {readonly value: Value} | undefined;
   let lastError: types.stepError.StepError | undefined;
   let open = 0;
-  let over = false;
+  let settled = false;
   let changed = new AbortController();
 
   async function run(): Promise<void> {
-    const got = await call();
+    const received = await call();
     open--;
-    if (result.isOk(got)) {
-      answer ??= {value: got.value};
-      over = true;
+    if (result.isOk(received)) {
+      answer ??= {value: received.value};
+      settled = true;
     } else {
-      const worse = lastError?.effect === 'unknown';
-      lastError = worse ? {...got.error, effect: 'unknown'} : got.error;
+      const wasUnknown = lastError?.effect === 'unknown';
+      lastError = wasUnknown
+        ? {...received.error, effect: 'unknown'}
+        : received.error;
     }
     changed.abort();
   }
@@ -165,20 +182,20 @@
     },
     change() {
       changed = new AbortController();
-      if (over) changed.abort();
+      if (settled) changed.abort();
       return changed.signal;
     },
     open: () => open,
-    isOver: () => over,
+    isSettled: () => settled,
     isRefused: () => lastError?.effect === 'not_run',
     giveUp() {
-      over = true;
+      settled = true;
       changed.abort();
     },
     outcome() {
       if (answer !== undefined) return result.ok(answer.value);
       const err = lastError ?? NO_ANSWER;
-      // A call that is still open may take effect yet.
+      // A call that is still open may yet take effect.
       return result.err(open > 0 ? {...err, effect: 'unknown'} : err);
     },
   };
--- a/packages/gypsumwall-cell/src/job_service.ts
+++ b/packages/gypsumwall-cell/src/job_service.ts
@@ -1,7 +1,8 @@
 /**
- * What an entry does for callers: takes jobs, cancels them, and tells how they
- * stand. A job is accepted once its record stands in the log; nobody else has
- * to agree, so any entry that reaches the store can accept.
+ * The job service of one entry: accepts jobs, cancels them, and returns their
+ * state. A job is accepted once its record is stored in the log. No agreement
+ * with other entries is needed, so any entry that reaches the store can accept
+ * jobs.
  */
 import * as result from 'true-myth/result';
 import type * as telemetry from '@gypsumwall/telemetry';
@@ -14,44 +15,46 @@
 import type * as storeHealth from './store_health.js';
 import * as storeRecords from './store_records.js';
 
-/** How long an append is tried: callers wait 3 s; milliseconds. */
-const APPEND_PATIENCE_MS = 2_400;
-/** When a caller should come back while the store is away; milliseconds. */
+/** How long an append is tried; callers wait for 3 s; milliseconds. */
+const APPEND_TIMEOUT_MS = 2_400;
+/** When a caller should retry while the store is unavailable; milliseconds. */
 const STORE_RETRY_AFTER_MS = 1_000;
 /**
- * How long a job is looked for in the logs: callers wait 3 s, and peers are
- * asked after that. An entry that is behind reads for up to 6 s, seen on a link
- * of 10 Mbit/s; milliseconds.
+ * How long the logs are searched for a job. Callers wait for 3 s, and peers are
+ * asked afterwards. An entry that is behind reads for up to 6 s, as seen on a
+ * link of 10 Mbit/s; milliseconds.
  */
-const FIND_PATIENCE_MS = 800;
+const FIND_TIMEOUT_MS = 800;
 /**
- * An older copy of the logs is not counted in, and peers are asked for the
- * state of jobs. Callers are promised a number that is 2 s old at most, which
- * leaves half a second for the answer; a store that is sixty times slower than
- * usual lets copies grow 1.1 s old, worked out; milliseconds.
+ * Maximum age of a replica that pending jobs are counted in; with an older one,
+ * peers are asked for the state of jobs. Callers are promised a count that is
+ * at most 2 s old, which leaves half a second for the answer. With a store that
+ * is sixty times slower than usual, replicas are up to 1.1 s old (calculated);
+ * milliseconds.
  */
-const CURRENT_COPY_MS = 1_500;
+const MAX_REPLICA_AGE_MS = 1_500;
 
 /**
- * A copy that is younger tells the state of a job that isn't over as it is; an
- * older one is brought up to date first. Callers learn of an end that much
- * later at most; milliseconds.
+ * Maximum age of a replica from which the state of an unfinished job is
+ * returned without reading the log again. Callers learn of a job's end that
+ * much later at most; milliseconds.
  */
-export const FRESH_STATE_MS = 20;
-/** How long a question about a state waits for that; milliseconds. */
-const REFRESH_PATIENCE_MS = 300;
+export const MAX_STATE_AGE_MS = 20;
+/** How long a query for a state waits for such a read; milliseconds. */
+const REFRESH_TIMEOUT_MS = 300;
 /**
- * An append without an answer for so long has the log read, so that a store
- * that is away is noticed; a usual one takes 10 ms; milliseconds.
+ * An append that is unanswered for this long triggers a read of the log, to
+ * detect that the store is unavailable. An append usually takes 10 ms;
+ * milliseconds.
  */
-const SUSPECT_STORE_MS = 150;
+const OVERDUE_APPEND_MS = 150;
 
-/** What became of a call. */
+/** Outcome of a call. */
 export type JobServiceAnswer<Value> =
   | {readonly type: 'ok'; readonly value: Value}
-  /** Nothing was done, and nothing will be. */
+  /** The call had no effect and will have none. */
   | {readonly type: 'not_run'; readonly retryAfterMs: number}
-  /** It may have been done; the caller should ask again. */
+  /** The call may have taken effect; the caller should query it. */
   | {readonly type: 'unknown'}
   | {readonly type: 'absent'}
   | {readonly type: 'invalid'; readonly message: string};
@@ -72,7 +75,7 @@
     queue: string,
   ): Promise<JobServiceAnswer<scheduling.jobProgress.JobPhase>>;
   /**
-   * What became of a job that is over, which no copy is too old for; else a
+   * The phase of a finished job, for which no replica is too old; otherwise a
    * refusal.
    */
   finalPhaseOf(
@@ -80,31 +83,36 @@
     queue: string,
   ): Promise<JobServiceAnswer<scheduling.jobProgress.JobPhase>>;
   /**
-   * Jobs of a queue of which no task has started. An entry that the store has
-   * turned away lacks what the others accept, until it has read all of that:
-   * 4 were told where 20 had waited for 5 s. It must not take its own copy for
-   * an answer then.
+   * Number of jobs of a queue none of whose tasks has started. An entry that
+   * the store has refused lacks the jobs accepted by others until it has read
+   * all of them, and must not count in its own replica: it once returned 4
+   * where 20 jobs had been pending for 5 s.
    */
   pendingIn(queue: string): Promise<JobServiceAnswer<number>>;
-  /** Whether this entry knows what the store had a moment ago. */
+  /** Whether this entry's replica is current enough to answer queries. */
   isCurrent(): boolean;
-  /** What appends took lately, in milliseconds; undefined: there were none. */
+  /**
+   * Recent latency of appends in milliseconds; undefined without a recent
+   * append.
+   */
   storeLatencyMs(): number | undefined;
 }
 
-/** What a desk is made with. */
+/** Options of a job service. */
 export interface JobServiceOptions {
   readonly jobsLog: ports.KeyedLog;
   readonly jobs: jobTable.JobTable;
   readonly follower: logFollower.LogFollower;
   readonly storeHealth: storeHealth.StoreHealth;
-  /** How old this entry's copy of the logs is at most, in milliseconds. */
-  readonly copyAgeMs: () => number;
-  /** Reads all logs that tell of jobs to their ends; false if that failed. */
+  /** Maximum age of this entry's replica of the logs, in milliseconds. */
+  readonly replicaAgeMs: () => number;
+  /**
+   * Reads all logs with records about jobs to their ends; false if that failed.
+   */
   readonly catchUp: () => Promise<boolean>;
   /** Whether another entry may append what the store refuses here. */
-  readonly mayHandOn: () => boolean;
-  /** Reads the log of states to its end, unless that was done just now. */
+  readonly canForward: () => boolean;
+  /** Reads the log of job states to its end, unless that was done just now. */
   readonly refreshStates: () => Promise<boolean>;
   readonly clock: types.clock.Clock;
   readonly logger: telemetry.logger.Logger;
@@ -115,25 +123,28 @@
   ) => boolean;
 }
 
-/** Creates the desk of one entry. */
+/** Creates the job service of one entry. */
 export function createJobService(options: JobServiceOptions): JobService {
   const {jobs, follower, clock, logger} = options;
   const appender = batchAppender.createBatchAppender({
     log: options.jobsLog,
     clock,
     storeHealth: options.storeHealth,
-    isStoreAway: () => follower.reachableSince() === undefined,
-    mayHandOn: options.mayHandOn,
+    isStoreUnavailable: () => follower.reachableSince() === undefined,
+    canForward: options.canForward,
   });
 
-  /** Appends, several times if need be: every record here may be repeated. */
+  /**
+   * Appends a record, several times if necessary; all records here are
+   * idempotent.
+   */
   async function store(
     record: storeRecords.StoreRecord,
   ): Promise<'stored' | 'not_run' | 'unknown'> {
     const entry = storeRecords.encode(record);
-    const until = types.clock.after(clock.monotonic(), APPEND_PATIENCE_MS);
+    const until = types.clock.after(clock.monotonic(), APPEND_TIMEOUT_MS);
     const appended = appender.append(entry, until);
-    void readIfOverdue(appended);
+    void readLogIfOverdue(appended);
     const answer = await appended;
     if (result.isOk(answer)) return 'stored';
     logger.info('append_failed', {
@@ -141,25 +152,29 @@
       error: types.stepError.describeError(answer.error),
     });
     if (answer.error.effect === 'unknown') return 'unknown';
-    await findOutWhoIsRefused();
+    await checkReachability();
     return 'not_run';
   }
 
   /**
-   * A store that turns this entry away refuses reads as well; one whose log has
-   * too many appends in line doesn't. Only in the first case can a peer do
-   * better, and in the second its appends would make the line longer.
+   * Reads the log to find out why an append was refused. A store that refuses
+   * this entry refuses reads as well; a store with too many queued appends
+   * still answers reads. A peer can do better only in the first case; in the
+   * second its appends would lengthen the queue.
    */
-  async function findOutWhoIsRefused(): Promise<void> {
-    const patience = outOfPatience(REFRESH_PATIENCE_MS);
-    await Promise.race([follower.catchUp(), patience]);
+  async function checkReachability(): Promise<void> {
+    const timeout = falseAfter(REFRESH_TIMEOUT_MS);
+    await Promise.race([follower.catchUp(), timeout]);
   }
 
-  /** Finds out whether the store is away; the log is read seldom otherwise. */
-  async function readIfOverdue(appended: Promise<unknown>): Promise<void> {
+  /**
+   * Reads the log if an append is overdue, to detect an unavailable store;
+   * reads are rare otherwise.
+   */
+  async function readLogIfOverdue(appended: Promise<unknown>): Promise<void> {
     const answered = new AbortController();
     void appended.then(() => answered.abort());
-    await types.clock.sleepFor(clock, SUSPECT_STORE_MS, answered.signal);
+    await types.clock.sleepFor(clock, OVERDUE_APPEND_MS, answered.signal);
     if (!answered.signal.aborted) await follower.catchUp();
   }
 
@@ -184,47 +199,54 @@
     }
   }
 
-  /** A job without a request is over; it is known once its end is. */
+  /**
+   * A job without a request is finished; it counts as known once its end is
+   * known.
+   */
   function knownJob(id: types.ids.JobId): jobTable.JobEntry | undefined {
     const job = jobs.get(id);
     if (job?.record !== undefined) return job;
-    const over =
+    const isOver =
       job !== undefined && scheduling.jobProgress.isOver(job.progress.phase);
-    return over ? job : undefined;
+    return isOver ? job : undefined;
   }
 
-  async function outOfPatience(patienceMs: number): Promise<false> {
-    await types.clock.sleepFor(clock, patienceMs);
+  async function falseAfter(timeoutMs: number): Promise<false> {
+    await types.clock.sleepFor(clock, timeoutMs);
     return false;
   }
 
-  /** The state as the log has it now, or as it was known if that can't be read. */
-  async function freshPhase(
+  /**
+   * The phase according to the log's end, or the known phase if the log can't
+   * be read in time.
+   */
+  async function refreshPhase(
     job: jobTable.JobEntry,
   ): Promise<scheduling.jobProgress.JobPhase> {
     if (!scheduling.jobProgress.isOver(job.progress.phase)) {
-      const patience = outOfPatience(REFRESH_PATIENCE_MS);
-      await Promise.race([options.refreshStates(), patience]);
+      const timeout = falseAfter(REFRESH_TIMEOUT_MS);
+      await Promise.race([options.refreshStates(), timeout]);
     }
     return job.progress.phase;
   }
 
   /**
-   * Looks for a job at the ends of all logs that tell of jobs. The request of
-   * one that is over is dropped from one of them, and only the other knows it:
-   * an entry that had just started told 410 of jobs that were done.
+   * Searches for a job at the ends of all logs with records about jobs. The
+   * request of a finished job is dropped from one of the logs, so only the
+   * other one contains the job. An entry that had just started and read only
+   * one log answered 410 for finished jobs.
    */
   async function findInLogs(
     id: types.ids.JobId,
   ): Promise<jobTable.JobEntry | 'not_read' | undefined> {
-    const current = await Promise.race([
+    const isCaughtUp = await Promise.race([
       options.catchUp(),
-      outOfPatience(FIND_PATIENCE_MS),
+      falseAfter(FIND_TIMEOUT_MS),
     ]);
-    return knownJob(id) ?? (current ? undefined : 'not_read');
+    return knownJob(id) ?? (isCaughtUp ? undefined : 'not_read');
   }
 
-  /** The job, looked for in the logs if it isn't known here. */
+  /** The job, searched for in the logs if it isn't known here. */
   async function find(
     id: types.ids.JobId,
     queue: string,
@@ -238,13 +260,14 @@
       : {type: 'absent'};
   }
 
-  const isCurrent = () => options.copyAgeMs() <= CURRENT_COPY_MS;
+  const isCurrent = () => options.replicaAgeMs() <= MAX_REPLICA_AGE_MS;
 
   /**
-   * The first step that no worker has room for. An old copy doesn't know the
-   * workers that have come since, and a refusal of this kind is for good.
+   * The first step whose tasks are too large for every worker. A stale replica
+   * lacks the workers that were added since, so it must not be used for a
+   * refusal that is permanent.
    */
-  function tooLargeStep(
+  function findOversizedStep(
     pool: string,
     {steps}: scheduling.jobRequest.JobRequest,
   ): number | undefined {
@@ -258,13 +281,16 @@
       if (jobs.get(id) !== undefined) return {type: 'ok', value: undefined};
       const fault = scheduling.jobRequest.faultOf(request);
       if (fault !== undefined) return {type: 'invalid', message: fault};
-      const tooLarge = tooLargeStep(policy.pool, request);
-      if (tooLarge !== undefined) {
-        const message = `step ${tooLarge}: no worker has room for its size`;
+      const oversized = findOversizedStep(policy.pool, request);
+      if (oversized !== undefined) {
+        const message = `step ${oversized}: its tasks are too large for every worker`;
         return {type: 'invalid', message};
       }
       if (follower.reachableSince() === undefined) {
-        logger.info('job_refused', {job: id, reason: 'the store is away'});
+        logger.info('job_refused', {
+          job: id,
+          reason: 'the store is unavailable',
+        });
         return {type: 'not_run', retryAfterMs: STORE_RETRY_AFTER_MS};
       }
       const job = {request, policy, acceptedAt: clock.wall()};
@@ -283,7 +309,7 @@
     async phaseOf(id, queue) {
       const found = await find(id, queue);
       if (found.type !== 'ok') return found;
-      return {type: 'ok', value: await freshPhase(found.value)};
+      return {type: 'ok', value: await refreshPhase(found.value)};
     },
     finalPhaseOf(id, queue) {
       const job = jobs.get(id);
@@ -299,7 +325,7 @@
     pendingIn(queue) {
       const pending = isCurrent() ? jobs.pendingIn(queue) : undefined;
       const outcome = pending === undefined ? 'not_run' : 'ok';
-      const ageMs = Math.round(options.copyAgeMs());
+      const ageMs = Math.round(options.replicaAgeMs());
       logger.info('pending_asked', {queue, pending, ageMs, outcome});
       return Promise.resolve(
         pending === undefined
--- a/packages/gypsumwall-cell/src/job_table.ts
+++ b/packages/gypsumwall-cell/src/job_table.ts
@@ -1,7 +1,7 @@
 /**
- * What every entry knows of the cell's jobs, folded from the logs, so that any
- * of them answers for any job without asking another. All entries that have
- * read the same records know the same.
+ * The cell's jobs as each entry knows them from the logs, so that any entry can
+ * answer for any job without asking another. Entries that have read the same
+ * records have the same table.
  */
 import * as scheduling from '@gypsumwall/scheduling';
 import * as types from '@gypsumwall/types';
@@ -12,38 +12,44 @@
   readonly id: types.ids.JobId;
   readonly queue: string;
   /**
-   * Absent once the job is over, and once it was dropped from the store, which
-   * happens only after that: its end may not have been read yet.
+   * Undefined once the job is finished. Also undefined once the request was
+   * dropped from the store, which only happens to finished jobs, even if the
+   * end hasn't been read yet.
    */
   record: storeRecords.JobRecord | undefined;
   progress: scheduling.jobProgress.JobProgress;
-  /** When it was seen to be over. */
-  overAt?: types.clock.MonotonicMs;
+  /** When this entry learned that the job is finished. */
+  endedAt?: types.clock.MonotonicMs;
 }
 
 /** The jobs of a cell. */
 export interface JobTable {
   get(id: types.ids.JobId): JobEntry | undefined;
   all(): Iterable<JobEntry>;
-  /** Jobs of a queue of which no task has started. */
+  /** Number of jobs of a queue none of whose tasks has started. */
   pendingIn(queue: string): number;
-  /** Folds a record; false if it is none about jobs. */
+  /** Applies a record; false if the record is not about jobs. */
   apply(
     record: storeRecords.StoreRecord,
     now: types.clock.MonotonicMs,
   ): boolean;
-  /** The store has no other requests than these. */
-  keepRequests(
-    named: ReadonlySet<types.ids.JobId>,
+  /**
+   * Drops the requests of all other jobs, because a load contains only these.
+   */
+  retainRequests(
+    ids: ReadonlySet<types.ids.JobId>,
     now: types.clock.MonotonicMs,
   ): void;
-  /** The store has no progress of other jobs than these. */
-  keepProgress(named: ReadonlySet<types.ids.JobId>): void;
-  /** Jobs that were over before the given moment. */
-  overBefore(moment: types.clock.MonotonicMs): types.ids.JobId[];
+  /**
+   * Drops all other finished jobs, because a load contains only the progress of
+   * these.
+   */
+  retainProgress(ids: ReadonlySet<types.ids.JobId>): void;
+  /** Jobs that were finished before the given moment. */
+  endedBefore(moment: types.clock.MonotonicMs): types.ids.JobId[];
 }
 
-/** Hears of what changes in a table. */
+/** Receives the changes of a table. */
 export interface JobTableListener {
   onAdded(job: JobEntry): void;
   onCancelled(id: types.ids.JobId): void;
@@ -56,19 +62,23 @@
 /** Creates an empty table. */
 export function createJobTable(listener: JobTableListener): JobTable {
   const jobs = new Map<types.ids.JobId, JobEntry>();
-  // Two logs are followed side by side, and a repeat of a job moves its record
-  // to a later offset: a cancellation or progress may be read before the job.
-  const cancelled = new Set<types.ids.JobId>();
-  const early = new Map<types.ids.JobId, scheduling.jobProgress.JobProgress>();
+  // Two logs are followed in parallel, and a repeat of a job moves its record
+  // to a later offset, so a cancellation or progress may be read before the
+  // job.
+  const cancelledIds = new Set<types.ids.JobId>();
+  const earlyProgress = new Map<
+    types.ids.JobId,
+    scheduling.jobProgress.JobProgress
+  >();
 
-  function settle(job: JobEntry, now: types.clock.MonotonicMs): void {
-    const over = scheduling.jobProgress.isOver(job.progress.phase);
-    if (!over && cancelled.has(job.id)) {
+  function finishIfOver(job: JobEntry, now: types.clock.MonotonicMs): void {
+    const isOver = scheduling.jobProgress.isOver(job.progress.phase);
+    if (!isOver && cancelledIds.has(job.id)) {
       job.progress = {...job.progress, phase: 'cancelled'};
     }
     const {phase} = job.progress;
     if (!scheduling.jobProgress.isOver(phase)) return;
-    job.overAt ??= now;
+    job.endedAt ??= now;
     job.record = undefined;
   }
 
@@ -77,21 +87,24 @@
     record: storeRecords.JobRecord,
     now: types.clock.MonotonicMs,
   ): void {
-    // The first record of an id is the job; a repeat changes nothing.
+    // The first record of an ID defines the job; repeats are ignored.
     if (jobs.has(id)) return;
     const job: JobEntry = {
       id,
       queue: record.policy.queue,
       record,
-      progress: early.get(id) ?? scheduling.jobProgress.NO_PROGRESS,
+      progress: earlyProgress.get(id) ?? scheduling.jobProgress.NO_PROGRESS,
     };
-    early.delete(id);
+    earlyProgress.delete(id);
     jobs.set(id, job);
-    settle(job, now);
-    if (job.overAt === undefined) listener.onAdded(job);
+    finishIfOver(job, now);
+    if (job.endedAt === undefined) listener.onAdded(job);
   }
 
-  /** What its end came to is told by the other log, if it is still kept. */
+  /**
+   * Drops a job's request. Its final phase is read from the other log, if that
+   * still contains it.
+   */
   function dropRequest(
     id: types.ids.JobId,
     now: types.clock.MonotonicMs,
@@ -99,7 +112,7 @@
     const job = jobs.get(id);
     if (job === undefined) return;
     job.record = undefined;
-    job.overAt ??= now;
+    job.endedAt ??= now;
   }
 
   function applyProgress(
@@ -109,18 +122,18 @@
     now: types.clock.MonotonicMs,
   ): void {
     if (progress === undefined) {
-      early.delete(id);
+      earlyProgress.delete(id);
       jobs.delete(id);
       return;
     }
     const job = jobs.get(id);
     if (job !== undefined) {
       job.progress = progress;
-      settle(job, now);
+      finishIfOver(job, now);
     } else if (scheduling.jobProgress.isOver(progress.phase)) {
-      jobs.set(id, {id, queue, record: undefined, progress, overAt: now});
+      jobs.set(id, {id, queue, record: undefined, progress, endedAt: now});
     } else {
-      early.set(id, progress);
+      earlyProgress.set(id, progress);
     }
   }
 
@@ -128,9 +141,9 @@
     id: types.ids.JobId,
     now: types.clock.MonotonicMs,
   ): void {
-    cancelled.add(id);
+    cancelledIds.add(id);
     const job = jobs.get(id);
-    if (job !== undefined) settle(job, now);
+    if (job !== undefined) finishIfOver(job, now);
     listener.onCancelled(id);
   }
 
@@ -151,7 +164,7 @@
           else dropRequest(record.jobId, now);
           return true;
         case 'cancel':
-          if (record.dropped) cancelled.delete(record.jobId);
+          if (record.dropped) cancelledIds.delete(record.jobId);
           else applyCancel(record.jobId, now);
           return true;
         case 'progress':
@@ -164,19 +177,19 @@
           return false;
       }
     },
-    keepRequests(named, now) {
-      for (const id of jobs.keys()) if (!named.has(id)) dropRequest(id, now);
+    retainRequests(ids, now) {
+      for (const id of jobs.keys()) if (!ids.has(id)) dropRequest(id, now);
     },
-    keepProgress(named) {
+    retainProgress(ids) {
       for (const [id, job] of jobs) {
-        const over = scheduling.jobProgress.isOver(job.progress.phase);
-        if (over && !named.has(id)) jobs.delete(id);
+        const isOver = scheduling.jobProgress.isOver(job.progress.phase);
+        if (isOver && !ids.has(id)) jobs.delete(id);
       }
     },
-    overBefore(moment) {
+    endedBefore(moment) {
       const ids: types.ids.JobId[] = [];
       for (const job of jobs.values()) {
-        if (job.overAt !== undefined && job.overAt < moment) ids.push(job.id);
+        if (job.endedAt !== undefined && job.endedAt < moment) ids.push(job.id);
       }
       return ids;
     },
