--- a/packages/gypsumwall-cell/src/peer_directory.ts
+++ b/packages/gypsumwall-cell/src/peer_directory.ts
@@ -1,7 +1,7 @@
 /**
- * The entries that take part in the cell, as they registered themselves in the
- * jobs' log, and the adviser as reached through each. One that doesn't answer
- * is passed over for a while.
+ * The entries of the cell, as they registered themselves in the jobs' log, and
+ * the adviser as reached through each of them. A peer that doesn't answer is
+ * avoided for a while.
  */
 import * as result from 'true-myth/result';
 import * as types from '@gypsumwall/types';
@@ -12,65 +12,68 @@
 import type * as storeRecords from './store_records.js';
 
 /**
- * How long a peer that didn't answer is passed over, doubled each time up to
- * the longest: each try of a peer that is gone for good costs a job the wait
- * for an answer. One that starts anew registers and is tried at once; ms.
+ * How long a peer that didn't answer is avoided, doubled each time up to the
+ * maximum: each call to a peer that is lost for good costs a job the wait for
+ * an answer. A peer that restarts registers again and is used at once;
+ * milliseconds.
  */
-const FIRST_PASS_OVER_MS = 2_000;
-const LONGEST_PASS_OVER_MS = 30_000;
-/** A peer that lives answers a ping within 10 ms; milliseconds. */
+const FIRST_BACKOFF_MS = 2_000;
+const MAX_BACKOFF_MS = 30_000;
+/** Timeout of a ping; a live peer answers within 10 ms; milliseconds. */
 const PING_TIMEOUT_MS = 120;
-/** Connections to one peer: calls wait on each other at the adviser anyway. */
-const CONNECTIONS = 8;
+/** Connections to one peer; calls queue up at the adviser anyway. */
+const MAX_CONNECTIONS = 8;
 
-/** How a call is handed on. */
-export interface RelayPatience {
-  /** Instance to be asked first. */
+/** Limits of a forwarded call. */
+export interface RelayLimits {
+  /** The instance that is asked first. */
   readonly preferred: string | undefined;
-  /** Whether only that one is asked. */
+  /** Whether only the preferred instance is asked. */
   readonly onlyPreferred: boolean;
-  /** Time for one peer's answer, and for all of them; milliseconds. */
-  readonly eachMs: number;
-  readonly allMs: number;
+  /**
+   * Timeouts for one peer's answer and for all peers together; milliseconds.
+   */
+  readonly peerTimeoutMs: number;
+  readonly totalTimeoutMs: number;
 }
 
-/** What handing a call on came to. */
+/** Outcome of a forwarded call. */
 export type RelayOutcome =
   | {readonly type: 'answered'; readonly res: peerProtocol.RelayRes}
-  /** Nobody answered for certain; a peer may have done it all the same. */
+  /** No peer gave a definite answer, but one may have applied the call. */
   | {
       readonly type: 'unanswered';
-      readonly mayStand: boolean;
-      /** Whether a peer got the call, lives, and needs longer for it. */
-      readonly slow: boolean;
+      readonly maybeApplied: boolean;
+      /** Whether a peer received the call, is alive, and needs more time. */
+      readonly isSlow: boolean;
     };
 
 interface Peer {
   readonly record: storeRecords.EntryRecord;
   readonly client: httpClient.HttpClient;
   readonly adviser: ports.Adviser;
-  passedOverUntil: types.clock.MonotonicMs;
-  nextPassOverMs: number;
+  backoffUntil: types.clock.MonotonicMs;
+  nextBackoffMs: number;
 }
 
 /** The peers of one entry. */
 export interface PeerDirectory {
-  /** Folds a record of an entry; its own is left out. */
+  /** Applies the record of an entry; that of this entry is ignored. */
   apply(instance: string, record: storeRecords.EntryRecord | undefined): void;
-  /** Peers that may be asked now, by instance. */
+  /** Advisers by instance, of the peers that aren't avoided. */
   advisers(): Map<string, ports.Adviser>;
-  /** Hands a caller's call to peers until one answers for certain. */
-  relay(
-    req: peerProtocol.RelayReq,
-    patience: RelayPatience,
-  ): Promise<RelayOutcome>;
-  /** Whether a peer answers in time; one that isn't known is left in peace. */
+  /** Forwards a caller's call to peers until one gives a definite answer. */
+  relay(req: peerProtocol.RelayReq, limits: RelayLimits): Promise<RelayOutcome>;
+  /**
+   * Whether a peer answers in time; true for an unknown peer, which isn't
+   * called.
+   */
   ping(instance: string, timeoutMs: number): Promise<boolean>;
-  /** A peer was found to be lost by other means than a call. */
-  noteLost(instance: string): void;
-  /** Cores of the strongest peer that isn't passed over; 0 without peers. */
-  mostCores(): number;
-  /** Peers that may stand by for the cell: those that aren't passed over. */
+  /** Avoids a peer that was found to be lost by other means than a call. */
+  markLost(instance: string): void;
+  /** Cores of the largest peer that isn't avoided; 0 without peers. */
+  maxCores(): number;
+  /** Peers that can be standbys: those that aren't avoided. */
   standbyCandidates(): Iterable<standbyChoice.StandbyCandidate>;
   close(): void;
 }
@@ -82,18 +85,18 @@
 ): PeerDirectory {
   const peers = new Map<string, Peer>();
 
-  function open(record: storeRecords.EntryRecord): Peer {
-    const client = httpClient.createHttpClient(record.address, CONNECTIONS);
+  function createPeer(record: storeRecords.EntryRecord): Peer {
+    const client = httpClient.createHttpClient(record.address, MAX_CONNECTIONS);
     const direct = peerProtocol.createPeerAdviser(client);
     const peer: Peer = {
       record,
       client,
-      passedOverUntil: clock.monotonic(),
-      nextPassOverMs: FIRST_PASS_OVER_MS,
+      backoffUntil: clock.monotonic(),
+      nextBackoffMs: FIRST_BACKOFF_MS,
       adviser: {
         async ask(stepRunId, workers, timeoutMs) {
           const answer = await direct.ask(stepRunId, workers, timeoutMs);
-          noteAnswer(peer, answer);
+          recordAnswer(peer, answer);
           return answer;
         },
       },
@@ -101,86 +104,89 @@
     return peer;
   }
 
-  /** A refusal by the adviser behind a peer is an answer of the peer. */
-  function noteAnswer(
+  /**
+   * If the adviser behind a peer refuses a call, the peer itself has answered.
+   */
+  function recordAnswer(
     peer: Peer,
     answer: result.Result<unknown, types.stepError.StepError>,
   ): void {
-    if (result.isOk(answer)) peer.nextPassOverMs = FIRST_PASS_OVER_MS;
-    else if (answer.error.kind !== 'refused') passOver(peer);
+    if (result.isOk(answer)) peer.nextBackoffMs = FIRST_BACKOFF_MS;
+    else if (answer.error.kind !== 'refused') backOff(peer);
   }
 
   /**
-   * A call that was handed on wasn't answered in time: true if the peer lives.
-   * At a slow store it waits for its own append. Passed over for that, it got
-   * no calls any more, and 45 entries appended one by one.
+   * Checks a peer that didn't answer a forwarded call in time; true if it is
+   * alive. With a slow store a peer waits for its own append. When peers were
+   * avoided for that, they got no more calls, and 45 entries appended one by
+   * one.
    */
-  async function noteUnanswered(
+  async function checkUnanswered(
     peer: Peer,
     err: types.stepError.StepError,
   ): Promise<boolean> {
     if (err.kind === 'refused') return false;
-    const lives =
+    const isAlive =
       err.kind === 'timeout' &&
       (await peerProtocol.ping(peer.client, PING_TIMEOUT_MS));
-    if (!lives) passOver(peer);
-    return lives;
+    if (!isAlive) backOff(peer);
+    return isAlive;
   }
 
-  function passOver(peer: Peer): void {
+  function backOff(peer: Peer): void {
     const now = clock.monotonic();
-    // Calls that were open together fail together, and count once.
-    if (peer.passedOverUntil > now) return;
-    peer.passedOverUntil = types.clock.after(now, peer.nextPassOverMs);
-    const doubled = peer.nextPassOverMs * 2;
-    peer.nextPassOverMs = Math.min(LONGEST_PASS_OVER_MS, doubled);
+    // Calls that were open together fail together and count once.
+    if (peer.backoffUntil > now) return;
+    peer.backoffUntil = types.clock.after(now, peer.nextBackoffMs);
+    const doubled = peer.nextBackoffMs * 2;
+    peer.nextBackoffMs = Math.min(MAX_BACKOFF_MS, doubled);
   }
 
-  function usable({preferred, onlyPreferred}: RelayPatience): Peer[] {
+  function usablePeers({preferred, onlyPreferred}: RelayLimits): Peer[] {
     const now = clock.monotonic();
     const first = preferred === undefined ? undefined : peers.get(preferred);
     const others = onlyPreferred
       ? []
       : [...peers.values()].filter((peer) => peer !== first);
     const ordered = first === undefined ? others : [first, ...others];
-    return ordered.filter((peer) => peer.passedOverUntil <= now);
+    return ordered.filter((peer) => peer.backoffUntil <= now);
   }
 
   return {
-    async relay(req, patience) {
-      const until = types.clock.after(clock.monotonic(), patience.allMs);
-      let mayStand = false;
-      let slow = false;
-      for (const peer of usable(patience)) {
+    async relay(req, limits) {
+      const until = types.clock.after(clock.monotonic(), limits.totalTimeoutMs);
+      let maybeApplied = false;
+      let isSlow = false;
+      for (const peer of usablePeers(limits)) {
         const leftMs = until - clock.monotonic();
         if (leftMs <= 0) break;
-        const timeoutMs = Math.min(patience.eachMs, leftMs);
+        const timeoutMs = Math.min(limits.peerTimeoutMs, leftMs);
         const answer = await peerProtocol.relay(peer.client, req, timeoutMs);
         if (result.isErr(answer)) {
-          if (answer.error.effect === 'unknown') mayStand = true;
-          slow = (await noteUnanswered(peer, answer.error)) || slow;
+          if (answer.error.effect === 'unknown') maybeApplied = true;
+          isSlow = (await checkUnanswered(peer, answer.error)) || isSlow;
           continue;
         }
-        noteAnswer(peer, answer);
-        if (isCertain(answer.value)) {
+        recordAnswer(peer, answer);
+        if (isFinal(answer.value)) {
           return {type: 'answered', res: answer.value};
         } else if (answer.value.type === 'unknown') {
-          mayStand = true;
+          maybeApplied = true;
         }
       }
-      return {type: 'unanswered', mayStand, slow};
+      return {type: 'unanswered', maybeApplied, isSlow};
     },
     apply(instance, record) {
       if (instance === self) return;
       peers.get(instance)?.client.close();
       if (record === undefined) peers.delete(instance);
-      else peers.set(instance, open(record));
+      else peers.set(instance, createPeer(record));
     },
     advisers() {
       const now = clock.monotonic();
       const found = new Map<string, ports.Adviser>();
       for (const [instance, peer] of peers) {
-        if (peer.passedOverUntil <= now) found.set(instance, peer.adviser);
+        if (peer.backoffUntil <= now) found.set(instance, peer.adviser);
       }
       return found;
     },
@@ -189,21 +195,21 @@
       if (peer === undefined) return Promise.resolve(true);
       return peerProtocol.ping(peer.client, timeoutMs);
     },
-    noteLost(instance) {
+    markLost(instance) {
       const peer = peers.get(instance);
-      if (peer !== undefined) passOver(peer);
+      if (peer !== undefined) backOff(peer);
     },
-    mostCores() {
+    maxCores() {
       const now = clock.monotonic();
       const cores = [...peers.values()]
-        .filter((peer) => peer.passedOverUntil <= now)
+        .filter((peer) => peer.backoffUntil <= now)
         .map((peer) => peer.record.cores ?? 0);
       return Math.max(0, ...cores);
     },
     *standbyCandidates() {
       const now = clock.monotonic();
-      for (const [instance, {record, passedOverUntil}] of peers) {
-        if (passedOverUntil > now) continue;
+      for (const [instance, {record, backoffUntil}] of peers) {
+        if (backoffUntil > now) continue;
         yield {instance, domain: record.domain, cores: record.cores ?? 0};
       }
     },
@@ -213,8 +219,8 @@
   };
 }
 
-/** Whether another peer could do no better. */
-function isCertain(res: peerProtocol.RelayRes): boolean {
+/** Whether no other peer could give a better answer. */
+function isFinal(res: peerProtocol.RelayRes): boolean {
   switch (res.type) {
     case 'ok':
     case 'absent':
--- a/packages/gypsumwall-cell/src/recent_submissions.ts
+++ b/packages/gypsumwall-cell/src/recent_submissions.ts
@@ -1,27 +1,27 @@
 /**
- * Takes up jobs that a holder reads only while it surely holds the cell.
- * Without this an old holder that still reads the log would start jobs beside
- * its successor, which looks for runs only of jobs that were there at the
- * takeover. A job that comes in doubt waits for an append that was sent after
- * it was read and is confirmed.
+ * Admits newly read jobs to the scheduler only while the holder is certain to
+ * hold the cell. Otherwise an old holder that still reads the log would start
+ * new jobs in parallel with its successor, which only searches for attempts of
+ * jobs that existed at the takeover. A job that is read while this is uncertain
+ * waits until an append that was sent after the read is confirmed.
  */
 import * as types from '@gypsumwall/types';
 import type * as jobTable from './job_table.js';
 import * as pauseDetector from './pause_detector.js';
 import * as failoverPolicy from './failover_policy.js';
 
-/** What decides whether a job is taken up. */
+/** Dependencies of the admission of jobs. */
 export interface RecentSubmissionsParts {
   readonly clock: types.clock.Clock;
-  /** Sending time of the holder's last append that was confirmed. */
+  /** When the holder's last confirmed append was sent. */
   readonly confirmedAt: () => types.clock.MonotonicMs;
-  readonly takeUp: (job: jobTable.JobEntry) => void;
+  readonly admit: (job: jobTable.JobEntry) => void;
 }
 
 /** Jobs that were read and may have to wait. */
 export interface RecentSubmissions {
   add(job: jobTable.JobEntry): void;
-  /** Takes up what was in doubt and isn't any more. */
+  /** Admits the waiting jobs for which the cell is now certain to be held. */
   tick(): void;
 }
 
@@ -30,28 +30,28 @@
   parts: RecentSubmissionsParts,
 ): RecentSubmissions {
   const {clock} = parts;
-  const suspension = pauseDetector.createPauseDetector(clock);
-  let inDoubt: {job: jobTable.JobEntry; at: types.clock.MonotonicMs}[] = [];
+  const detector = pauseDetector.createPauseDetector(clock);
+  let unconfirmed: {job: jobTable.JobEntry; at: types.clock.MonotonicMs}[] = [];
 
-  function isSure(readAt: types.clock.MonotonicMs): boolean {
+  function isConfirmed(readAt: types.clock.MonotonicMs): boolean {
     const confirmedAt = parts.confirmedAt();
-    if (confirmedAt <= suspension.lastNoticedAt()) return false;
+    if (confirmedAt <= detector.lastDetectedAt()) return false;
     if (confirmedAt >= readAt) return true;
-    return readAt - confirmedAt < failoverPolicy.FRESH_MS;
+    return readAt - confirmedAt < failoverPolicy.MAX_CONFIRMATION_AGE_MS;
   }
 
   return {
     add(job) {
       const at = clock.monotonic();
-      if (isSure(at)) parts.takeUp(job);
-      else inDoubt.push({job, at});
+      if (isConfirmed(at)) parts.admit(job);
+      else unconfirmed.push({job, at});
     },
     tick() {
-      const before = inDoubt;
-      inDoubt = [];
+      const before = unconfirmed;
+      unconfirmed = [];
       for (const entry of before) {
-        if (isSure(entry.at)) parts.takeUp(entry.job);
-        else inDoubt.push(entry);
+        if (isConfirmed(entry.at)) parts.admit(entry.job);
+        else unconfirmed.push(entry);
       }
     },
   };
--- a/packages/gypsumwall-cell/src/store_records.ts
+++ b/packages/gypsumwall-cell/src/store_records.ts
@@ -1,39 +1,42 @@
 /**
- * The records that a cell keeps in the store, as JSON under a key with a
- * letter for the kind. A record that can't be read, such as one of a newer
- * version, is kept and logged by whoever meets it.
+ * The records that a cell keeps in the store, as JSON under a key that starts
+ * with a prefix for the kind. A record that can't be decoded, such as one of a
+ * newer version, stays in the store, and its reader logs it.
  */
 import * as result from 'true-myth/result';
 import type * as scheduling from '@gypsumwall/scheduling';
 import * as types from '@gypsumwall/types';
 
-/** A job as it was accepted; the first of an id is the job. */
+/** A job as it was accepted; the first record of an ID defines the job. */
 export interface JobRecord {
   readonly request: scheduling.jobRequest.JobRequest;
   readonly policy: scheduling.jobRequest.QueuePolicy;
   readonly acceptedAt: types.clock.WallMs;
 }
 
-/** An entry that takes part, and where its peers reach it. */
+/** An entry of the cell, and the address at which its peers reach it. */
 export interface EntryRecord {
   readonly entryId: types.ids.EntryId;
   readonly address: string;
   readonly domain: types.ids.FailureDomain;
-  /** Processor of the instance, in cores; absent in older records. */
+  /** Processor capacity of the instance, in cores; absent in older records. */
   readonly cores?: number;
 }
 
-/** A claim on the cell, or its release. Its offset orders the claims. */
+/** A claim on the cell, or its release. Claims are ordered by their offsets. */
 export interface ClaimRecord {
   readonly holder: types.ids.EntryId;
-  /** Name of the holder's instance; outlives its process. */
+  /**
+   * Name of the holder's instance, which stays the same when its process
+   * restarts.
+   */
   readonly instance: string;
-  /** Rises by one with each claim. */
+  /** Increases by one with each claim. */
   readonly generation: number;
   readonly state: 'held' | 'released';
 }
 
-/** A worker that may hold runs of the cell. */
+/** A worker that may run attempts of the cell. */
 export interface UsedWorkerRecord {
   readonly info: scheduling.workerRegistry.WorkerInfo;
 }
@@ -53,7 +56,9 @@
   | {
       readonly kind: 'progress';
       readonly jobId: types.ids.JobId;
-      /** Known from here once the job's request has been dropped. */
+      /**
+       * The only source of the queue once the job's request has been dropped.
+       */
       readonly queue: string;
       readonly progress: scheduling.jobProgress.JobProgress | undefined;
     }
@@ -63,7 +68,7 @@
       readonly entry: EntryRecord | undefined;
     }
   | {readonly kind: 'claim'; readonly claim: ClaimRecord}
-  /** Only shows that the holder lives. */
+  /** Only shows that the holder is alive. */
   | {readonly kind: 'heartbeat'}
   | {
       readonly kind: 'used_worker';
@@ -71,10 +76,10 @@
       readonly worker: UsedWorkerRecord | undefined;
     };
 
-/** Version of the forms below; readers keep what is newer as it is. */
+/** Version of the encodings below; readers leave newer records unchanged. */
 const VERSION = 1;
 
-const LETTERS = {
+const KEY_PREFIXES = {
   job: 'j',
   cancel: 'c',
   progress: 's',
@@ -84,43 +89,46 @@
   used_worker: 'w',
 } as const;
 
-/** A record in the form of the store. */
+/** Encodes a record for the store. */
 export function encode(record: StoreRecord): {key: string; value: string} {
   switch (record.kind) {
     case 'job':
-      return {key: LETTERS.job + record.jobId, value: pack(record.job)};
+      return {key: KEY_PREFIXES.job + record.jobId, value: pack(record.job)};
     case 'cancel': {
       const value = record.dropped ? '' : pack({});
-      return {key: LETTERS.cancel + record.jobId, value};
+      return {key: KEY_PREFIXES.cancel + record.jobId, value};
     }
     case 'progress': {
       const {queue, progress} = record;
       const value = pack(progress && {queue, progress});
-      return {key: LETTERS.progress + record.jobId, value};
+      return {key: KEY_PREFIXES.progress + record.jobId, value};
     }
     case 'entry':
-      return {key: LETTERS.entry + record.instance, value: pack(record.entry)};
+      return {
+        key: KEY_PREFIXES.entry + record.instance,
+        value: pack(record.entry),
+      };
     case 'claim':
-      return {key: LETTERS.claim, value: pack(record.claim)};
+      return {key: KEY_PREFIXES.claim, value: pack(record.claim)};
     case 'heartbeat':
-      return {key: LETTERS.heartbeat, value: pack({})};
+      return {key: KEY_PREFIXES.heartbeat, value: pack({})};
     case 'used_worker': {
       const value = pack(record.worker);
-      return {key: LETTERS.used_worker + record.workerId, value};
+      return {key: KEY_PREFIXES.used_worker + record.workerId, value};
     }
   }
 }
 
-/** Ids of the records of one kind that have a value. */
+/** IDs of the records of one kind that have a value. */
 export function idsOf<Id extends types.ids.JobId | types.ids.WorkerId>(
   kind: 'job' | 'progress' | 'used_worker',
   entries: readonly {readonly key: string; readonly value: string}[],
 ): ReadonlySet<Id> {
-  const letter = LETTERS[kind];
+  const prefix = KEY_PREFIXES[kind];
   const ids = new Set<Id>();
   for (const {key, value} of entries) {
-    if (key.startsWith(letter) && value !== '')
-      ids.add(types.ids.brand(key.slice(letter.length)));
+    if (key.startsWith(prefix) && value !== '')
+      ids.add(types.ids.brand(key.slice(prefix.length)));
   }
   return ids;
 }
@@ -129,7 +137,7 @@
   return body === undefined ? '' : JSON.stringify({v: VERSION, ...body});
 }
 
-/** Reads a record; the error says in words what is wrong with it. */
+/** Decodes a record; the error describes what is wrong with it. */
 export function decode(
   key: string,
   value: string,
@@ -143,32 +151,32 @@
 
 function decodeKnown(key: string, value: string): StoreRecord {
   const body = unpack(value);
-  if (key === LETTERS.heartbeat) return {kind: 'heartbeat'};
-  if (key === LETTERS.claim) {
-    if (body === undefined) throw new Error('a claim without a value');
+  if (key === KEY_PREFIXES.heartbeat) return {kind: 'heartbeat'};
+  if (key === KEY_PREFIXES.claim) {
+    if (body === undefined) throw new Error('the claim has no value');
     return {kind: 'claim', claim: body as unknown as ClaimRecord};
   }
   const id = key.slice(1);
-  const letter = key.slice(0, 1);
-  switch (letter) {
-    case LETTERS.job:
+  const prefix = key.slice(0, 1);
+  switch (prefix) {
+    case KEY_PREFIXES.job:
       return {kind: 'job', jobId: types.ids.brand(id), job: cast(body)};
-    case LETTERS.cancel: {
+    case KEY_PREFIXES.cancel: {
       const jobId = types.ids.brand<types.ids.JobId>(id);
       return {kind: 'cancel', jobId, dropped: body === undefined};
     }
-    case LETTERS.progress:
+    case KEY_PREFIXES.progress:
       return decodeProgress(types.ids.brand(id), cast<ProgressBody>(body));
-    case LETTERS.entry:
+    case KEY_PREFIXES.entry:
       return {kind: 'entry', instance: id, entry: cast(body)};
-    case LETTERS.used_worker:
+    case KEY_PREFIXES.used_worker:
       return {
         kind: 'used_worker',
         workerId: types.ids.brand(id),
         worker: cast(body),
       };
     default:
-      throw new Error(`the key's kind isn't known`);
+      throw new Error(`unknown kind of key`);
   }
 }
 
@@ -189,12 +197,12 @@
   if (value === '') return undefined;
   const body = JSON.parse(value) as {v?: unknown} | null;
   if (body?.v !== VERSION) {
-    throw new Error(`version = ${String(body?.v)}: this program reads 1`);
+    throw new Error(`version = ${String(body?.v)}: this program supports 1`);
   }
   return body as {v: number};
 }
 
-/** Only this program writes these records, so their shape isn't checked. */
+/** Only this program writes these records, so their structure isn't checked. */
 function cast<Body>(body: object | undefined): Body | undefined {
   return body as Body | undefined;
 }
--- a/packages/gypsumwall-cell/src/worker_clock.ts
+++ b/packages/gypsumwall-cell/src/worker_clock.ts
@@ -1,46 +1,48 @@
 /**
- * What is known of a worker's clock, and from when on a lease on it has surely
- * passed. Each answer carries a reading; on receipt the worker's clock shows
- * that or more. Its rate may be slow by the given share.
+ * Estimates a worker's clock, and when a lease on it has expired for certain.
+ * Each answer contains a reading; when it arrives, the worker's clock shows
+ * that or more. The worker's clock may be slow by a limited rate.
  */
 import * as types from '@gypsumwall/types';
 
-/** A worker's clock may be this much slow, as the platform tells. */
-const SLOWEST_RATE = 0.98;
-/** For the granularity of timers on both sides; milliseconds. */
-const MARGIN_MS = 150;
+/** Minimum rate of a worker's clock, as specified by the platform. */
+const MIN_CLOCK_RATE = 0.98;
+/** Allowance for the granularity of timers on both sides; milliseconds. */
+const TIMER_MARGIN_MS = 150;
 
-/** One worker's clock and lease. */
+/** The clock and the lease of one worker. */
 export interface WorkerClock {
-  note(clockMs: number, now: types.clock.MonotonicMs): void;
-  /** A lower bound of what the clock shows; undefined before a reading. */
-  read(now: types.clock.MonotonicMs): number | undefined;
-  /** Notes a lease that was sent, whether or not it was answered. */
-  noteLease(until: number): void;
-  /** Whether every lease that was sent has surely passed. */
-  leasePassed(now: types.clock.MonotonicMs): boolean;
+  recordReading(clockMs: number, now: types.clock.MonotonicMs): void;
+  /**
+   * A lower bound of the worker's clock; undefined before the first reading.
+   */
+  lowerBound(now: types.clock.MonotonicMs): number | undefined;
+  /** Records a lease that was sent, whether or not it was answered. */
+  recordLease(until: number): void;
+  /** Whether every lease that was sent has expired for certain. */
+  hasLeaseExpired(now: types.clock.MonotonicMs): boolean;
 }
 
-/** Creates the view of a clock of which nothing is known. */
+/** Creates the estimate before the first reading. */
 export function createWorkerClock(): WorkerClock {
   let reading: {clockMs: number; at: types.clock.MonotonicMs} | undefined;
   let leaseUntil: number | undefined;
 
   return {
-    note(clockMs, now) {
+    recordReading(clockMs, now) {
       reading = {clockMs, at: now};
     },
-    read(now) {
+    lowerBound(now) {
       if (reading === undefined) return undefined;
-      return reading.clockMs + (now - reading.at) * SLOWEST_RATE;
+      return reading.clockMs + (now - reading.at) * MIN_CLOCK_RATE;
     },
-    noteLease(until) {
+    recordLease(until) {
       leaseUntil = Math.max(leaseUntil ?? 0, until);
     },
-    leasePassed(now) {
+    hasLeaseExpired(now) {
       if (leaseUntil === undefined) return true;
       if (reading === undefined) return false;
-      const elapsed = (now - reading.at - MARGIN_MS) * SLOWEST_RATE;
+      const elapsed = (now - reading.at - TIMER_MARGIN_MS) * MIN_CLOCK_RATE;
       return reading.clockMs + elapsed > leaseUntil;
     },
   };
--- a/packages/gypsumwall-cell/src/worker_roster.ts
+++ b/packages/gypsumwall-cell/src/worker_roster.ts
@@ -1,6 +1,7 @@
 /**
- * The holder's sessions: one for each stay of a worker that is listed or may
- * still hold runs. A worker is recorded as used before anything is sent to it.
+ * The holder's sessions: one for each incarnation of a worker that is listed or
+ * may still run attempts. A worker is stored as used before anything is sent to
+ * it.
  */
 import * as result from 'true-myth/result';
 import type * as scheduling from '@gypsumwall/scheduling';
@@ -13,28 +14,33 @@
 import type * as workerSession from './worker_session.js';
 
 /**
- * Time beside the stops themselves to empty a worker that leaves: the list is
- * read late, an order may have to be sent twice, and the ends have to be heard.
- * Whoever misses them waits for the lease to pass; milliseconds.
+ * Time needed to evacuate a leaving worker in addition to the stops themselves:
+ * the list is read late, an order may have to be sent twice, and the ended
+ * attempts must be reported. Tasks that don't make it wait for the lease to
+ * expire; milliseconds.
  */
 const EVACUATION_SLACK_MS = 1_000;
 /**
- * A worker that drops off the list while it answers is used on for so long:
- * after an outage of the store all entries may be missing, and come back
- * within two seconds; milliseconds.
+ * How long a worker is still used after it disappears from the list while it
+ * answers. After an outage of the store all workers may be missing from the
+ * list; they are back within two seconds; milliseconds.
  */
 const UNLISTED_GRACE_MS = 2_500;
 
 /**
- * A removal counts as the worker's own while its last entry can't be older than
- * this share of the time after which a silent one is removed.
+ * A removal counts as the worker's own as long as its last list entry is
+ * younger than this share of the time after which the list removes a silent
+ * worker.
  */
 const EXPIRY_MARGIN = 0.8;
 
-/** Faults remembered, so that each is told once; then told anew. */
-const MOST_UNREADABLE = 1_000;
+/**
+ * Number of remembered faults, each of which is logged once. Beyond it all are
+ * forgotten and logged again.
+ */
+const MAX_REPORTED_FAULTS = 1_000;
 
-/** What a roster is made with. */
+/** Options of a roster. */
 export interface RosterOptions {
   readonly clock: types.clock.Clock;
   readonly logger: telemetry.logger.Logger;
@@ -44,18 +50,22 @@
     value: string,
   ) => result.Result<ports.ListedWorker, string>;
   /**
-   * Whether any queue's tasks run in the pool. Workers of others aren't called:
-   * their entries may be another program's, and their addresses anyone's.
+   * Whether tasks of any queue run in the pool. Workers of other pools aren't
+   * called: their list entries may belong to another program, and their
+   * addresses to anyone.
    */
   readonly isUsedPool: (pool: string) => boolean;
-  /** The longest that a worker takes to stop a task; milliseconds. */
+  /** Maximum time that a worker takes to stop a task; milliseconds. */
   readonly longestStopMs: number;
   /**
-   * The list removes a worker when it has left, or when it was silent for this
-   * long; milliseconds. Undefined where the platform doesn't tell.
+   * The list removes a worker when it has left, or after this much silence;
+   * milliseconds. Undefined if the platform doesn't specify it.
    */
   readonly listExpiryMs: number | undefined;
-  /** A worker that had announced it has left: nothing runs there any more. */
+  /**
+   * A worker that had announced its departure has left: nothing runs there any
+   * more.
+   */
   readonly onLeft: (worker: types.ids.WorkerId) => void;
   readonly openSession: (
     worker: scheduling.workerRegistry.WorkerInfo,
@@ -63,7 +73,7 @@
   readonly write: (
     records: readonly storeRecords.StoreRecord[],
   ) => Promise<void>;
-  /** Resolves once all progress up to now stands in the store. */
+  /** Resolves once all progress until now is stored. */
   readonly flush: () => Promise<void>;
   readonly onChange: () => void;
 }
@@ -71,8 +81,8 @@
 /** The workers of a holder. */
 export interface WorkerRoster {
   /**
-   * Folds records of the platform's list, all written later than the time that
-   * is given; undefined if that isn't known.
+   * Applies records of the platform's list. All of them were written after the
+   * given moment; undefined if no such moment is known.
    */
   applyList(
     records: readonly ports.KeyedRecord[],
@@ -82,13 +92,16 @@
   /** Opens sessions to workers that an earlier holder used. */
   inherit(workers: Iterable<storeRecords.UsedWorkerRecord>): void;
   session(id: types.ids.WorkerId): workerSession.WorkerSession | undefined;
-  /** The stay is over. */
-  gone(id: types.ids.WorkerId): void;
-  /** The lease of a worker out of reach has passed. */
-  leasePassed(id: types.ids.WorkerId): void;
+  /** The incarnation has ended. */
+  onGone(id: types.ids.WorkerId): void;
+  /** The lease of an unreachable worker has expired. */
+  onLeaseExpired(id: types.ids.WorkerId): void;
   tick(now: types.clock.MonotonicMs): void;
-  /** All leases of earlier holders have passed: forgets who never answered. */
-  forgetSilent(): void;
+  /**
+   * All leases of earlier holders have expired: removes unlisted workers that
+   * never answered.
+   */
+  removeSilent(): void;
   reachableShare(): number;
   close(): void;
 }
@@ -97,35 +110,35 @@
   session: workerSession.WorkerSession;
   info: scheduling.workerRegistry.WorkerInfo;
   listed: boolean;
-  /** Its newest entry in the list is younger than this. */
+  /** The newest list entry of the worker was written after this moment. */
   writtenAfter?: logFollower.ClockReading;
-  /** When a worker that dropped off the list is used no more. */
+  /** When a worker that disappeared from the list is no longer used. */
   unusedAt?: types.clock.MonotonicMs;
-  /** From when on all that runs there is stopped. */
+  /** From this moment on, all attempts on the worker are stopped. */
   evacuateAt?: types.clock.MonotonicMs;
-  evacuating: boolean;
+  isEvacuating: boolean;
 }
 
 /** Creates an empty roster. */
 export function createWorkerRoster(options: RosterOptions): WorkerRoster {
   const {clock, logger, scheduler} = options;
   const entries = new Map<types.ids.WorkerId, Entry>();
-  /** What was wrong with entries that couldn't be read, by key. */
-  const unreadable = new Map<string, string>();
-  const silent = silentWorkers.createSilentWorkers(clock);
-  let closed = false;
+  /** Faults of list entries that couldn't be used, by key. */
+  const reportedFaults = new Map<string, string>();
+  const recentlySilent = silentWorkers.createSilentWorkers(clock);
+  let isClosed = false;
 
-  function open(
+  function addWorker(
     info: scheduling.workerRegistry.WorkerInfo,
     listed: boolean,
-    recorded: boolean,
+    isRecorded: boolean,
   ): Entry {
-    const crashed = silent.takeRestarted(info);
+    const crashed = recentlySilent.takeRestarted(info);
     if (crashed !== undefined) {
       scheduler.workerGone(crashed, 'crashed', clock.monotonic());
     }
     const session = options.openSession(info);
-    const entry: Entry = {info, listed, session, evacuating: false};
+    const entry: Entry = {info, listed, session, isEvacuating: false};
     entries.set(info.id, entry);
     logger.info('worker_found', {
       worker: info.id,
@@ -133,29 +146,32 @@
       domain: info.domain,
       cpuMillis: info.capacity.cpuMillis,
     });
-    void recordAndRun(entry, recorded);
+    void recordAndRun(entry, isRecorded);
     return entry;
   }
 
-  async function recordAndRun(entry: Entry, recorded: boolean): Promise<void> {
+  async function recordAndRun(
+    entry: Entry,
+    isRecorded: boolean,
+  ): Promise<void> {
     const {info} = entry;
-    if (!recorded) {
+    if (!isRecorded) {
       const worker = {info};
       await options.write([{kind: 'used_worker', workerId: info.id, worker}]);
     }
-    if (!closed && entries.get(info.id) === entry) await entry.session.run();
+    if (!isClosed && entries.get(info.id) === entry) await entry.session.run();
   }
 
-  function put(
+  function updateWorker(
     listed: ports.ListedWorker,
     writtenAfter?: logFollower.ClockReading,
   ): void {
     const {info, leavesInMs} = listed;
     if (!entries.has(info.id) && !options.isUsedPool(info.pool)) {
-      noteUnreadable(info.id, `pool = ${info.pool}: no queue runs there`);
+      reportUnreadable(info.id, `pool = ${info.pool}: no queue uses this pool`);
       return;
     }
-    const entry = entries.get(info.id) ?? open(info, true, false);
+    const entry = entries.get(info.id) ?? addWorker(info, true, false);
     if (info.draining && !entry.info.draining) {
       logger.info('worker_draining', {worker: info.id, leavesInMs});
       const neededMs = options.longestStopMs + EVACUATION_SLACK_MS;
@@ -165,7 +181,7 @@
     }
     if (!info.draining) {
       entry.evacuateAt = undefined;
-      entry.evacuating = false;
+      entry.isEvacuating = false;
     }
     entry.info = info;
     entry.writtenAfter = writtenAfter;
@@ -182,16 +198,20 @@
     entry.unusedAt = types.clock.after(clock.monotonic(), UNLISTED_GRACE_MS);
   }
 
-  /** How old an entry may be; one that was loaded, as old as the list keeps. */
+  /**
+   * Maximum age of a list entry. A loaded entry may be as old as the list's
+   * expiry.
+   */
   function entryAgeMs(writtenAfter?: logFollower.ClockReading): number {
     if (writtenAfter === undefined) return options.listExpiryMs ?? 0;
     return clock.monotonic() - writtenAfter.at;
   }
 
   /**
-   * The list drops a worker that has left, and one that is silent for so long,
-   * which may be cut off and run on. One that announced that it leaves and
-   * wrote its entry more lately than that can't have been dropped for silence.
+   * Whether a removed worker has left. The list removes a worker that has left,
+   * and also one that was silent for too long, which may be cut off and still
+   * run tasks. A worker that announced its departure and wrote its list entry
+   * more recently can't have been removed for silence.
    */
   function hasLeft(id: types.ids.WorkerId): boolean {
     const entry = entries.get(id);
@@ -205,27 +225,27 @@
     return entry.info.draining && silentMs < listExpiryMs * EXPIRY_MARGIN;
   }
 
-  function removed(id: types.ids.WorkerId): void {
+  function onRemoved(id: types.ids.WorkerId): void {
     if (!hasLeft(id)) {
       unlist(id);
       return;
     }
-    forget(id, 'left', 'as announced');
+    removeWorker(id, 'left', 'left as announced');
     options.onLeft(id);
   }
 
   /**
-   * Whoever writes a bad entry may write it every second: the log tells each
-   * fault once.
+   * Logs each fault once, because a bad list entry may be rewritten every
+   * second.
    */
-  function noteUnreadable(key: string, error: string): void {
-    if (unreadable.get(key) === error) return;
-    if (unreadable.size >= MOST_UNREADABLE) unreadable.clear();
-    unreadable.set(key, error);
+  function reportUnreadable(key: string, error: string): void {
+    if (reportedFaults.get(key) === error) return;
+    if (reportedFaults.size >= MAX_REPORTED_FAULTS) reportedFaults.clear();
+    reportedFaults.set(key, error);
     logger.warn('worker_unreadable', {key, error});
   }
 
-  function forget(
+  function removeWorker(
     id: types.ids.WorkerId,
     cause: scheduling.schedulerTypes.WorkerLoss,
     reason: string,
@@ -235,9 +255,10 @@
     logger.info('worker_gone', {worker: id, cause, reason});
     entries.delete(id);
     entry.session.close();
-    if (cause === 'silent') silent.note(entry.info);
+    if (cause === 'silent') recentlySilent.add(entry.info);
     scheduler.workerGone(id, cause, clock.monotonic());
-    // A successor that doesn't find the worker must find what its crash means.
+    // A successor that doesn't find the worker must find the consequences of
+    // its crash instead.
     void options.flush();
     void options.write([
       {kind: 'used_worker', workerId: id, worker: undefined},
@@ -248,20 +269,20 @@
   return {
     applyList(records, reloaded, writtenAfter) {
       if (reloaded) {
-        const named = new Set(records.map((record) => record.key));
-        for (const id of entries.keys()) if (!named.has(id)) unlist(id);
+        const listedKeys = new Set(records.map((record) => record.key));
+        for (const id of entries.keys()) if (!listedKeys.has(id)) unlist(id);
       }
       for (const {key, value} of records) {
         if (value === '') {
-          removed(types.ids.brand(key));
+          onRemoved(types.ids.brand(key));
           continue;
         }
         const decoded = options.decode(key, value);
         if (result.isOk(decoded)) {
-          put(decoded.value, reloaded ? undefined : writtenAfter);
+          updateWorker(decoded.value, reloaded ? undefined : writtenAfter);
           continue;
         }
-        noteUnreadable(key, decoded.error);
+        reportUnreadable(key, decoded.error);
         unlist(types.ids.brand(key));
       }
       options.onChange();
@@ -270,20 +291,24 @@
       for (const {info} of workers) {
         if (entries.has(info.id)) continue;
         scheduler.putWorker({...info, draining: true});
-        open(info, false, true);
+        addWorker(info, false, true);
       }
     },
     session: (id) => entries.get(id)?.session,
-    gone(id) {
+    onGone(id) {
       const announced = entries.get(id)?.info.draining === true;
       const cause = announced ? 'left' : 'crashed';
-      forget(id, cause, 'another stay answers there');
+      removeWorker(id, cause, 'another incarnation answers at its address');
     },
-    leasePassed(id) {
+    onLeaseExpired(id) {
       const entry = entries.get(id);
       if (entry === undefined) return;
       if (!entry.listed) {
-        forget(id, 'silent', 'off the list, and its lease has passed');
+        removeWorker(
+          id,
+          'silent',
+          'not on the list, and its lease has expired',
+        );
         return;
       }
       scheduler.leasePassed(id, clock.monotonic());
@@ -296,17 +321,21 @@
           scheduler.putWorker({...entry.info, draining: true});
         }
         if (entry.evacuateAt === undefined || now < entry.evacuateAt) continue;
-        if (!entry.evacuating) logger.info('worker_evacuated', {worker: id});
-        entry.evacuating = true;
-        // Runs of an earlier holder may be found there at any time.
+        if (!entry.isEvacuating) logger.info('worker_evacuated', {worker: id});
+        entry.isEvacuating = true;
+        // Attempts of an earlier holder may be found there at any time.
         scheduler.evacuate(id);
         options.onChange();
       }
     },
-    forgetSilent() {
+    removeSilent() {
       for (const [id, entry] of entries) {
         if (entry.listed || entry.session.hasReported()) continue;
-        forget(id, 'silent', 'it never answered, and every lease has passed');
+        removeWorker(
+          id,
+          'silent',
+          'never answered, and every lease has expired',
+        );
       }
     },
     reachableShare() {
@@ -316,7 +345,7 @@
       return reachable.length / listed.length;
     },
     close() {
-      closed = true;
+      isClosed = true;
       for (const entry of entries.values()) entry.session.close();
     },
   };
--- a/packages/gypsumwall-cell/src/worker_session.ts
+++ b/packages/gypsumwall-cell/src/worker_session.ts
@@ -1,35 +1,43 @@
 /**
- * The holder's task for one stay of a worker: it looks at the worker again and
- * again, renews its lease, hands on what it reports, and sends the orders.
+ * The holder's session with one incarnation of a worker: it polls the worker
+ * continuously, renews its lease, passes its reports to the scheduler, and
+ * sends the orders.
  */
 import * as events from 'node:events';
 import * as result from 'true-myth/result';
 import type * as scheduling from '@gypsumwall/scheduling';
 import type * as telemetry from '@gypsumwall/telemetry';
 import * as types from '@gypsumwall/types';
-import * as pollRetry from './poll_retry.js';
+import * as pollWithRetry from './poll_with_retry.js';
 import type * as ports from './ports.js';
 import * as workerClocks from './worker_clock.js';
 
-/** How long a worker may wait with its report if nothing ends; milliseconds. */
+/**
+ * How long a worker may hold back its answer to a poll if no attempt ends;
+ * milliseconds.
+ */
 const POLL_WAIT_MS = 700;
-/** Time for an answer beside the wait; a hundred times what is usual. */
+/**
+ * Timeout of an answer in addition to the wait, a hundred times the usual
+ * latency; milliseconds.
+ */
 const ANSWER_TIMEOUT_MS = 500;
 /**
- * Time for the answer to an order, thirty times what is usual. An order
- * without one is settled by a stop and a look, and its task starts elsewhere;
- * urgent tasks have some 500 ms to spare for all of it; milliseconds.
+ * Timeout of the answer to an order, thirty times the usual latency. An
+ * unanswered order is settled by a stop and a poll before its task starts
+ * elsewhere, and urgent tasks can spare about 500 ms for all of that;
+ * milliseconds.
  */
 const ORDER_TIMEOUT_MS = 250;
-/** Pause after a look without an answer; milliseconds. */
+/** Pause after an unanswered poll or stop; milliseconds. */
 const RETRY_PAUSE_MS = 150;
 /**
- * Pause while ends can't be stored: the worker then answers at once with the
- * same ends, and would be asked without pause; milliseconds.
+ * Pause while ended attempts can't be stored. The worker answers at once with
+ * the same ones, and would be polled without a pause otherwise; milliseconds.
  */
 const UNSTORED_PAUSE_MS = 200;
 
-/** What a session is made with. */
+/** Options of a session. */
 export interface SessionOptions {
   readonly worker: scheduling.workerRegistry.WorkerInfo;
   readonly link: ports.WorkerLink;
@@ -40,72 +48,78 @@
   readonly logger: telemetry.logger.Logger;
   readonly scheduler: scheduling.schedulerTypes.Scheduler;
   /** The longest lease that a worker grants, in milliseconds. */
-  readonly longestLeaseMs: number;
-  /** Whether leases may be renewed, see the holder. */
+  readonly maxLeaseMs: number;
+  /** Whether the holder may renew leases now. */
   readonly mayRenew: () => boolean;
-  /** When this process surely held the cell for the last time. */
+  /** The last moment at which this process is known to have held the cell. */
   readonly confirmedAt: () => types.clock.MonotonicMs;
-  /** Something to decide about has changed. */
+  /** Called when a new scheduling cycle is needed. */
   readonly onChange: () => void;
-  /** Resolves when all that was reported so far is stored. */
-  readonly stored: () => Promise<void>;
-  /** The worker has answered under our token for the first time. */
+  /** Resolves once everything reported so far is stored. */
+  readonly flush: () => Promise<void>;
+  /** The worker has answered under this holder's token for the first time. */
   readonly onFirstReport: () => void;
   readonly onFenced: () => void;
   readonly onGone: () => void;
-  /** The lease passed while the worker didn't answer. */
-  readonly onLeasePassed: () => void;
+  /** The lease expired while the worker didn't answer. */
+  readonly onLeaseExpired: () => void;
 }
 
-/** The task of one worker. */
+/** The session with one worker. */
 export interface WorkerSession {
   readonly workerId: types.ids.WorkerId;
   run(): Promise<void>;
   start(order: scheduling.schedulerTypes.StartOrder): Promise<void>;
-  stopRun(run: scheduling.activeJob.Attempt): Promise<void>;
-  /** Whether the worker has answered lately. */
+  stopAttempt(attempt: scheduling.activeJob.Attempt): Promise<void>;
+  /**
+   * Whether the worker is reachable: false from an unanswered poll or start
+   * until its next report.
+   */
   isReachable(): boolean;
-  /** Whether it has ever answered in this session. */
+  /** Whether the worker has ever answered in this session. */
   hasReported(): boolean;
   close(): void;
 }
 
-/** Creates a session; `run` starts it. */
+/** Creates a session; it does nothing until `run` is called. */
 export function createWorkerSession(options: SessionOptions): WorkerSession {
   const {worker, link, token, clock, logger, scheduler} = options;
   const closing = new AbortController();
-  // Each stop on its way waits on the signal by itself.
+  // Every stop in flight adds its own listener to the signal.
   events.EventEmitter.setMaxListeners(0, closing.signal);
   const workerClock = workerClocks.createWorkerClock();
-  let reachable = false;
-  let reported = false;
+  let isReachable = false;
+  let hasReported = false;
   let lastSequence = 0;
   let lastAskedAt = 0 as types.clock.MonotonicMs;
   let acknowledged = 0;
-  let storing = false;
+  let isStoring = false;
 
-  function setReachable(now: boolean, reason: string): void {
-    if (reachable === now) return;
-    reachable = now;
-    scheduler.setUsable(worker.id, now, clock.monotonic());
-    const event = now ? 'dependency_regained' : 'dependency_lost';
+  function setReachable(reachable: boolean, reason: string): void {
+    if (isReachable === reachable) return;
+    isReachable = reachable;
+    scheduler.setUsable(worker.id, reachable, clock.monotonic());
+    const event = reachable ? 'dependency_regained' : 'dependency_lost';
     logger.info(event, {dependency: 'worker', worker: worker.id, reason});
     options.onChange();
   }
 
-  function nextLease(): number | undefined {
-    const now = workerClock.read(clock.monotonic());
+  function extendLease(): number | undefined {
+    const now = workerClock.lowerBound(clock.monotonic());
     if (now === undefined || !options.mayRenew()) return undefined;
     const until = Math.floor(now + options.leaseMs());
-    workerClock.noteLease(until);
+    workerClock.recordLease(until);
     return until;
   }
 
   /**
-   * Looks once more, beside the look that waits for the next end: a run that
-   * never came up has no end, and its task would wait for the other look.
+   * Polls once more, in parallel with the poll that waits for the next ended
+   * attempt. An attempt that never started doesn't end, so its task would wait
+   * for the other poll.
    */
-  async function settle(run: scheduling.activeJob.Attempt): Promise<void> {
+  async function pollAfterStop(
+    attempt: scheduling.activeJob.Attempt,
+  ): Promise<void> {
     await pause(1);
     const askedAt = clock.monotonic();
     const answer = await link.poll({
@@ -116,29 +130,33 @@
     });
     if (closing.signal.aborted || result.isErr(answer)) return;
     if (answer.value.type !== 'report') return;
-    logger.debug('run_settled', {task: run.taskId, attempt: run.number});
+    logger.debug('run_settled', {
+      task: attempt.taskId,
+      attempt: attempt.number,
+    });
     await applyReport(answer.value, askedAt);
   }
 
-  async function look(): Promise<void> {
-    // The first look must come back at once: it brings the clock. So must one
-    // at a worker that was out of reach: until it does, nothing starts there.
-    const waitMs = reachable && !storing ? POLL_WAIT_MS : 0;
-    // A worker out of reach gets no new lease: a look that seems lost may
-    // arrive late, so its lease would never surely pass.
-    // Nor does an idle one: a long lease without need would outlast a task that
+  async function poll(): Promise<void> {
+    // The first poll must return at once, because it reads the worker's clock.
+    // So must a poll of an unreachable worker, since nothing starts there until
+    // it answers.
+    const waitMs = isReachable && !isStoring ? POLL_WAIT_MS : 0;
+    // An unreachable worker gets no new lease: a poll that seems lost may
+    // arrive late, and then the lease would never expire for certain. Neither
+    // does an idle worker: an unneeded long lease would outlast a task that
     // starts there later.
-    const needsLease = reachable && !scheduler.isIdle(worker.id);
-    const leaseUntil = needsLease ? nextLease() : undefined;
+    const needsLease = isReachable && !scheduler.isIdle(worker.id);
+    const leaseUntil = needsLease ? extendLease() : undefined;
     const timeoutMs = waitMs + ANSWER_TIMEOUT_MS;
-    const {answer, askedAt} = await pollRetry.pollRetry(
+    const {answer, askedAt} = await pollWithRetry.pollWithRetry(
       link,
       {token, acknowledged, leaseUntil, waitMs, timeoutMs},
       clock,
     );
     if (closing.signal.aborted) return;
     if (result.isErr(answer)) {
-      await lookFailed(answer.error);
+      await onPollFailed(answer.error);
       return;
     }
     switch (answer.value.type) {
@@ -156,12 +174,13 @@
     }
   }
 
-  async function lookFailed(err: types.stepError.StepError): Promise<void> {
+  async function onPollFailed(err: types.stepError.StepError): Promise<void> {
     setReachable(false, types.stepError.describeError(err));
     scheduler.outOfReach(worker.id);
-    // A successor may have renewed a lease that passes after that.
-    if (reported && workerClock.leasePassed(options.confirmedAt())) {
-      options.onLeasePassed();
+    // Only leases that expired before the last confirmed append count: a
+    // successor may have renewed one that expires later.
+    if (hasReported && workerClock.hasLeaseExpired(options.confirmedAt())) {
+      options.onLeaseExpired();
     }
     await pause(RETRY_PAUSE_MS);
   }
@@ -170,15 +189,17 @@
     report: Extract<ports.PollAnswer, {type: 'report'}>,
     askedAt: types.clock.MonotonicMs,
   ): Promise<void> {
-    // Answers may overtake each other. What this one told is told again.
+    // Answers may arrive out of order; the newer answer repeats what this one
+    // reports.
     if (askedAt < lastAskedAt) return;
     lastAskedAt = askedAt;
     const now = clock.monotonic();
-    workerClock.note(report.clockMs, now);
-    // An earlier holder may have given a longer lease than this one does, and
-    // none after this answer, since the worker refuses its token by now.
-    if (!reported && report.running.length > 0) {
-      workerClock.noteLease(report.clockMs + options.longestLeaseMs);
+    workerClock.recordReading(report.clockMs, now);
+    // An earlier holder may have granted a longer lease than this one does. It
+    // can't grant one after this answer, because the worker now refuses its
+    // token.
+    if (!hasReported && report.running.length > 0) {
+      workerClock.recordLease(report.clockMs + options.maxLeaseMs);
     }
     const ends = report.ends.filter((end) => end.sequence > lastSequence);
     for (const end of ends) lastSequence = Math.max(lastSequence, end.sequence);
@@ -189,21 +210,24 @@
       now,
     );
     setReachable(true, 'answered');
-    if (!reported) {
-      reported = true;
+    if (!hasReported) {
+      hasReported = true;
       options.onFirstReport();
     }
     options.onChange();
-    if (ends.length > 0 || storing) await acknowledge();
+    if (ends.length > 0 || isStoring) await acknowledge();
   }
 
-  /** Ends are stored before they are acknowledged: then they are forgotten. */
+  /**
+   * Acknowledges ended attempts once they are stored; the worker then forgets
+   * them.
+   */
   async function acknowledge(): Promise<void> {
     const upTo = lastSequence;
-    storing = true;
-    const done = options.stored().then(() => {
+    isStoring = true;
+    const done = options.flush().then(() => {
       acknowledged = Math.max(acknowledged, upTo);
-      storing = acknowledged < lastSequence;
+      isStoring = acknowledged < lastSequence;
     });
     await Promise.race([done, pause(UNSTORED_PAUSE_MS)]);
   }
@@ -215,9 +239,9 @@
     answer: result.Result<ports.OrderAnswer, types.stepError.StepError>,
   ): scheduling.schedulerTypes.StartOutcome {
     if (result.isErr(answer)) {
-      // Until the stop that follows is answered, or a look, nothing more is
-      // sent there: a task sent into a cut is held for as long as its lease,
-      // and the looks tell of a cut up to 1.2 s later.
+      // Nothing more is sent there until the following stop or a poll is
+      // answered. A task that is sent into a network cut is blocked for as long
+      // as its lease, and polls detect a cut up to 1.2 s late.
       setReachable(false, types.stepError.describeError(answer.error));
       if (answer.error.effect === 'unknown') return {type: 'unknown'};
       return {type: 'refused', reason: 'other'};
@@ -243,20 +267,20 @@
   return {
     workerId: worker.id,
     async run() {
-      while (!closing.signal.aborted) await look();
+      while (!closing.signal.aborted) await poll();
     },
     async start(order) {
-      const {attempt: run, payload, checkpoint, ticket} = order;
-      const leaseUntil = nextLease();
+      const {attempt, payload, checkpoint, ticket} = order;
+      const leaseUntil = extendLease();
       if (leaseUntil === undefined) {
         const refused = {type: 'refused', reason: 'other'} as const;
-        scheduler.startAnswered(run, refused, clock.monotonic());
+        scheduler.startAnswered(attempt, refused, clock.monotonic());
         return;
       }
       const sentAt = clock.monotonic();
       const answer = await link.start({
-        taskId: run.taskId,
-        attempt: run.number,
+        taskId: attempt.taskId,
+        attempt: attempt.number,
         payload,
         checkpoint,
         ticket,
@@ -266,10 +290,10 @@
       });
       if (closing.signal.aborted) return;
       const outcome = startOutcome(answer);
-      scheduler.startAnswered(run, outcome, clock.monotonic());
+      scheduler.startAnswered(attempt, outcome, clock.monotonic());
       logger.info('start_answered', {
-        task: run.taskId,
-        attempt: run.number,
+        task: attempt.taskId,
+        attempt: attempt.number,
         worker: worker.id,
         outcome: outcome.type === 'refused' ? outcome.reason : outcome.type,
         tookMs: Math.round(clock.monotonic() - sentAt),
@@ -279,15 +303,15 @@
       });
       options.onChange();
     },
-    async stopRun(run) {
+    async stopAttempt(target) {
       while (!closing.signal.aborted) {
-        const {taskId, number: attempt} = run;
+        const {taskId, number: attempt} = target;
         const timeoutMs = ORDER_TIMEOUT_MS;
         const answer = await link.stop({taskId, attempt, token, timeoutMs});
         if (result.isOk(answer)) {
           if (answer.value.type === 'accepted') {
-            scheduler.stopAnswered(run, clock.monotonic());
-            await settle(run);
+            scheduler.stopAnswered(target, clock.monotonic());
+            await pollAfterStop(target);
             return;
           }
           if (answer.value.type !== 'refused') return;
@@ -295,8 +319,8 @@
         await pause(RETRY_PAUSE_MS);
       }
     },
-    isReachable: () => reachable,
-    hasReported: () => reported,
+    isReachable: () => isReachable,
+    hasReported: () => hasReported,
     close,
   };
 }
