--- a/packages/gypsumwall-placement/src/__fixtures__/specs.ts
+++ b/packages/gypsumwall-placement/src/__fixtures__/specs.ts
@@ -3,12 +3,12 @@
 import type * as placer from '../placer.js';
 
 /** A moment of the virtual wall clock. */
-export function at(ms: number): types.clock.WallMs {
+export function wallMs(ms: number): types.clock.WallMs {
   return ms as types.clock.WallMs;
 }
 
 /** Whole cores, mebibytes and accelerators. */
-export function room(
+export function resources(
   cores: number,
   memoryMb = cores * 1024,
   accelerators = 0,
@@ -19,7 +19,7 @@
 /** Worker number `n`; eight to a rack. */
 export function worker(
   n: number,
-  capacity = room(8, 32_768),
+  capacity = resources(8, 32_768),
 ): placer.PlacerWorker {
   return {
     id: types.ids.brand(`worker-${n}`),
@@ -36,7 +36,7 @@
   return {
     id: types.ids.brand(name),
     weight: 1,
-    quota: room(1e6, 1e9, 1e6),
+    quota: resources(1e6, 1e9, 1e6),
     packing: 0.5,
     ...fields,
   };
@@ -51,7 +51,7 @@
     shape: {kind: 'batch', tasks: 1},
     jobClass: 'plan',
     urgency: 'normal',
-    size: room(1),
+    size: resources(1),
     estimateMs: 1000,
     work: {command: 'run', args: {}},
     ...fields,
@@ -68,7 +68,7 @@
   return {
     jobId: types.ids.brand(name),
     spec: jobSpec,
-    acceptedAt: at(acceptedAt),
+    acceptedAt: wallMs(acceptedAt),
     waiting: Array.from({length: count}, (_, index) => index),
   };
 }
--- a/packages/gypsumwall-placement/src/__tests__/admission.test.ts
+++ b/packages/gypsumwall-placement/src/__tests__/admission.test.ts
@@ -9,13 +9,13 @@
   waitingJobs = 0,
 ): string | undefined {
   const policy = createPlacer.createPlacer({maxWaitingJobs: 10});
-  policy.setTeam(specs.team('plans', {quota: specs.room(100, 1e6)}));
+  policy.setTeam(specs.team('plans', {quota: specs.resources(100, 1e6)}));
   policy.setWorker(specs.worker(0));
   policy.setWorker(specs.worker(1));
   for (let n = 0; n < waitingJobs; n += 1) {
     policy.enqueue(specs.queued(`a.${n}`));
   }
-  return policy.admit(specs.spec(fields), specs.at(1000))?.reason;
+  return policy.admit(specs.spec(fields), specs.wallMs(1000))?.reason;
 }
 
 nodeTest.describe('admit', () => {
@@ -25,7 +25,7 @@
       ['takes what fits', {}, undefined],
       [
         'refuses a task no worker can hold',
-        {size: specs.room(9)},
+        {size: specs.resources(9)},
         'can_never_run',
       ],
       ['takes a gang that fills the domain', {shape: gang(16)}, undefined],
@@ -33,18 +33,18 @@
       ['refuses beyond the quota', {shape: gang(101)}, 'over_quota'],
       [
         'refuses a passed deadline',
-        {deadline: specs.at(1000)},
+        {deadline: specs.wallMs(1000)},
         'deadline_passed',
       ],
       [
         'refuses a deadline before a run can end',
-        {deadline: specs.at(1500)},
+        {deadline: specs.wallMs(1500)},
         'deadline_unreachable',
       ],
-      ['takes one after it', {deadline: specs.at(2500)}, undefined],
+      ['takes one after it', {deadline: specs.wallMs(2500)}, undefined],
       [
         'refuses more work than fits before the deadline',
-        {deadline: specs.at(11_000), shape: {kind: 'batch', tasks: 1000}},
+        {deadline: specs.wallMs(11_000), shape: {kind: 'batch', tasks: 1000}},
         'deadline_unreachable',
       ],
     ];
@@ -57,7 +57,7 @@
     assert.equal(refusalOf({urgency: 'overnight'}, 6), 'overloaded');
     const policy = createPlacer.createPlacer({maxWaitingJobs: 1});
     policy.enqueue(specs.queued('a.1'));
-    const refusal = policy.admit(specs.spec(), specs.at(0));
+    const refusal = policy.admit(specs.spec(), specs.wallMs(0));
     assert.ok((refusal?.retryAfterMs ?? 0) >= 1000);
   });
 
--- a/packages/gypsumwall-placement/src/__tests__/create_placer.test.ts
+++ b/packages/gypsumwall-placement/src/__tests__/create_placer.test.ts
@@ -7,7 +7,7 @@
 
 function placerWith(
   workers: number,
-  capacity = specs.room(8, 32_768),
+  capacity = specs.resources(8, 32_768),
 ): placer.Placer {
   const made = createPlacer.createPlacer();
   for (let n = 0; n < workers; n += 1) {
@@ -17,7 +17,7 @@
 }
 
 function decide(policy: placer.Placer, now: number): placer.Placement[] {
-  return [...policy.decide(specs.at(now), 1000).placements];
+  return [...policy.decide(specs.wallMs(now), 1000).placements];
 }
 
 function jobsOf(placements: readonly placer.Placement[]): string[] {
@@ -29,14 +29,17 @@
     // A pilot files at 0 for a departure at 60 s, with a run of 10 s at most.
     // Later filers with nearer deadlines keep the one worker busy. Ordered by
     // deadline alone the early one would be passed until it is too late.
-    const policy = placerWith(1, specs.room(1));
-    const early = specs.spec({estimateMs: 2500, deadline: specs.at(60_000)});
+    const policy = placerWith(1, specs.resources(1));
+    const early = specs.spec({
+      estimateMs: 2500,
+      deadline: specs.wallMs(60_000),
+    });
     policy.enqueue(specs.queued('a.early', early));
     let startedAt: number | undefined;
     for (let now = 0; now < 60_000 && startedAt === undefined; now += 2500) {
       const late = specs.spec({
         estimateMs: 2500,
-        deadline: specs.at(now + 15_000),
+        deadline: specs.wallMs(now + 15_000),
       });
       policy.enqueue(specs.queued(`a.${now}`, late, now));
       for (const each of decide(policy, now)) {
@@ -48,7 +51,7 @@
   });
 
   nodeTest.it('starts urgent work before the rest and shares by weight', () => {
-    const policy = placerWith(3, specs.room(4));
+    const policy = placerWith(3, specs.resources(4));
     policy.setTeam(specs.team('big', {weight: 2}));
     policy.setTeam(specs.team('small', {weight: 1}));
     for (const name of ['big', 'small']) {
@@ -65,7 +68,7 @@
 
   nodeTest.it('holds quotas and goes on when a task ends', () => {
     const policy = placerWith(1);
-    policy.setTeam(specs.team('plans', {quota: specs.room(2, 65_536)}));
+    policy.setTeam(specs.team('plans', {quota: specs.resources(2, 65_536)}));
     const three = specs.spec({shape: {kind: 'batch', tasks: 3}});
     policy.enqueue(specs.queued('a.1', three));
     const placed = decide(policy, 0);
@@ -82,11 +85,11 @@
     () => {
       const policy = placerWith(1);
       policy.setTeam(specs.team('plans', {packing: 1}));
-      const spec = specs.spec({size: specs.room(4, 1024)});
+      const spec = specs.spec({size: specs.resources(4, 1024)});
       for (let run = 0; run < 20; run += 1) {
         policy.enqueue(specs.queued(`a.${run}`, spec));
         const [placed] = decide(policy, run);
-        policy.reportUsage(placed!.taskId, specs.room(1, 256));
+        policy.reportUsage(placed!.taskId, specs.resources(1, 256));
         policy.release(placed!.taskId, {type: 'done', ranMs: 100});
       }
       const many = {...spec, shape: {kind: 'batch' as const, tasks: 20}};
@@ -98,12 +101,12 @@
   );
 
   nodeTest.it('books memory that was seen to pass the declared', () => {
-    const policy = placerWith(1, specs.room(64, 8192));
-    const spec = specs.spec({size: specs.room(1, 1024)});
+    const policy = placerWith(1, specs.resources(64, 8192));
+    const spec = specs.spec({size: specs.resources(1, 1024)});
     for (let run = 0; run < 20; run += 1) {
       policy.enqueue(specs.queued(`a.${run}`, spec));
       const [placed] = decide(policy, run);
-      policy.reportUsage(placed!.taskId, specs.room(1, 4096));
+      policy.reportUsage(placed!.taskId, specs.resources(1, 4096));
       policy.release(placed!.taskId, {type: 'done', ranMs: 100});
     }
     const many = {...spec, shape: {kind: 'batch' as const, tasks: 20}};
@@ -116,13 +119,13 @@
   nodeTest.it('gets room kept for it when small tasks would pass it', () => {
     // Small tasks fill every gap as it opens. Without a reservation there is
     // never room for all tasks of the gang at once and it waits for good.
-    const policy = placerWith(4, specs.room(4));
+    const policy = placerWith(4, specs.resources(4));
     const small = specs.spec({shape: {kind: 'batch', tasks: 100_000}});
     policy.enqueue(specs.queued('a.small', small));
     const running = decide(policy, 0);
     const gang = specs.spec({
       shape: {kind: 'gang', tasks: 4},
-      size: specs.room(3),
+      size: specs.resources(3),
     });
     policy.enqueue(specs.queued('a.gang', gang, 1));
     let gangAt: number | undefined;
@@ -139,10 +142,10 @@
   });
 
   nodeTest.it('two gangs that each need most workers run in turn', () => {
-    const policy = placerWith(4, specs.room(4));
+    const policy = placerWith(4, specs.resources(4));
     const gang = specs.spec({
       shape: {kind: 'gang', tasks: 3},
-      size: specs.room(4),
+      size: specs.resources(4),
     });
     policy.enqueue(specs.queued('a.1', gang));
     policy.enqueue(specs.queued('a.2', gang));
@@ -176,7 +179,7 @@
     const bad = specs.worker(2).id;
     let now = 0;
     let onBad = 0;
-    const round = (broken: boolean) => {
+    const runCycle = (broken: boolean) => {
       policy.enqueue(specs.queued(`a.${now}`, specs.spec(), now));
       for (const each of decide(policy, now)) {
         if (each.workerId === bad) onBad += 1;
@@ -190,10 +193,10 @@
       }
       now += 10;
     };
-    for (let n = 0; n < 500; n += 1) round(true);
+    for (let n = 0; n < 500; n += 1) runCycle(true);
     assert.ok(onBad <= 3, `${onBad} tasks went to the bad worker`);
     now += 60_000;
-    for (let n = 0; n < 500; n += 1) round(false);
+    for (let n = 0; n < 500; n += 1) runCycle(false);
     assert.ok(onBad > 20, `only ${onBad} tasks after it was mended`);
   });
 
@@ -215,7 +218,7 @@
   nodeTest.it('keeps a sound job whose tasks fail on one bad worker', () => {
     // Eight tasks of a job start at once on a worker that fails them all. The
     // job is kept off that worker and runs on the other one.
-    const policy = placerWith(2, specs.room(8));
+    const policy = placerWith(2, specs.resources(8));
     const bad = specs.worker(0).id;
     const many = specs.spec({shape: {kind: 'batch', tasks: 16}});
     const job = specs.queued('a.1', many);
@@ -255,7 +258,7 @@
   nodeTest.it(
     'drops a wave of 10,000 cancelled jobs and places the rest',
     () => {
-      const policy = placerWith(1, specs.room(1));
+      const policy = placerWith(1, specs.resources(1));
       for (let n = 0; n < 10_001; n += 1)
         policy.enqueue(specs.queued(`a.${n}`));
       for (let n = 0; n < 10_000; n += 1)
@@ -279,7 +282,7 @@
 
 nodeTest.describe('relief', () => {
   nodeTest.it('checkpoints overnight work for urgent work that waits', () => {
-    const policy = placerWith(2, specs.room(4));
+    const policy = placerWith(2, specs.resources(4));
     const night = specs.spec({
       urgency: 'overnight',
       shape: {kind: 'batch', tasks: 8},
@@ -288,7 +291,7 @@
     assert.equal(decide(policy, 0).length, 8);
     policy.enqueue(specs.queued('a.now', specs.spec({urgency: 'urgent'}), 10));
     decide(policy, 10);
-    const {reliefs} = policy.decide(specs.at(300), 10);
+    const {reliefs} = policy.decide(specs.wallMs(300), 10);
     assert.equal(reliefs.length, 1);
     assert.equal(reliefs[0]?.type, 'checkpoint');
     policy.release(reliefs[0].taskId, {type: 'stopped'});
@@ -296,19 +299,19 @@
   });
 
   nodeTest.it('throttles the least urgent when processors are passed', () => {
-    const policy = placerWith(1, specs.room(4));
+    const policy = placerWith(1, specs.resources(4));
     const night = specs.spec({urgency: 'overnight'});
     policy.enqueue(specs.queued('a.night', night));
     policy.enqueue(specs.queued('a.day', specs.spec()));
     const placed = decide(policy, 0);
     for (const each of placed)
-      policy.reportUsage(each.taskId, specs.room(3, 1024));
-    const {reliefs} = policy.decide(specs.at(1), 10);
+      policy.reportUsage(each.taskId, specs.resources(3, 1024));
+    const {reliefs} = policy.decide(specs.wallMs(1), 10);
     assert.deepEqual(reliefs, [
       {type: 'throttle', taskId: 'a.night/0', cpuMillis: 1000},
     ]);
     policy.release(types.ids.brand('a.day/0'), {type: 'done', ranMs: 1});
-    const lifted = policy.decide(specs.at(2), 10).reliefs;
+    const lifted = policy.decide(specs.wallMs(2), 10).reliefs;
     assert.deepEqual(lifted, [
       {type: 'throttle', taskId: 'a.night/0', cpuMillis: 0},
     ]);
--- a/packages/gypsumwall-placement/src/__tests__/placer_invariants.test.ts
+++ b/packages/gypsumwall-placement/src/__tests__/placer_invariants.test.ts
@@ -12,13 +12,13 @@
 import type * as placer from '../placer.js';
 
 const WORKERS = 6;
-const CAPACITY = specs.room(8, 8192, 2);
-const QUOTA = specs.room(30, 30_000, 6);
+const CAPACITY = specs.resources(8, 8192, 2);
+const QUOTA = specs.resources(30, 30_000, 6);
 
 type Step =
   | {type: 'enqueue'; spec: types.job.JobSpec}
-  | {type: 'decide'; limit: number; passMs: number}
-  | {type: 'release'; pick: number; how: placer.RunReport['type']}
+  | {type: 'decide'; limit: number; advanceMs: number}
+  | {type: 'release'; pick: number; report: placer.RunReport['type']}
   | {type: 'usage'; pick: number; factor: number}
   | {type: 'close' | 'open'; worker: number}
   | {type: 'cancel'; pick: number}
@@ -40,12 +40,12 @@
   fc.record({
     type: fc.constant('decide' as const),
     limit: fc.integer({min: 1, max: 20}),
-    passMs: fc.integer({min: 0, max: 5000}),
+    advanceMs: fc.integer({min: 0, max: 5000}),
   }),
   fc.record({
     type: fc.constant('release' as const),
     pick: fc.nat(50),
-    how: fc.constantFrom('done', 'failed', 'not_started', 'stopped'),
+    report: fc.constantFrom('done', 'failed', 'not_started', 'stopped'),
   }),
   fc.record({
     type: fc.constant('usage' as const),
@@ -83,8 +83,9 @@
     shape,
     jobClass: made.kind,
     urgency: made.urgency as types.job.Urgency,
-    size: specs.room(made.cores, made.memoryMb, made.accelerators),
-    deadline: made.deadline === undefined ? undefined : specs.at(made.deadline),
+    size: specs.resources(made.cores, made.memoryMb, made.accelerators),
+    deadline:
+      made.deadline === undefined ? undefined : specs.wallMs(made.deadline),
   });
 }
 
@@ -101,9 +102,9 @@
 }
 
 /** Runs the steps and checks every placement against books kept apart. */
-function check(
+function checkInvariants(
   make: () => placer.Placer,
-  held: (used: number, quota: number) => void,
+  checkQuota: (used: number, quota: number) => void,
   steps: readonly Step[],
 ): void {
   const policy = make();
@@ -128,17 +129,17 @@
         break;
       }
       case 'decide': {
-        now += step.passMs;
-        const {placements} = policy.decide(specs.at(now), step.limit);
-        takePlacements(placements, waiting, running, closed);
+        now += step.advanceMs;
+        const {placements} = policy.decide(specs.wallMs(now), step.limit);
+        recordPlacements(placements, waiting, running, closed);
         break;
       }
       case 'release': {
         const task = tasks[step.pick % Math.max(1, tasks.length)];
         if (task === undefined) break;
         running.delete(task.taskId);
-        policy.release(task.taskId, reportOf(step.how));
-        if (step.how !== 'done') queueAgain(policy, task, waiting);
+        policy.release(task.taskId, reportOf(step.report));
+        if (step.report !== 'done') requeue(policy, task, waiting);
         break;
       }
       case 'usage': {
@@ -166,7 +167,7 @@
         adopt(policy, step, running, made++);
         break;
     }
-    checkWorkers(running, held);
+    checkAllocations(running, checkQuota);
   }
 }
 
@@ -177,7 +178,7 @@
   n: number,
 ): void {
   const workerId = specs.worker(step.worker).id;
-  const size = specs.room(step.cores);
+  const size = specs.resources(step.cores);
   const there = [...running.values()].filter((t) => t.workerId === workerId);
   const sum = there.reduce((all, t) => types.resources.add(all, t.size), size);
   // What is found running fits: the worker took it once.
@@ -189,7 +190,7 @@
 }
 
 /** A task that didn't finish waits again, as its holder would have it. */
-function queueAgain(
+function requeue(
   policy: placer.Placer,
   task: placer.HeldTask,
   waiting: ReadonlyMap<types.ids.JobId, types.job.JobSpec>,
@@ -197,11 +198,11 @@
   const {jobId, index} = types.ids.splitTaskId(task.taskId);
   // A gang starts again as a whole, which this test leaves out.
   if (!waiting.has(jobId) || task.spec.shape.kind === 'gang') return;
-  const acceptedAt = specs.at(0);
+  const acceptedAt = specs.wallMs(0);
   policy.enqueue({jobId, spec: task.spec, acceptedAt, waiting: [index]});
 }
 
-function takePlacements(
+function recordPlacements(
   placements: readonly placer.Placement[],
   waiting: ReadonlyMap<types.ids.JobId, types.job.JobSpec>,
   running: Map<types.ids.TaskId, placer.HeldTask>,
@@ -225,7 +226,7 @@
   }
 }
 
-function checkWorkers(
+function checkAllocations(
   running: ReadonlyMap<types.ids.TaskId, placer.HeldTask>,
   held: (used: number, quota: number) => void,
 ): void {
@@ -247,7 +248,7 @@
 }
 
 /** Adopted tasks belong to the other team, so this one's quota must hold. */
-function holdsQuota(used: number, quota: number): void {
+function assertWithinQuota(used: number, quota: number): void {
   assert.ok(used <= quota, `${used} passes the quota ${quota}`);
 }
 
@@ -261,7 +262,7 @@
       fc.assert(
         fc.property(
           fc.array(arbitraryStep, {minLength: 10, maxLength: 120}),
-          (steps) => check(make, holdsQuota, steps),
+          (steps) => checkInvariants(make, assertWithinQuota, steps),
         ),
         {seed: 20_2612, numRuns: 300},
       );
--- a/packages/gypsumwall-placement/src/__tests__/worker_index.test.ts
+++ b/packages/gypsumwall-placement/src/__tests__/worker_index.test.ts
@@ -3,7 +3,7 @@
 import * as types from '@gypsumwall/types';
 import * as fc from 'fast-check';
 import * as specs from '../__fixtures__/specs.js';
-import * as books from '../books.js';
+import * as domainAllocations from '../domain_allocations.js';
 import * as workerIndex from '../worker_index.js';
 
 nodeTest.describe('createWorkerIndex', () => {
@@ -18,12 +18,12 @@
     fc.assert(
       fc.property(rooms, room, from, (all, need, start) => {
         const index = workerIndex.createWorkerIndex();
-        const made = books.createBooks((worker) =>
-          index.update(worker, worker.open),
+        const made = domainAllocations.createDomainAllocations((worker) =>
+          index.update(worker, worker.isSchedulable),
         );
         all.forEach(([capacity, open], n) => {
           const worker = made.setWorker(specs.worker(n, capacity));
-          made.setOpen(worker, open);
+          made.setSchedulable(worker, open);
         });
         const found = index.find({need, from: start, limit: 1});
         const some = all.some(
@@ -31,7 +31,9 @@
         );
         assert.equal(found.length, some ? 1 : 0);
         for (const each of found) {
-          assert.ok(each.open && types.resources.fits(need, each.room));
+          assert.ok(
+            each.isSchedulable && types.resources.fits(need, each.free),
+          );
         }
       }),
       {seed: 7, numRuns: 500},
--- a/packages/gypsumwall-placement/src/admission.ts
+++ b/packages/gypsumwall-placement/src/admission.ts
@@ -3,7 +3,7 @@
  * job that can't be run: the caller still has time to do something else.
  */
 import * as types from '@gypsumwall/types';
-import type * as books from './books.js';
+import type * as domainAllocations from './domain_allocations.js';
 import type * as deadlineDemand from './deadline_demand.js';
 import type * as placer from './placer.js';
 import type * as sizeLearner from './size_learner.js';
@@ -18,34 +18,34 @@
   overnight: 0.6,
 };
 /** One team may fill at most this share of what waits. */
-const TEAM_SHARE = 0.5;
-const SOONEST_RETRY_MS = 1000;
-const LATEST_RETRY_MS = 60_000;
+const MAX_TEAM_SHARE = 0.5;
+const MIN_RETRY_AFTER_MS = 1000;
+const MAX_RETRY_AFTER_MS = 60_000;
 
 /** What admission looks at. */
-export interface AdmissionView {
-  readonly books: books.Books;
+export interface AdmissionState {
+  readonly allocations: domainAllocations.DomainAllocations;
   readonly demand: deadlineDemand.DeadlineDemand;
   readonly maxWaitingJobs: number;
   readonly waitingJobs: number;
   readonly teamWaitingJobs: number;
   /** Work of all that waits, in core milliseconds. */
-  readonly waitingWork: number;
+  readonly waitingCoreMs: number;
   readonly estimate: sizeLearner.Estimate;
 }
 
 /** Decides on a new job; undefined lets it in. */
 export function admit(
-  view: AdmissionView,
+  state: AdmissionState,
   spec: types.job.JobSpec,
   now: types.clock.WallMs,
 ): placer.PlacementRefusal | undefined {
   return (
     refusePassedDeadline(spec, now) ??
-    refuseByQuota(view, spec) ??
-    refuseByShape(view, spec) ??
-    refuseByLoad(view, spec) ??
-    refuseByDeadline(view, spec, now)
+    refuseByQuota(state, spec) ??
+    refuseByCapacity(state, spec) ??
+    refuseByLoad(state, spec) ??
+    refuseByDeadline(state, spec, now)
   );
 }
 
@@ -66,10 +66,10 @@
 }
 
 function refuseByQuota(
-  view: AdmissionView,
+  state: AdmissionState,
   spec: types.job.JobSpec,
 ): placer.PlacementRefusal | undefined {
-  const {quota} = view.books.teams.team(spec.team);
+  const {quota} = state.allocations.teams.team(spec.team);
   const tasks = tasksAtOnce(spec.shape);
   const need = types.resources.times(spec.size, tasks);
   if (types.resources.fits(need, quota)) return undefined;
@@ -83,22 +83,22 @@
  * Closed workers count as well: they may be back, and a refusal here is
  * final for the caller. With no worker known yet nothing can be said.
  */
-function refuseByShape(
-  view: AdmissionView,
+function refuseByCapacity(
+  state: AdmissionState,
   spec: types.job.JobSpec,
 ): placer.PlacementRefusal | undefined {
-  const {workers} = view.books;
+  const {workers} = state.allocations;
   if (workers.size === 0) return undefined;
   const wanted = tasksAtOnce(spec.shape);
-  let room = 0;
+  let slots = 0;
   for (const worker of workers.values()) {
-    room += tasksThatFit(spec.size, worker.capacity);
-    if (room >= wanted) return undefined;
+    slots += tasksThatFit(spec.size, worker.capacity);
+    if (slots >= wanted) return undefined;
   }
   const what =
-    room === 0
+    slots === 0
       ? `no worker is large enough for a task of ${describe(spec.size)}`
-      : `all workers together hold ${room} of ${wanted} tasks of ${describe(spec.size)} at once`;
+      : `all workers together hold ${slots} of ${wanted} tasks of ${describe(spec.size)} at once`;
   return {reason: 'can_never_run', message: `${what}; ask for less`};
 }
 
@@ -108,51 +108,54 @@
 ): number {
   if (!types.resources.fits(size, capacity)) return 0;
   return Math.min(
-    times(size.cpuMillis, capacity.cpuMillis),
-    times(size.memoryMb, capacity.memoryMb),
-    times(size.accelerators, capacity.accelerators),
+    timesContained(size.cpuMillis, capacity.cpuMillis),
+    timesContained(size.memoryMb, capacity.memoryMb),
+    timesContained(size.accelerators, capacity.accelerators),
   );
 }
 
-function times(part: number, whole: number): number {
+function timesContained(part: number, whole: number): number {
   return part > 0 ? Math.floor(whole / part) : Infinity;
 }
 
 function refuseByLoad(
-  view: AdmissionView,
+  state: AdmissionState,
   spec: types.job.JobSpec,
 ): placer.PlacementRefusal | undefined {
-  const limit = view.maxWaitingJobs * LIMIT_SHARE[spec.urgency];
-  const overall = view.waitingJobs >= limit;
-  const byTeam = view.teamWaitingJobs >= view.maxWaitingJobs * TEAM_SHARE;
+  const limit = state.maxWaitingJobs * LIMIT_SHARE[spec.urgency];
+  const overall = state.waitingJobs >= limit;
+  const byTeam = state.teamWaitingJobs >= state.maxWaitingJobs * MAX_TEAM_SHARE;
   if (!overall && !byTeam) return undefined;
   return {
     reason: overall ? 'overloaded' : 'over_quota',
     message: overall
-      ? `${view.waitingJobs} jobs wait, the limit for ${spec.urgency} work is ${limit}; come back later`
-      : `${view.teamWaitingJobs} jobs of team ${spec.team} wait, half of the limit; come back later`,
-    retryAfterMs: retryAfter(view),
+      ? `${state.waitingJobs} jobs wait, the limit for ${spec.urgency} work is ${limit}; come back later`
+      : `${state.teamWaitingJobs} jobs of team ${spec.team} wait, half of the limit; come back later`,
+    retryAfterMs: retryAfterMs(state),
   };
 }
 
 /** A tenth of the time that the waiting work takes on all processors. */
-function retryAfter(view: AdmissionView): number {
-  const cores = Math.max(1, view.books.total.cpuMillis / 1000);
-  const drainMs = view.waitingWork / cores / 10;
-  const bounded = Math.max(SOONEST_RETRY_MS, drainMs);
-  return Math.round(Math.min(LATEST_RETRY_MS, bounded));
+function retryAfterMs(state: AdmissionState): number {
+  const cores = Math.max(1, state.allocations.totalCapacity.cpuMillis / 1000);
+  const drainMs = state.waitingCoreMs / cores / 10;
+  const bounded = Math.max(MIN_RETRY_AFTER_MS, drainMs);
+  return Math.round(Math.min(MAX_RETRY_AFTER_MS, bounded));
 }
 
 function refuseByDeadline(
-  view: AdmissionView,
+  state: AdmissionState,
   spec: types.job.JobSpec,
   now: number,
 ): placer.PlacementRefusal | undefined {
   const {deadline} = spec;
-  if (deadline === undefined || view.books.total.cpuMillis === 0) {
+  if (
+    deadline === undefined ||
+    state.allocations.totalCapacity.cpuMillis === 0
+  ) {
     return undefined;
   }
-  const {size, typicalMs} = view.estimate;
+  const {size, typicalMs} = state.estimate;
   if (now + typicalMs > deadline) {
     return {
       reason: 'deadline_unreachable',
@@ -161,8 +164,8 @@
   }
   const tasks = types.job.taskCount(spec.shape);
   const work = (tasks * typicalMs * size.cpuMillis) / 1000;
-  const {cpuMillis} = view.books.total;
-  if (view.demand.accepts(deadline, work, now, cpuMillis)) return undefined;
+  const {cpuMillis} = state.allocations.totalCapacity;
+  if (state.demand.accepts(deadline, work, now, cpuMillis)) return undefined;
   return {
     reason: 'deadline_unreachable',
     message: `work taken before leaves too little time until the deadline, ${deadline - now} ms away; send a later one or less work`,
--- a/packages/gypsumwall-placement/src/binary_heap.ts
+++ b/packages/gypsumwall-placement/src/binary_heap.ts
@@ -7,7 +7,7 @@
   push(item: Item): void;
   pop(): Item | undefined;
   /** Keeps only the items that pass; O(n). */
-  keepOnly(wanted: (item: Item) => boolean): void;
+  retain(wanted: (item: Item) => boolean): void;
 }
 
 /** Creates an empty heap. An item's order must not change while it is in. */
@@ -61,7 +61,7 @@
       }
       return top;
     },
-    keepOnly(wanted) {
+    retain(wanted) {
       items = items.filter(wanted);
       for (let at = (items.length >> 1) - 1; at >= 0; at -= 1) siftDown(at);
     },
--- a/packages/gypsumwall-placement/src/create_baseline_placer.ts
+++ b/packages/gypsumwall-placement/src/create_baseline_placer.ts
@@ -8,12 +8,12 @@
 import type * as placer from './placer.js';
 
 /** A job is given up after this many failures in a row. */
-const FAILURES_IN_A_ROW = 5;
+const MAX_CONSECUTIVE_FAILURES = 5;
 
-interface BookedWorker {
+interface WorkerState {
   worker: placer.PlacerWorker;
   free: types.resources.Resources;
-  open: boolean;
+  isSchedulable: boolean;
 }
 
 interface WaitingJob {
@@ -29,49 +29,58 @@
 export function createBaselinePlacer(
   _options: BaselinePlacerOptions = {},
 ): placer.Placer {
-  const workers = new Map<types.ids.WorkerId, BookedWorker>();
+  const workers = new Map<types.ids.WorkerId, WorkerState>();
   const teams = new Map<types.ids.TeamId, placer.PlacerTeam>();
-  const heldByTeam = new Map<types.ids.TeamId, types.resources.Resources>();
-  const held = new Map<types.ids.TaskId, placer.HeldTask>();
+  const allocatedByTeam = new Map<
+    types.ids.TeamId,
+    types.resources.Resources
+  >();
+  const runningTasks = new Map<types.ids.TaskId, placer.HeldTask>();
   /** Insertion order is arrival order. */
   const queue = new Map<types.ids.JobId, WaitingJob>();
   const failures = new Map<types.ids.JobId, number>();
-  let givenUp: Array<{jobId: types.ids.JobId; message: string}> = [];
+  let abandonedJobs: Array<{jobId: types.ids.JobId; message: string}> = [];
 
-  function book(task: placer.HeldTask): void {
+  function allocate(task: placer.HeldTask): void {
     const booked = workers.get(task.workerId);
     if (booked !== undefined) {
       booked.free = types.resources.subtract(booked.free, task.size);
     }
     const team = task.spec.team;
-    heldByTeam.set(team, types.resources.add(heldOf(team), task.size));
-    held.set(task.taskId, task);
+    allocatedByTeam.set(
+      team,
+      types.resources.add(allocatedTo(team), task.size),
+    );
+    runningTasks.set(task.taskId, task);
   }
 
-  function unbook(task: placer.HeldTask): void {
+  function deallocate(task: placer.HeldTask): void {
     const booked = workers.get(task.workerId);
     if (booked !== undefined) {
       booked.free = types.resources.add(booked.free, task.size);
     }
     const team = task.spec.team;
-    heldByTeam.set(team, types.resources.subtract(heldOf(team), task.size));
-    held.delete(task.taskId);
+    allocatedByTeam.set(
+      team,
+      types.resources.subtract(allocatedTo(team), task.size),
+    );
+    runningTasks.delete(task.taskId);
   }
 
-  function heldOf(team: types.ids.TeamId): types.resources.Resources {
-    return heldByTeam.get(team) ?? types.resources.NO_RESOURCES;
+  function allocatedTo(team: types.ids.TeamId): types.resources.Resources {
+    return allocatedByTeam.get(team) ?? types.resources.NO_RESOURCES;
   }
 
   function fitsQuota(spec: types.job.JobSpec): boolean {
     const quota = teams.get(spec.team)?.quota;
     if (quota === undefined) return true;
-    const wanted = types.resources.add(heldOf(spec.team), spec.size);
+    const wanted = types.resources.add(allocatedTo(spec.team), spec.size);
     return types.resources.fits(wanted, quota);
   }
 
-  function hasRoom(size: types.resources.Resources): boolean {
+  function fitsAnyWorker(size: types.resources.Resources): boolean {
     for (const booked of workers.values()) {
-      if (!booked.open) continue;
+      if (!booked.isSchedulable) continue;
       if (types.resources.fits(size, booked.free)) return true;
     }
     return false;
@@ -81,7 +90,7 @@
     const index = job.waiting[0];
     if (index === undefined || !fitsQuota(job.spec)) return undefined;
     for (const booked of workers.values()) {
-      if (!booked.open) continue;
+      if (!booked.isSchedulable) continue;
       if (!types.resources.fits(job.spec.size, booked.free)) continue;
       const task = {
         taskId: types.ids.makeTaskId(job.jobId, index),
@@ -90,7 +99,7 @@
         size: job.spec.size,
       };
       job.waiting.shift();
-      book(task);
+      allocate(task);
       return task;
     }
     return undefined;
@@ -102,7 +111,7 @@
     while (job.waiting.length > 0) {
       const task = placeOne(job);
       if (task === undefined) {
-        placed.forEach(unbook);
+        placed.forEach(deallocate);
         job.waiting = before;
         return [];
       }
@@ -111,7 +120,7 @@
     return placed;
   }
 
-  function placeSeveral(job: WaitingJob, limit: number): placer.HeldTask[] {
+  function placeUpTo(job: WaitingJob, limit: number): placer.HeldTask[] {
     const placed: placer.HeldTask[] = [];
     while (placed.length < limit) {
       const task = placeOne(job);
@@ -124,10 +133,10 @@
   function countFailure(jobId: types.ids.JobId, message: string): void {
     const count = (failures.get(jobId) ?? 0) + 1;
     failures.set(jobId, count);
-    if (count < FAILURES_IN_A_ROW) return;
+    if (count < MAX_CONSECUTIVE_FAILURES) return;
     failures.delete(jobId);
     queue.delete(jobId);
-    givenUp.push({
+    abandonedJobs.push({
       jobId,
       message: `gave up after ${count} failures in a row, the last: ${message}`,
     });
@@ -142,11 +151,11 @@
           ? usedOn(worker.id)
           : types.resources.subtract(known.worker.capacity, known.free);
       const free = types.resources.subtract(worker.capacity, used);
-      workers.set(worker.id, {worker, free, open: true});
+      workers.set(worker.id, {worker, free, isSchedulable: true});
     },
     closeWorker(workerId) {
       const booked = workers.get(workerId);
-      if (booked !== undefined) booked.open = false;
+      if (booked !== undefined) booked.isSchedulable = false;
     },
     removeWorker: (workerId) => void workers.delete(workerId),
     admit(spec, now) {
@@ -178,14 +187,14 @@
     },
     cancel: (jobId) => void queue.delete(jobId),
     adopt(task) {
-      const known = held.get(task.taskId);
-      if (known !== undefined) unbook(known);
-      book(task);
+      const known = runningTasks.get(task.taskId);
+      if (known !== undefined) deallocate(known);
+      allocate(task);
     },
     release(taskId, report) {
-      const task = held.get(taskId);
+      const task = runningTasks.get(taskId);
       if (task === undefined) return;
-      unbook(task);
+      deallocate(task);
       const {jobId} = types.ids.splitTaskId(taskId);
       switch (report.type) {
         case 'done':
@@ -204,21 +213,21 @@
       const placements: placer.Placement[] = [];
       // Room only shrinks within a round: what is no smaller than a size that
       // found none needn't be tried. It changes no decision, only the time.
-      const foundNone: types.resources.Resources[] = [];
+      const unplaceableSizes: types.resources.Resources[] = [];
       for (const job of queue.values()) {
         const left = limit - placements.length;
         if (left <= 0) break;
         const {size} = job.spec;
-        if (foundNone.some((each) => types.resources.fits(each, size))) {
+        if (unplaceableSizes.some((each) => types.resources.fits(each, size))) {
           continue;
         }
         const placed =
           job.spec.shape.kind === 'gang'
             ? placeGang(job)
-            : placeSeveral(job, left);
+            : placeUpTo(job, left);
         placements.push(...placed);
         if (job.waiting.length === 0) queue.delete(job.jobId);
-        else if (!hasRoom(size)) foundNone.push(size);
+        else if (!fitsAnyWorker(size)) unplaceableSizes.push(size);
       }
       return {placements, reliefs: []};
     },
@@ -234,15 +243,15 @@
       return 'no worker has room for the declared size';
     },
     takeGivenUp() {
-      const taken = givenUp;
-      givenUp = [];
+      const taken = abandonedJobs;
+      abandonedJobs = [];
       return taken;
     },
   };
 
   function usedOn(workerId: types.ids.WorkerId): types.resources.Resources {
     let used = types.resources.NO_RESOURCES;
-    for (const task of held.values()) {
+    for (const task of runningTasks.values()) {
       if (task.workerId !== workerId) continue;
       used = types.resources.add(used, task.size);
     }
--- a/packages/gypsumwall-placement/src/create_placer.ts
+++ b/packages/gypsumwall-placement/src/create_placer.ts
@@ -5,17 +5,17 @@
  */
 import * as types from '@gypsumwall/types';
 import * as admission from './admission.js';
-import type * as bookRecords from './book_records.js';
-import * as books from './books.js';
+import type * as allocationState from './allocation_state.js';
+import * as domainAllocations from './domain_allocations.js';
 import * as explainWait from './explain_wait.js';
 import * as jobFailures from './job_failures.js';
 import * as jobQueue from './job_queue.js';
 import * as pickWorker from './pick_worker.js';
-import * as placementRound from './placement_round.js';
+import * as schedulingCycle from './scheduling_cycle.js';
 import type * as placer from './placer.js';
 import * as quarantine from './quarantine.js';
 import * as rackSpread from './rack_spread.js';
-import * as relief from './relief.js';
+import * as preemptor from './preemptor.js';
 import * as reservations from './reservations.js';
 import * as sizeLearner from './size_learner.js';
 import * as taskSize from './task_size.js';
@@ -33,9 +33,9 @@
 const DEFAULT_MAX_WAITING_JOBS = 100_000;
 const DEFAULT_SEED = 1;
 /** A job that failed on so many workers condemns no further one. */
-const JOB_IS_SUSPECT_AT = 2;
+const SUSPECT_JOB_WORKERS = 2;
 /** Share of a worker's processors in use from which tasks slow each other. */
-const SQUEEZED_AT = 0.98;
+const CPU_CONTENTION_SHARE = 0.98;
 
 /** Creates the policy with empty books. */
 export function createPlacer(options: PlacerOptions = {}): placer.Placer {
@@ -46,97 +46,109 @@
   const failures = jobFailures.createJobFailures();
   const spread = rackSpread.createRackSpread();
   /** Workers with more room than at the last round. */
-  const grown = new Set<bookRecords.WorkerRecord>();
-  let givenUp = new Map<types.ids.JobId, string>();
-  let undoing = false;
+  const workersWithMoreFree = new Set<allocationState.WorkerState>();
+  let abandonedJobs = new Map<types.ids.JobId, string>();
+  let isUnblockingSuppressed = false;
   let lastNow = 0;
 
-  const domainBooks = books.createBooks(onRoom);
-  const sizes = taskSize.createTaskSizes(learner, domainBooks);
-  const sizeOf = (job: jobQueue.JobRecord) => sizes.sizeOf(job.spec);
-  const waiting = waitingJobs.createWaitingJobs(domainBooks, sizes);
-  const {list, largest} = domainBooks;
-  const watch = relief.createReliefWatch({list, random, sizeOf});
-  const reserved = reservations.createReservations({
-    list,
-    largest,
+  const allocations = domainAllocations.createDomainAllocations(onFreeChanged);
+  const sizes = taskSize.createTaskSizes(learner, allocations);
+  const sizeOf = (job: jobQueue.WaitingJob) => sizes.sizeOf(job.spec);
+  const waiting = waitingJobs.createWaitingJobs(allocations, sizes);
+  const {workerList, largestCapacity} = allocations;
+  const domainPreemptor = preemptor.createPreemptor({
+    workerList,
+    random,
+    sizeOf,
+  });
+  const reservationTable = reservations.createReservations({
+    workerList,
+    largestCapacity,
     random,
     sizeOf,
     reserve: (worker, amount, sign) =>
-      domainBooks.reserve(worker, amount, sign),
-    quietly,
+      allocations.reserve(worker, amount, sign),
+    withoutUnblocking,
   });
   const quarantined = quarantine.createQuarantine(
-    domainBooks.workers,
-    onUsable,
+    allocations.workers,
+    onQuarantineChanged,
   );
-  const parts: placementRound.RoundParts = {
-    books: domainBooks,
+  const cycleContext: schedulingCycle.CycleContext = {
+    allocations,
     queue: waiting.queue,
     sizes,
-    pick: pickWorker.createWorkerPicker(index, random),
+    pickWorker: pickWorker.createWorkerPicker(index, random),
     failures,
-    spread,
-    reservations: reserved,
-    hold,
-    undo,
-    noteTaken: (job, count) => waiting.noteTaken(job, count),
-    takeOut: (jobId, at) => waiting.takeOut(jobId, at),
+    rackSpread: spread,
+    reservations: reservationTable,
+    allocate,
+    rollBack,
+    onTasksPlaced: (job, count) => waiting.onTasksPlaced(job, count),
+    removeWaitingTask: (jobId, at) => waiting.removeTask(jobId, at),
   };
 
-  function isUsable(worker: bookRecords.WorkerRecord): boolean {
-    return worker.open && !worker.quarantined;
+  function isUsable(worker: allocationState.WorkerState): boolean {
+    return worker.isSchedulable && !worker.isQuarantined;
   }
 
-  function onRoom(worker: bookRecords.WorkerRecord, grew: boolean): void {
+  function onFreeChanged(
+    worker: allocationState.WorkerState,
+    grew: boolean,
+  ): void {
     index.update(worker, isUsable(worker));
-    if (grew && !undoing) grown.add(worker);
+    if (grew && !isUnblockingSuppressed) workersWithMoreFree.add(worker);
   }
 
-  function onUsable(worker: bookRecords.WorkerRecord): void {
-    onRoom(worker, isUsable(worker));
+  function onQuarantineChanged(worker: allocationState.WorkerState): void {
+    onFreeChanged(worker, isUsable(worker));
   }
 
-  function hold(task: placer.HeldTask, endsAt: number): void {
-    const record = domainBooks.book(task, endsAt);
-    spread.note(record, 1);
-    quarantined.noteProbeStarted(record.worker);
+  function allocate(task: placer.HeldTask, endsAt: number): void {
+    const record = allocations.allocate(task, endsAt);
+    spread.adjust(record, 1);
+    quarantined.onTaskAllocated(record.worker);
   }
 
   /** Room given back by `action` is no new room for those who wait. */
-  function quietly(action: () => void): void {
-    undoing = true;
+  function withoutUnblocking(action: () => void): void {
+    isUnblockingSuppressed = true;
     action();
-    undoing = false;
+    isUnblockingSuppressed = false;
   }
 
-  function undo(placements: readonly placer.Placement[]): void {
-    quietly(() => placements.forEach((each) => unhold(each.taskId)));
+  function rollBack(placements: readonly placer.Placement[]): void {
+    withoutUnblocking(() =>
+      placements.forEach((each) => deallocate(each.taskId)),
+    );
   }
 
-  function unhold(
+  function deallocate(
     taskId: types.ids.TaskId,
-  ): bookRecords.HeldRecord | undefined {
-    const task = domainBooks.unbook(taskId);
-    if (task !== undefined) spread.note(task, -1);
+  ): allocationState.TaskAllocation | undefined {
+    const task = allocations.deallocate(taskId);
+    if (task !== undefined) spread.adjust(task, -1);
     return task;
   }
 
-  function dropJob(jobId: types.ids.JobId): void {
-    failures.forget(jobId);
+  function removeJob(jobId: types.ids.JobId): void {
+    failures.removeJob(jobId);
     const job = waiting.get(jobId);
     if (job === undefined) return;
-    reserved.end(job);
-    waiting.drop(job);
+    reservationTable.end(job);
+    waiting.removeJob(job);
   }
 
-  function noteFailed(task: bookRecords.HeldRecord, message: string): void {
+  function recordFailure(
+    task: allocationState.TaskAllocation,
+    message: string,
+  ): void {
     const {jobId, index: at} = types.ids.splitTaskId(task.taskId);
     const {worker} = task;
-    const reason = failures.noteFailure(jobId, at, worker.id, message);
+    const reason = failures.recordFailure(jobId, at, worker.id, message);
     const avoided = failures.workersToAvoid(jobId)?.size ?? 0;
-    if (avoided < JOB_IS_SUSPECT_AT) {
-      quarantined.noteFailure(worker, jobId, lastNow);
+    if (avoided < SUSPECT_JOB_WORKERS) {
+      quarantined.recordFailure(worker, jobId, lastNow);
     }
     if (reason === undefined) {
       // Kept off a worker, it must not block jobs that aren't.
@@ -144,26 +156,26 @@
       if (job !== undefined) waiting.requeue(job, true);
       return;
     }
-    dropJob(jobId);
-    givenUp.set(jobId, reason);
+    removeJob(jobId);
+    abandonedJobs.set(jobId, reason);
   }
 
-  function noteEnd(
-    task: bookRecords.HeldRecord,
+  function recordEnd(
+    task: allocationState.TaskAllocation,
     report: placer.RunReport,
   ): void {
     const {jobId, index: at} = types.ids.splitTaskId(task.taskId);
     switch (report.type) {
       case 'done':
-        learner.noteRun(task.spec, report.ranMs);
-        failures.noteSuccess(jobId, at);
-        quarantined.noteSuccess(task.worker);
+        learner.recordRunTime(task.spec, report.ranMs);
+        failures.recordSuccess(jobId, at);
+        quarantined.recordSuccess(task.worker);
         return;
       case 'failed':
-        noteFailed(task, report.message);
+        recordFailure(task, report.message);
         return;
       case 'not_started':
-        quarantined.noteFailure(task.worker, jobId, lastNow);
+        quarantined.recordFailure(task.worker, jobId, lastNow);
         return;
       case 'stopped':
         return;
@@ -172,85 +184,93 @@
 
   return {
     setTeam(team) {
-      domainBooks.teams.setTeam(team);
-      waiting.queue.unblockTeam(domainBooks.teams.team(team.id));
+      allocations.teams.setTeam(team);
+      waiting.queue.unblockTeam(allocations.teams.team(team.id));
     },
-    setWorker: (worker) => void domainBooks.setWorker(worker),
+    setWorker: (worker) => void allocations.setWorker(worker),
     closeWorker(workerId) {
-      const worker = domainBooks.workers.get(workerId);
+      const worker = allocations.workers.get(workerId);
       if (worker === undefined) return;
-      domainBooks.setOpen(worker, false);
-      reserved.dropWorker(worker);
+      allocations.setSchedulable(worker, false);
+      reservationTable.removeWorker(worker);
     },
     removeWorker(workerId) {
-      const worker = domainBooks.removeWorker(workerId);
+      const worker = allocations.removeWorker(workerId);
       if (worker === undefined) return;
-      reserved.dropWorker(worker);
-      quarantined.forget(worker);
-      watch.forget(worker);
-      grown.delete(worker);
+      reservationTable.removeWorker(worker);
+      quarantined.removeWorker(worker);
+      domainPreemptor.removeWorker(worker);
+      workersWithMoreFree.delete(worker);
       index.remove(worker);
     },
     admit(spec, now) {
       lastNow = Math.max(lastNow, now);
       const view = {
-        books: domainBooks,
+        allocations,
         demand: waiting.demand,
         maxWaitingJobs,
-        waitingJobs: waiting.jobs(),
-        teamWaitingJobs: domainBooks.teams.team(spec.team).waitingJobs,
-        waitingWork: waiting.work(),
+        waitingJobs: waiting.jobCount(),
+        teamWaitingJobs: allocations.teams.team(spec.team).waitingJobs,
+        waitingCoreMs: waiting.coreMs(),
         estimate: sizes.estimate(spec),
       };
       return admission.admit(view, spec, now);
     },
     enqueue(job) {
       // The holder may not have heard yet that the job was given up.
-      if (!givenUp.has(job.jobId)) waiting.enqueue(job, lastNow);
+      if (!abandonedJobs.has(job.jobId)) waiting.enqueue(job, lastNow);
     },
-    cancel: dropJob,
+    cancel: removeJob,
     adopt(task) {
       const {jobId, index: at} = types.ids.splitTaskId(task.taskId);
-      waiting.takeOut(jobId, at);
-      unhold(task.taskId);
-      hold(task, lastNow + sizes.estimate(task.spec).typicalMs);
+      waiting.removeTask(jobId, at);
+      deallocate(task.taskId);
+      allocate(task, lastNow + sizes.estimate(task.spec).typicalMs);
     },
     release(taskId, report) {
-      const task = unhold(taskId);
+      const task = deallocate(taskId);
       if (task === undefined) return;
-      watch.noteWorker(task.worker);
-      waiting.queue.unblockTeam(domainBooks.teams.team(task.spec.team));
-      noteEnd(task, report);
+      domainPreemptor.onWorkerChanged(task.worker);
+      waiting.queue.unblockTeam(allocations.teams.team(task.spec.team));
+      recordEnd(task, report);
     },
     reportUsage(taskId, used) {
-      const task = domainBooks.held.get(taskId);
+      const task = allocations.taskAllocations.get(taskId);
       if (task === undefined) return;
-      domainBooks.noteUsage(task, used);
-      watch.noteWorker(task.worker);
-      if (!isPowerOfTwo(task.reports) || isSqueezed(task)) return;
-      learner.noteUsage(task.spec, used);
+      allocations.updateUsage(task, used);
+      domainPreemptor.onWorkerChanged(task.worker);
+      if (!isPowerOfTwo(task.usageReports) || isCpuContended(task)) return;
+      learner.recordUsage(task.spec, used);
     },
     decide(now, limit) {
       lastNow = Math.max(lastNow, now);
       quarantined.tick(now);
       waiting.promoteDue(now);
-      const made = reserved.tick(now, () => waiting.queue.blockedHeads());
-      waiting.queue.unblock(grown, now);
-      grown.clear();
-      const placements = placementRound.runRound(parts, now, limit);
+      const checkpoints = reservationTable.tick(now, () =>
+        waiting.queue.blockedHeads(),
+      );
+      waiting.queue.unblock(workersWithMoreFree, now);
+      workersWithMoreFree.clear();
+      const placements = schedulingCycle.runCycle(cycleContext, now, limit);
       const due = waiting.queue.blockedDue();
-      return {placements, reliefs: [...made, ...watch.decide(now, due)]};
+      return {
+        placements,
+        reliefs: [...checkpoints, ...domainPreemptor.decide(now, due)],
+      };
     },
-    waitingTasks: () => waiting.tasks(),
+    waitingTasks: () => waiting.taskCount(),
     explain(jobId) {
       const job = waiting.get(jobId);
       if (job === undefined) return '';
       const avoided = failures.workersToAvoid(jobId);
-      return explainWait.explainWait(job, reserved.of(job), avoided);
+      return explainWait.explainWait(job, reservationTable.of(job), avoided);
     },
     takeGivenUp() {
-      const taken = [...givenUp].map(([jobId, message]) => ({jobId, message}));
-      givenUp = new Map();
+      const taken = [...abandonedJobs].map(([jobId, message]) => ({
+        jobId,
+        message,
+      }));
+      abandonedJobs = new Map();
       return taken;
     },
   };
@@ -260,11 +280,11 @@
  * On a worker whose processors are all in use a task uses less than it would.
  * Learning from that would book less and less and fill workers ever more.
  */
-function isSqueezed(task: bookRecords.HeldRecord): boolean {
+function isCpuContended(task: allocationState.TaskAllocation): boolean {
   const {usedCpuMillis, capacity} = task.worker;
   return (
-    task.throttledFromMillis > 0 ||
-    usedCpuMillis >= capacity.cpuMillis * SQUEEZED_AT
+    task.cpuMillisBeforeThrottle > 0 ||
+    usedCpuMillis >= capacity.cpuMillis * CPU_CONTENTION_SHARE
   );
 }
 
--- a/packages/gypsumwall-placement/src/deadline_demand.ts
+++ b/packages/gypsumwall-placement/src/deadline_demand.ts
@@ -4,9 +4,9 @@
  * minute of its deadline, not by job.
  */
 
-const SLOT_MS = 60_000;
+const BUCKET_MS = 60_000;
 /** Deadlines further away are counted together. */
-const LAST_SLOT_AHEAD = 2 * 24 * 60;
+const MAX_BUCKETS_AHEAD = 2 * 24 * 60;
 /** Share of the processors that planned work may count on. */
 const USABLE_SHARE = 0.9;
 
@@ -25,21 +25,21 @@
 
 /** Creates an empty plan. */
 export function createDeadlineDemand(): DeadlineDemand {
-  const slots = new Map<number, number>();
+  const buckets = new Map<number, number>();
 
   return {
     add(deadline, work) {
-      const slot = Math.floor(deadline / SLOT_MS);
-      const sum = (slots.get(slot) ?? 0) + work;
-      if (sum < 1) slots.delete(slot);
-      else slots.set(slot, sum);
+      const bucket = Math.floor(deadline / BUCKET_MS);
+      const sum = (buckets.get(bucket) ?? 0) + work;
+      if (sum < 1) buckets.delete(bucket);
+      else buckets.set(bucket, sum);
     },
     accepts(deadline, work, now, cpuMillis) {
-      const last = Math.floor(now / SLOT_MS) + LAST_SLOT_AHEAD;
-      const due = Math.min(Math.floor(deadline / SLOT_MS), last);
+      const lastBucket = Math.floor(now / BUCKET_MS) + MAX_BUCKETS_AHEAD;
+      const dueBucket = Math.min(Math.floor(deadline / BUCKET_MS), lastBucket);
       let sum = work;
-      for (const [slot, planned] of slots) {
-        if (Math.min(slot, last) <= due) sum += planned;
+      for (const [bucket, planned] of buckets) {
+        if (Math.min(bucket, lastBucket) <= dueBucket) sum += planned;
       }
       const cores = cpuMillis / 1000;
       return sum <= cores * USABLE_SHARE * (deadline - now);
--- /dev/null
+++ b/packages/gypsumwall-placement/src/domain_allocations.ts
@@ -0,0 +1,258 @@
+/**
+ * The books of a failure domain: what every worker has, which task holds
+ * which room, and what each team holds. Room is booked at the moment of
+ * decision, so the sum of what was told to a worker never passes its
+ * capacity, whatever the worker reports and however late.
+ */
+import * as types from '@gypsumwall/types';
+import type * as allocationState from './allocation_state.js';
+import * as mutableResources from './mutable_resources.js';
+import type * as placer from './placer.js';
+import * as teamAllocations from './team_allocations.js';
+
+/** All books of one domain. */
+export interface DomainAllocations {
+  readonly workers: ReadonlyMap<
+    types.ids.WorkerId,
+    allocationState.WorkerState
+  >;
+  /** The same workers, for sampling. */
+  readonly workerList: readonly allocationState.WorkerState[];
+  /** The most of each kind that any one worker has. */
+  readonly largestCapacity: types.resources.Resources;
+  readonly taskAllocations: ReadonlyMap<
+    types.ids.TaskId,
+    allocationState.TaskAllocation
+  >;
+  readonly teams: teamAllocations.TeamAllocations;
+  /** Capacity of all open workers. */
+  readonly totalCapacity: types.resources.Resources;
+  /** Room on all open workers. */
+  readonly totalFree: types.resources.Resources;
+  setWorker(worker: placer.PlacerWorker): allocationState.WorkerState;
+  setSchedulable(worker: allocationState.WorkerState, open: boolean): void;
+  removeWorker(id: types.ids.WorkerId): allocationState.WorkerState | undefined;
+  allocate(
+    task: placer.HeldTask,
+    endsAt: number,
+  ): allocationState.TaskAllocation;
+  deallocate(
+    taskId: types.ids.TaskId,
+  ): allocationState.TaskAllocation | undefined;
+  updateUsage(
+    task: allocationState.TaskAllocation,
+    used: types.resources.Resources,
+  ): void;
+  /** Keeps room (or with -1 gives it back) on top of what is held. */
+  reserve(
+    worker: allocationState.WorkerState,
+    amount: types.resources.Resources,
+    sign: 1 | -1,
+  ): void;
+}
+
+/**
+ * Creates empty books. `onRoom` is told of every worker whose room changed,
+ * and whether it grew.
+ */
+export function createDomainAllocations(
+  onFreeChanged: (worker: allocationState.WorkerState, grew: boolean) => void,
+): DomainAllocations {
+  const workers = new Map<types.ids.WorkerId, allocationState.WorkerState>();
+  const workerList: allocationState.WorkerState[] = [];
+  const largestCapacity = mutableResources.mutableCopy(
+    types.resources.NO_RESOURCES,
+  );
+  const taskAllocations = new Map<
+    types.ids.TaskId,
+    allocationState.TaskAllocation
+  >();
+  const totalCapacity = mutableResources.mutableCopy(
+    types.resources.NO_RESOURCES,
+  );
+  const totalFree = mutableResources.mutableCopy(types.resources.NO_RESOURCES);
+  const teams = teamAllocations.createTeamAllocations(totalCapacity);
+
+  /** A worker that tasks were adopted on before it was added. */
+  function worker(id: types.ids.WorkerId): allocationState.WorkerState {
+    const known = workers.get(id);
+    if (known !== undefined) return known;
+    const created: allocationState.WorkerState = {
+      id,
+      rack: types.ids.brand(''),
+      capacity: types.resources.NO_RESOURCES,
+      isSchedulable: false,
+      isQuarantined: false,
+      allocated: mutableResources.mutableCopy(types.resources.NO_RESOURCES),
+      usedCpuMillis: 0,
+      claimedMemoryMb: 0,
+      reserved: mutableResources.mutableCopy(types.resources.NO_RESOURCES),
+      free: mutableResources.mutableCopy(types.resources.NO_RESOURCES),
+      allocations: new Set(),
+      listIndex: workerList.length,
+    };
+    workers.set(id, created);
+    workerList.push(created);
+    return created;
+  }
+
+  function raiseLargestCapacity(capacity: types.resources.Resources): void {
+    largestCapacity.cpuMillis = Math.max(
+      largestCapacity.cpuMillis,
+      capacity.cpuMillis,
+    );
+    largestCapacity.memoryMb = Math.max(
+      largestCapacity.memoryMb,
+      capacity.memoryMb,
+    );
+    largestCapacity.accelerators = Math.max(
+      largestCapacity.accelerators,
+      capacity.accelerators,
+    );
+  }
+
+  function removeFromList(record: allocationState.WorkerState): void {
+    const last = workerList.pop();
+    if (last === undefined || last === record) return;
+    workerList[record.listIndex] = last;
+    last.listIndex = record.listIndex;
+  }
+
+  function recomputeFree(record: allocationState.WorkerState): void {
+    const {capacity, free, reserved} = record;
+    const cpuTaken = Math.max(record.allocated.cpuMillis, record.usedCpuMillis);
+    const cpuMillis = capacity.cpuMillis - cpuTaken - reserved.cpuMillis;
+    const memoryMb =
+      capacity.memoryMb - record.claimedMemoryMb - reserved.memoryMb;
+    const accelerators =
+      capacity.accelerators -
+      record.allocated.accelerators -
+      reserved.accelerators;
+    const hasGrown =
+      cpuMillis > free.cpuMillis ||
+      memoryMb > free.memoryMb ||
+      accelerators > free.accelerators;
+    if (record.isSchedulable) mutableResources.adjust(totalFree, free, -1);
+    free.cpuMillis = cpuMillis;
+    free.memoryMb = memoryMb;
+    free.accelerators = accelerators;
+    if (record.isSchedulable) mutableResources.adjust(totalFree, free, 1);
+    // A task may outlive the books of its worker; nobody places there.
+    if (workers.get(record.id) === record) onFreeChanged(record, hasGrown);
+  }
+
+  function setOpen(
+    record: allocationState.WorkerState,
+    isSchedulable: boolean,
+  ): void {
+    if (record.isSchedulable === isSchedulable) return;
+    record.isSchedulable = isSchedulable;
+    mutableResources.adjust(
+      totalCapacity,
+      record.capacity,
+      isSchedulable ? 1 : -1,
+    );
+    mutableResources.adjust(totalFree, record.free, isSchedulable ? 1 : -1);
+    onFreeChanged(record, isSchedulable);
+  }
+
+  function unbook(
+    taskId: types.ids.TaskId,
+  ): allocationState.TaskAllocation | undefined {
+    const task = taskAllocations.get(taskId);
+    if (task === undefined) return undefined;
+    taskAllocations.delete(taskId);
+    teams.adjust(task, -1);
+    const record = task.worker;
+    record.allocations.delete(task);
+    mutableResources.adjust(record.allocated, task.size, -1);
+    record.usedCpuMillis -= task.usedCpuMillis;
+    record.claimedMemoryMb -= Math.max(task.size.memoryMb, task.usedMemoryMb);
+    recomputeFree(record);
+    return task;
+  }
+
+  return {
+    workers,
+    workerList,
+    largestCapacity,
+    taskAllocations,
+    teams,
+    totalCapacity,
+    totalFree,
+    setSchedulable: setOpen,
+    deallocate: unbook,
+    setWorker(next) {
+      const record = worker(next.id);
+      setOpen(record, false);
+      record.rack = next.rack;
+      record.capacity = next.capacity;
+      raiseLargestCapacity(next.capacity);
+      recomputeFree(record);
+      setOpen(record, true);
+      return record;
+    },
+    removeWorker(id) {
+      const record = workers.get(id);
+      if (record === undefined) return undefined;
+      setOpen(record, false);
+      workers.delete(id);
+      removeFromList(record);
+      Object.assign(largestCapacity, types.resources.NO_RESOURCES);
+      for (const each of workerList) raiseLargestCapacity(each.capacity);
+      return record;
+    },
+    allocate(task, endsAt) {
+      unbook(task.taskId);
+      const record = worker(task.workerId);
+      const allocation: allocationState.TaskAllocation = {
+        taskId: task.taskId,
+        spec: task.spec,
+        worker: record,
+        size: task.size,
+        expectedEndAt: endsAt,
+        usedCpuMillis: task.size.cpuMillis,
+        usedMemoryMb: 0,
+        usageReports: 0,
+        cpuMillisBeforeThrottle: 0,
+        checkpointRequestedAt: 0,
+      };
+      taskAllocations.set(task.taskId, allocation);
+      teams.adjust(allocation, 1);
+      record.allocations.add(allocation);
+      mutableResources.adjust(record.allocated, task.size, 1);
+      record.usedCpuMillis += allocation.usedCpuMillis;
+      record.claimedMemoryMb += task.size.memoryMb;
+      recomputeFree(record);
+      return allocation;
+    },
+    updateUsage(task, used) {
+      const record = task.worker;
+      const claimedBefore = Math.max(task.size.memoryMb, task.usedMemoryMb);
+      const claimed = Math.max(task.size.memoryMb, used.memoryMb);
+      record.usedCpuMillis += used.cpuMillis - task.usedCpuMillis;
+      record.claimedMemoryMb += claimed - claimedBefore;
+      task.usedCpuMillis = used.cpuMillis;
+      task.usedMemoryMb = used.memoryMb;
+      task.usageReports += 1;
+      recomputeFree(record);
+    },
+    reserve(record, amount, sign) {
+      mutableResources.adjust(record.reserved, amount, sign);
+      recomputeFree(record);
+    },
+  };
+}
+
+/** Whether a size fits a worker when what is reserved there is used too. */
+export function fitsWithReserved(
+  need: types.resources.Resources,
+  worker: allocationState.WorkerState,
+): boolean {
+  const {free, reserved} = worker;
+  return (
+    need.cpuMillis <= free.cpuMillis + reserved.cpuMillis &&
+    need.memoryMb <= free.memoryMb + reserved.memoryMb &&
+    need.accelerators <= free.accelerators + reserved.accelerators
+  );
+}
--- /dev/null
+++ b/packages/gypsumwall-placement/src/expected_capacity.ts
@@ -0,0 +1,110 @@
+/** When running tasks will have given back enough room for waiting ones. */
+import type * as types from '@gypsumwall/types';
+import type * as allocationState from './allocation_state.js';
+import * as freeForecast from './free_forecast.js';
+
+/** How long a checkpoint takes to give room back, as far as plans go. */
+const CHECKPOINT_DURATION_MS = 500;
+
+/** Where and when there will be room for all of a job's tasks. */
+export interface ExpectedCapacity {
+  /** Tasks by worker. */
+  readonly slots: ReadonlyMap<allocationState.WorkerState, number>;
+  /** Tasks to checkpoint, without which it would take longer. */
+  readonly victims: readonly allocationState.TaskAllocation[];
+  readonly readyAt: number;
+}
+
+/** What is looked for. */
+export interface CapacitySearch {
+  readonly size: types.resources.Resources;
+  readonly count: number;
+  readonly now: number;
+  /** Tasks that may be checkpointed for it. */
+  readonly mayPreempt: (task: allocationState.TaskAllocation) => boolean;
+}
+
+interface Slot {
+  readonly worker: allocationState.WorkerState;
+  readonly at: number;
+  readonly victims: readonly allocationState.TaskAllocation[];
+}
+
+/**
+ * The soonest room on the given workers, as far as tasks end when expected;
+ * undefined when they can't hold as many. Services don't end, and what others
+ * have reserved stays theirs.
+ */
+export function earliestCapacity(
+  workers: readonly allocationState.WorkerState[],
+  search: CapacitySearch,
+): ExpectedCapacity | undefined {
+  const {count, now} = search;
+  const all: Slot[] = [];
+  for (const worker of workers) all.push(...slotsOn(worker, search));
+  if (all.length < count) return undefined;
+  all.sort((left, right) => left.at - right.at);
+  const slots = new Map<allocationState.WorkerState, number>();
+  const victims: allocationState.TaskAllocation[] = [];
+  for (const slot of all.slice(0, count)) {
+    slots.set(slot.worker, (slots.get(slot.worker) ?? 0) + 1);
+    victims.push(...slot.victims);
+  }
+  return {slots, victims, readyAt: all[count - 1]?.at ?? now};
+}
+
+interface ExpectedEnd {
+  readonly task: allocationState.TaskAllocation;
+  readonly at: number;
+  readonly isPreempted: boolean;
+}
+
+/** The moments at which one more task fits on a worker. */
+function slotsOn(
+  worker: allocationState.WorkerState,
+  search: CapacitySearch,
+): Slot[] {
+  const {size, count, now} = search;
+  const expectedEnds = expectedEndsOn(worker, search);
+  const forecast = freeForecast.createFreeForecast(worker);
+  const slots: Slot[] = [];
+  let victims: allocationState.TaskAllocation[] = [];
+  let at = now;
+  let next = 0;
+  while (slots.length < count) {
+    if (forecast.fits(size)) {
+      slots.push({worker, at, victims});
+      victims = [];
+      forecast.addTask(size);
+      continue;
+    }
+    const expectedEnd = expectedEnds[next];
+    if (expectedEnd === undefined) break;
+    next += 1;
+    at = Math.max(at, expectedEnd.at);
+    const {task} = expectedEnd;
+    if (expectedEnd.isPreempted) victims.push(task);
+    forecast.removeTask(task);
+  }
+  return slots;
+}
+
+/** Tasks by when they end or could be checkpointed, the soonest first. */
+function expectedEndsOn(
+  worker: allocationState.WorkerState,
+  search: CapacitySearch,
+): ExpectedEnd[] {
+  const preemptedAt = search.now + CHECKPOINT_DURATION_MS;
+  const expectedEnds: ExpectedEnd[] = [];
+  for (const task of worker.allocations) {
+    if (task.spec.shape.kind === 'service') continue;
+    const isPreempted =
+      task.expectedEndAt > preemptedAt && search.mayPreempt(task);
+    expectedEnds.push({
+      task,
+      isPreempted,
+      at: isPreempted ? preemptedAt : task.expectedEndAt,
+    });
+  }
+  return expectedEnds.sort((left, right) => left.at - right.at);
+}
--- a/packages/gypsumwall-placement/src/explain_wait.ts
+++ b/packages/gypsumwall-placement/src/explain_wait.ts
@@ -4,7 +4,7 @@
 
 /** One sentence on a waiting job. */
 export function explainWait(
-  job: jobQueue.JobRecord,
+  job: jobQueue.WaitingJob,
   reservation: reservations.Reservation | undefined,
   avoided: ReadonlySet<string> | undefined,
 ): string {
--- a/packages/gypsumwall-placement/src/room_forecast.ts
+++ b/packages/gypsumwall-placement/src/free_forecast.ts
@@ -5,42 +5,42 @@
  * books. A plan that overlooks this comes up short by a little everywhere.
  */
 import type * as types from '@gypsumwall/types';
-import type * as bookRecords from './book_records.js';
+import type * as allocationState from './allocation_state.js';
 
 /** Room as it would be. */
-export interface RoomForecast {
+export interface FreeForecast {
   /** As if the task had ended. */
-  without(task: bookRecords.HeldRecord): void;
+  removeTask(task: allocationState.TaskAllocation): void;
   /** As if a task of that size had started. */
-  withOne(size: types.resources.Resources): void;
+  addTask(size: types.resources.Resources): void;
   fits(size: types.resources.Resources): boolean;
 }
 
 /** Starts from the room that the worker has now. */
-export function createRoomForecast(
-  worker: bookRecords.WorkerRecord,
-): RoomForecast {
+export function createFreeForecast(
+  worker: allocationState.WorkerState,
+): FreeForecast {
   const {capacity, reserved} = worker;
-  let heldCpu = worker.held.cpuMillis;
+  let allocatedCpu = worker.allocated.cpuMillis;
   let usedCpu = worker.usedCpuMillis;
-  let memoryMb = worker.room.memoryMb;
-  let accelerators = worker.room.accelerators;
+  let memoryMb = worker.free.memoryMb;
+  let accelerators = worker.free.accelerators;
 
   return {
-    without(task) {
-      heldCpu -= task.size.cpuMillis;
+    removeTask(task) {
+      allocatedCpu -= task.size.cpuMillis;
       usedCpu -= task.usedCpuMillis;
       memoryMb += Math.max(task.size.memoryMb, task.usedMemoryMb);
       accelerators += task.size.accelerators;
     },
-    withOne(size) {
-      heldCpu += size.cpuMillis;
+    addTask(size) {
+      allocatedCpu += size.cpuMillis;
       usedCpu += size.cpuMillis;
       memoryMb -= size.memoryMb;
       accelerators -= size.accelerators;
     },
     fits(size) {
-      const taken = Math.max(heldCpu, usedCpu) + reserved.cpuMillis;
+      const taken = Math.max(allocatedCpu, usedCpu) + reserved.cpuMillis;
       return (
         size.cpuMillis <= capacity.cpuMillis - taken &&
         size.memoryMb <= memoryMb &&
--- a/packages/gypsumwall-placement/src/job_failures.ts
+++ b/packages/gypsumwall-placement/src/job_failures.ts
@@ -7,13 +7,13 @@
 import type * as types from '@gypsumwall/types';
 
 /** Give up after failures on this many distinct workers. */
-const DISTINCT_WORKERS = 3;
+const MAX_FAILED_WORKERS = 3;
 /**
  * Give up when one task fails this often, even where there are fewer workers.
  * Failures of several tasks don't add up: a job of many tasks may have six of
  * them on one bad worker at once.
  */
-const FAILURES_OF_ONE_TASK = 6;
+const MAX_FAILURES_PER_TASK = 6;
 /** Only failing jobs are remembered; the oldest is forgotten beyond this. */
 const MAX_JOBS = 10_000;
 const MAX_TASKS_PER_JOB = 100;
@@ -21,14 +21,14 @@
 /** Remembers the failures of jobs. */
 export interface JobFailures {
   /** Returns why the job is to be given up; undefined while it isn't. */
-  noteFailure(
+  recordFailure(
     jobId: types.ids.JobId,
     index: number,
     workerId: types.ids.WorkerId,
     message: string,
   ): string | undefined;
-  noteSuccess(jobId: types.ids.JobId, index: number): void;
-  forget(jobId: types.ids.JobId): void;
+  recordSuccess(jobId: types.ids.JobId, index: number): void;
+  removeJob(jobId: types.ids.JobId): void;
   /** Workers on which tasks failed that haven't succeeded since. */
   workersToAvoid(
     jobId: types.ids.JobId,
@@ -56,28 +56,28 @@
   function jobOf(jobId: types.ids.JobId): FailingJob {
     const known = jobs.get(jobId);
     if (known !== undefined) return known;
-    if (jobs.size >= MAX_JOBS) dropFirst(jobs);
-    const made = {
+    if (jobs.size >= MAX_JOBS) deleteOldest(jobs);
+    const created = {
       count: 0,
       workers: new Set<never>(),
       avoid: new Set<never>(),
       tasks: new Map(),
     };
-    jobs.set(jobId, made);
-    return made;
+    jobs.set(jobId, created);
+    return created;
   }
 
   function taskOf(job: FailingJob, index: number): Failures {
     const known = job.tasks.get(index);
     if (known !== undefined) return known;
-    if (job.tasks.size >= MAX_TASKS_PER_JOB) dropFirst(job.tasks);
-    const made = {count: 0, workers: new Set<never>()};
-    job.tasks.set(index, made);
-    return made;
+    if (job.tasks.size >= MAX_TASKS_PER_JOB) deleteOldest(job.tasks);
+    const created = {count: 0, workers: new Set<never>()};
+    job.tasks.set(index, created);
+    return created;
   }
 
   return {
-    noteFailure(jobId, index, workerId, message) {
+    recordFailure(jobId, index, workerId, message) {
       const job = jobOf(jobId);
       const task = taskOf(job, index);
       for (const failures of [job, task]) {
@@ -85,15 +85,15 @@
         failures.workers.add(workerId);
       }
       job.avoid.add(workerId);
-      const taskIsHopeless =
-        onManyWorkers(task) || task.count >= FAILURES_OF_ONE_TASK;
-      const worst = taskIsHopeless ? task : job;
-      if (!taskIsHopeless && !onManyWorkers(job)) return undefined;
+      const isTaskAtLimit =
+        failedOnMaxWorkers(task) || task.count >= MAX_FAILURES_PER_TASK;
+      const worst = isTaskAtLimit ? task : job;
+      if (!isTaskAtLimit && !failedOnMaxWorkers(job)) return undefined;
       const what = worst === task ? `task ${index}` : 'the job';
       const where = [...worst.workers].join(', ');
       return `${what} failed ${worst.count} times without a success, on ${where}; the last: ${message}`;
     },
-    noteSuccess(jobId, index) {
+    recordSuccess(jobId, index) {
       const job = jobs.get(jobId);
       if (job === undefined) return;
       job.tasks.delete(index);
@@ -105,7 +105,7 @@
       }
       if (job.tasks.size === 0) jobs.delete(jobId);
     },
-    forget: (jobId) => void jobs.delete(jobId),
+    removeJob: (jobId) => void jobs.delete(jobId),
     workersToAvoid(jobId) {
       const avoid = jobs.get(jobId)?.avoid;
       return avoid === undefined || avoid.size === 0 ? undefined : avoid;
@@ -113,11 +113,11 @@
   };
 }
 
-function onManyWorkers(failures: Failures): boolean {
-  return failures.workers.size >= DISTINCT_WORKERS;
+function failedOnMaxWorkers(failures: Failures): boolean {
+  return failures.workers.size >= MAX_FAILED_WORKERS;
 }
 
-function dropFirst<Key>(map: Map<Key, unknown>): void {
+function deleteOldest<Key>(map: Map<Key, unknown>): void {
   const first = map.keys().next();
   if (first.done !== true) map.delete(first.value);
 }
--- a/packages/gypsumwall-placement/src/job_queue.ts
+++ b/packages/gypsumwall-placement/src/job_queue.ts
@@ -7,30 +7,30 @@
  */
 import * as types from '@gypsumwall/types';
 import * as binaryHeap from './binary_heap.js';
-import type * as bookRecords from './book_records.js';
+import type * as allocationState from './allocation_state.js';
 import type * as indexRanges from './index_ranges.js';
-import type * as teamBooks from './team_books.js';
+import type * as teamAllocations from './team_allocations.js';
 
 /** Earlier tiers go first. */
 export const TIER_DUE = 0;
 export const TIER_NORMAL = 1;
 export const TIER_OVERNIGHT = 2;
-const TIERS = 3;
+const TIER_COUNT = 3;
 /** A team of weight 0 still gets what nobody else wants. */
-const LEAST_WEIGHT = 1e-6;
+const MIN_WEIGHT = 1e-6;
 /** Entries of jobs that left a group are swept out beyond this many. */
-const HEAP_SLACK = 64;
+const MAX_STALE_HEAP_ENTRIES = 64;
 
 /** A job with waiting tasks. */
-export interface JobRecord {
+export interface WaitingJob {
   readonly jobId: types.ids.JobId;
   readonly spec: types.job.JobSpec;
-  readonly team: teamBooks.TeamRecord;
+  readonly team: teamAllocations.TeamState;
   readonly waiting: indexRanges.IndexRanges;
   /** Latest start: deadline less a pessimistic run time. */
   readonly startBy: number;
   /** Expected processor time of one task, in core milliseconds. */
-  readonly workPerTask: number;
+  readonly coreMsPerTask: number;
   tier: number;
   group: JobGroup | undefined;
   /** Since when no room was found for it; undefined while it moves. */
@@ -38,11 +38,11 @@
   /** A gang isn't tried again before then. */
   retryAt: number;
   /** No room is reserved for it before then. */
-  reserveAfter: number;
+  nextReservationAt: number;
   /** Room is being kept for it. */
-  reserved: boolean;
+  hasReservation: boolean;
   /** Until when room made for it by checkpoints is still expected. */
-  reliefUntil: number;
+  preemptionPendingUntil: number;
 }
 
 /** Why a group isn't tried at present. */
@@ -51,46 +51,46 @@
 /** Jobs of one team and tier with about the same size. */
 export interface JobGroup {
   readonly key: string;
-  readonly team: teamBooks.TeamRecord;
+  readonly team: teamAllocations.TeamState;
   readonly tier: number;
   /** No job in it is smaller than this. */
-  readonly floor: types.resources.Resources;
-  readonly heap: binaryHeap.BinaryHeap<JobRecord>;
+  readonly minSize: types.resources.Resources;
+  readonly heap: binaryHeap.BinaryHeap<WaitingJob>;
   state: GroupState;
   /** Room has grown since it was found blocked. */
-  grew: boolean;
-  live: number;
+  hasFreedCapacity: boolean;
+  jobCount: number;
 }
 
 /** The waiting jobs. */
 export interface JobQueue {
-  add(job: JobRecord, size: types.resources.Resources, alone: boolean): void;
-  remove(job: JobRecord): void;
+  add(job: WaitingJob, size: types.resources.Resources, alone: boolean): void;
+  remove(job: WaitingJob): void;
   /** The first job of the group that should be tried next. */
-  next(): JobRecord | undefined;
+  next(): WaitingJob | undefined;
   /**
    * Marks the job's group as not to be tried. Where the job's size has left
    * its group, since sizes are learned, it only moves to the right group.
    */
   block(
-    job: JobRecord,
+    job: WaitingJob,
     size: types.resources.Resources,
     alone: boolean,
     state: GroupState,
   ): void;
   /** Lets groups be tried again that may fit where room grew. */
-  unblock(grown: ReadonlySet<bookRecords.WorkerRecord>, now: number): void;
-  unblockTeam(team: teamBooks.TeamRecord): void;
+  unblock(grown: ReadonlySet<allocationState.WorkerState>, now: number): void;
+  unblockTeam(team: teamAllocations.TeamState): void;
   /** First jobs of groups that found no room. */
-  blockedHeads(): JobRecord[];
+  blockedHeads(): WaitingJob[];
   /** Those of them that are urgent or due. */
-  blockedDue(): JobRecord[];
+  blockedDue(): WaitingJob[];
 }
 
 interface TeamQueue {
-  readonly team: teamBooks.TeamRecord;
+  readonly team: teamAllocations.TeamState;
   readonly groups: Map<string, JobGroup>;
-  ready: number;
+  readyGroups: number;
 }
 
 /**
@@ -99,10 +99,10 @@
  * so don't count against it.
  */
 export function createJobQueue(
-  shareOf: (team: teamBooks.TeamRecord, tier: number) => number,
+  shareOf: (team: teamAllocations.TeamState, tier: number) => number,
 ): JobQueue {
   const tiers = Array.from(
-    {length: TIERS},
+    {length: TIER_COUNT},
     () => new Map<types.ids.TeamId, TeamQueue>(),
   );
   const blocked = new Set<JobGroup>();
@@ -111,10 +111,10 @@
   function setState(group: JobGroup, state: GroupState): void {
     if (group.state === state) return;
     const queue = tiers[group.tier]!.get(group.team.id)!;
-    if (group.state === 'ready') queue.ready -= 1;
-    if (state === 'ready') queue.ready += 1;
+    if (group.state === 'ready') queue.readyGroups -= 1;
+    if (state === 'ready') queue.readyGroups += 1;
     group.state = state;
-    group.grew = false;
+    group.hasFreedCapacity = false;
     if (state === 'no_room') {
       blocked.add(group);
       if (group.tier === TIER_DUE) blockedDue.add(group);
@@ -125,45 +125,45 @@
   }
 
   function groupFor(
-    job: JobRecord,
+    job: WaitingJob,
     size: types.resources.Resources,
-    alone: boolean,
+    inOwnGroup: boolean,
   ): JobGroup {
     const tier = tiers[job.tier]!;
     let queue = tier.get(job.team.id);
     if (queue === undefined) {
-      queue = {team: job.team, groups: new Map(), ready: 0};
+      queue = {team: job.team, groups: new Map(), readyGroups: 0};
       tier.set(job.team.id, queue);
     }
-    const key = groupKey(job, size, alone);
+    const key = groupKey(job, size, inOwnGroup);
     const known = queue.groups.get(key);
     if (known !== undefined) return known;
-    const made: JobGroup = {
+    const created: JobGroup = {
       key,
       team: job.team,
       tier: job.tier,
-      floor: floorOf(size),
+      minSize: minSizeOf(size),
       heap: binaryHeap.createBinaryHeap(startsBefore),
       state: 'ready',
-      grew: false,
-      live: 0,
+      hasFreedCapacity: false,
+      jobCount: 0,
     };
-    queue.groups.set(key, made);
-    queue.ready += 1;
-    return made;
+    queue.groups.set(key, created);
+    queue.readyGroups += 1;
+    return created;
   }
 
-  function dropGroup(group: JobGroup): void {
+  function removeGroup(group: JobGroup): void {
     setState(group, 'ready');
     const tier = tiers[group.tier]!;
     const queue = tier.get(group.team.id)!;
     queue.groups.delete(group.key);
-    queue.ready -= 1;
+    queue.readyGroups -= 1;
     if (queue.groups.size === 0) tier.delete(group.team.id);
   }
 
   /** The first job still in the group; jobs that left are dropped on the way. */
-  function headOf(group: JobGroup): JobRecord | undefined {
+  function headOf(group: JobGroup): WaitingJob | undefined {
     for (;;) {
       const head = group.heap.peek();
       if (head === undefined || head.group === group) return head;
@@ -171,8 +171,8 @@
     }
   }
 
-  function headsOf(groups: Iterable<JobGroup>): JobRecord[] {
-    const heads: JobRecord[] = [];
+  function headsOf(groups: Iterable<JobGroup>): WaitingJob[] {
+    const heads: WaitingJob[] = [];
     for (const group of groups) {
       const head = headOf(group);
       if (head !== undefined) heads.push(head);
@@ -180,9 +180,9 @@
     return heads;
   }
 
-  function firstOf(queue: TeamQueue): JobRecord | undefined {
-    let first: JobRecord | undefined;
-    if (queue.ready === 0) return undefined;
+  function firstOf(queue: TeamQueue): WaitingJob | undefined {
+    let first: WaitingJob | undefined;
+    if (queue.readyGroups === 0) return undefined;
     for (const group of queue.groups.values()) {
       if (group.state !== 'ready') continue;
       const head = headOf(group);
@@ -193,13 +193,13 @@
   }
 
   /** Weighted fair share: the team that holds least for its weight. */
-  function nextByShare(tier: number): JobRecord | undefined {
+  function nextByShare(tier: number): WaitingJob | undefined {
     let best: TeamQueue | undefined;
     let bestShare = Infinity;
     for (const queue of tiers[tier]!.values()) {
-      if (queue.ready === 0) continue;
+      if (queue.readyGroups === 0) continue;
       const weighted =
-        shareOf(queue.team, tier) / Math.max(queue.team.weight, LEAST_WEIGHT);
+        shareOf(queue.team, tier) / Math.max(queue.team.weight, MIN_WEIGHT);
       if (weighted >= bestShare) continue;
       best = queue;
       bestShare = weighted;
@@ -211,11 +211,11 @@
    * Latest start first. A team that holds more than its weight entitles it to
    * comes after the others: else its flood of due work delays theirs.
    */
-  function nextDue(tier: Map<unknown, TeamQueue>): JobRecord | undefined {
+  function nextDue(tier: Map<unknown, TeamQueue>): WaitingJob | undefined {
     let weights = 0;
     for (const queue of tier.values()) weights += queue.team.weight;
-    let best: JobRecord | undefined;
-    let bestOver = true;
+    let best: WaitingJob | undefined;
+    let isBestOverShare = true;
     for (const queue of tier.values()) {
       const head = firstOf(queue);
       if (head === undefined) continue;
@@ -223,35 +223,35 @@
       const over = tier.size > 1 && shareOf(queue.team, TIER_DUE) > entitled;
       const better =
         best === undefined ||
-        (over === bestOver ? startsBefore(head, best) : !over);
+        (over === isBestOverShare ? startsBefore(head, best) : !over);
       if (!better) continue;
       best = head;
-      bestOver = over;
+      isBestOverShare = over;
     }
     return best;
   }
 
   function add(
-    job: JobRecord,
+    job: WaitingJob,
     size: types.resources.Resources,
-    alone: boolean,
+    inOwnGroup: boolean,
   ): void {
-    const group = groupFor(job, size, alone);
+    const group = groupFor(job, size, inOwnGroup);
     job.group = group;
-    group.live += 1;
+    group.jobCount += 1;
     group.heap.push(job);
     // It may be smaller than the job that the group was blocked for.
     setState(group, 'ready');
   }
 
-  function remove(job: JobRecord): void {
+  function remove(job: WaitingJob): void {
     const group = job.group;
     if (group === undefined) return;
     job.group = undefined;
-    group.live -= 1;
-    if (group.live === 0) dropGroup(group);
-    else if (group.heap.size() > group.live * 2 + HEAP_SLACK) {
-      group.heap.keepOnly((each) => each.group === group);
+    group.jobCount -= 1;
+    if (group.jobCount === 0) removeGroup(group);
+    else if (group.heap.size() > group.jobCount * 2 + MAX_STALE_HEAP_ENTRIES) {
+      group.heap.retain((each) => each.group === group);
     }
   }
 
@@ -259,7 +259,7 @@
     add,
     remove,
     next() {
-      for (let tier = 0; tier < TIERS; tier += 1) {
+      for (let tier = 0; tier < TIER_COUNT; tier += 1) {
         const queues = tiers[tier]!;
         if (queues.size === 0) continue;
         const job = tier === TIER_DUE ? nextDue(queues) : nextByShare(tier);
@@ -279,8 +279,9 @@
     unblock(grown, now) {
       for (const group of blocked) {
         const head = headOf(group);
-        if (!group.grew) group.grew = fitsAny(group.floor, grown);
-        if (!group.grew) continue;
+        if (!group.hasFreedCapacity)
+          group.hasFreedCapacity = fitsAnyWorker(group.minSize, grown);
+        if (!group.hasFreedCapacity) continue;
         if (head !== undefined && head.retryAt > now) continue;
         setState(group, 'ready');
       }
@@ -300,45 +301,45 @@
 }
 
 /** The order within a tier and team. */
-export function startsBefore(left: JobRecord, right: JobRecord): boolean {
+export function startsBefore(left: WaitingJob, right: WaitingJob): boolean {
   return left.startBy < right.startBy;
 }
 
 function groupKey(
-  job: JobRecord,
+  job: WaitingJob,
   size: types.resources.Resources,
-  alone: boolean,
+  inOwnGroup: boolean,
 ): string {
-  if (alone) return job.jobId;
+  if (inOwnGroup) return job.jobId;
   const {shape} = job.spec;
-  const tasks = shape.kind === 'gang' ? step(shape.tasks) : 0;
-  const cell = `${step(size.cpuMillis)}:${step(size.memoryMb)}`;
-  return `${shape.kind}:${tasks}:${cell}:${size.accelerators}`;
+  const tasks = shape.kind === 'gang' ? sizeBucket(shape.tasks) : 0;
+  const sizeKey = `${sizeBucket(size.cpuMillis)}:${sizeBucket(size.memoryMb)}`;
+  return `${shape.kind}:${tasks}:${sizeKey}:${size.accelerators}`;
 }
 
 /** Two steps to each doubling. */
-function step(amount: number): number {
+function sizeBucket(amount: number): number {
   return amount < 1 ? -1 : Math.floor(Math.log2(amount) * 2);
 }
 
-function floorOf(size: types.resources.Resources): types.resources.Resources {
+function minSizeOf(size: types.resources.Resources): types.resources.Resources {
   return {
-    cpuMillis: stepFloor(size.cpuMillis),
-    memoryMb: stepFloor(size.memoryMb),
+    cpuMillis: bucketMinimum(size.cpuMillis),
+    memoryMb: bucketMinimum(size.memoryMb),
     accelerators: size.accelerators,
   };
 }
 
-function stepFloor(amount: number): number {
-  return amount < 1 ? 0 : Math.floor(2 ** (step(amount) / 2));
+function bucketMinimum(amount: number): number {
+  return amount < 1 ? 0 : Math.floor(2 ** (sizeBucket(amount) / 2));
 }
 
-function fitsAny(
+function fitsAnyWorker(
   floor: types.resources.Resources,
-  grown: ReadonlySet<bookRecords.WorkerRecord>,
+  grown: ReadonlySet<allocationState.WorkerState>,
 ): boolean {
   for (const worker of grown) {
-    if (types.resources.fits(floor, worker.room)) return true;
+    if (types.resources.fits(floor, worker.free)) return true;
   }
   return false;
 }
--- a/packages/gypsumwall-placement/src/mutable_resources.ts
+++ b/packages/gypsumwall-placement/src/mutable_resources.ts
@@ -9,12 +9,12 @@
 }
 
 /** A copy that may be changed. */
-export function mutable(from: types.resources.Resources): MutableResources {
+export function mutableCopy(from: types.resources.Resources): MutableResources {
   return {...from};
 }
 
 /** Adds an amount, or takes it away. */
-export function moveBy(
+export function adjust(
   target: MutableResources,
   amount: types.resources.Resources,
   sign: 1 | -1,
--- a/packages/gypsumwall-placement/src/pick_worker.ts
+++ b/packages/gypsumwall-placement/src/pick_worker.ts
@@ -5,23 +5,23 @@
  * moves both the place where the search starts and the score.
  */
 import type * as types from '@gypsumwall/types';
-import type * as bookRecords from './book_records.js';
-import * as books from './books.js';
+import type * as allocationState from './allocation_state.js';
+import * as domainAllocations from './domain_allocations.js';
 import type * as workerIndex from './worker_index.js';
 
-const CANDIDATES = 6;
+const MAX_CANDIDATES = 6;
 /**
  * Searches for a service's replica start at this many evenly spaced workers,
  * so that the candidates lie in distinct racks.
  */
-const SPREAD_STARTS = 8;
-const CANDIDATES_PER_START = 2;
+const RACK_SEARCH_STARTS = 8;
+const MAX_CANDIDATES_PER_START = 2;
 /** A replica more in the rack outweighs every other term of the score. */
 const RACK_WEIGHT = 10;
 const IMBALANCE_WEIGHT = 0.5;
 
 /** What is to be placed. */
-export interface Pick {
+export interface WorkerQuery {
   readonly need: types.resources.Resources;
   /** 0: emptiest worker; 1: fullest worker that still has room. */
   readonly packing: number;
@@ -29,61 +29,64 @@
   /** Replicas by rack, for services. */
   readonly racks?: ReadonlyMap<types.ids.RackId, number>;
   /** Workers whose reserved room may be used when there is no other. */
-  readonly extra?: () => Iterable<bookRecords.WorkerRecord>;
+  readonly reservedFallback?: () => Iterable<allocationState.WorkerState>;
 }
 
 /** Picks a worker; undefined when none has room. */
-export type WorkerPicker = (pick: Pick) => bookRecords.WorkerRecord | undefined;
+export type WorkerPicker = (
+  pick: WorkerQuery,
+) => allocationState.WorkerState | undefined;
 
 /** Creates a picker over an index. */
 export function createWorkerPicker(
   index: workerIndex.WorkerIndex,
   random: types.random.Random,
 ): WorkerPicker {
-  function candidates(pick: Pick): bookRecords.WorkerRecord[] {
-    const {need, avoid} = pick;
+  function findCandidates(query: WorkerQuery): allocationState.WorkerState[] {
+    const {need, avoid} = query;
     const skip =
       avoid === undefined
         ? undefined
-        : (worker: bookRecords.WorkerRecord) => avoid.has(worker.id);
-    if (pick.racks === undefined) {
-      const from = (1 - pick.packing) * random.next();
-      return index.find({need, from, limit: CANDIDATES, skip});
+        : (worker: allocationState.WorkerState) => avoid.has(worker.id);
+    if (query.racks === undefined) {
+      const from = (1 - query.packing) * random.next();
+      return index.find({need, from, limit: MAX_CANDIDATES, skip});
     }
-    const found: bookRecords.WorkerRecord[] = [];
+    const found: allocationState.WorkerState[] = [];
     const offset = random.next();
-    for (let start = 0; start < SPREAD_STARTS; start += 1) {
-      const from = ((start + offset) / SPREAD_STARTS) % 1;
-      const limit = CANDIDATES_PER_START;
+    for (let start = 0; start < RACK_SEARCH_STARTS; start += 1) {
+      const from = ((start + offset) / RACK_SEARCH_STARTS) % 1;
+      const limit = MAX_CANDIDATES_PER_START;
       found.push(...index.find({need, from, limit, skip}));
     }
     return found;
   }
 
-  function extras(pick: Pick): bookRecords.WorkerRecord[] {
-    const found: bookRecords.WorkerRecord[] = [];
-    for (const worker of pick.extra?.() ?? []) {
-      if (!worker.open || worker.quarantined) continue;
-      if (pick.avoid?.has(worker.id) === true) continue;
-      if (books.fitsReserved(pick.need, worker)) found.push(worker);
+  function findReserved(query: WorkerQuery): allocationState.WorkerState[] {
+    const found: allocationState.WorkerState[] = [];
+    for (const worker of query.reservedFallback?.() ?? []) {
+      if (!worker.isSchedulable || worker.isQuarantined) continue;
+      if (query.avoid?.has(worker.id) === true) continue;
+      if (domainAllocations.fitsWithReserved(query.need, worker))
+        found.push(worker);
     }
     return found;
   }
 
-  return (pick) => {
-    const found = candidates(pick);
-    return best(pick, found.length > 0 ? found : extras(pick));
+  return (query) => {
+    const found = findCandidates(query);
+    return selectBest(query, found.length > 0 ? found : findReserved(query));
   };
 }
 
-function best(
-  pick: Pick,
-  found: readonly bookRecords.WorkerRecord[],
-): bookRecords.WorkerRecord | undefined {
-  let chosen: bookRecords.WorkerRecord | undefined;
+function selectBest(
+  query: WorkerQuery,
+  found: readonly allocationState.WorkerState[],
+): allocationState.WorkerState | undefined {
+  let chosen: allocationState.WorkerState | undefined;
   let lowest = Infinity;
   for (const worker of found) {
-    const score = scoreOf(pick, worker);
+    const score = scoreOf(query, worker);
     if (score >= lowest) continue;
     chosen = worker;
     lowest = score;
@@ -92,14 +95,17 @@
 }
 
 /** Lower is better. */
-function scoreOf(pick: Pick, worker: bookRecords.WorkerRecord): number {
-  const {room, capacity} = worker;
-  const {need, packing} = pick;
-  const cpuLeft = (room.cpuMillis - need.cpuMillis) / capacity.cpuMillis;
-  const memoryLeft = (room.memoryMb - need.memoryMb) / capacity.memoryMb;
+function scoreOf(
+  query: WorkerQuery,
+  worker: allocationState.WorkerState,
+): number {
+  const {free, capacity} = worker;
+  const {need, packing} = query;
+  const cpuLeft = (free.cpuMillis - need.cpuMillis) / capacity.cpuMillis;
+  const memoryLeft = (free.memoryMb - need.memoryMb) / capacity.memoryMb;
   const left = (cpuLeft + memoryLeft) / 2;
   const tightness = packing * left + (1 - packing) * (1 - left);
   const imbalance = Math.abs(cpuLeft - memoryLeft) * IMBALANCE_WEIGHT;
-  const replicas = pick.racks?.get(worker.rack) ?? 0;
+  const replicas = query.racks?.get(worker.rack) ?? 0;
   return tightness + imbalance + replicas * RACK_WEIGHT;
 }
--- a/packages/gypsumwall-placement/src/quantity_history.ts
+++ b/packages/gypsumwall-placement/src/quantity_history.ts
@@ -9,7 +9,7 @@
 
 /** Ratios are recorded in thousandths. */
 const RATIO_SCALE = 1000;
-const HIGHEST = 2 ** 31 - 1;
+const MAX_VALUE = 2 ** 31 - 1;
 /** Counts are 16 bits wide; old samples make way well before that. */
 const SAMPLES_PER_GENERATION = 2000;
 
@@ -27,7 +27,7 @@
   const ratios = buildHistogram();
 
   /** How wide the middle of the samples lies, as a factor. */
-  function scatter(histogram: hdr.Histogram): number {
+  function spread(histogram: hdr.Histogram): number {
     const low = Math.max(1, histogram.getValueAtPercentile(10));
     return histogram.getValueAtPercentile(90) / low;
   }
@@ -44,7 +44,7 @@
     },
     quantile(declared, share) {
       const percentile = share * 100;
-      if (scatter(ratios) < scatter(amounts)) {
+      if (spread(ratios) < spread(amounts)) {
         const ratio = ratios.getValueAtPercentile(percentile) / RATIO_SCALE;
         return declared * ratio;
       }
@@ -59,10 +59,10 @@
     bitBucketSize: 16,
     numberOfSignificantValueDigits: 1,
     lowestDiscernibleValue: 1,
-    highestTrackableValue: HIGHEST,
+    highestTrackableValue: MAX_VALUE,
   });
 }
 
 function clamp(value: number): number {
-  return Math.min(HIGHEST, Math.max(1, Math.round(value)));
+  return Math.min(MAX_VALUE, Math.max(1, Math.round(value)));
 }
--- a/packages/gypsumwall-placement/src/quarantine.ts
+++ b/packages/gypsumwall-placement/src/quarantine.ts
@@ -5,39 +5,39 @@
  * success between, so a job that is itself broken condemns no worker.
  */
 import type * as types from '@gypsumwall/types';
-import type * as bookRecords from './book_records.js';
+import type * as allocationState from './allocation_state.js';
 
 /** Failures of this many distinct jobs, with no success between. */
-const DISTINCT_JOBS = 3;
-const FIRST_PROBE_MS = 30_000;
-const LONGEST_PROBE_MS = 600_000;
+const MIN_FAILED_JOBS = 3;
+const MIN_PROBE_DELAY_MS = 30_000;
+const MAX_PROBE_DELAY_MS = 600_000;
 /**
  * At most this share of workers is kept out. When more seem to fail, the
  * cause is likely elsewhere, and an empty domain would serve nobody.
  */
-const MOST_QUARANTINED = 0.2;
+const MAX_QUARANTINED_SHARE = 0.2;
 
 /** Watches how runs end on each worker. */
 export interface Quarantine {
-  noteFailure(
-    worker: bookRecords.WorkerRecord,
+  recordFailure(
+    worker: allocationState.WorkerState,
     jobId: types.ids.JobId,
     now: number,
   ): void;
-  noteSuccess(worker: bookRecords.WorkerRecord): void;
-  forget(worker: bookRecords.WorkerRecord): void;
+  recordSuccess(worker: allocationState.WorkerState): void;
+  removeWorker(worker: allocationState.WorkerState): void;
   /** Lets workers whose time has come take one probe. */
   tick(now: number): void;
   /** A quarantined worker holds its one probe. */
-  noteProbeStarted(worker: bookRecords.WorkerRecord): void;
+  onTaskAllocated(worker: allocationState.WorkerState): void;
 }
 
 interface Suspect {
   readonly jobs: Set<types.ids.JobId>;
-  waitMs: number;
+  probeDelayMs: number;
   probeAt: number;
   /** Open for one task at present. */
-  probing: boolean;
+  isProbing: boolean;
 }
 
 /**
@@ -45,76 +45,88 @@
  * worker whose `quarantined` mark changed.
  */
 export function createQuarantine(
-  workers: ReadonlyMap<types.ids.WorkerId, bookRecords.WorkerRecord>,
-  onChange: (worker: bookRecords.WorkerRecord) => void,
+  workers: ReadonlyMap<types.ids.WorkerId, allocationState.WorkerState>,
+  onChange: (worker: allocationState.WorkerState) => void,
 ): Quarantine {
-  const suspects = new Map<bookRecords.WorkerRecord, Suspect>();
-  let quarantined = 0;
+  const suspects = new Map<allocationState.WorkerState, Suspect>();
+  let quarantinedCount = 0;
 
-  function mark(worker: bookRecords.WorkerRecord, out: boolean): void {
-    if (worker.quarantined === out) return;
-    worker.quarantined = out;
+  function setQuarantined(
+    worker: allocationState.WorkerState,
+    isQuarantinedNow: boolean,
+  ): void {
+    if (worker.isQuarantined === isQuarantinedNow) return;
+    worker.isQuarantined = isQuarantinedNow;
     onChange(worker);
   }
 
   /** `waitMs` above zero: the worker has been quarantined and not cleared. */
-  function isIn(suspect: Suspect): boolean {
-    return suspect.waitMs > 0;
+  function isQuarantined(suspect: Suspect): boolean {
+    return suspect.probeDelayMs > 0;
   }
 
-  function keepOut(
-    worker: bookRecords.WorkerRecord,
+  function quarantineWorker(
+    worker: allocationState.WorkerState,
     suspect: Suspect,
     now: number,
   ): void {
-    const again = isIn(suspect);
-    const most = Math.max(1, Math.floor(workers.size * MOST_QUARANTINED));
-    if (!again && quarantined >= most) return;
-    if (!again) quarantined += 1;
-    const doubled = Math.min(LONGEST_PROBE_MS, suspect.waitMs * 2);
-    suspect.waitMs = again ? doubled : FIRST_PROBE_MS;
-    suspect.probeAt = now + suspect.waitMs;
-    suspect.probing = false;
-    mark(worker, true);
+    const wasQuarantined = isQuarantined(suspect);
+    const maxQuarantined = Math.max(
+      1,
+      Math.floor(workers.size * MAX_QUARANTINED_SHARE),
+    );
+    if (!wasQuarantined && quarantinedCount >= maxQuarantined) return;
+    if (!wasQuarantined) quarantinedCount += 1;
+    const doubled = Math.min(MAX_PROBE_DELAY_MS, suspect.probeDelayMs * 2);
+    suspect.probeDelayMs = wasQuarantined ? doubled : MIN_PROBE_DELAY_MS;
+    suspect.probeAt = now + suspect.probeDelayMs;
+    suspect.isProbing = false;
+    setQuarantined(worker, true);
   }
 
-  function forget(worker: bookRecords.WorkerRecord): void {
+  function removeWorker(worker: allocationState.WorkerState): void {
     const suspect = suspects.get(worker);
     if (suspect === undefined) return;
-    if (isIn(suspect)) quarantined -= 1;
+    if (isQuarantined(suspect)) quarantinedCount -= 1;
     suspects.delete(worker);
-    mark(worker, false);
+    setQuarantined(worker, false);
   }
 
   return {
-    forget,
-    noteSuccess: forget,
-    noteFailure(worker, jobId, now) {
+    removeWorker,
+    recordSuccess: removeWorker,
+    recordFailure(worker, jobId, now) {
       let suspect = suspects.get(worker);
       if (suspect === undefined) {
-        suspect = {jobs: new Set(), waitMs: 0, probeAt: 0, probing: false};
+        suspect = {
+          jobs: new Set(),
+          probeDelayMs: 0,
+          probeAt: 0,
+          isProbing: false,
+        };
         suspects.set(worker, suspect);
       }
-      if (suspect.jobs.size < DISTINCT_JOBS) suspect.jobs.add(jobId);
-      const probeFailed = isIn(suspect) && suspect.probing;
-      const tooMany = !isIn(suspect) && suspect.jobs.size >= DISTINCT_JOBS;
-      if (probeFailed || tooMany) keepOut(worker, suspect, now);
+      if (suspect.jobs.size < MIN_FAILED_JOBS) suspect.jobs.add(jobId);
+      const probeFailed = isQuarantined(suspect) && suspect.isProbing;
+      const tooMany =
+        !isQuarantined(suspect) && suspect.jobs.size >= MIN_FAILED_JOBS;
+      if (probeFailed || tooMany) quarantineWorker(worker, suspect, now);
     },
     tick(now) {
-      if (quarantined === 0) return;
+      if (quarantinedCount === 0) return;
       for (const [worker, suspect] of suspects) {
-        if (!isIn(suspect) || suspect.probeAt > now) continue;
-        suspect.probing = true;
+        if (!isQuarantined(suspect) || suspect.probeAt > now) continue;
+        suspect.isProbing = true;
         // A probe that never starts or never ends must not end the probing.
-        suspect.probeAt = now + suspect.waitMs;
-        mark(worker, false);
+        suspect.probeAt = now + suspect.probeDelayMs;
+        setQuarantined(worker, false);
       }
     },
-    noteProbeStarted(worker) {
-      if (quarantined === 0) return;
+    onTaskAllocated(worker) {
+      if (quarantinedCount === 0) return;
       const suspect = suspects.get(worker);
-      if (suspect === undefined || !isIn(suspect)) return;
-      mark(worker, true);
+      if (suspect === undefined || !isQuarantined(suspect)) return;
+      setQuarantined(worker, true);
     },
   };
 }
--- a/packages/gypsumwall-placement/src/rack_spread.ts
+++ b/packages/gypsumwall-placement/src/rack_spread.ts
@@ -1,10 +1,10 @@
 /** Counts the replicas of each service by rack. */
 import * as types from '@gypsumwall/types';
-import type * as bookRecords from './book_records.js';
+import type * as allocationState from './allocation_state.js';
 
 /** Replicas by rack. */
 export interface RackSpread {
-  note(task: bookRecords.HeldRecord, sign: 1 | -1): void;
+  adjust(task: allocationState.TaskAllocation, sign: 1 | -1): void;
   racksOf(
     jobId: types.ids.JobId,
   ): ReadonlyMap<types.ids.RackId, number> | undefined;
@@ -15,7 +15,7 @@
   const services = new Map<types.ids.JobId, Map<types.ids.RackId, number>>();
 
   return {
-    note(task, sign) {
+    adjust(task, sign) {
       if (task.spec.shape.kind !== 'service') return;
       const {jobId} = types.ids.splitTaskId(task.taskId);
       const racks = services.get(jobId) ?? new Map<types.ids.RackId, number>();
--- a/packages/gypsumwall-placement/src/reservations.ts
+++ b/packages/gypsumwall-placement/src/reservations.ts
@@ -9,51 +9,51 @@
  * reserved. A deadline ends a reservation whose workers don't drain.
  */
 import * as types from '@gypsumwall/types';
-import type * as bookRecords from './book_records.js';
-import * as drainTimes from './drain_times.js';
+import type * as allocationState from './allocation_state.js';
+import * as expectedCapacity from './expected_capacity.js';
 import type * as jobQueue from './job_queue.js';
-import * as movable from './movable.js';
+import * as preemption from './preemption.js';
 import type * as placer from './placer.js';
 
 /** A job blocked for so long may have room kept for it. */
-const PATIENCE_MS = 1000;
+const MIN_BLOCKED_MS = 1000;
 /** How often jobs are looked at that might get a reservation. */
-const LOOK_EVERY_MS = 250;
+const CHECK_INTERVAL_MS = 250;
 /** Room that isn't there so long after it should be is planned anew. */
-const LATE_AFTER_MS = 500;
-const SHORTEST_MS = 10_000;
-const LONGEST_MS = 1_800_000;
+const REPLAN_AFTER_MS = 500;
+const MIN_DURATION_MS = 10_000;
+const MAX_DURATION_MS = 1_800_000;
 /** A reservation lasts this much longer than its workers should take. */
-const DRAIN_MARGIN = 1.5;
+const DRAIN_TIME_FACTOR = 1.5;
 /** Reservations at one time; others wait until one ends. */
 const MAX_RESERVATIONS = 2;
 /**
  * Room for one task more is kept for each so many: urgent tasks and usage
  * above the books take a little of it before the last worker has drained.
  */
-const TASKS_PER_SPARE = 8;
+const TASKS_PER_SPARE_SLOT = 8;
 /**
  * Room is kept for gangs, and for single tasks of at least this share of the
  * largest worker; smaller ones find room soon enough.
  */
-const LARGE_SHARE = 0.25;
+const LARGE_TASK_SHARE = 0.25;
 /** Batch work as urgent as the job itself is moved for it after this. */
-const MOVE_EQUALS_AFTER_MS = 60_000;
+const PREEMPT_EQUALS_AFTER_MS = 60_000;
 /**
  * Share of a reservation's workers that must have drained before the job is
  * tried. Not all of them: there is spare room, and some tasks fit elsewhere.
  */
-const READY_SHARE = 0.75;
+const READY_WORKER_SHARE = 0.75;
 /** Workers looked at: more for a larger gang, but never all of thousands. */
-const SAMPLES = 64;
+const MIN_SAMPLES = 64;
 const SAMPLES_PER_TASK = 4;
 
 /** Room that is being kept. */
 export interface Reservation {
-  readonly job: jobQueue.JobRecord;
+  readonly job: jobQueue.WaitingJob;
   readonly size: types.resources.Resources;
   /** Tasks by worker. */
-  readonly slots: ReadonlyMap<bookRecords.WorkerRecord, number>;
+  readonly slots: ReadonlyMap<allocationState.WorkerState, number>;
   /** When its workers should have drained. */
   readonly readyAt: number;
   readonly deadline: number;
@@ -61,99 +61,102 @@
 
 /** The reservations of a domain. */
 export interface Reservations {
-  of(job: jobQueue.JobRecord): Reservation | undefined;
+  of(job: jobQueue.WaitingJob): Reservation | undefined;
   /**
    * Ends what is over; begins one for a job that has waited long. Returns the
    * checkpoints that make room for it.
    */
   tick(
     now: number,
-    blocked: () => readonly jobQueue.JobRecord[],
+    blocked: () => readonly jobQueue.WaitingJob[],
   ): readonly placer.Relief[];
   /** Jobs for which most of the room kept for them is free. */
-  readyJobs(): jobQueue.JobRecord[];
+  readyJobs(): jobQueue.WaitingJob[];
   /** Frees the job's own room for a try; `resume` keeps it again. */
-  suspend(job: jobQueue.JobRecord): void;
-  resume(job: jobQueue.JobRecord): void;
+  suspend(job: jobQueue.WaitingJob): void;
+  resume(job: jobQueue.WaitingJob): void;
   /** The job was placed or went away. */
-  end(job: jobQueue.JobRecord): void;
-  dropWorker(worker: bookRecords.WorkerRecord): void;
+  end(job: jobQueue.WaitingJob): void;
+  removeWorker(worker: allocationState.WorkerState): void;
   /**
    * Workers whose reserved room the job may use: those kept for less urgent
    * work, and those it would leave before they are needed.
    */
   usableBy(
-    job: jobQueue.JobRecord,
+    job: jobQueue.WaitingJob,
     doneAt: number,
-  ): Iterable<bookRecords.WorkerRecord>;
+  ): Iterable<allocationState.WorkerState>;
 }
 
 /** What reservations need to know. */
 export interface ReservationsOptions {
-  readonly list: readonly bookRecords.WorkerRecord[];
-  readonly largest: types.resources.Resources;
+  readonly workerList: readonly allocationState.WorkerState[];
+  readonly largestCapacity: types.resources.Resources;
   readonly random: types.random.Random;
-  sizeOf(job: jobQueue.JobRecord): types.resources.Resources;
+  sizeOf(job: jobQueue.WaitingJob): types.resources.Resources;
   reserve(
-    worker: bookRecords.WorkerRecord,
+    worker: allocationState.WorkerState,
     amount: types.resources.Resources,
     sign: 1 | -1,
   ): void;
   /** Runs an action whose changes of room wake nobody. */
-  quietly(action: () => void): void;
+  withoutUnblocking(action: () => void): void;
 }
 
 /** Creates the reservations of a domain. */
 export function createReservations(options: ReservationsOptions): Reservations {
-  const current = new Map<jobQueue.JobRecord, Reservation>();
-  let suspended: Reservation | undefined;
-  let lookAgainAt = 0;
+  const current = new Map<jobQueue.WaitingJob, Reservation>();
+  let suspendedReservation: Reservation | undefined;
+  let nextCheckAt = 0;
 
-  function move(reservation: Reservation, sign: 1 | -1): void {
+  function reserveOnWorkers(reservation: Reservation, sign: 1 | -1): void {
     for (const [worker, count] of reservation.slots) {
       const amount = types.resources.times(reservation.size, count);
       options.reserve(worker, amount, sign);
     }
   }
 
-  function finish(reservation: Reservation): void {
+  function end(reservation: Reservation): void {
     current.delete(reservation.job);
-    reservation.job.reserved = false;
-    if (suspended === reservation) suspended = undefined;
-    else move(reservation, -1);
+    reservation.job.hasReservation = false;
+    if (suspendedReservation === reservation) suspendedReservation = undefined;
+    else reserveOnWorkers(reservation, -1);
   }
 
-  function begin(
-    job: jobQueue.JobRecord,
+  function create(
+    job: jobQueue.WaitingJob,
     now: number,
-    givenDeadline?: number,
+    fixedDeadline?: number,
   ): readonly placer.Relief[] {
     const size = options.sizeOf(job);
     const tasks = job.spec.shape.kind === 'gang' ? job.waiting.size : 1;
-    const sample = sampleWorkers(SAMPLES + tasks * SAMPLES_PER_TASK);
+    const sample = sampleWorkers(MIN_SAMPLES + tasks * SAMPLES_PER_TASK);
     const search = (count: number) =>
-      drainTimes.soonestRoom(sample, {
+      expectedCapacity.earliestCapacity(sample, {
         size,
         count,
         now,
-        mayMove: (task) => mayMove(job, task, now),
+        mayPreempt: (task) => mayPreempt(job, task, now),
       });
-    const spare = Math.ceil(tasks / TASKS_PER_SPARE);
+    const spare = Math.ceil(tasks / TASKS_PER_SPARE_SLOT);
     const found = search(tasks + spare) ?? search(tasks);
     if (found === undefined) {
-      job.reserveAfter = now + SHORTEST_MS;
+      job.nextReservationAt = now + MIN_DURATION_MS;
       return [];
     }
     const {slots, readyAt, victims} = found;
-    const drainMs = (readyAt - now) * DRAIN_MARGIN;
-    const lastsMs = Math.min(LONGEST_MS, Math.max(SHORTEST_MS, drainMs));
-    const deadline = givenDeadline ?? now + lastsMs;
+    const drainMs = (readyAt - now) * DRAIN_TIME_FACTOR;
+    const durationMs = Math.min(
+      MAX_DURATION_MS,
+      Math.max(MIN_DURATION_MS, drainMs),
+    );
+    const deadline = fixedDeadline ?? now + durationMs;
     const reservation = {job, size, slots, readyAt, deadline};
-    job.reserveAfter = deadline + SHORTEST_MS;
-    job.reserved = true;
+    job.nextReservationAt = deadline + MIN_DURATION_MS;
+    job.hasReservation = true;
     current.set(job, reservation);
-    move(reservation, 1);
-    return victims.map((task) => movable.askCheckpoint(task, now));
+    reserveOnWorkers(reservation, 1);
+    return victims.map((task) => preemption.requestCheckpoint(task, now));
   }
 
   /**
@@ -163,49 +166,50 @@
   function replanLate(now: number): placer.Relief[] {
     const reliefs: placer.Relief[] = [];
     for (const reservation of [...current.values()]) {
-      if (reservation.readyAt + LATE_AFTER_MS > now) continue;
-      finish(reservation);
-      reliefs.push(...begin(reservation.job, now, reservation.deadline));
+      if (reservation.readyAt + REPLAN_AFTER_MS > now) continue;
+      end(reservation);
+      reliefs.push(...create(reservation.job, now, reservation.deadline));
     }
     return reliefs;
   }
 
-  function isLarge(job: jobQueue.JobRecord): boolean {
+  function isLarge(job: jobQueue.WaitingJob): boolean {
     if (job.spec.shape.kind === 'gang') return true;
     const size = options.sizeOf(job);
-    const {largest} = options;
+    const {largestCapacity} = options;
     return (
-      size.cpuMillis >= largest.cpuMillis * LARGE_SHARE ||
-      size.memoryMb >= largest.memoryMb * LARGE_SHARE ||
+      size.cpuMillis >= largestCapacity.cpuMillis * LARGE_TASK_SHARE ||
+      size.memoryMb >= largestCapacity.memoryMb * LARGE_TASK_SHARE ||
       size.accelerators > 0
     );
   }
 
-  function sampleWorkers(count: number): bookRecords.WorkerRecord[] {
-    const {list, random} = options;
-    const usable = (worker: bookRecords.WorkerRecord) =>
-      worker.open && !worker.quarantined;
-    if (list.length <= count) return list.filter(usable);
-    const start = random.integer(0, list.length - 1);
-    const found: bookRecords.WorkerRecord[] = [];
+  function sampleWorkers(count: number): allocationState.WorkerState[] {
+    const {workerList, random} = options;
+    const isUsable = (worker: allocationState.WorkerState) =>
+      worker.isSchedulable && !worker.isQuarantined;
+    if (workerList.length <= count) return workerList.filter(isUsable);
+    const start = random.integer(0, workerList.length - 1);
+    const found: allocationState.WorkerState[] = [];
     for (let step = 0; step < count; step += 1) {
-      const worker = list[(start + step) % list.length]!;
-      if (usable(worker)) found.push(worker);
+      const worker = workerList[(start + step) % workerList.length]!;
+      if (isUsable(worker)) found.push(worker);
     }
     return found;
   }
 
   /** The job to keep room for next. */
   function longestBlocked(
-    blocked: readonly jobQueue.JobRecord[],
+    blocked: readonly jobQueue.WaitingJob[],
     now: number,
-  ): jobQueue.JobRecord | undefined {
-    let first: jobQueue.JobRecord | undefined;
+  ): jobQueue.WaitingJob | undefined {
+    let first: jobQueue.WaitingJob | undefined;
     for (const job of blocked) {
       const since = job.blockedSince;
-      if (since === undefined || since + PATIENCE_MS > now) continue;
-      if (job.reserved || job.reserveAfter > now || !isLarge(job)) continue;
-      if (first === undefined || goesBefore(job, first)) first = job;
+      if (since === undefined || since + MIN_BLOCKED_MS > now) continue;
+      if (job.hasReservation || job.nextReservationAt > now || !isLarge(job))
+        continue;
+      if (first === undefined || precedes(job, first)) first = job;
     }
     return first;
   }
@@ -214,41 +218,41 @@
     of: (job) => current.get(job),
     tick(now, blocked) {
       for (const reservation of current.values()) {
-        if (reservation.deadline <= now) finish(reservation);
+        if (reservation.deadline <= now) end(reservation);
       }
-      if (now < lookAgainAt) return [];
-      lookAgainAt = now + LOOK_EVERY_MS;
+      if (now < nextCheckAt) return [];
+      nextCheckAt = now + CHECK_INTERVAL_MS;
       const replanned = replanLate(now);
       if (current.size >= MAX_RESERVATIONS) return replanned;
       const first = longestBlocked(blocked(), now);
-      if (first !== undefined) replanned.push(...begin(first, now));
+      if (first !== undefined) replanned.push(...create(first, now));
       return replanned;
     },
     readyJobs: () => [...current.values()].filter(isReady).map(({job}) => job),
     suspend(job) {
-      if (!job.reserved) return;
-      suspended = current.get(job);
-      if (suspended === undefined) return;
-      const reservation = suspended;
-      options.quietly(() => move(reservation, -1));
+      if (!job.hasReservation) return;
+      suspendedReservation = current.get(job);
+      if (suspendedReservation === undefined) return;
+      const reservation = suspendedReservation;
+      options.withoutUnblocking(() => reserveOnWorkers(reservation, -1));
     },
     resume(job) {
-      if (suspended?.job !== job) return;
-      const reservation = suspended;
-      suspended = undefined;
-      options.quietly(() => move(reservation, 1));
+      if (suspendedReservation?.job !== job) return;
+      const reservation = suspendedReservation;
+      suspendedReservation = undefined;
+      options.withoutUnblocking(() => reserveOnWorkers(reservation, 1));
     },
     end(job) {
       const reservation = current.get(job);
-      if (reservation !== undefined) finish(reservation);
+      if (reservation !== undefined) end(reservation);
     },
-    dropWorker(worker) {
+    removeWorker(worker) {
       for (const reservation of current.values()) {
-        if (reservation.slots.has(worker)) finish(reservation);
+        if (reservation.slots.has(worker)) end(reservation);
       }
     },
     usableBy(job, doneAt) {
-      const found: bookRecords.WorkerRecord[] = [];
+      const found: allocationState.WorkerState[] = [];
       for (const reservation of current.values()) {
         const mayUse =
           job.tier < reservation.job.tier || doneAt <= reservation.readyAt;
@@ -260,31 +264,31 @@
 }
 
 function isReady(reservation: Reservation): boolean {
-  let free = 0;
-  for (const {room} of reservation.slots.keys()) {
+  let drainedWorkers = 0;
+  for (const {free} of reservation.slots.keys()) {
     const isFree =
-      room.cpuMillis >= 0 && room.memoryMb >= 0 && room.accelerators >= 0;
-    if (isFree) free += 1;
+      free.cpuMillis >= 0 && free.memoryMb >= 0 && free.accelerators >= 0;
+    if (isFree) drainedWorkers += 1;
   }
-  return free >= reservation.slots.size * READY_SHARE;
+  return drainedWorkers >= reservation.slots.size * READY_WORKER_SHARE;
 }
 
 /** Whether a running task may be checkpointed for the job's sake. */
-function mayMove(
-  job: jobQueue.JobRecord,
-  task: bookRecords.HeldRecord,
+function mayPreempt(
+  job: jobQueue.WaitingJob,
+  task: allocationState.TaskAllocation,
   now: number,
 ): boolean {
-  if (!movable.isMovable(task, now)) return false;
-  const rank = movable.URGENCY_RANK[job.spec.urgency];
+  if (!preemption.isPreemptible(task, now)) return false;
+  const rank = preemption.URGENCY_RANK[job.spec.urgency];
   const blockedMs = now - (job.blockedSince ?? now);
-  const equals = blockedMs >= MOVE_EQUALS_AFTER_MS;
-  return movable.rankOf(task) < rank + (equals ? 1 : 0);
+  const mayPreemptEquals = blockedMs >= PREEMPT_EQUALS_AFTER_MS;
+  return preemption.urgencyRankOf(task) < rank + (mayPreemptEquals ? 1 : 0);
 }
 
-function goesBefore(
-  left: jobQueue.JobRecord,
-  right: jobQueue.JobRecord,
+function precedes(
+  left: jobQueue.WaitingJob,
+  right: jobQueue.WaitingJob,
 ): boolean {
   if (left.tier !== right.tier) return left.tier < right.tier;
   return left.startBy < right.startBy;
--- /dev/null
+++ b/packages/gypsumwall-placement/src/scheduling_cycle.ts
@@ -0,0 +1,268 @@
+/** One round of decisions: takes jobs in queue order and finds them workers. */
+import * as types from '@gypsumwall/types';
+import type * as domainAllocations from './domain_allocations.js';
+import * as indexRanges from './index_ranges.js';
+import type * as jobFailures from './job_failures.js';
+import type * as jobQueue from './job_queue.js';
+import type * as pickWorker from './pick_worker.js';
+import type * as placer from './placer.js';
+import type * as rackSpread from './rack_spread.js';
+import type * as reservations from './reservations.js';
+import type * as taskSize from './task_size.js';
+
+/** Vain tries in one round; the rest waits for the next one. */
+const MAX_FAILURES_PER_CYCLE = 32;
+/** A gang that found no room is tried again after this, then twice this... */
+const MIN_GANG_RETRY_MS = 20;
+const MAX_GANG_RETRY_MS = 1000;
+/** Gangs cost one search for each task, so few may fail in one round. */
+const MAX_GANG_FAILURES_PER_CYCLE = 2;
+
+/** What a round works on. */
+export interface CycleContext {
+  readonly allocations: domainAllocations.DomainAllocations;
+  readonly queue: jobQueue.JobQueue;
+  readonly sizes: taskSize.TaskSizes;
+  readonly pickWorker: pickWorker.WorkerPicker;
+  readonly failures: jobFailures.JobFailures;
+  readonly rackSpread: rackSpread.RackSpread;
+  readonly reservations: reservations.Reservations;
+  /** Books a task that was decided on. */
+  allocate(task: placer.HeldTask, endsAt: number): void;
+  /** Gives back the room of a gang that didn't fit whole. */
+  rollBack(tasks: readonly placer.Placement[]): void;
+  /** Tasks of the job no longer wait. */
+  onTasksPlaced(job: jobQueue.WaitingJob, count: number): void;
+  /** The task runs already and must not wait. */
+  removeWaitingTask(jobId: types.ids.JobId, index: number): void;
+}
+
+type PlacementFailure = 'no_room' | 'over_quota';
+
+/** Decides at most `limit` placements. */
+export function runCycle(
+  context: CycleContext,
+  now: number,
+  limit: number,
+): placer.Placement[] {
+  const placements: placer.Placement[] = [];
+  for (const job of context.reservations.readyJobs()) {
+    if (placements.length < limit) placeReserved(context, job, now, placements);
+  }
+  let failures = 0;
+  let gangFailures = 0;
+  while (placements.length < limit && failures < MAX_FAILURES_PER_CYCLE) {
+    const job = context.queue.next();
+    if (job === undefined) break;
+    const isGang = job.spec.shape.kind === 'gang';
+    // What has room kept for it was tried already.
+    const failure = job.hasReservation
+      ? 'no_room'
+      : place(context, job, now, placements);
+    if (failure === undefined) continue;
+    failures += 1;
+    recordPlacementFailure(context, job, now, failure);
+    if (isGang) gangFailures += 1;
+    if (gangFailures >= MAX_GANG_FAILURES_PER_CYCLE) break;
+  }
+  return placements;
+}
+
+/**
+ * A job that room is kept for goes before the queue: else that room would lie
+ * idle while the round tries the many that came before it.
+ */
+function placeReserved(
+  context: CycleContext,
+  job: jobQueue.WaitingJob,
+  now: number,
+  placements: placer.Placement[],
+): void {
+  if (job.retryAt > now) return;
+  const failure = place(context, job, now, placements);
+  if (failure !== undefined) job.retryAt = now + MIN_GANG_RETRY_MS;
+}
+
+function place(
+  context: CycleContext,
+  job: jobQueue.WaitingJob,
+  now: number,
+  placements: placer.Placement[],
+): PlacementFailure | undefined {
+  return job.spec.shape.kind === 'gang'
+    ? placeGang(context, job, now, placements)
+    : placeOne(context, job, now, placements);
+}
+
+function placeOne(
+  context: CycleContext,
+  job: jobQueue.WaitingJob,
+  now: number,
+  placements: placer.Placement[],
+): PlacementFailure | undefined {
+  const size = placementSize(context, job);
+  if (!fitsQuota(job, size)) return 'over_quota';
+  context.reservations.suspend(job);
+  const placement = placeNextTask(context, job, size, now);
+  if (placement === undefined) {
+    context.reservations.resume(job);
+    return 'no_room';
+  }
+  clearBlocked(context, job);
+  indexRanges.remove(job.waiting, taskIndexOf(placement));
+  context.onTasksPlaced(job, 1);
+  placements.push(placement);
+  return undefined;
+}
+
+/**
+ * Room was kept for the size of that time. A size learned since may be a
+ * little larger, and the last task of a gang would never fit.
+ */
+function placementSize(
+  context: CycleContext,
+  job: jobQueue.WaitingJob,
+): types.resources.Resources {
+  const reservation = context.reservations.of(job);
+  return reservation?.size ?? context.sizes.sizeOf(job.spec);
+}
+
+/** All waiting tasks of the gang or none. */
+function placeGang(
+  context: CycleContext,
+  job: jobQueue.WaitingJob,
+  now: number,
+  placements: placer.Placement[],
+): PlacementFailure | undefined {
+  const size = placementSize(context, job);
+  const tasks = job.waiting.size;
+  const gangSize = types.resources.times(size, tasks);
+  if (!fitsQuota(job, gangSize)) return 'over_quota';
+  context.reservations.suspend(job);
+  const allocated = types.resources.fits(
+    gangSize,
+    context.allocations.totalFree,
+  )
+    ? placeAll(context, job, size, now)
+    : [];
+  if (allocated.length === 0) {
+    context.reservations.resume(job);
+    return 'no_room';
+  }
+  clearBlocked(context, job);
+  context.onTasksPlaced(job, tasks);
+  placements.push(...allocated);
+  return undefined;
+}
+
+/** Books every waiting task or none. */
+function placeAll(
+  context: CycleContext,
+  job: jobQueue.WaitingJob,
+  size: types.resources.Resources,
+  now: number,
+): placer.Placement[] {
+  const tasks = job.waiting.size;
+  const allocated: placer.Placement[] = [];
+  while (allocated.length < tasks) {
+    const placement = placeNextTask(context, job, size, now);
+    if (placement === undefined) break;
+    allocated.push(placement);
+    indexRanges.remove(job.waiting, taskIndexOf(placement));
+  }
+  if (allocated.length === tasks) return allocated;
+  context.rollBack(allocated);
+  for (const each of allocated) indexRanges.add(job.waiting, taskIndexOf(each));
+  return [];
+}
+
+/** Finds a worker for the job's next task and books it. */
+function placeNextTask(
+  context: CycleContext,
+  job: jobQueue.WaitingJob,
+  size: types.resources.Resources,
+  now: number,
+): placer.Placement | undefined {
+  const index = indexRanges.lowest(job.waiting);
+  if (index === undefined) return undefined;
+  const {spec, jobId} = job;
+  const taskId = types.ids.makeTaskId(jobId, index);
+  if (context.allocations.taskAllocations.has(taskId)) {
+    // Listed as waiting while it runs: a second run must not start.
+    context.removeWaitingTask(jobId, index);
+    return undefined;
+  }
+  const estimate = context.sizes.estimate(spec);
+  const isService = spec.shape.kind === 'service';
+  const worker = context.pickWorker({
+    need: size,
+    packing: job.team.packing,
+    avoid: workersToAvoid(context, jobId),
+    racks: isService
+      ? (context.rackSpread.racksOf(jobId) ?? NO_RACKS)
+      : undefined,
+    reservedFallback: () =>
+      context.reservations.usableBy(job, now + estimate.pessimisticMs),
+  });
+  if (worker === undefined) return undefined;
+  const placement = {taskId, workerId: worker.id, size};
+  context.allocate({...placement, spec}, now + estimate.typicalMs);
+  return placement;
+}
+
+/** Where a job has failed on every worker there is, it may try again. */
+function workersToAvoid(
+  context: CycleContext,
+  jobId: types.ids.JobId,
+): ReadonlySet<types.ids.WorkerId> | undefined {
+  const avoid = context.failures.workersToAvoid(jobId);
+  if (avoid === undefined) return undefined;
+  const {workerList} = context.allocations;
+  const hasOtherWorker = workerList.some(
+    (each) => each.isSchedulable && !avoid.has(each.id),
+  );
+  return hasOtherWorker ? avoid : undefined;
+}
+
+const NO_RACKS: ReadonlyMap<types.ids.RackId, number> = new Map();
+
+function fitsQuota(
+  job: jobQueue.WaitingJob,
+  size: types.resources.Resources,
+): boolean {
+  const wanted = types.resources.add(job.team.allocated, size);
+  return types.resources.fits(wanted, job.team.quota);
+}
+
+function clearBlocked(context: CycleContext, job: jobQueue.WaitingJob): void {
+  job.blockedSince = undefined;
+  job.retryAt = 0;
+  context.reservations.end(job);
+}
+
+function recordPlacementFailure(
+  context: CycleContext,
+  job: jobQueue.WaitingJob,
+  now: number,
+  miss: PlacementFailure,
+): void {
+  if (miss === 'no_room') {
+    job.blockedSince ??= now;
+    if (!job.hasReservation && job.spec.shape.kind === 'gang')
+      job.retryAt = nextGangRetryAt(job, now);
+  }
+  const size = context.sizes.sizeOf(job.spec);
+  const inOwnGroup = context.failures.workersToAvoid(job.jobId) !== undefined;
+  context.queue.block(job, size, inOwnGroup, miss);
+}
+
+/** Grows with the time that the gang has been blocked. */
+function nextGangRetryAt(job: jobQueue.WaitingJob, now: number): number {
+  const blockedMs = now - (job.blockedSince ?? now);
+  const bounded = Math.min(MAX_GANG_RETRY_MS, blockedMs);
+  return now + Math.max(MIN_GANG_RETRY_MS, bounded);
+}
+
+function taskIndexOf(placement: placer.Placement): number {
+  return types.ids.splitTaskId(placement.taskId).index;
+}
--- a/packages/gypsumwall-placement/src/size_learner.ts
+++ b/packages/gypsumwall-placement/src/size_learner.ts
@@ -8,9 +8,9 @@
 import * as quantityHistory from './quantity_history.js';
 
 /** Below this many runs or reports the declared figures stand. */
-const SAMPLES_TO_BELIEVE = 8;
+const MIN_SAMPLES = 8;
 /** How far declared figures may be off, as the users report. */
-const DECLARED_FACTOR = 4;
+const MAX_DECLARED_ERROR_FACTOR = 4;
 const MEMORY_QUANTILE = 0.99;
 const TYPICAL_QUANTILE = 0.5;
 const PESSIMISTIC_QUANTILE = 0.95;
@@ -30,8 +30,8 @@
 
 /** Learns from reports and answers with estimates. */
 export interface SizeLearner {
-  noteUsage(spec: types.job.JobSpec, used: types.resources.Resources): void;
-  noteRun(spec: types.job.JobSpec, ranMs: number): void;
+  recordUsage(spec: types.job.JobSpec, used: types.resources.Resources): void;
+  recordRunTime(spec: types.job.JobSpec, ranMs: number): void;
   /** `cpuQuantile`: the share of tasks that must do with the processors. */
   estimate(spec: types.job.JobSpec, cpuQuantile: number): Estimate;
 }
@@ -39,12 +39,12 @@
 interface JobClass {
   readonly cpu: quantityHistory.QuantityHistory;
   readonly memory: quantityHistory.QuantityHistory;
-  readonly run: quantityHistory.QuantityHistory;
+  readonly runTime: quantityHistory.QuantityHistory;
   /** The last estimate and what it was made for. */
   cached: Estimate | undefined;
   cachedFor: types.job.JobSpec | undefined;
   cachedQuantile: number;
-  changes: number;
+  samples: number;
   refreshAt: number;
 }
 
@@ -56,59 +56,59 @@
     const key = keyOf(spec);
     const known = classes.get(key);
     if (known !== undefined) return known;
-    if (classes.size >= MAX_CLASSES) forgetOldest();
-    const made: JobClass = {
+    if (classes.size >= MAX_CLASSES) evictOldest();
+    const created: JobClass = {
       cpu: quantityHistory.createQuantityHistory(),
       memory: quantityHistory.createQuantityHistory(),
-      run: quantityHistory.createQuantityHistory(),
+      runTime: quantityHistory.createQuantityHistory(),
       cached: undefined,
       cachedFor: undefined,
       cachedQuantile: 0,
-      changes: 0,
+      samples: 0,
       refreshAt: 0,
     };
-    classes.set(key, made);
-    return made;
+    classes.set(key, created);
+    return created;
   }
 
-  function forgetOldest(): void {
+  function evictOldest(): void {
     const oldest = classes.keys().next();
     if (oldest.done !== true) classes.delete(oldest.value);
   }
 
-  function noteChange(jobClass: JobClass): void {
-    jobClass.changes += 1;
-    if (jobClass.changes < jobClass.refreshAt) return;
-    jobClass.refreshAt = Math.ceil(jobClass.changes * REFRESH_GROWTH) + 1;
+  function countSample(jobClass: JobClass): void {
+    jobClass.samples += 1;
+    if (jobClass.samples < jobClass.refreshAt) return;
+    jobClass.refreshAt = Math.ceil(jobClass.samples * REFRESH_GROWTH) + 1;
     jobClass.cached = undefined;
   }
 
   return {
-    noteUsage(spec, used) {
+    recordUsage(spec, used) {
       const jobClass = classOf(spec);
       jobClass.cpu.record(spec.size.cpuMillis, used.cpuMillis);
       jobClass.memory.record(spec.size.memoryMb, used.memoryMb);
-      noteChange(jobClass);
+      countSample(jobClass);
     },
-    noteRun(spec, ranMs) {
+    recordRunTime(spec, ranMs) {
       const jobClass = classOf(spec);
       const key = keyOf(spec);
       classes.delete(key);
       classes.set(key, jobClass);
-      jobClass.run.record(spec.estimateMs, ranMs);
-      noteChange(jobClass);
+      jobClass.runTime.record(spec.estimateMs, ranMs);
+      countSample(jobClass);
     },
     estimate(spec, cpuQuantile) {
       const jobClass = classOf(spec);
-      const fresh =
+      const isCached =
         jobClass.cached !== undefined &&
         jobClass.cachedQuantile === cpuQuantile &&
         jobClass.cachedFor !== undefined &&
-        declaresTheSame(jobClass.cachedFor, spec);
-      if (fresh) return jobClass.cached!;
+        hasSameDeclaration(jobClass.cachedFor, spec);
+      if (isCached) return jobClass.cached!;
       const made = {
         size: estimateSize(jobClass, spec, cpuQuantile),
-        ...estimateRun(jobClass, spec),
+        ...estimateRunTime(jobClass, spec),
       };
       jobClass.cached = made;
       jobClass.cachedFor = spec;
@@ -122,7 +122,7 @@
   return `${spec.team}/${spec.jobClass}`;
 }
 
-function declaresTheSame(
+function hasSameDeclaration(
   left: types.job.JobSpec,
   right: types.job.JobSpec,
 ): boolean {
@@ -141,7 +141,7 @@
   cpuQuantile: number,
 ): types.resources.Resources {
   const {cpu, memory} = jobClass;
-  if (cpu.samples() < SAMPLES_TO_BELIEVE) return spec.size;
+  if (cpu.samples() < MIN_SAMPLES) return spec.size;
   const cpuSeen = cpu.quantile(spec.size.cpuMillis, cpuQuantile);
   const memorySeen = memory.quantile(spec.size.memoryMb, MEMORY_QUANTILE);
   const cpuSteps = Math.max(1, Math.ceil(cpuSeen / CPU_STEP_MILLIS));
@@ -152,19 +152,19 @@
   };
 }
 
-function estimateRun(
+function estimateRunTime(
   jobClass: JobClass,
   spec: types.job.JobSpec,
 ): {typicalMs: number; pessimisticMs: number} {
-  const {run} = jobClass;
-  if (run.samples() < SAMPLES_TO_BELIEVE) {
+  const {runTime} = jobClass;
+  if (runTime.samples() < MIN_SAMPLES) {
     return {
       typicalMs: spec.estimateMs,
-      pessimisticMs: spec.estimateMs * DECLARED_FACTOR,
+      pessimisticMs: spec.estimateMs * MAX_DECLARED_ERROR_FACTOR,
     };
   }
   return {
-    typicalMs: run.quantile(spec.estimateMs, TYPICAL_QUANTILE),
-    pessimisticMs: run.quantile(spec.estimateMs, PESSIMISTIC_QUANTILE),
+    typicalMs: runTime.quantile(spec.estimateMs, TYPICAL_QUANTILE),
+    pessimisticMs: runTime.quantile(spec.estimateMs, PESSIMISTIC_QUANTILE),
   };
 }
--- a/packages/gypsumwall-placement/src/task_size.ts
+++ b/packages/gypsumwall-placement/src/task_size.ts
@@ -3,15 +3,15 @@
  * can be placed at all.
  */
 import * as types from '@gypsumwall/types';
-import type * as books from './books.js';
+import type * as domainAllocations from './domain_allocations.js';
 import type * as sizeLearner from './size_learner.js';
 
 /**
  * Share of tasks that must do with the processors booked. Tight packing takes
  * the risk that more tasks run slower than they could.
  */
-const SAFEST_CPU_QUANTILE = 0.95;
-const TIGHTEST_CPU_QUANTILE = 0.4;
+const MAX_CPU_QUANTILE = 0.95;
+const MIN_CPU_QUANTILE = 0.4;
 
 /** Sizes and run times of jobs. */
 export interface TaskSizes {
@@ -23,10 +23,10 @@
 /** Creates sizes out of a learner and the books. */
 export function createTaskSizes(
   learner: sizeLearner.SizeLearner,
-  domainBooks: books.Books,
+  allocations: domainAllocations.DomainAllocations,
 ): TaskSizes {
   function estimate(spec: types.job.JobSpec): sizeLearner.Estimate {
-    const {packing} = domainBooks.teams.team(spec.team);
+    const {packing} = allocations.teams.team(spec.team);
     return learner.estimate(spec, cpuQuantile(spec, packing));
   }
 
@@ -35,15 +35,15 @@
     sizeOf(spec) {
       const {size} = estimate(spec);
       if (size === spec.size) return size;
-      return placeable(spec, size, domainBooks);
+      return limitGrowth(spec, size, allocations);
     },
   };
 }
 
 function cpuQuantile(spec: types.job.JobSpec, packing: number): number {
-  if (spec.shape.kind === 'service') return SAFEST_CPU_QUANTILE;
-  const range = SAFEST_CPU_QUANTILE - TIGHTEST_CPU_QUANTILE;
-  return SAFEST_CPU_QUANTILE - range * packing;
+  if (spec.shape.kind === 'service') return MAX_CPU_QUANTILE;
+  const range = MAX_CPU_QUANTILE - MIN_CPU_QUANTILE;
+  return MAX_CPU_QUANTILE - range * packing;
 }
 
 /**
@@ -51,19 +51,21 @@
  * team's quota or, for a gang, the whole domain. The job was admitted on its
  * declared size and would wait without end, so its growth is cut back.
  */
-function placeable(
+function limitGrowth(
   spec: types.job.JobSpec,
   learned: types.resources.Resources,
-  domainBooks: books.Books,
+  allocations: domainAllocations.DomainAllocations,
 ): types.resources.Resources {
-  const {largest, total} = domainBooks;
-  const {quota} = domainBooks.teams.team(spec.team);
+  const {largestCapacity, totalCapacity} = allocations;
+  const {quota} = allocations.teams.team(spec.team);
   const {kind} = spec.shape;
   const atOnce = kind === 'batch' ? 1 : types.job.taskCount(spec.shape);
   const fitsAll =
-    types.resources.fits(learned, largest) &&
-    learned.cpuMillis * atOnce <= Math.min(quota.cpuMillis, total.cpuMillis) &&
-    learned.memoryMb * atOnce <= Math.min(quota.memoryMb, total.memoryMb);
+    types.resources.fits(learned, largestCapacity) &&
+    learned.cpuMillis * atOnce <=
+      Math.min(quota.cpuMillis, totalCapacity.cpuMillis) &&
+    learned.memoryMb * atOnce <=
+      Math.min(quota.memoryMb, totalCapacity.memoryMb);
   if (fitsAll) return learned;
   return {
     cpuMillis: Math.min(learned.cpuMillis, spec.size.cpuMillis),
--- a/packages/gypsumwall-placement/src/team_books.ts
+++ b/packages/gypsumwall-placement/src/team_allocations.ts
@@ -1,18 +1,18 @@
 /** What each team may do and what it holds. */
 import * as types from '@gypsumwall/types';
-import type * as bookRecords from './book_records.js';
+import type * as allocationState from './allocation_state.js';
 import * as mutableResources from './mutable_resources.js';
 import type * as placer from './placer.js';
 
 /** A team and what it holds. */
-export interface TeamRecord {
+export interface TeamState {
   readonly id: types.ids.TeamId;
   weight: number;
   packing: number;
   quota: types.resources.Resources;
-  readonly held: mutableResources.MutableResources;
+  readonly allocated: mutableResources.MutableResources;
   /** The same, apart for each urgency. */
-  readonly heldBy: Readonly<
+  readonly allocatedByUrgency: Readonly<
     Record<types.job.Urgency, mutableResources.MutableResources>
   >;
   waitingJobs: number;
@@ -27,27 +27,29 @@
 const DEFAULT_PACKING = 0.5;
 
 /** The teams of a domain. */
-export interface TeamBooks {
+export interface TeamAllocations {
   /** A team that is not known yet has no quota and weight 1. */
-  team(id: types.ids.TeamId): TeamRecord;
+  team(id: types.ids.TeamId): TeamState;
   setTeam(team: placer.PlacerTeam): void;
   /** Books a task for its team, or with -1 takes it out again. */
-  move(task: bookRecords.HeldRecord, sign: 1 | -1): void;
+  adjust(task: allocationState.TaskAllocation, sign: 1 | -1): void;
   /**
    * The largest share of the domain that a team holds of any resource, for
    * work of the given urgencies.
    */
   dominantShare(
-    team: TeamRecord,
+    team: TeamState,
     urgencies: readonly types.job.Urgency[],
   ): number;
 }
 
 /** Creates empty books; `total` is the capacity of all open workers. */
-export function createTeamBooks(total: types.resources.Resources): TeamBooks {
-  const teams = new Map<types.ids.TeamId, TeamRecord>();
+export function createTeamAllocations(
+  totalCapacity: types.resources.Resources,
+): TeamAllocations {
+  const teams = new Map<types.ids.TeamId, TeamState>();
 
-  function team(id: types.ids.TeamId): TeamRecord {
+  function team(id: types.ids.TeamId): TeamState {
     const known = teams.get(id);
     if (known !== undefined) return known;
     const made = {
@@ -55,11 +57,11 @@
       weight: 1,
       packing: DEFAULT_PACKING,
       quota: UNLIMITED,
-      held: mutableResources.mutable(types.resources.NO_RESOURCES),
-      heldBy: {
-        urgent: mutableResources.mutable(types.resources.NO_RESOURCES),
-        normal: mutableResources.mutable(types.resources.NO_RESOURCES),
-        overnight: mutableResources.mutable(types.resources.NO_RESOURCES),
+      allocated: mutableResources.mutableCopy(types.resources.NO_RESOURCES),
+      allocatedByUrgency: {
+        urgent: mutableResources.mutableCopy(types.resources.NO_RESOURCES),
+        normal: mutableResources.mutableCopy(types.resources.NO_RESOURCES),
+        overnight: mutableResources.mutableCopy(types.resources.NO_RESOURCES),
       },
       waitingJobs: 0,
     };
@@ -75,11 +77,11 @@
       record.packing = next.packing;
       record.quota = next.quota;
     },
-    move(task, sign) {
+    adjust(task, sign) {
       const record = team(task.spec.team);
-      mutableResources.moveBy(record.held, task.size, sign);
-      mutableResources.moveBy(
-        record.heldBy[task.spec.urgency],
+      mutableResources.adjust(record.allocated, task.size, sign);
+      mutableResources.adjust(
+        record.allocatedByUrgency[task.spec.urgency],
         task.size,
         sign,
       );
@@ -89,15 +91,15 @@
       let memory = 0;
       let accelerators = 0;
       for (const urgency of urgencies) {
-        const part = record.heldBy[urgency];
+        const part = record.allocatedByUrgency[urgency];
         cpu += part.cpuMillis;
         memory += part.memoryMb;
         accelerators += part.accelerators;
       }
       return Math.max(
-        share(cpu, total.cpuMillis),
-        share(memory, total.memoryMb),
-        share(accelerators, total.accelerators),
+        share(cpu, totalCapacity.cpuMillis),
+        share(memory, totalCapacity.memoryMb),
+        share(accelerators, totalCapacity.accelerators),
       );
     },
   };
--- a/packages/gypsumwall-placement/src/waiting_jobs.ts
+++ b/packages/gypsumwall-placement/src/waiting_jobs.ts
@@ -5,7 +5,7 @@
  */
 import * as types from '@gypsumwall/types';
 import * as binaryHeap from './binary_heap.js';
-import type * as books from './books.js';
+import type * as domainAllocations from './domain_allocations.js';
 import * as deadlineDemand from './deadline_demand.js';
 import * as indexRanges from './index_ranges.js';
 import * as jobQueue from './job_queue.js';
@@ -16,7 +16,7 @@
  * Work without a deadline is ordered as if it had to start this long after
  * it was accepted, so that it isn't passed by deadline work for good.
  */
-const START_WITHIN_MS: Readonly<Record<types.job.Urgency, number>> = {
+const DEFAULT_START_WITHIN_MS: Readonly<Record<types.job.Urgency, number>> = {
   urgent: 1600,
   normal: 600_000,
   overnight: 28_800_000,
@@ -30,88 +30,88 @@
 /** Work with a deadline becomes due this long before its latest start. */
 const DUE_AHEAD_MS = 2000;
 /** A job of many tasks may count on this share of the processors. */
-const USABLE_SHARE = 0.5;
+const ASSUMED_CORE_SHARE = 0.5;
 /** Entries of jobs that left are swept out beyond this many. */
-const HEAP_SLACK = 64;
+const MAX_STALE_HEAP_ENTRIES = 64;
 
 /** The waiting jobs and their sums. */
 export interface WaitingJobs {
   readonly queue: jobQueue.JobQueue;
   readonly demand: deadlineDemand.DeadlineDemand;
-  jobs(): number;
-  tasks(): number;
+  jobCount(): number;
+  taskCount(): number;
   /** In core milliseconds. */
-  work(): number;
-  get(jobId: types.ids.JobId): jobQueue.JobRecord | undefined;
+  coreMs(): number;
+  get(jobId: types.ids.JobId): jobQueue.WaitingJob | undefined;
   enqueue(job: placer.QueuedJob, now: number): void;
   /** Puts a waiting job into the group that its size belongs to now. */
-  requeue(job: jobQueue.JobRecord, alone: boolean): void;
+  requeue(job: jobQueue.WaitingJob, alone: boolean): void;
   /** Tasks of the job were placed; it leaves with its last one. */
-  noteTaken(job: jobQueue.JobRecord, count: number): void;
+  onTasksPlaced(job: jobQueue.WaitingJob, adjustTotals: number): void;
   /** A task turned out to be running; it doesn't wait. */
-  takeOut(jobId: types.ids.JobId, index: number): void;
-  drop(job: jobQueue.JobRecord): void;
+  removeTask(jobId: types.ids.JobId, index: number): void;
+  removeJob(job: jobQueue.WaitingJob): void;
   /** Moves jobs whose latest start has come near to the first tier. */
   promoteDue(now: number): void;
 }
 
 /** Creates an empty set. */
 export function createWaitingJobs(
-  domainBooks: books.Books,
+  allocations: domainAllocations.DomainAllocations,
   sizes: taskSize.TaskSizes,
 ): WaitingJobs {
   const queue = jobQueue.createJobQueue((team, tier) =>
-    domainBooks.teams.dominantShare(team, URGENCIES_UP_TO[tier] ?? []),
+    allocations.teams.dominantShare(team, URGENCIES_UP_TO[tier] ?? []),
   );
   const demand = deadlineDemand.createDeadlineDemand();
-  const jobs = new Map<types.ids.JobId, jobQueue.JobRecord>();
+  const jobsById = new Map<types.ids.JobId, jobQueue.WaitingJob>();
   const notYetDue = binaryHeap.createBinaryHeap(jobQueue.startsBefore);
-  let tasks = 0;
-  let work = 0;
+  let taskCount = 0;
+  let coreMs = 0;
 
-  function count(job: jobQueue.JobRecord, change: number): void {
-    tasks += change;
-    work += change * job.workPerTask;
+  function adjustTotals(job: jobQueue.WaitingJob, change: number): void {
+    taskCount += change;
+    coreMs += change * job.coreMsPerTask;
     const {deadline} = job.spec;
     if (deadline !== undefined) {
-      demand.add(deadline, change * job.workPerTask);
+      demand.add(deadline, change * job.coreMsPerTask);
     }
   }
 
-  function makeRecord(
+  function createWaitingJob(
     queued: placer.QueuedJob,
     now: number,
-  ): jobQueue.JobRecord {
+  ): jobQueue.WaitingJob {
     const {spec} = queued;
     const estimate = sizes.estimate(spec);
-    const workPerTask = (estimate.typicalMs * estimate.size.cpuMillis) / 1000;
-    const cores = Math.max(1, domainBooks.total.cpuMillis / 1000);
+    const coreMsPerTask = (estimate.typicalMs * estimate.size.cpuMillis) / 1000;
+    const cores = Math.max(1, allocations.totalCapacity.cpuMillis / 1000);
     const shareMs =
-      (queued.waiting.length * workPerTask) / (cores * USABLE_SHARE);
+      (queued.waiting.length * coreMsPerTask) / (cores * ASSUMED_CORE_SHARE);
     const longestMs = estimate.pessimisticMs + shareMs;
     const startBy =
       spec.deadline === undefined
-        ? queued.acceptedAt + START_WITHIN_MS[spec.urgency]
+        ? queued.acceptedAt + DEFAULT_START_WITHIN_MS[spec.urgency]
         : spec.deadline - longestMs;
     return {
       jobId: queued.jobId,
       spec,
-      team: domainBooks.teams.team(spec.team),
+      team: allocations.teams.team(spec.team),
       waiting: indexRanges.createIndexRanges(),
       startBy,
-      workPerTask,
+      coreMsPerTask,
       tier: tierOf(spec, startBy, now),
       group: undefined,
       blockedSince: undefined,
       retryAt: 0,
-      reserveAfter: 0,
-      reliefUntil: 0,
-      reserved: false,
+      nextReservationAt: 0,
+      preemptionPendingUntil: 0,
+      hasReservation: false,
     };
   }
 
-  function add(job: jobQueue.JobRecord): void {
-    jobs.set(job.jobId, job);
+  function add(job: jobQueue.WaitingJob): void {
+    jobsById.set(job.jobId, job);
     job.team.waitingJobs += 1;
     queue.add(job, sizes.sizeOf(job.spec), false);
     const becomesDue =
@@ -119,61 +119,61 @@
     if (becomesDue) notYetDue.push(job);
   }
 
-  function drop(job: jobQueue.JobRecord): void {
-    if (!jobs.delete(job.jobId)) return;
+  function removeJob(job: jobQueue.WaitingJob): void {
+    if (!jobsById.delete(job.jobId)) return;
     job.team.waitingJobs -= 1;
     queue.remove(job);
-    count(job, -job.waiting.size);
+    adjustTotals(job, -job.waiting.size);
     indexRanges.clear(job.waiting);
-    if (notYetDue.size() > jobs.size * 2 + HEAP_SLACK) {
-      notYetDue.keepOnly((each) => each.group !== undefined);
+    if (notYetDue.size() > jobsById.size * 2 + MAX_STALE_HEAP_ENTRIES) {
+      notYetDue.retain((each) => each.group !== undefined);
     }
   }
 
-  function requeue(job: jobQueue.JobRecord, alone: boolean): void {
+  function requeue(job: jobQueue.WaitingJob, inOwnGroup: boolean): void {
     queue.remove(job);
-    queue.add(job, sizes.sizeOf(job.spec), alone);
+    queue.add(job, sizes.sizeOf(job.spec), inOwnGroup);
   }
 
-  function noteTaken(job: jobQueue.JobRecord, taken: number): void {
-    count(job, -taken);
-    if (job.waiting.size === 0) drop(job);
+  function onTasksPlaced(job: jobQueue.WaitingJob, placedCount: number): void {
+    adjustTotals(job, -placedCount);
+    if (job.waiting.size === 0) removeJob(job);
   }
 
   return {
     queue,
     demand,
-    drop,
-    noteTaken,
+    removeJob,
+    onTasksPlaced,
     requeue,
-    jobs: () => jobs.size,
-    tasks: () => tasks,
-    work: () => work,
-    get: (jobId) => jobs.get(jobId),
+    jobCount: () => jobsById.size,
+    taskCount: () => taskCount,
+    coreMs: () => coreMs,
+    get: (jobId) => jobsById.get(jobId),
     enqueue(queued, now) {
       if (queued.waiting.length === 0) return;
-      const known = jobs.get(queued.jobId);
-      const job = known ?? makeRecord(queued, now);
+      const known = jobsById.get(queued.jobId);
+      const job = known ?? createWaitingJob(queued, now);
       const before = job.waiting.size;
       for (const index of queued.waiting) indexRanges.add(job.waiting, index);
-      count(job, job.waiting.size - before);
+      adjustTotals(job, job.waiting.size - before);
       if (known === undefined) add(job);
     },
-    takeOut(jobId, index) {
-      const job = jobs.get(jobId);
+    removeTask(jobId, index) {
+      const job = jobsById.get(jobId);
       if (job === undefined) return;
       const before = job.waiting.size;
       indexRanges.remove(job.waiting, index);
-      noteTaken(job, before - job.waiting.size);
+      onTasksPlaced(job, before - job.waiting.size);
     },
     promoteDue(now) {
       for (;;) {
         const first = notYetDue.peek();
         if (first === undefined) return;
-        const gone = first.group === undefined;
-        if (!gone && first.startBy - DUE_AHEAD_MS > now) return;
+        const isRemoved = first.group === undefined;
+        if (!isRemoved && first.startBy - DUE_AHEAD_MS > now) return;
         notYetDue.pop();
-        if (gone) continue;
+        if (isRemoved) continue;
         queue.remove(first);
         first.tier = jobQueue.TIER_DUE;
         queue.add(first, sizes.sizeOf(first.spec), false);
--- a/packages/gypsumwall-placement/src/worker_index.ts
+++ b/packages/gypsumwall-placement/src/worker_index.ts
@@ -5,15 +5,15 @@
  * accelerators are in a tree of their own, so that plain tasks fill them last.
  */
 import type * as types from '@gypsumwall/types';
-import type * as bookRecords from './book_records.js';
+import type * as allocationState from './allocation_state.js';
 
 /**
  * Nodes one search may visit. Room of different kinds may lie on different
  * workers below a node, so a search can go down in vain; this bounds a
  * decision's time at any number of workers. The next search starts elsewhere.
  */
-const VISITS_PER_SEARCH = 600;
-const FIRST_SLOTS = 32;
+const MAX_VISITS_PER_SEARCH = 600;
+const INITIAL_SLOTS = 32;
 
 /** What to look for. */
 export interface Search {
@@ -22,23 +22,23 @@
   readonly from: number;
   /** Stop after so many fitting workers. */
   readonly limit: number;
-  readonly skip?: (worker: bookRecords.WorkerRecord) => boolean;
+  readonly skip?: (worker: allocationState.WorkerState) => boolean;
 }
 
 /** The open workers by room. */
 export interface WorkerIndex {
   /** Adds a worker or takes in its new room; `usable` false hides it. */
-  update(worker: bookRecords.WorkerRecord, usable: boolean): void;
-  remove(worker: bookRecords.WorkerRecord): void;
+  update(worker: allocationState.WorkerState, usable: boolean): void;
+  remove(worker: allocationState.WorkerState): void;
   /** Fitting workers, in slot order from the start and around. */
-  find(search: Search): bookRecords.WorkerRecord[];
+  find(search: Search): allocationState.WorkerState[];
 }
 
 /** Creates an empty index. */
 export function createWorkerIndex(): WorkerIndex {
-  const plain = createRoomTree();
-  const accelerated = createRoomTree();
-  const treeOf = (worker: bookRecords.WorkerRecord) =>
+  const plain = createFreeTree();
+  const accelerated = createFreeTree();
+  const treeOf = (worker: allocationState.WorkerState) =>
     worker.capacity.accelerators > 0 ? accelerated : plain;
 
   return {
@@ -61,24 +61,24 @@
 }
 
 /** One tree; leaf `slots + i` is slot i, node n has children 2n and 2n+1. */
-function createRoomTree() {
-  let slots = FIRST_SLOTS;
+function createFreeTree() {
+  let slots = INITIAL_SLOTS;
   let cpu = new Float64Array(slots * 2).fill(-1);
   let memory = new Float64Array(slots * 2).fill(-1);
   let accelerators = new Float64Array(slots * 2).fill(-1);
   /** Least room of processors and memory, against a fixed reference worker. */
   let balance = new Float64Array(slots * 2).fill(-1);
   let reference: types.resources.Resources | undefined;
-  const slotOf = new Map<bookRecords.WorkerRecord, number>();
-  const workerAt: Array<bookRecords.WorkerRecord | undefined> = [];
+  const slotOf = new Map<allocationState.WorkerState, number>();
+  const workerAt: Array<allocationState.WorkerState | undefined> = [];
   const freeSlots: number[] = [];
   let visits = 0;
 
-  function balanceOf(room: types.resources.Resources): number {
+  function balanceOf(amount: types.resources.Resources): number {
     if (reference === undefined) return 0;
     return Math.min(
-      room.cpuMillis / reference.cpuMillis,
-      room.memoryMb / reference.memoryMb,
+      amount.cpuMillis / reference.cpuMillis,
+      amount.memoryMb / reference.memoryMb,
     );
   }
 
@@ -97,14 +97,14 @@
 
   function setLeaf(
     slot: number,
-    worker: bookRecords.WorkerRecord,
-    usable: boolean,
+    worker: allocationState.WorkerState,
+    isUsable: boolean,
   ): void {
     let node = slots + slot;
-    cpu[node] = usable ? worker.room.cpuMillis : -1;
-    memory[node] = usable ? worker.room.memoryMb : -1;
-    accelerators[node] = usable ? worker.room.accelerators : -1;
-    balance[node] = usable ? balanceOf(worker.room) : -1;
+    cpu[node] = isUsable ? worker.free.cpuMillis : -1;
+    memory[node] = isUsable ? worker.free.memoryMb : -1;
+    accelerators[node] = isUsable ? worker.free.accelerators : -1;
+    balance[node] = isUsable ? balanceOf(worker.free) : -1;
     for (node >>= 1; node >= 1; node >>= 1) {
       const left = node * 2;
       const right = left + 1;
@@ -115,7 +115,7 @@
     }
   }
 
-  function takeSlot(worker: bookRecords.WorkerRecord): number {
+  function assignSlot(worker: allocationState.WorkerState): number {
     const slot = freeSlots.pop() ?? workerAt.length;
     if (slot >= slots) grow();
     slotOf.set(worker, slot);
@@ -132,10 +132,10 @@
     nodeHigh: number,
     low: number,
     high: number,
-    found: bookRecords.WorkerRecord[],
+    found: allocationState.WorkerState[],
   ): void {
     if (nodeHigh <= low || nodeLow >= high) return;
-    if (found.length >= search.limit || visits >= VISITS_PER_SEARCH) return;
+    if (found.length >= search.limit || visits >= MAX_VISITS_PER_SEARCH) return;
     visits += 1;
     const {need} = search;
     if (cpu[node]! < need.cpuMillis || memory[node]! < need.memoryMb) return;
@@ -155,12 +155,12 @@
   }
 
   return {
-    update(worker: bookRecords.WorkerRecord, usable: boolean): void {
+    update(worker: allocationState.WorkerState, usable: boolean): void {
       reference ??= worker.capacity.cpuMillis > 0 ? worker.capacity : undefined;
-      const slot = slotOf.get(worker) ?? takeSlot(worker);
+      const slot = slotOf.get(worker) ?? assignSlot(worker);
       setLeaf(slot, worker, usable);
     },
-    remove(worker: bookRecords.WorkerRecord): void {
+    remove(worker: allocationState.WorkerState): void {
       const slot = slotOf.get(worker);
       if (slot === undefined) return;
       setLeaf(slot, worker, false);
@@ -168,8 +168,8 @@
       workerAt[slot] = undefined;
       freeSlots.push(slot);
     },
-    find(search: Search): bookRecords.WorkerRecord[] {
-      const found: bookRecords.WorkerRecord[] = [];
+    find(search: Search): allocationState.WorkerState[] {
+      const found: allocationState.WorkerState[] = [];
       const start = Math.floor(search.from * workerAt.length);
       const needBalance = balanceOf(search.need);
       visits = 0;
