--- a/packages/gypsumwall-placement/src/__fixtures__/specs.ts
+++ b/packages/gypsumwall-placement/src/__fixtures__/specs.ts
@@ -1,13 +1,13 @@
-/** Short ways to make workers, teams and jobs in tests. */
+/** Creates workers, teams and jobs for tests. */
 import * as types from '@gypsumwall/types';
 import type * as placer from '../placer.js';
 
-/** A moment of the virtual wall clock. */
+/** A time of the virtual wall clock. */
 export function wallMs(ms: number): types.clock.WallMs {
   return ms as types.clock.WallMs;
 }
 
-/** Whole cores, mebibytes and accelerators. */
+/** An amount in cores, mebibytes and accelerators. */
 export function resources(
   cores: number,
   memoryMb = cores * 1024,
@@ -16,7 +16,7 @@
   return {cpuMillis: cores * 1000, memoryMb, accelerators};
 }
 
-/** Worker number `n`; eight to a rack. */
+/** Worker number `n`; there are 8 workers in a rack. */
 export function worker(
   n: number,
   capacity = resources(8, 32_768),
@@ -28,7 +28,7 @@
   };
 }
 
-/** A team with a wide quota. */
+/** A team with a quota that no test reaches. */
 export function team(
   name: string,
   fields: Partial<placer.PlacerTeam> = {},
@@ -58,7 +58,7 @@
   };
 }
 
-/** Every task of a job, waiting. */
+/** A job all of whose tasks wait. */
 export function queued(
   name: string,
   jobSpec = spec(),
--- a/packages/gypsumwall-placement/src/__tests__/admission.test.ts
+++ b/packages/gypsumwall-placement/src/__tests__/admission.test.ts
@@ -22,26 +22,26 @@
   const gang = (tasks: number) => ({kind: 'gang' as const, tasks});
   const cases: Array<[string, Partial<types.job.JobSpec>, string | undefined]> =
     [
-      ['takes what fits', {}, undefined],
+      ['admits a job that fits', {}, undefined],
       [
-        'refuses a task no worker can hold',
+        'refuses a task larger than any worker',
         {size: specs.resources(9)},
         'can_never_run',
       ],
-      ['takes a gang that fills the domain', {shape: gang(16)}, undefined],
+      ['admits a gang that fills the domain', {shape: gang(16)}, undefined],
       ['refuses a larger gang', {shape: gang(17)}, 'can_never_run'],
       ['refuses beyond the quota', {shape: gang(101)}, 'over_quota'],
       [
-        'refuses a passed deadline',
+        'refuses a deadline that has passed',
         {deadline: specs.wallMs(1000)},
         'deadline_passed',
       ],
       [
-        'refuses a deadline before a run can end',
+        'refuses a deadline before a task can end',
         {deadline: specs.wallMs(1500)},
         'deadline_unreachable',
       ],
-      ['takes one after it', {deadline: specs.wallMs(2500)}, undefined],
+      ['admits a deadline after it', {deadline: specs.wallMs(2500)}, undefined],
       [
         'refuses more work than fits before the deadline',
         {deadline: specs.wallMs(11_000), shape: {kind: 'batch', tasks: 1000}},
@@ -52,16 +52,22 @@
     nodeTest.it(name, () => assert.equal(refusalOf(fields), reason));
   }
 
-  nodeTest.it('sheds the least urgent first and says when to come back', () => {
-    assert.equal(refusalOf({urgency: 'overnight'}, 4), undefined);
-    assert.equal(refusalOf({urgency: 'overnight'}, 6), 'overloaded');
-    const policy = createPlacer.createPlacer({maxWaitingJobs: 1});
-    policy.enqueue(specs.queued('a.1'));
-    const refusal = policy.admit(specs.spec(), specs.wallMs(0));
-    assert.ok((refusal?.retryAfterMs ?? 0) >= 1000);
-  });
+  nodeTest.it(
+    'refuses the least urgent jobs first and says when to retry',
+    () => {
+      assert.equal(refusalOf({urgency: 'overnight'}, 4), undefined);
+      assert.equal(refusalOf({urgency: 'overnight'}, 6), 'overloaded');
+      const policy = createPlacer.createPlacer({maxWaitingJobs: 1});
+      policy.enqueue(specs.queued('a.1'));
+      const refusal = policy.admit(specs.spec(), specs.wallMs(0));
+      assert.ok((refusal?.retryAfterMs ?? 0) >= 1000);
+    },
+  );
 
-  nodeTest.it('keeps one team from filling the queue', () => {
-    assert.equal(refusalOf({urgency: 'urgent'}, 5), 'over_quota');
-  });
+  nodeTest.it(
+    'refuses jobs of a team that has filled half of the queue',
+    () => {
+      assert.equal(refusalOf({urgency: 'urgent'}, 5), 'over_quota');
+    },
+  );
 });
--- a/packages/gypsumwall-placement/src/__tests__/create_baseline_placer.test.ts
+++ b/packages/gypsumwall-placement/src/__tests__/create_baseline_placer.test.ts
@@ -4,7 +4,7 @@
 import * as createBaselinePlacer from '../create_baseline_placer.js';
 
 nodeTest.describe('createBaselinePlacer', () => {
-  nodeTest.it('places in order of arrival until nothing fits', () => {
+  nodeTest.it('places jobs in order of arrival until nothing fits', () => {
     const placer = createBaselinePlacer.createBaselinePlacer();
     placer.setWorker(specs.worker(0, specs.resources(2)));
     placer.enqueue(specs.queued('a.1'));
@@ -30,7 +30,7 @@
     assert.equal(placer.decide(specs.wallMs(1), 10).placements.length, 3);
   });
 
-  nodeTest.it('holds quotas and closed workers', () => {
+  nodeTest.it('respects quotas and places nothing on closed workers', () => {
     const placer = createBaselinePlacer.createBaselinePlacer();
     placer.setTeam(specs.team('plans', {quota: specs.resources(1, 65_536)}));
     placer.setWorker(specs.worker(0));
@@ -44,7 +44,7 @@
     assert.equal(placer.decide(specs.wallMs(1), 10).placements.length, 0);
   });
 
-  nodeTest.it('refuses what fits no worker', () => {
+  nodeTest.it('refuses a job that fits on no worker', () => {
     const placer = createBaselinePlacer.createBaselinePlacer();
     placer.setWorker(specs.worker(0, specs.resources(2)));
     const refusal = placer.admit(
--- a/packages/gypsumwall-placement/src/__tests__/create_placer.test.ts
+++ b/packages/gypsumwall-placement/src/__tests__/create_placer.test.ts
@@ -25,32 +25,35 @@
 }
 
 nodeTest.describe('order of starts', () => {
-  nodeTest.it('starts an early filer before its latest start passes', () => {
-    // A pilot files at 0 for a departure at 60 s, with a run of 10 s at most.
-    // Later filers with nearer deadlines keep the one worker busy. Ordered by
-    // deadline alone the early one would be passed until it is too late.
-    const policy = placerWith(1, specs.resources(1));
-    const early = specs.spec({
-      estimateMs: 2500,
-      deadline: specs.wallMs(60_000),
-    });
-    policy.enqueue(specs.queued('a.early', early));
-    let startedAt: number | undefined;
-    for (let now = 0; now < 60_000 && startedAt === undefined; now += 2500) {
-      const late = specs.spec({
+  nodeTest.it(
+    'starts a job with a distant deadline before its latest start',
+    () => {
+      // A job is queued at 0 s with a deadline at 60 s and a run time of at most
+      // 10 s. Later jobs with nearer deadlines keep the only worker busy. If jobs
+      // were ordered by deadline alone, the first one would start too late.
+      const policy = placerWith(1, specs.resources(1));
+      const early = specs.spec({
         estimateMs: 2500,
-        deadline: specs.wallMs(now + 15_000),
+        deadline: specs.wallMs(60_000),
       });
-      policy.enqueue(specs.queued(`a.${now}`, late, now));
-      for (const each of decide(policy, now)) {
-        if (each.taskId === 'a.early/0') startedAt = now;
-        policy.release(each.taskId, {type: 'done', ranMs: 2500});
+      policy.enqueue(specs.queued('a.early', early));
+      let startedAt: number | undefined;
+      for (let now = 0; now < 60_000 && startedAt === undefined; now += 2500) {
+        const late = specs.spec({
+          estimateMs: 2500,
+          deadline: specs.wallMs(now + 15_000),
+        });
+        policy.enqueue(specs.queued(`a.${now}`, late, now));
+        for (const each of decide(policy, now)) {
+          if (each.taskId === 'a.early/0') startedAt = now;
+          policy.release(each.taskId, {type: 'done', ranMs: 2500});
+        }
       }
-    }
-    assert.ok(startedAt !== undefined && startedAt <= 50_000);
-  });
+      assert.ok(startedAt !== undefined && startedAt <= 50_000);
+    },
+  );
 
-  nodeTest.it('starts urgent work before the rest and shares by weight', () => {
+  nodeTest.it('starts urgent jobs first and shares workers by weight', () => {
     const policy = placerWith(3, specs.resources(4));
     policy.setTeam(specs.team('big', {weight: 2}));
     policy.setTeam(specs.team('small', {weight: 1}));
@@ -66,7 +69,7 @@
     assert.equal(jobs.filter((each) => each === 'a.small').length, 4);
   });
 
-  nodeTest.it('holds quotas and goes on when a task ends', () => {
+  nodeTest.it('respects quotas and places another task when one ends', () => {
     const policy = placerWith(1);
     policy.setTeam(specs.team('plans', {quota: specs.resources(2, 65_536)}));
     const three = specs.spec({shape: {kind: 'batch', tasks: 3}});
@@ -81,7 +84,7 @@
 
 nodeTest.describe('sizes', () => {
   nodeTest.it(
-    'books learned processors, and memory never below declared',
+    'allocates the learned CPU, and never less memory than declared',
     () => {
       const policy = placerWith(1);
       policy.setTeam(specs.team('plans', {packing: 1}));
@@ -100,25 +103,29 @@
     },
   );
 
-  nodeTest.it('books memory that was seen to pass the declared', () => {
-    const policy = placerWith(1, specs.resources(64, 8192));
-    const spec = specs.spec({size: specs.resources(1, 1024)});
-    for (let run = 0; run < 20; run += 1) {
-      policy.enqueue(specs.queued(`a.${run}`, spec));
-      const [placed] = decide(policy, run);
-      policy.reportUsage(placed!.taskId, specs.resources(1, 4096));
-      policy.release(placed!.taskId, {type: 'done', ranMs: 100});
-    }
-    const many = {...spec, shape: {kind: 'batch' as const, tasks: 20}};
-    policy.enqueue(specs.queued('b.1', many));
-    assert.ok(decide(policy, 100).length <= 2);
-  });
+  nodeTest.it(
+    'allocates the learned memory if it is above the declared one',
+    () => {
+      const policy = placerWith(1, specs.resources(64, 8192));
+      const spec = specs.spec({size: specs.resources(1, 1024)});
+      for (let run = 0; run < 20; run += 1) {
+        policy.enqueue(specs.queued(`a.${run}`, spec));
+        const [placed] = decide(policy, run);
+        policy.reportUsage(placed!.taskId, specs.resources(1, 4096));
+        policy.release(placed!.taskId, {type: 'done', ranMs: 100});
+      }
+      const many = {...spec, shape: {kind: 'batch' as const, tasks: 20}};
+      policy.enqueue(specs.queued('b.1', many));
+      assert.ok(decide(policy, 100).length <= 2);
+    },
+  );
 });
 
 nodeTest.describe('gangs', () => {
-  nodeTest.it('gets room kept for it when small tasks would pass it', () => {
-    // Small tasks fill every gap as it opens. Without a reservation there is
-    // never room for all tasks of the gang at once and it waits for good.
+  nodeTest.it('are not starved by small tasks', () => {
+    // Small tasks use all resources as soon as they become free. Without a
+    // reservation there is never enough for all tasks of the gang at once, and
+    // it waits forever.
     const policy = placerWith(4, specs.resources(4));
     const small = specs.spec({shape: {kind: 'batch', tasks: 100_000}});
     policy.enqueue(specs.queued('a.small', small));
@@ -141,21 +148,24 @@
     assert.ok(gangAt !== undefined, 'the gang starved');
   });
 
-  nodeTest.it('two gangs that each need most workers run in turn', () => {
-    const policy = placerWith(4, specs.resources(4));
-    const gang = specs.spec({
-      shape: {kind: 'gang', tasks: 3},
-      size: specs.resources(4),
-    });
-    policy.enqueue(specs.queued('a.1', gang));
-    policy.enqueue(specs.queued('a.2', gang));
-    const first = decide(policy, 0);
-    assert.deepEqual(jobsOf(first), ['a.1', 'a.1', 'a.1']);
-    for (const each of first) {
-      policy.release(each.taskId, {type: 'done', ranMs: 10});
-    }
-    assert.deepEqual(jobsOf(decide(policy, 5000)), ['a.2', 'a.2', 'a.2']);
-  });
+  nodeTest.it(
+    'run one after the other if each needs most of the workers',
+    () => {
+      const policy = placerWith(4, specs.resources(4));
+      const gang = specs.spec({
+        shape: {kind: 'gang', tasks: 3},
+        size: specs.resources(4),
+      });
+      policy.enqueue(specs.queued('a.1', gang));
+      policy.enqueue(specs.queued('a.2', gang));
+      const first = decide(policy, 0);
+      assert.deepEqual(jobsOf(first), ['a.1', 'a.1', 'a.1']);
+      for (const each of first) {
+        policy.release(each.taskId, {type: 'done', ranMs: 10});
+      }
+      assert.deepEqual(jobsOf(decide(policy, 5000)), ['a.2', 'a.2', 'a.2']);
+    },
+  );
 });
 
 nodeTest.describe('services', () => {
@@ -171,10 +181,10 @@
 });
 
 nodeTest.describe('faults', () => {
-  nodeTest.it('keeps work off a worker that fails everything', () => {
-    // The worker fails each task at once, so it is always free and would draw
-    // in every task. Failures of three jobs put it out; a probe that works
-    // lets it back in.
+  nodeTest.it('puts a worker that fails every task into quarantine', () => {
+    // The worker fails each task at once, so it is always free and would
+    // attract every task. Failures of 3 jobs put it into quarantine; a probe
+    // that succeeds ends the quarantine.
     const policy = placerWith(5);
     const bad = specs.worker(2).id;
     let now = 0;
@@ -197,10 +207,10 @@
     assert.ok(onBad <= 3, `${onBad} tasks went to the bad worker`);
     now += 60_000;
     for (let n = 0; n < 500; n += 1) runCycle(false);
-    assert.ok(onBad > 20, `only ${onBad} tasks after it was mended`);
+    assert.ok(onBad > 20, `only ${onBad} tasks after it was repaired`);
   });
 
-  nodeTest.it('gives a job up after failures on distinct workers', () => {
+  nodeTest.it('gives up a job after failures on distinct workers', () => {
     const policy = placerWith(5);
     const job = specs.queued('a.1');
     for (let run = 0; run < 10; run += 1) {
@@ -215,30 +225,33 @@
     assert.equal(policy.takeGivenUp().length, 0);
   });
 
-  nodeTest.it('keeps a sound job whose tasks fail on one bad worker', () => {
-    // Eight tasks of a job start at once on a worker that fails them all. The
-    // job is kept off that worker and runs on the other one.
-    const policy = placerWith(2, specs.resources(8));
-    const bad = specs.worker(0).id;
-    const many = specs.spec({shape: {kind: 'batch', tasks: 16}});
-    const job = specs.queued('a.1', many);
-    policy.enqueue(job);
-    let done = 0;
-    for (let now = 0; now < 10; now += 1) {
-      for (const {taskId, workerId} of decide(policy, now)) {
-        const {index} = types.ids.splitTaskId(taskId);
-        if (workerId !== bad) {
-          done += 1;
-          policy.release(taskId, {type: 'done', ranMs: 1});
-          continue;
+  nodeTest.it(
+    'does not give up a job whose tasks fail on one faulty worker',
+    () => {
+      // 8 tasks of a job start at once on a worker that fails all of them. The
+      // job then avoids that worker and runs on the other one.
+      const policy = placerWith(2, specs.resources(8));
+      const bad = specs.worker(0).id;
+      const many = specs.spec({shape: {kind: 'batch', tasks: 16}});
+      const job = specs.queued('a.1', many);
+      policy.enqueue(job);
+      let done = 0;
+      for (let now = 0; now < 10; now += 1) {
+        for (const {taskId, workerId} of decide(policy, now)) {
+          const {index} = types.ids.splitTaskId(taskId);
+          if (workerId !== bad) {
+            done += 1;
+            policy.release(taskId, {type: 'done', ranMs: 1});
+            continue;
+          }
+          policy.release(taskId, {type: 'failed', message: 'no disk'});
+          policy.enqueue({...job, waiting: [index]});
         }
-        policy.release(taskId, {type: 'failed', message: 'no disk'});
-        policy.enqueue({...job, waiting: [index]});
       }
-    }
-    assert.deepEqual(policy.takeGivenUp(), []);
-    assert.equal(done, 16);
-  });
+      assert.deepEqual(policy.takeGivenUp(), []);
+      assert.equal(done, 16);
+    },
+  );
 
   nodeTest.it('gives up a task that always fails on the only worker', () => {
     const policy = placerWith(1);
@@ -256,7 +269,7 @@
   });
 
   nodeTest.it(
-    'drops a wave of 10,000 cancelled jobs and places the rest',
+    'removes 10,000 cancelled jobs and places the remaining one',
     () => {
       const policy = placerWith(1, specs.resources(1));
       for (let n = 0; n < 10_001; n += 1)
@@ -268,7 +281,7 @@
     },
   );
 
-  nodeTest.it('does not start what it was told already runs', () => {
+  nodeTest.it('does not start a task that is already running', () => {
     const policy = placerWith(2);
     const job = specs.queued('a.1');
     const taskId = types.ids.makeTaskId(job.jobId, 0);
@@ -280,40 +293,48 @@
   });
 });
 
-nodeTest.describe('relief', () => {
-  nodeTest.it('checkpoints overnight work for urgent work that waits', () => {
-    const policy = placerWith(2, specs.resources(4));
-    const night = specs.spec({
-      urgency: 'overnight',
-      shape: {kind: 'batch', tasks: 8},
-    });
-    policy.enqueue(specs.queued('a.night', night));
-    assert.equal(decide(policy, 0).length, 8);
-    policy.enqueue(specs.queued('a.now', specs.spec({urgency: 'urgent'}), 10));
-    decide(policy, 10);
-    const {reliefs} = policy.decide(specs.wallMs(300), 10);
-    assert.equal(reliefs.length, 1);
-    assert.equal(reliefs[0]?.type, 'checkpoint');
-    policy.release(reliefs[0].taskId, {type: 'stopped'});
-    assert.deepEqual(jobsOf(decide(policy, 310)), ['a.now']);
-  });
+nodeTest.describe('preemption', () => {
+  nodeTest.it(
+    'checkpoints an overnight task for an urgent job that waits',
+    () => {
+      const policy = placerWith(2, specs.resources(4));
+      const night = specs.spec({
+        urgency: 'overnight',
+        shape: {kind: 'batch', tasks: 8},
+      });
+      policy.enqueue(specs.queued('a.night', night));
+      assert.equal(decide(policy, 0).length, 8);
+      policy.enqueue(
+        specs.queued('a.now', specs.spec({urgency: 'urgent'}), 10),
+      );
+      decide(policy, 10);
+      const {reliefs} = policy.decide(specs.wallMs(300), 10);
+      assert.equal(reliefs.length, 1);
+      assert.equal(reliefs[0]?.type, 'checkpoint');
+      policy.release(reliefs[0].taskId, {type: 'stopped'});
+      assert.deepEqual(jobsOf(decide(policy, 310)), ['a.now']);
+    },
+  );
 
-  nodeTest.it('throttles the least urgent when processors are passed', () => {
-    const policy = placerWith(1, specs.resources(4));
-    const night = specs.spec({urgency: 'overnight'});
-    policy.enqueue(specs.queued('a.night', night));
-    policy.enqueue(specs.queued('a.day', specs.spec()));
-    const placed = decide(policy, 0);
-    for (const each of placed)
-      policy.reportUsage(each.taskId, specs.resources(3, 1024));
-    const {reliefs} = policy.decide(specs.wallMs(1), 10);
-    assert.deepEqual(reliefs, [
-      {type: 'throttle', taskId: 'a.night/0', cpuMillis: 1000},
-    ]);
-    policy.release(types.ids.brand('a.day/0'), {type: 'done', ranMs: 1});
-    const lifted = policy.decide(specs.wallMs(2), 10).reliefs;
-    assert.deepEqual(lifted, [
-      {type: 'throttle', taskId: 'a.night/0', cpuMillis: 0},
-    ]);
-  });
+  nodeTest.it(
+    'throttles the least urgent task if CPU usage exceeds the capacity',
+    () => {
+      const policy = placerWith(1, specs.resources(4));
+      const night = specs.spec({urgency: 'overnight'});
+      policy.enqueue(specs.queued('a.night', night));
+      policy.enqueue(specs.queued('a.day', specs.spec()));
+      const placed = decide(policy, 0);
+      for (const each of placed)
+        policy.reportUsage(each.taskId, specs.resources(3, 1024));
+      const {reliefs} = policy.decide(specs.wallMs(1), 10);
+      assert.deepEqual(reliefs, [
+        {type: 'throttle', taskId: 'a.night/0', cpuMillis: 1000},
+      ]);
+      policy.release(types.ids.brand('a.day/0'), {type: 'done', ranMs: 1});
+      const lifted = policy.decide(specs.wallMs(2), 10).reliefs;
+      assert.deepEqual(lifted, [
+        {type: 'throttle', taskId: 'a.night/0', cpuMillis: 0},
+      ]);
+    },
+  );
 });
--- a/packages/gypsumwall-placement/src/__tests__/index_ranges.test.ts
+++ b/packages/gypsumwall-placement/src/__tests__/index_ranges.test.ts
@@ -4,7 +4,7 @@
 import * as indexRanges from '../index_ranges.js';
 
 nodeTest.describe('createIndexRanges', () => {
-  nodeTest.it('holds the same as a plain set', () => {
+  nodeTest.it('contains the same indexes as a plain set', () => {
     const step = fc.tuple(fc.boolean(), fc.nat(30));
     fc.assert(
       fc.property(fc.array(step, {maxLength: 200}), (steps) => {
--- a/packages/gypsumwall-placement/src/__tests__/placer_invariants.test.ts
+++ b/packages/gypsumwall-placement/src/__tests__/placer_invariants.test.ts
@@ -1,6 +1,6 @@
 /**
- * Whatever order calls come in, no worker may be told more than it has. The
- * test keeps books of its own from what was placed and released.
+ * In any order of calls, the tasks placed on a worker must not exceed its
+ * capacity. The test sums the placements and releases independently.
  */
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
@@ -101,7 +101,7 @@
   }
 }
 
-/** Runs the steps and checks every placement against books kept apart. */
+/** Runs the steps and checks every placement against independent sums. */
 function checkInvariants(
   make: () => placer.Placer,
   checkQuota: (used: number, quota: number) => void,
@@ -181,7 +181,7 @@
   const size = specs.resources(step.cores);
   const there = [...running.values()].filter((t) => t.workerId === workerId);
   const sum = there.reduce((all, t) => types.resources.add(all, t.size), size);
-  // What is found running fits: the worker took it once.
+  // A task that is found running fits, since the worker accepted it before.
   if (!types.resources.fits(sum, CAPACITY)) return;
   const taskId = types.ids.makeTaskId(types.ids.brand(`adopted.${n}`), 0);
   const task = {taskId, spec: specs.spec({size}), workerId, size};
@@ -189,14 +189,14 @@
   policy.adopt(task);
 }
 
-/** A task that didn't finish waits again, as its holder would have it. */
+/** Queues an unfinished task again, as the holder of the domain does. */
 function requeue(
   policy: placer.Placer,
   task: placer.HeldTask,
   waiting: ReadonlyMap<types.ids.JobId, types.job.JobSpec>,
 ): void {
   const {jobId, index} = types.ids.splitTaskId(task.taskId);
-  // A gang starts again as a whole, which this test leaves out.
+  // A gang restarts as a whole, which this test doesn't cover.
   if (!waiting.has(jobId) || task.spec.shape.kind === 'gang') return;
   const acceptedAt = specs.wallMs(0);
   policy.enqueue({jobId, spec: task.spec, acceptedAt, waiting: [index]});
@@ -241,15 +241,15 @@
     const {id} = specs.worker(n);
     const sum = sums.get(id) ?? types.resources.NO_RESOURCES;
     const fits = types.resources.fits(sum, CAPACITY);
-    assert.ok(fits, `${id} was told ${JSON.stringify(sum)}`);
+    assert.ok(fits, `${id} was sent tasks of ${JSON.stringify(sum)}`);
   }
   const letters = sums.get('letters') ?? types.resources.NO_RESOURCES;
   held(letters.cpuMillis, QUOTA.cpuMillis);
 }
 
-/** Adopted tasks belong to the other team, so this one's quota must hold. */
+/** Adopted tasks may exceed a quota, but they belong to the other team. */
 function assertWithinQuota(used: number, quota: number): void {
-  assert.ok(used <= quota, `${used} passes the quota ${quota}`);
+  assert.ok(used <= quota, `${used} exceeds the quota ${quota}`);
 }
 
 nodeTest.describe('every placer', () => {
@@ -258,7 +258,7 @@
     createBaselinePlacer: () => createBaselinePlacer.createBaselinePlacer(),
   };
   for (const [name, make] of Object.entries(policies)) {
-    nodeTest.it(`${name} never tells a worker more than it has`, () => {
+    nodeTest.it(`${name} never exceeds the capacity of a worker`, () => {
       fc.assert(
         fc.property(
           fc.array(arbitraryStep, {minLength: 10, maxLength: 120}),
--- a/packages/gypsumwall-placement/src/__tests__/worker_index.test.ts
+++ b/packages/gypsumwall-placement/src/__tests__/worker_index.test.ts
@@ -7,7 +7,7 @@
 import * as workerIndex from '../worker_index.js';
 
 nodeTest.describe('createWorkerIndex', () => {
-  nodeTest.it('finds a worker exactly when one has room', () => {
+  nodeTest.it('finds a worker exactly if one has enough free resources', () => {
     const room = fc.record({
       cpuMillis: fc.integer({min: 0, max: 8}),
       memoryMb: fc.integer({min: 0, max: 8}),
--- a/packages/gypsumwall-placement/src/admission.ts
+++ b/packages/gypsumwall-placement/src/admission.ts
@@ -1,6 +1,6 @@
 /**
- * Whether a new job may be taken. Refusing at once is kinder than keeping a
- * job that can't be run: the caller still has time to do something else.
+ * Decides whether a new job is admitted. A job that can't run in time is
+ * refused at once, while its caller still has time for an alternative.
  */
 import * as types from '@gypsumwall/types';
 import type * as domainAllocations from './domain_allocations.js';
@@ -9,32 +9,32 @@
 import type * as sizeLearner from './size_learner.js';
 
 /**
- * Share of the waiting jobs' limit up to which each urgency is still taken:
- * the least urgent are refused first.
+ * The share of the limit on waiting jobs up to which jobs of each urgency are
+ * admitted, so that the least urgent jobs are refused first.
  */
 const LIMIT_SHARE: Readonly<Record<types.job.Urgency, number>> = {
   urgent: 1,
   normal: 0.8,
   overnight: 0.6,
 };
-/** One team may fill at most this share of what waits. */
+/** One team may use at most this share of the limit on waiting jobs. */
 const MAX_TEAM_SHARE = 0.5;
 const MIN_RETRY_AFTER_MS = 1000;
 const MAX_RETRY_AFTER_MS = 60_000;
 
-/** What admission looks at. */
+/** The state of the domain that admission is based on. */
 export interface AdmissionState {
   readonly allocations: domainAllocations.DomainAllocations;
   readonly demand: deadlineDemand.DeadlineDemand;
   readonly maxWaitingJobs: number;
   readonly waitingJobs: number;
   readonly teamWaitingJobs: number;
-  /** Work of all that waits, in core milliseconds. */
+  /** The expected CPU time of all waiting tasks, in core milliseconds. */
   readonly waitingCoreMs: number;
   readonly estimate: sizeLearner.Estimate;
 }
 
-/** Decides on a new job; undefined lets it in. */
+/** Returns why a new job is refused; undefined if it is admitted. */
 export function admit(
   state: AdmissionState,
   spec: types.job.JobSpec,
@@ -56,11 +56,11 @@
   if (spec.deadline === undefined || spec.deadline > now) return undefined;
   return {
     reason: 'deadline_passed',
-    message: `deadline ${spec.deadline} is not after ${now}; send a later one`,
+    message: `deadline ${spec.deadline} is not after the current time ${now}; send a later one`,
   };
 }
 
-/** Tasks that must run at the same time. */
+/** The number of tasks that must run at the same time. */
 function tasksAtOnce(shape: types.job.JobShape): number {
   return shape.kind === 'batch' ? 1 : types.job.taskCount(shape);
 }
@@ -80,8 +80,8 @@
 }
 
 /**
- * Closed workers count as well: they may be back, and a refusal here is
- * final for the caller. With no worker known yet nothing can be said.
+ * Closed workers count as well, since they may become schedulable again and a
+ * refusal is final for the caller. Without any worker nothing is refused.
  */
 function refuseByCapacity(
   state: AdmissionState,
@@ -129,13 +129,13 @@
   return {
     reason: overall ? 'overloaded' : 'over_quota',
     message: overall
-      ? `${state.waitingJobs} jobs wait, the limit for ${spec.urgency} work is ${limit}; come back later`
-      : `${state.teamWaitingJobs} jobs of team ${spec.team} wait, half of the limit; come back later`,
+      ? `${state.waitingJobs} jobs wait, the limit for ${spec.urgency} jobs is ${limit}; retry later`
+      : `${state.teamWaitingJobs} jobs of team ${spec.team} wait, half of the limit; retry later`,
     retryAfterMs: retryAfterMs(state),
   };
 }
 
-/** A tenth of the time that the waiting work takes on all processors. */
+/** A tenth of the time that the waiting work takes on all cores, bounded. */
 function retryAfterMs(state: AdmissionState): number {
   const cores = Math.max(1, state.allocations.totalCapacity.cpuMillis / 1000);
   const drainMs = state.waitingCoreMs / cores / 10;
@@ -159,7 +159,7 @@
   if (now + typicalMs > deadline) {
     return {
       reason: 'deadline_unreachable',
-      message: `a run takes about ${Math.round(typicalMs)} ms, the deadline is ${deadline - now} ms away; send a later one`,
+      message: `a task takes about ${Math.round(typicalMs)} ms, the deadline is ${deadline - now} ms away; send a later one`,
     };
   }
   const tasks = types.job.taskCount(spec.shape);
@@ -168,7 +168,7 @@
   if (state.demand.accepts(deadline, work, now, cpuMillis)) return undefined;
   return {
     reason: 'deadline_unreachable',
-    message: `work taken before leaves too little time until the deadline, ${deadline - now} ms away; send a later one or less work`,
+    message: `jobs admitted before leave too little time until the deadline, ${deadline - now} ms away; send a later deadline or less work`,
   };
 }
 
--- a/packages/gypsumwall-placement/src/allocation_state.ts
+++ b/packages/gypsumwall-placement/src/allocation_state.ts
@@ -1,47 +1,47 @@
-/** The records that the placement books keep of workers and held tasks. */
+/** The in-memory state of workers and of the tasks allocated on them. */
 import type * as types from '@gypsumwall/types';
 import type * as mutableResources from './mutable_resources.js';
 
-/** A worker and what is booked on it. */
+/** A worker and the resources allocated on it. */
 export interface WorkerState {
   readonly id: types.ids.WorkerId;
   rack: types.ids.RackId;
   capacity: types.resources.Resources;
-  /** False until added, and after it was closed. */
+  /** False before the worker is added and after it is closed. */
   isSchedulable: boolean;
-  /** Kept out by quarantine, but for one probe at a time. */
+  /** True while in quarantine, except when one probe task may be placed. */
   isQuarantined: boolean;
-  /** Sum of the sizes that tasks were told. */
+  /** The sum of the sizes of its tasks. */
   readonly allocated: mutableResources.MutableResources;
-  /** Processors in use as reported; a silent task counts what it holds. */
+  /** Reported CPU usage; a task without a report counts with its size. */
   usedCpuMillis: number;
-  /** Sum over tasks of the larger of memory held and memory reported. */
+  /** The sum over tasks of the larger of allocated and reported memory. */
   claimedMemoryMb: number;
-  /** Kept for jobs that wait for room, on top of what is held. */
+  /** Reserved for blocked jobs, in addition to what is allocated. */
   readonly reserved: mutableResources.MutableResources;
   /**
-   * What may be placed here: capacity less what is held and reserved. Below
-   * zero while a reservation waits for tasks to end.
+   * Resources available for placement: capacity less what is in use and what
+   * is reserved. Negative while a reservation waits for running tasks to end.
    */
   readonly free: mutableResources.MutableResources;
   readonly allocations: Set<TaskAllocation>;
-  /** Where it is in the list of workers. */
+  /** Its index in the list of workers. */
   listIndex: number;
 }
 
-/** A task that holds room. */
+/** The allocation of a task on a worker. */
 export interface TaskAllocation {
   readonly taskId: types.ids.TaskId;
   readonly spec: types.job.JobSpec;
   readonly worker: WorkerState;
   readonly size: types.resources.Resources;
-  /** When it should be done; a guess, for draining workers. */
+  /** The estimated end of the task, used to predict free resources. */
   readonly expectedEndAt: number;
   usedCpuMillis: number;
   usedMemoryMb: number;
   usageReports: number;
-  /** Usage before it was throttled; 0 when it isn't. */
+  /** Its CPU usage before it was throttled; 0 if it isn't throttled. */
   cpuMillisBeforeThrottle: number;
-  /** When its checkpoint was last asked for; 0 when it wasn't. */
+  /** When a checkpoint was last requested; 0 if none was. */
   checkpointRequestedAt: number;
 }
--- a/packages/gypsumwall-placement/src/binary_heap.ts
+++ b/packages/gypsumwall-placement/src/binary_heap.ts
@@ -1,16 +1,16 @@
-/** A binary heap; the smallest item by the given order is on top. */
+/** A binary heap with the smallest item in the given order on top. */
 
-/** Items in heap order. */
+/** A priority queue. */
 export interface BinaryHeap<Item> {
   size(): number;
   peek(): Item | undefined;
   push(item: Item): void;
   pop(): Item | undefined;
-  /** Keeps only the items that pass; O(n). */
+  /** Removes the items for which the function returns false, in O(n). */
   retain(wanted: (item: Item) => boolean): void;
 }
 
-/** Creates an empty heap. An item's order must not change while it is in. */
+/** Creates an empty heap. An item's order must not change while it is in the heap. */
 export function createBinaryHeap<Item>(
   before: (left: Item, right: Item) => boolean,
 ): BinaryHeap<Item> {
--- a/packages/gypsumwall-placement/src/create_baseline_placer.ts
+++ b/packages/gypsumwall-placement/src/create_baseline_placer.ts
@@ -1,8 +1,8 @@
 /**
- * The naive policy that the real one is measured against: first in, first
- * out, on the first worker with room for the declared size. It skips a job
- * that doesn't fit, learns nothing and moves nothing. Its books are as strict
- * as the real policy's: no worker, gang or quota is ever over-committed.
+ * The baseline policy, to which the real one is compared: first in, first out,
+ * on the first worker with enough free resources for the declared size. It
+ * skips jobs that don't fit, learns no sizes and preempts no tasks. It respects
+ * capacities, gangs and quotas as strictly as the real policy.
  */
 import * as types from '@gypsumwall/types';
 import type * as placer from './placer.js';
@@ -22,10 +22,10 @@
   waiting: number[];
 }
 
-/** Settings of the baseline; there are none yet. */
+/** The options of the baseline; there are none. */
 export type BaselinePlacerOptions = Readonly<Record<string, never>>;
 
-/** Creates the baseline policy with empty books. */
+/** Creates the baseline policy without workers, teams or jobs. */
 export function createBaselinePlacer(
   _options: BaselinePlacerOptions = {},
 ): placer.Placer {
@@ -36,7 +36,7 @@
     types.resources.Resources
   >();
   const runningTasks = new Map<types.ids.TaskId, placer.HeldTask>();
-  /** Insertion order is arrival order. */
+  /** The insertion order is the order of arrival. */
   const queue = new Map<types.ids.JobId, WaitingJob>();
   const failures = new Map<types.ids.JobId, number>();
   let abandonedJobs: Array<{jobId: types.ids.JobId; message: string}> = [];
@@ -162,7 +162,7 @@
       if (spec.deadline !== undefined && spec.deadline <= now) {
         return {
           reason: 'deadline_passed',
-          message: `deadline ${spec.deadline} is not after ${now}; send a later one`,
+          message: `deadline ${spec.deadline} is not after the current time ${now}; send a later one`,
         };
       }
       const known = [...workers.values()];
@@ -172,7 +172,7 @@
       if (some || known.length === 0) return undefined;
       return {
         reason: 'can_never_run',
-        message: `no worker is large enough for size ${JSON.stringify(spec.size)}; declare a smaller one`,
+        message: `no worker is large enough for the declared size ${JSON.stringify(spec.size)}; declare a smaller one`,
       };
     },
     enqueue(job) {
@@ -211,8 +211,8 @@
     reportUsage: () => undefined,
     decide(_now, limit) {
       const placements: placer.Placement[] = [];
-      // Room only shrinks within a round: what is no smaller than a size that
-      // found none needn't be tried. It changes no decision, only the time.
+      // Free resources only shrink within a call. A size that is at least as
+      // large as one that didn't fit needn't be tried; this only saves time.
       const unplaceableSizes: types.resources.Resources[] = [];
       for (const job of queue.values()) {
         const left = limit - placements.length;
@@ -240,7 +240,7 @@
       const job = queue.get(jobId);
       if (job === undefined) return '';
       if (!fitsQuota(job.spec)) return `team ${job.spec.team} is at its quota`;
-      return 'no worker has room for the declared size';
+      return 'no worker has enough free resources for the declared size';
     },
     takeGivenUp() {
       const taken = abandonedJobs;
--- a/packages/gypsumwall-placement/src/create_placer.ts
+++ b/packages/gypsumwall-placement/src/create_placer.ts
@@ -1,7 +1,8 @@
 /**
- * The placement policy of a failure domain. It puts together the books, the
- * queue, what was learned and the safeguards; each of them is a module of its
- * own. Time comes only with calls, so the same calls decide the same.
+ * The placement policy of a failure domain. It combines the allocations, the
+ * queue, the learned sizes, reservations, preemption and quarantine, each of
+ * which is a module. Calls pass in the current time, so the same sequence of
+ * calls leads to the same decisions.
  */
 import * as types from '@gypsumwall/types';
 import * as admission from './admission.js';
@@ -22,22 +23,25 @@
 import * as waitingJobs from './waiting_jobs.js';
 import * as workerIndex from './worker_index.js';
 
-/** Settings of the policy; teams bring their own in `setTeam`. */
+/** Options of the policy; `setTeam` sets the limits of each team. */
 export interface PlacerOptions {
-  /** For sampling workers; the same seed decides the same. */
+  /** For sampling workers; the same seed leads to the same decisions. */
   readonly random?: types.random.Random;
-  /** New jobs are refused beyond this, the least urgent first. */
+  /** New jobs are refused above this limit, the least urgent ones earlier. */
   readonly maxWaitingJobs?: number;
 }
 
 const DEFAULT_MAX_WAITING_JOBS = 100_000;
 const DEFAULT_SEED = 1;
-/** A job that failed on so many workers condemns no further one. */
+/**
+ * Failures of a job that has failed on this many workers no longer count
+ * against a worker, since the job itself is likely at fault.
+ */
 const SUSPECT_JOB_WORKERS = 2;
-/** Share of a worker's processors in use from which tasks slow each other. */
+/** From this share of a worker's CPU in use, tasks slow each other down. */
 const CPU_CONTENTION_SHARE = 0.98;
 
-/** Creates the policy with empty books. */
+/** Creates the policy without workers, teams or jobs. */
 export function createPlacer(options: PlacerOptions = {}): placer.Placer {
   const random = options.random ?? types.random.createRandom(DEFAULT_SEED);
   const maxWaitingJobs = options.maxWaitingJobs ?? DEFAULT_MAX_WAITING_JOBS;
@@ -45,7 +49,7 @@
   const learner = sizeLearner.createSizeLearner();
   const failures = jobFailures.createJobFailures();
   const spread = rackSpread.createRackSpread();
-  /** Workers with more room than at the last round. */
+  /** Workers with more free resources than in the last scheduling cycle. */
   const workersWithMoreFree = new Set<allocationState.WorkerState>();
   let abandonedJobs = new Map<types.ids.JobId, string>();
   let isUnblockingSuppressed = false;
@@ -110,7 +114,10 @@
     quarantined.onTaskAllocated(record.worker);
   }
 
-  /** Room given back by `action` is no new room for those who wait. */
+  /**
+   * Runs an action whose freed resources must not unblock waiting jobs: it
+   * rolls back a partly placed gang, or suspends or resumes a reservation.
+   */
   function withoutUnblocking(action: () => void): void {
     isUnblockingSuppressed = true;
     action();
@@ -151,7 +158,8 @@
       quarantined.recordFailure(worker, jobId, lastNow);
     }
     if (reason === undefined) {
-      // Kept off a worker, it must not block jobs that aren't.
+      // The job now avoids a worker, so it gets a group of its own: if it finds
+      // no worker, it must not block jobs that may use any worker.
       const job = waiting.get(jobId);
       if (job !== undefined) waiting.requeue(job, true);
       return;
@@ -217,7 +225,7 @@
       return admission.admit(view, spec, now);
     },
     enqueue(job) {
-      // The holder may not have heard yet that the job was given up.
+      // The holder may not have read yet that the policy gave up this job.
       if (!abandonedJobs.has(job.jobId)) waiting.enqueue(job, lastNow);
     },
     cancel: removeJob,
@@ -277,8 +285,8 @@
 }
 
 /**
- * On a worker whose processors are all in use a task uses less than it would.
- * Learning from that would book less and less and fill workers ever more.
+ * On a worker whose CPU is fully used, a task uses less than it needs. Learning
+ * from such reports would shrink the estimates and overload workers further.
  */
 function isCpuContended(task: allocationState.TaskAllocation): boolean {
   const {usedCpuMillis, capacity} = task.worker;
@@ -288,7 +296,10 @@
   );
 }
 
-/** Long-lived tasks report often; they must not drown the short ones. */
+/**
+ * Only the reports 1, 2, 4, 8 and so on of a task are learned from, so that
+ * long tasks, which report often, don't outweigh short ones.
+ */
 function isPowerOfTwo(count: number): boolean {
   return (count & (count - 1)) === 0;
 }
--- a/packages/gypsumwall-placement/src/deadline_demand.ts
+++ b/packages/gypsumwall-placement/src/deadline_demand.ts
@@ -1,20 +1,20 @@
 /**
- * How much work is waiting for which deadline, so that a job whose deadline
- * can't be met is refused at once and not found late. Work is kept by the
- * minute of its deadline, not by job.
+ * The amount of waiting work by deadline, so that a job whose deadline can't be
+ * met is refused at once instead of missing it. Work is summed by the minute of
+ * its deadline and isn't stored by job.
  */
 
 const BUCKET_MS = 60_000;
-/** Deadlines further away are counted together. */
+/** Deadlines later than this many buckets (2 days) share the last bucket. */
 const MAX_BUCKETS_AHEAD = 2 * 24 * 60;
-/** Share of the processors that planned work may count on. */
+/** The share of all cores that is assumed to be usable for planned work. */
 const USABLE_SHARE = 0.9;
 
 /** Waiting work by deadline. */
 export interface DeadlineDemand {
-  /** Adds (or with a negative amount removes) work, in core milliseconds. */
+  /** Adds work in core milliseconds; a negative amount removes work. */
   add(deadline: number, work: number): void;
-  /** Whether `work` more, due by `deadline`, leaves all deadlines reachable. */
+  /** Whether additional work can be done by its deadline, after the work that is due before it. */
   accepts(
     deadline: number,
     work: number,
@@ -23,7 +23,6 @@
   ): boolean;
 }
 
-/** Creates an empty plan. */
 export function createDeadlineDemand(): DeadlineDemand {
   const buckets = new Map<number, number>();
 
--- a/packages/gypsumwall-placement/src/domain_allocations.ts
+++ b/packages/gypsumwall-placement/src/domain_allocations.ts
@@ -1,8 +1,8 @@
 /**
- * The books of a failure domain: what every worker has, which task holds
- * which room, and what each team holds. Room is booked at the moment of
- * decision, so the sum of what was told to a worker never passes its
- * capacity, whatever the worker reports and however late.
+ * The allocations of a failure domain: the capacity of every worker, the
+ * resources allocated to each task, and the total of each team. Resources are
+ * allocated when a placement is decided, so the sum of the sizes sent to a
+ * worker never exceeds its capacity, even if its reports are wrong or late.
  */
 import * as types from '@gypsumwall/types';
 import type * as allocationState from './allocation_state.js';
@@ -10,24 +10,24 @@
 import type * as placer from './placer.js';
 import * as teamAllocations from './team_allocations.js';
 
-/** All books of one domain. */
+/** The allocations of one failure domain. */
 export interface DomainAllocations {
   readonly workers: ReadonlyMap<
     types.ids.WorkerId,
     allocationState.WorkerState
   >;
-  /** The same workers, for sampling. */
+  /** The same workers as an array, for sampling. */
   readonly workerList: readonly allocationState.WorkerState[];
-  /** The most of each kind that any one worker has. */
+  /** For each resource, the largest capacity of any single worker. */
   readonly largestCapacity: types.resources.Resources;
   readonly taskAllocations: ReadonlyMap<
     types.ids.TaskId,
     allocationState.TaskAllocation
   >;
   readonly teams: teamAllocations.TeamAllocations;
-  /** Capacity of all open workers. */
+  /** The capacity of all schedulable workers. */
   readonly totalCapacity: types.resources.Resources;
-  /** Room on all open workers. */
+  /** The free resources of all schedulable workers. */
   readonly totalFree: types.resources.Resources;
   setWorker(worker: placer.PlacerWorker): allocationState.WorkerState;
   setSchedulable(worker: allocationState.WorkerState, open: boolean): void;
@@ -43,7 +43,7 @@
     task: allocationState.TaskAllocation,
     used: types.resources.Resources,
   ): void;
-  /** Keeps room (or with -1 gives it back) on top of what is held. */
+  /** Reserves resources on a worker; with -1, ends the reservation. */
   reserve(
     worker: allocationState.WorkerState,
     amount: types.resources.Resources,
@@ -52,8 +52,8 @@
 }
 
 /**
- * Creates empty books. `onRoom` is told of every worker whose room changed,
- * and whether it grew.
+ * Creates an empty set of allocations. `onFreeChanged` is called with each
+ * worker whose free resources changed, and whether any of them grew.
  */
 export function createDomainAllocations(
   onFreeChanged: (worker: allocationState.WorkerState, grew: boolean) => void,
@@ -73,7 +73,10 @@
   const totalFree = mutableResources.mutableCopy(types.resources.NO_RESOURCES);
   const teams = teamAllocations.createTeamAllocations(totalCapacity);
 
-  /** A worker that tasks were adopted on before it was added. */
+  /**
+   * Returns the state of a worker. Tasks may be adopted on a worker before it
+   * is added; its state is created then.
+   */
   function worker(id: types.ids.WorkerId): allocationState.WorkerState {
     const known = workers.get(id);
     if (known !== undefined) return known;
@@ -137,7 +140,8 @@
     free.memoryMb = memoryMb;
     free.accelerators = accelerators;
     if (record.isSchedulable) mutableResources.adjust(totalFree, free, 1);
-    // A task may outlive the books of its worker; nobody places there.
+    // A task may be released after its worker was removed. Nothing is placed
+    // on a removed worker, so nobody is notified.
     if (workers.get(record.id) === record) onFreeChanged(record, hasGrown);
   }
 
@@ -244,7 +248,7 @@
   };
 }
 
-/** Whether a size fits a worker when what is reserved there is used too. */
+/** Whether a size fits a worker if its reserved resources may be used too. */
 export function fitsWithReserved(
   need: types.resources.Resources,
   worker: allocationState.WorkerState,
--- a/packages/gypsumwall-placement/src/expected_capacity.ts
+++ b/packages/gypsumwall-placement/src/expected_capacity.ts
@@ -1,26 +1,26 @@
-/** When running tasks will have given back enough room for waiting ones. */
+/** Predicts when running tasks will have freed enough resources for a job. */
 import type * as types from '@gypsumwall/types';
 import type * as allocationState from './allocation_state.js';
 import * as freeForecast from './free_forecast.js';
 
-/** How long a checkpoint takes to give room back, as far as plans go. */
+/** The assumed time from the request of a checkpoint to the freed resources. */
 const CHECKPOINT_DURATION_MS = 500;
 
-/** Where and when there will be room for all of a job's tasks. */
+/** The workers and the time at which all tasks of a job will fit. */
 export interface ExpectedCapacity {
-  /** Tasks by worker. */
+  /** The number of tasks that will fit on each worker. */
   readonly slots: ReadonlyMap<allocationState.WorkerState, number>;
-  /** Tasks to checkpoint, without which it would take longer. */
+  /** Running tasks to checkpoint; the prediction depends on it. */
   readonly victims: readonly allocationState.TaskAllocation[];
   readonly readyAt: number;
 }
 
-/** What is looked for. */
+/** The search for capacity for `count` tasks of one size. */
 export interface CapacitySearch {
   readonly size: types.resources.Resources;
   readonly count: number;
   readonly now: number;
-  /** Tasks that may be checkpointed for it. */
+  /** Whether a running task may be checkpointed for the job. */
   readonly mayPreempt: (task: allocationState.TaskAllocation) => boolean;
 }
 
@@ -31,9 +31,9 @@
 }
 
 /**
- * The soonest room on the given workers, as far as tasks end when expected;
- * undefined when they can't hold as many. Services don't end, and what others
- * have reserved stays theirs.
+ * Finds the earliest capacity on the given workers, assuming that tasks end
+ * when estimated. Services don't end, and resources reserved for other jobs
+ * aren't used. Returns undefined if the workers can't hold that many tasks.
  */
 export function earliestCapacity(
   workers: readonly allocationState.WorkerState[],
@@ -59,7 +59,7 @@
   readonly isPreempted: boolean;
 }
 
-/** The moments at which one more task fits on a worker. */
+/** The times at which one more task fits on a worker. */
 function slotsOn(
   worker: allocationState.WorkerState,
   search: CapacitySearch,
@@ -89,7 +89,7 @@
   return slots;
 }
 
-/** Tasks by when they end or could be checkpointed, the soonest first. */
+/** The tasks of a worker with the times when they end or are checkpointed, in ascending order. */
 function expectedEndsOn(
   worker: allocationState.WorkerState,
   search: CapacitySearch,
--- a/packages/gypsumwall-placement/src/explain_wait.ts
+++ b/packages/gypsumwall-placement/src/explain_wait.ts
@@ -1,8 +1,8 @@
-/** Says for a person why a job waits. */
+/** Explains to people why a job waits. */
 import type * as jobQueue from './job_queue.js';
 import type * as reservations from './reservations.js';
 
-/** One sentence on a waiting job. */
+/** Returns one sentence on a waiting job. */
 export function explainWait(
   job: jobQueue.WaitingJob,
   reservation: reservations.Reservation | undefined,
@@ -10,7 +10,7 @@
 ): string {
   const tasks = `${job.waiting.size} tasks wait`;
   if (reservation !== undefined) {
-    return `${tasks}: room is kept for it on ${reservation.slots.size} workers, which should have drained by ${new Date(reservation.readyAt).toISOString()}`;
+    return `${tasks}: resources are reserved on ${reservation.slots.size} workers, which are expected to have drained by ${new Date(reservation.readyAt).toISOString()}`;
   }
   const state = job.group?.state;
   if (state === 'over_quota') {
@@ -20,8 +20,8 @@
     const less =
       avoided === undefined
         ? ''
-        : `; it is kept off ${[...avoided].join(', ')}, where it failed`;
-    return `${tasks}: no worker has room at present${less}`;
+        : `; the job isn't placed on ${[...avoided].join(', ')}, where it failed`;
+    return `${tasks}: no worker has enough free resources at present${less}`;
   }
-  return `${tasks}: more urgent work or teams that hold less go first`;
+  return `${tasks}: more urgent jobs or teams with a smaller share go first`;
 }
--- a/packages/gypsumwall-placement/src/free_forecast.ts
+++ b/packages/gypsumwall-placement/src/free_forecast.ts
@@ -1,22 +1,22 @@
 /**
- * The room a worker would have without some of its tasks. Processors count as
- * taken by what is held or by what is used, whichever is more, so a task that
- * ends gives back less than its size on a worker that is used beyond its
- * books. A plan that overlooks this comes up short by a little everywhere.
+ * The free resources that a worker would have without some of its tasks. CPU
+ * counts as taken by the larger of what is allocated and what is used. So on a
+ * worker where more CPU is used than allocated, a task that ends frees less
+ * than its size. A plan that ignores this has too little on many workers.
  */
 import type * as types from '@gypsumwall/types';
 import type * as allocationState from './allocation_state.js';
 
-/** Room as it would be. */
+/** Predicted free resources of one worker. */
 export interface FreeForecast {
-  /** As if the task had ended. */
+  /** Assumes that a task has ended. */
   removeTask(task: allocationState.TaskAllocation): void;
-  /** As if a task of that size had started. */
+  /** Assumes that a task of this size has started. */
   addTask(size: types.resources.Resources): void;
   fits(size: types.resources.Resources): boolean;
 }
 
-/** Starts from the room that the worker has now. */
+/** Creates a forecast that starts from the worker's present state. */
 export function createFreeForecast(
   worker: allocationState.WorkerState,
 ): FreeForecast {
--- a/packages/gypsumwall-placement/src/index_ranges.ts
+++ b/packages/gypsumwall-placement/src/index_ranges.ts
@@ -1,23 +1,22 @@
 /**
- * A set of task indexes kept as ranges, so that a job of 100,000 waiting
- * tasks takes a few numbers and not as many objects. It is plain data with
- * functions: there is one for each waiting job, and closures would cost more
- * than all the rest of the job.
+ * A set of task indexes stored as ranges, so that a job of 100,000 waiting
+ * tasks takes a few numbers instead of as many objects. It is plain data with
+ * functions instead of closures, because there is one set for each waiting job
+ * and its closures would take more memory than the rest of the job.
  */
 
-/** Indexes that wait. */
+/** A set of indexes. */
 export interface IndexRanges {
   /** Pairs of start (included) and end (excluded), descending by start. */
   readonly bounds: number[];
   size: number;
 }
 
-/** An empty set. */
 export function createIndexRanges(): IndexRanges {
   return {bounds: [], size: 0};
 }
 
-/** Adds an index that may be in already. */
+/** Adds an index, which may be in the set already. */
 export function add(ranges: IndexRanges, index: number): void {
   const {bounds} = ranges;
   const pair = findPair(bounds, index);
@@ -34,7 +33,7 @@
   else bounds.splice(pair * 2, 0, index, index + 1);
 }
 
-/** Removes an index that may not be in. */
+/** Removes an index, which may be missing from the set. */
 export function remove(ranges: IndexRanges, index: number): void {
   const {bounds} = ranges;
   const pair = findPair(bounds, index);
@@ -48,18 +47,17 @@
   bounds.splice(pair * 2, 2, ...pieces);
 }
 
-/** The lowest index; undefined when empty. */
+/** The lowest index; undefined if the set is empty. */
 export function lowest(ranges: IndexRanges): number | undefined {
   return ranges.bounds[ranges.bounds.length - 2];
 }
 
-/** Empties the set. */
 export function clear(ranges: IndexRanges): void {
   ranges.bounds.length = 0;
   ranges.size = 0;
 }
 
-/** Position of the first pair whose start is at or below `index`. */
+/** The position of the first pair whose start is at or below `index`. */
 function findPair(bounds: readonly number[], index: number): number {
   let low = 0;
   let high = bounds.length / 2;
--- a/packages/gypsumwall-placement/src/job_failures.ts
+++ b/packages/gypsumwall-placement/src/job_failures.ts
@@ -1,26 +1,26 @@
 /**
- * Finds jobs that can never run well. A task that fails on one worker is kept
- * off that worker; a job that fails on distinct workers without a success, or
- * whose one task does, is given up with the reason. Failures on one worker
- * alone may be the worker's fault and don't condemn the job.
+ * Finds jobs that keep failing. A job with a failed task avoids the worker
+ * where it failed. A job is given up if it fails on several workers without a
+ * success, or if one of its tasks does. Failures on a single worker may be the
+ * worker's fault and aren't enough to give up the job.
  */
 import type * as types from '@gypsumwall/types';
 
-/** Give up after failures on this many distinct workers. */
+/** A job is given up after failures on this many distinct workers. */
 const MAX_FAILED_WORKERS = 3;
 /**
- * Give up when one task fails this often, even where there are fewer workers.
- * Failures of several tasks don't add up: a job of many tasks may have six of
- * them on one bad worker at once.
+ * A job is given up when one of its tasks has failed this often, even on fewer
+ * workers. Failures of several tasks aren't added up, since a job may have six
+ * tasks on one faulty worker at once.
  */
 const MAX_FAILURES_PER_TASK = 6;
-/** Only failing jobs are remembered; the oldest is forgotten beyond this. */
+/** Only failing jobs are stored. Above this number the oldest is removed. */
 const MAX_JOBS = 10_000;
 const MAX_TASKS_PER_JOB = 100;
 
-/** Remembers the failures of jobs. */
+/** The failures of the jobs of a failure domain. */
 export interface JobFailures {
-  /** Returns why the job is to be given up; undefined while it isn't. */
+  /** Returns why the job must be given up; undefined if it may go on. */
   recordFailure(
     jobId: types.ids.JobId,
     index: number,
@@ -29,7 +29,7 @@
   ): string | undefined;
   recordSuccess(jobId: types.ids.JobId, index: number): void;
   removeJob(jobId: types.ids.JobId): void;
-  /** Workers on which tasks failed that haven't succeeded since. */
+  /** Workers where tasks of the job failed that haven't succeeded since. */
   workersToAvoid(
     jobId: types.ids.JobId,
   ): ReadonlySet<types.ids.WorkerId> | undefined;
@@ -42,14 +42,13 @@
 
 interface FailingJob extends Failures {
   /**
-   * Where its failing tasks failed. A success of another task doesn't clear
-   * it: the task would go back to the worker that fails it.
+   * The workers where its failing tasks failed. A success of another task
+   * doesn't remove them, since the failing task might be placed there again.
    */
   readonly avoid: Set<types.ids.WorkerId>;
   readonly tasks: Map<number, Failures>;
 }
 
-/** Creates an empty record. */
 export function createJobFailures(): JobFailures {
   const jobs = new Map<types.ids.JobId, FailingJob>();
 
--- a/packages/gypsumwall-placement/src/job_queue.ts
+++ b/packages/gypsumwall-placement/src/job_queue.ts
@@ -1,9 +1,10 @@
 /**
- * The waiting jobs, in the order they should start. Work is split into tiers
- * (urgent or due, normal, overnight), within a tier by team, and within a team
- * into groups of jobs of about the same size. When the first job of a group
- * finds no room, the others of the group needn't be tried until room grows,
- * so that a decision looks at few jobs however many wait.
+ * The waiting jobs, in the order in which they should start. Jobs are split
+ * into tiers (urgent or due, normal, overnight), a tier into teams, and a team
+ * into groups of jobs of about the same size. If the first job of a group
+ * doesn't fit on any worker, the group isn't tried again until a worker has
+ * more free resources. So the number of jobs that a decision examines doesn't
+ * grow with the queue.
  */
 import * as types from '@gypsumwall/types';
 import * as binaryHeap from './binary_heap.js';
@@ -11,14 +12,17 @@
 import type * as indexRanges from './index_ranges.js';
 import type * as teamAllocations from './team_allocations.js';
 
-/** Earlier tiers go first. */
+/** Tiers are served in ascending order. */
 export const TIER_DUE = 0;
 export const TIER_NORMAL = 1;
 export const TIER_OVERNIGHT = 2;
 const TIER_COUNT = 3;
-/** A team of weight 0 still gets what nobody else wants. */
+/** Replaces a weight of 0: such a team gets what no other team wants. */
 const MIN_WEIGHT = 1e-6;
-/** Entries of jobs that left a group are swept out beyond this many. */
+/**
+ * A heap keeps entries of jobs that left its group. It is compacted when it has
+ * more than twice as many entries as jobs, plus this many.
+ */
 const MAX_STALE_HEAP_ENTRIES = 64;
 
 /** A job with waiting tasks. */
@@ -27,25 +31,28 @@
   readonly spec: types.job.JobSpec;
   readonly team: teamAllocations.TeamState;
   readonly waiting: indexRanges.IndexRanges;
-  /** Latest start: deadline less a pessimistic run time. */
+  /**
+   * The latest start: the deadline less a pessimistic run time. For jobs
+   * without a deadline it depends on their urgency.
+   */
   readonly startBy: number;
-  /** Expected processor time of one task, in core milliseconds. */
+  /** The expected CPU time of one task, in core milliseconds. */
   readonly coreMsPerTask: number;
   tier: number;
   group: JobGroup | undefined;
-  /** Since when no room was found for it; undefined while it moves. */
+  /** Since when it hasn't fitted anywhere; undefined while it isn't blocked. */
   blockedSince: number | undefined;
-  /** A gang isn't tried again before then. */
+  /** A blocked gang, or a job with a reservation, isn't tried before this time. */
   retryAt: number;
-  /** No room is reserved for it before then. */
+  /** No reservation is made for it before this time. */
   nextReservationAt: number;
-  /** Room is being kept for it. */
+  /** Whether resources are reserved for it. */
   hasReservation: boolean;
-  /** Until when room made for it by checkpoints is still expected. */
+  /** Until when checkpoints requested for it are expected to free resources. */
   preemptionPendingUntil: number;
 }
 
-/** Why a group isn't tried at present. */
+/** Whether a group may be tried, or else why not. */
 export type GroupState = 'ready' | 'no_room' | 'over_quota';
 
 /** Jobs of one team and tier with about the same size. */
@@ -53,11 +60,11 @@
   readonly key: string;
   readonly team: teamAllocations.TeamState;
   readonly tier: number;
-  /** No job in it is smaller than this. */
+  /** A lower bound of the task sizes in the group. */
   readonly minSize: types.resources.Resources;
   readonly heap: binaryHeap.BinaryHeap<WaitingJob>;
   state: GroupState;
-  /** Room has grown since it was found blocked. */
+  /** Whether a worker that may fit the group has freed resources since it was blocked. */
   hasFreedCapacity: boolean;
   jobCount: number;
 }
@@ -66,11 +73,12 @@
 export interface JobQueue {
   add(job: WaitingJob, size: types.resources.Resources, alone: boolean): void;
   remove(job: WaitingJob): void;
-  /** The first job of the group that should be tried next. */
+  /** The job to try next; it stays in the queue. */
   next(): WaitingJob | undefined;
   /**
-   * Marks the job's group as not to be tried. Where the job's size has left
-   * its group, since sizes are learned, it only moves to the right group.
+   * Marks the job's group as blocked. If the job's size no longer belongs to
+   * its group, because the estimate changed, the job moves to another group and
+   * nothing is blocked.
    */
   block(
     job: WaitingJob,
@@ -78,10 +86,10 @@
     alone: boolean,
     state: GroupState,
   ): void;
-  /** Lets groups be tried again that may fit where room grew. */
+  /** Unblocks the groups that may fit on one of the workers in `grown`. */
   unblock(grown: ReadonlySet<allocationState.WorkerState>, now: number): void;
   unblockTeam(team: teamAllocations.TeamState): void;
-  /** First jobs of groups that found no room. */
+  /** The first jobs of the groups that are blocked for lack of resources. */
   blockedHeads(): WaitingJob[];
   /** Those of them that are urgent or due. */
   blockedDue(): WaitingJob[];
@@ -94,9 +102,9 @@
 }
 
 /**
- * Creates an empty queue; `shareOf` is what a team holds of the domain with
- * work of a tier and of the tiers before it. Later tiers give way to it and
- * so don't count against it.
+ * Creates an empty queue. `shareOf` returns a team's share of the domain,
+ * counting its tasks of the given tier and of the tiers before it. Tasks of
+ * later tiers can be preempted by these and therefore don't count.
  */
 export function createJobQueue(
   shareOf: (team: teamAllocations.TeamState, tier: number) => number,
@@ -162,7 +170,7 @@
     if (queue.groups.size === 0) tier.delete(group.team.id);
   }
 
-  /** The first job still in the group; jobs that left are dropped on the way. */
+  /** The first job of the group; entries of jobs that left are removed. */
   function headOf(group: JobGroup): WaitingJob | undefined {
     for (;;) {
       const head = group.heap.peek();
@@ -192,7 +200,7 @@
     return first;
   }
 
-  /** Weighted fair share: the team that holds least for its weight. */
+  /** Weighted fair sharing: the team with the smallest share for its weight. */
   function nextByShare(tier: number): WaitingJob | undefined {
     let best: TeamQueue | undefined;
     let bestShare = Infinity;
@@ -208,8 +216,9 @@
   }
 
   /**
-   * Latest start first. A team that holds more than its weight entitles it to
-   * comes after the others: else its flood of due work delays theirs.
+   * The job with the earliest latest start. Teams above the share that their
+   * weight entitles them to come after the others; otherwise a team with many
+   * due jobs would delay the due jobs of the others.
    */
   function nextDue(tier: Map<unknown, TeamQueue>): WaitingJob | undefined {
     let weights = 0;
@@ -240,7 +249,7 @@
     job.group = group;
     group.jobCount += 1;
     group.heap.push(job);
-    // It may be smaller than the job that the group was blocked for.
+    // The job may be smaller than the one that didn't fit.
     setState(group, 'ready');
   }
 
@@ -317,7 +326,7 @@
   return `${shape.kind}:${tasks}:${sizeKey}:${size.accelerators}`;
 }
 
-/** Two steps to each doubling. */
+/** Logarithmic buckets, two for each doubling. */
 function sizeBucket(amount: number): number {
   return amount < 1 ? -1 : Math.floor(Math.log2(amount) * 2);
 }
--- a/packages/gypsumwall-placement/src/mutable_resources.ts
+++ b/packages/gypsumwall-placement/src/mutable_resources.ts
@@ -1,19 +1,18 @@
-/** Amounts that are updated in place, for sums that change all the time. */
+/** Resource amounts that are updated in place, for sums that change often. */
 import type * as types from '@gypsumwall/types';
 
-/** An amount that is updated in place. */
+/** A resource amount that is updated in place. */
 export interface MutableResources {
   cpuMillis: number;
   memoryMb: number;
   accelerators: number;
 }
 
-/** A copy that may be changed. */
 export function mutableCopy(from: types.resources.Resources): MutableResources {
   return {...from};
 }
 
-/** Adds an amount, or takes it away. */
+/** Adds an amount to the target; with -1, subtracts it. */
 export function adjust(
   target: MutableResources,
   amount: types.resources.Resources,
--- a/packages/gypsumwall-placement/src/pick_worker.ts
+++ b/packages/gypsumwall-placement/src/pick_worker.ts
@@ -1,8 +1,8 @@
 /**
- * Chooses the worker for one task: a handful of workers with room, scored by
- * how tightly the task would fill them, how even the rest would be, and, for
- * services, how many replicas the rack already has. A team's packing weight
- * moves both the place where the search starts and the score.
+ * Chooses the worker for a task. A few workers on which it fits are scored by
+ * how full they would be, by how balanced their remaining CPU and memory would
+ * be and, for services, by the number of replicas in the rack. The team's
+ * packing weight affects both where the search starts and the score.
  */
 import type * as types from '@gypsumwall/types';
 import type * as allocationState from './allocation_state.js';
@@ -11,28 +11,28 @@
 
 const MAX_CANDIDATES = 6;
 /**
- * Searches for a service's replica start at this many evenly spaced workers,
- * so that the candidates lie in distinct racks.
+ * A search for a service's replica starts at this many evenly spaced workers,
+ * so that the candidates are in different racks.
  */
 const RACK_SEARCH_STARTS = 8;
 const MAX_CANDIDATES_PER_START = 2;
-/** A replica more in the rack outweighs every other term of the score. */
+/** One more replica in the rack outweighs all other terms of the score. */
 const RACK_WEIGHT = 10;
 const IMBALANCE_WEIGHT = 0.5;
 
-/** What is to be placed. */
+/** The needs of the task to place. */
 export interface WorkerQuery {
   readonly need: types.resources.Resources;
-  /** 0: emptiest worker; 1: fullest worker that still has room. */
+  /** 0 prefers the emptiest worker, 1 the fullest one on which the task fits. */
   readonly packing: number;
   readonly avoid?: ReadonlySet<types.ids.WorkerId>;
-  /** Replicas by rack, for services. */
+  /** For services, the number of replicas in each rack. */
   readonly racks?: ReadonlyMap<types.ids.RackId, number>;
-  /** Workers whose reserved room may be used when there is no other. */
+  /** Workers whose reserved resources may be used if no other worker fits. */
   readonly reservedFallback?: () => Iterable<allocationState.WorkerState>;
 }
 
-/** Picks a worker; undefined when none has room. */
+/** Returns a worker; undefined if the task fits on none. */
 export type WorkerPicker = (
   pick: WorkerQuery,
 ) => allocationState.WorkerState | undefined;
@@ -94,7 +94,7 @@
   return chosen;
 }
 
-/** Lower is better. */
+/** A lower score is better. */
 function scoreOf(
   query: WorkerQuery,
   worker: allocationState.WorkerState,
--- a/packages/gypsumwall-placement/src/placer.ts
+++ b/packages/gypsumwall-placement/src/placer.ts
@@ -1,7 +1,7 @@
 /**
- * What the holder of a failure domain asks of a placement policy. The policy
- * keeps the queue and the books of every worker of the domain in memory and
- * does no input or output, so each decision takes microseconds.
+ * The interface between the holder of a failure domain and its placement
+ * policy. The policy keeps the queue and the allocations of all workers of the
+ * domain in memory and does no I/O, so each decision takes microseconds.
  */
 import type * as types from '@gypsumwall/types';
 
@@ -12,7 +12,7 @@
   readonly capacity: types.resources.Resources;
 }
 
-/** What a team may do, out of its settings subtree. */
+/** Limits and weight of a team, read from its settings subtree. */
 export interface PlacerTeam {
   readonly id: types.ids.TeamId;
   readonly weight: number;
@@ -21,99 +21,107 @@
   readonly packing: number;
 }
 
-/** A job whose listed tasks wait for a place. */
+/** A job and those of its tasks that wait to be placed. */
 export interface QueuedJob {
   readonly jobId: types.ids.JobId;
   readonly spec: types.job.JobSpec;
-  /** When it was accepted. */
   readonly acceptedAt: types.clock.WallMs;
-  /** Indexes of its tasks that wait. */
+  /** Indexes of the waiting tasks. */
   readonly waiting: readonly number[];
 }
 
-/** A task that holds room on a worker. */
+/** A task that has resources allocated on a worker. */
 export interface HeldTask {
   readonly taskId: types.ids.TaskId;
   readonly spec: types.job.JobSpec;
   readonly workerId: types.ids.WorkerId;
-  /** Room held; never below what the worker was told at the start. */
+  /** Allocated resources; at least the size that was sent to the worker when the task started. */
   readonly size: types.resources.Resources;
 }
 
-/** Start this task there. Its room is held from the moment of decision. */
+/**
+ * The decision to start a task on a worker. The resources are allocated as
+ * soon as the decision is made.
+ */
 export interface Placement {
   readonly taskId: types.ids.TaskId;
   readonly workerId: types.ids.WorkerId;
   readonly size: types.resources.Resources;
 }
 
-/** Why a job can't be taken now; final for the caller. */
+/** Why a new job is refused. The refusal is final for the caller. */
 export interface PlacementRefusal {
   readonly reason: types.outcome.RefusalReason;
   readonly message: string;
   readonly retryAfterMs?: number;
 }
 
-/** Give a running task's processors to more urgent work. */
+/** Takes resources from a running task in favour of more urgent work. */
 export type Relief =
   | {
       readonly type: 'throttle';
       readonly taskId: types.ids.TaskId;
-      /** 0 lifts the limit. */
+      /** The limit to set; 0 removes the limit. */
       readonly cpuMillis: number;
     }
   | {readonly type: 'checkpoint'; readonly taskId: types.ids.TaskId};
 
-/** What one round decided. */
+/** The decisions of one scheduling cycle. */
 export interface Decisions {
   readonly placements: readonly Placement[];
   readonly reliefs: readonly Relief[];
 }
 
-/** How a task's run ended, for learning and for quarantine. */
+/** How an attempt of a task ended; used for size estimates and quarantine. */
 export type RunReport =
   | {readonly type: 'done'; readonly ranMs: number}
   | {readonly type: 'failed'; readonly message: string}
-  /** It never started: the worker refused or could not be reached. */
+  /** The attempt never started: the worker refused it or was unreachable. */
   | {readonly type: 'not_started'}
   | {readonly type: 'stopped'};
 
-/** The queue and books of one failure domain. */
+/** The queue and the allocations of one failure domain. */
 export interface Placer {
   setTeam(team: PlacerTeam): void;
   /** Adds a worker or changes its capacity. */
   setWorker(worker: PlacerWorker): void;
   /**
-   * No new work there from now on (leaving, silent or gone). Room that its
-   * tasks hold stays on the books until each is released.
+   * Places no new tasks on a worker that is leaving, silent or removed from the
+   * list. Its tasks keep their allocations until each of them is released.
    */
   closeWorker(workerId: types.ids.WorkerId): void;
-  /** Forgets a worker that is gone; its tasks must be released before. */
+  /** Removes a worker; its tasks must have been released before. */
   removeWorker(workerId: types.ids.WorkerId): void;
-  /** Whether a new job may be taken; quotas, shapes and deadlines decide. */
+  /**
+   * Checks a new job against quotas, capacity, load and deadlines. Returns
+   * undefined when the job is admitted.
+   */
   admit(
     spec: types.job.JobSpec,
     now: types.clock.WallMs,
   ): PlacementRefusal | undefined;
-  /** Adds a job, or adds waiting tasks to one that is known. */
+  /** Adds a job, or adds waiting tasks to a job that is queued already. */
   enqueue(job: QueuedJob): void;
-  /** Drops what waits of a job. Running tasks stay until released. */
+  /**
+   * Removes the waiting tasks of a job. Running tasks keep their allocations
+   * until they are released.
+   */
   cancel(jobId: types.ids.JobId): void;
-  /** Books a task that was found running when the domain was taken over. */
+  /** Allocates resources for a task found running after a failover. */
   adopt(task: HeldTask): void;
-  /** Gives a task's room back and learns from how it ended. */
+  /** Frees a task's resources and records how its attempt ended. */
   release(taskId: types.ids.TaskId, report: RunReport): void;
-  /** Usage as workers report it, late. */
+  /** Records the usage that a worker reported; reports arrive with a delay. */
   reportUsage(taskId: types.ids.TaskId, used: types.resources.Resources): void;
-  /** Decides at most `limit` placements. */
+  /** Runs a scheduling cycle that makes at most `limit` placements. */
   decide(now: types.clock.WallMs, limit: number): Decisions;
-  /** Tasks that wait, for status and metrics. */
+  /** The number of waiting tasks, for status and metrics. */
   waitingTasks(): number;
-  /** Why a waiting job waits, for a person; empty when it doesn't. */
+  /** A sentence for people on why a job waits; empty if it doesn't wait. */
   explain(jobId: types.ids.JobId): string;
   /**
-   * A job that the policy has given up on since the last call, such as one
-   * that failed on distinct workers; the holder records it as failed.
+   * Returns the jobs that the policy has given up since the last call, such as
+   * a job that failed on several workers. The holder records them as failed.
    */
   takeGivenUp(): ReadonlyArray<{
     readonly jobId: types.ids.JobId;
--- a/packages/gypsumwall-placement/src/preemption.ts
+++ b/packages/gypsumwall-placement/src/preemption.ts
@@ -1,12 +1,12 @@
-/** Which running tasks may be checkpointed so that others can run. */
+/** Which running tasks may be preempted, by checkpointing them. */
 import type * as types from '@gypsumwall/types';
 import type * as allocationState from './allocation_state.js';
 import type * as placer from './placer.js';
 
-/** A checkpoint that had no effect by then is asked for again. */
+/** A checkpoint without effect after this time may be requested again. */
 export const CHECKPOINT_EXPECTED_MS = 10_000;
 
-/** Lower is taken from first. */
+/** Tasks of lower rank are preempted first. */
 export const URGENCY_RANK: Readonly<Record<types.job.Urgency, number>> = {
   overnight: 0,
   normal: 1,
@@ -14,8 +14,9 @@
 };
 
 /**
- * Only batch work without a deadline is moved: a gang would lose all its
- * tasks, a service its replica, and a deadline its slack.
+ * Only batch tasks without a deadline are preempted. Preempting one task of a
+ * gang would stop all of them, a service would lose a replica, and a job with a
+ * deadline might miss it.
  */
 export function isPreemptible(
   task: allocationState.TaskAllocation,
@@ -29,7 +30,7 @@
   );
 }
 
-/** A checkpoint was asked for and may still come about. */
+/** Whether a checkpoint was requested that may still take effect. */
 export function isCheckpointPending(
   task: allocationState.TaskAllocation,
   now: number,
@@ -40,12 +41,12 @@
   );
 }
 
-/** How urgent a running task is. */
+/** The rank of a running task by its urgency. */
 export function urgencyRankOf(task: allocationState.TaskAllocation): number {
   return URGENCY_RANK[task.spec.urgency];
 }
 
-/** Notes and returns the checkpoint of a task. */
+/** Marks a task as being checkpointed and returns the action for its worker. */
 export function requestCheckpoint(
   task: allocationState.TaskAllocation,
   now: number,
--- a/packages/gypsumwall-placement/src/preemptor.ts
+++ b/packages/gypsumwall-placement/src/preemptor.ts
@@ -1,7 +1,7 @@
 /**
- * Takes processors and room back from the least urgent running tasks: by a
- * throttle where true usage passes a worker's processors, by a checkpoint
- * where reported memory does or where due work finds no room anywhere.
+ * Takes resources back from the least urgent running tasks. It throttles tasks
+ * where the reported CPU usage exceeds a worker's capacity, and checkpoints
+ * tasks where the reported memory does or where a due job fits nowhere.
  */
 import type * as types from '@gypsumwall/types';
 import type * as allocationState from './allocation_state.js';
@@ -10,46 +10,48 @@
 import type * as placer from './placer.js';
 import * as freeForecast from './free_forecast.js';
 
-/** Due work waits this long for a task to end by itself. */
+/** A due job waits this long for tasks to end before others are preempted. */
 const DUE_WAIT_MS = 200;
-/** Workers looked at to make room for one task. */
+/** The number of workers examined to preempt tasks in favour of one task. */
 const MAX_WORKERS_SAMPLED = 24;
-/** Workers on which one round makes room. */
+/**
+ * In one cycle, blocked jobs are handled until there are this many actions, and
+ * tasks are preempted for at most this many tasks of each job.
+ */
 const MAX_ACTIONS_PER_CYCLE = 8;
-/** Room made for a job is waited for so long before more is made. */
+/** After a preemption for a job, no further one is made for it for this time. */
 const PREEMPTION_EXPECTED_MS = 1000;
 /**
- * Throttles are lifted when usage as it was before them would take at most
- * this share of the processors; on present usage alone they would be lifted
- * at once and set again after the next report.
+ * Throttles are lifted if the tasks' usage before they were throttled would fit
+ * into this share of the worker's CPU. If present usage decided, throttles
+ * would be lifted at once and set again after the next report.
  */
 const LIFT_THROTTLE_BELOW = 0.95;
 
-/** Watches workers and due work. */
+/** Decides which running tasks to throttle or to checkpoint. */
 export interface Preemptor {
-  /** A worker's usage or tasks changed. */
+  /** To be called when a worker's usage or tasks changed. */
   onWorkerChanged(worker: allocationState.WorkerState): void;
   removeWorker(worker: allocationState.WorkerState): void;
-  /** `due`: first jobs of due groups that found no room. */
+  /** `due` are the first jobs of the due groups that are blocked for lack of resources. */
   decide(
     now: number,
     due: readonly jobQueue.WaitingJob[],
   ): readonly placer.Relief[];
 }
 
-/** What relief needs to know. */
+/** The state and functions of the domain that preemption uses. */
 export interface PreemptorOptions {
   readonly workerList: readonly allocationState.WorkerState[];
   readonly random: types.random.Random;
   sizeOf(job: jobQueue.WaitingJob): types.resources.Resources;
 }
 
-/** Creates the watch of a domain. */
 export function createPreemptor(options: PreemptorOptions): Preemptor {
   const overCpu = new Set<allocationState.WorkerState>();
   const overMemory = new Set<allocationState.WorkerState>();
   const throttled = new Set<allocationState.WorkerState>();
-  /** Those of them whose usage or tasks changed. */
+  /** Workers with throttled tasks whose usage or tasks changed. */
   const changedThrottled = new Set<allocationState.WorkerState>();
 
   function preemptFor(
@@ -72,7 +74,10 @@
     }
   }
 
-  /** The fewest, least urgent tasks on one sampled worker that make room. */
+  /**
+   * Of the sampled workers, chooses the one where preemption costs least, and
+   * returns the tasks to preempt there.
+   */
   function cheapestVictims(
     job: jobQueue.WaitingJob,
     size: types.resources.Resources,
@@ -205,7 +210,7 @@
   const victims: allocationState.TaskAllocation[] = [];
   const candidates: allocationState.TaskAllocation[] = [];
   for (const task of worker.allocations) {
-    // Room that an earlier round asked for is meant for another task.
+    // An earlier cycle preempted a task here in favour of another one.
     if (preemption.isCheckpointPending(task, now)) return undefined;
     if (preemption.isPreemptible(task, now)) candidates.push(task);
   }
@@ -228,7 +233,7 @@
   return isEnough ? victims : undefined;
 }
 
-/** Each task moved costs one, a normal one as much as three overnight. */
+/** An overnight task costs 1 and a normal task 3. */
 function costOf(victims: readonly allocationState.TaskAllocation[]): number {
   return victims.reduce(
     (sum, task) => sum + 1 + preemption.urgencyRankOf(task) * 2,
--- a/packages/gypsumwall-placement/src/quantity_history.ts
+++ b/packages/gypsumwall-placement/src/quantity_history.ts
@@ -1,32 +1,34 @@
 /**
- * What a class of jobs was seen to use of one quantity, beside what it had
- * declared. Some teams declare a constant that is always off by the same
- * factor, others declare noise around a constant truth; so both the used
- * amount and its ratio to the declared one are kept, and the one that scatters
- * less is believed.
+ * The declared and the used amounts of one quantity for a job class. Some teams
+ * declare values that are always off by the same factor; others declare varying
+ * values while their usage is constant. So histograms of both the used amount
+ * and its ratio to the declared one are kept, and the estimate uses the one
+ * with the smaller spread.
  */
 import * as hdr from 'hdr-histogram-js';
 
 /** Ratios are recorded in thousandths. */
 const RATIO_SCALE = 1000;
 const MAX_VALUE = 2 ** 31 - 1;
-/** Counts are 16 bits wide; old samples make way well before that. */
+/**
+ * The histograms are reset after this many samples, so that old samples are
+ * dropped and the 16-bit counters can't overflow.
+ */
 const SAMPLES_PER_GENERATION = 2000;
 
-/** Declared and used amounts of one quantity. */
+/** The recorded amounts of one quantity. */
 export interface QuantityHistory {
   samples(): number;
   record(declared: number, used: number): void;
-  /** The amount that the given share of uses stayed at or under. */
+  /** The amount that the given share of samples doesn't exceed. */
   quantile(declared: number, share: number): number;
 }
 
-/** Creates an empty history. */
 export function createQuantityHistory(): QuantityHistory {
   const amounts = buildHistogram();
   const ratios = buildHistogram();
 
-  /** How wide the middle of the samples lies, as a factor. */
+  /** The ratio of the 90th to the 10th percentile. */
   function spread(histogram: hdr.Histogram): number {
     const low = Math.max(1, histogram.getValueAtPercentile(10));
     return histogram.getValueAtPercentile(90) / low;
@@ -53,7 +55,7 @@
   };
 }
 
-/** Two significant bits more than needed: errors of at most a tenth. */
+/** One significant digit: values are off by at most a tenth. */
 function buildHistogram(): hdr.Histogram {
   return hdr.build({
     bitBucketSize: 16,
--- a/packages/gypsumwall-placement/src/quarantine.ts
+++ b/packages/gypsumwall-placement/src/quarantine.ts
@@ -1,23 +1,23 @@
 /**
- * Keeps work off workers that fail everything they start. Such a worker is
- * always free, so without a safeguard it draws in task after task and fails
- * them all. Failures count only when they come from distinct jobs with no
- * success between, so a job that is itself broken condemns no worker.
+ * Places no tasks on workers that fail every task. Such a worker is always
+ * free, so without quarantine it would attract task after task and fail all of
+ * them. Only failures of distinct jobs without a success in between count, so
+ * that a broken job can't put a worker into quarantine.
  */
 import type * as types from '@gypsumwall/types';
 import type * as allocationState from './allocation_state.js';
 
-/** Failures of this many distinct jobs, with no success between. */
+/** A worker is suspect after failures of this many distinct jobs. */
 const MIN_FAILED_JOBS = 3;
 const MIN_PROBE_DELAY_MS = 30_000;
 const MAX_PROBE_DELAY_MS = 600_000;
 /**
- * At most this share of workers is kept out. When more seem to fail, the
- * cause is likely elsewhere, and an empty domain would serve nobody.
+ * At most this share of workers is in quarantine. If more seem to fail, the
+ * cause is likely elsewhere, and the domain must go on running jobs.
  */
 const MAX_QUARANTINED_SHARE = 0.2;
 
-/** Watches how runs end on each worker. */
+/** Tracks how attempts end on each worker. */
 export interface Quarantine {
   recordFailure(
     worker: allocationState.WorkerState,
@@ -26,9 +26,12 @@
   ): void;
   recordSuccess(worker: allocationState.WorkerState): void;
   removeWorker(worker: allocationState.WorkerState): void;
-  /** Lets workers whose time has come take one probe. */
+  /** Lets each worker whose probe is due take one task. */
   tick(now: number): void;
-  /** A quarantined worker holds its one probe. */
+  /**
+   * Called when a task was placed on the worker. If the worker is in
+   * quarantine, the task is its probe and no other task is placed there.
+   */
   onTaskAllocated(worker: allocationState.WorkerState): void;
 }
 
@@ -36,13 +39,13 @@
   readonly jobs: Set<types.ids.JobId>;
   probeDelayMs: number;
   probeAt: number;
-  /** Open for one task at present. */
+  /** Whether it may take, or has taken, its probe task. */
   isProbing: boolean;
 }
 
 /**
- * Creates a quarantine over the workers of a domain. `onChange` is told of a
- * worker whose `quarantined` mark changed.
+ * Creates the quarantine of a domain. `onChange` is called with each worker
+ * whose `isQuarantined` changed.
  */
 export function createQuarantine(
   workers: ReadonlyMap<types.ids.WorkerId, allocationState.WorkerState>,
@@ -60,7 +63,7 @@
     onChange(worker);
   }
 
-  /** `waitMs` above zero: the worker has been quarantined and not cleared. */
+  /** A delay above zero means that the worker is in quarantine, even while a probe may be placed. */
   function isQuarantined(suspect: Suspect): boolean {
     return suspect.probeDelayMs > 0;
   }
@@ -117,7 +120,8 @@
       for (const [worker, suspect] of suspects) {
         if (!isQuarantined(suspect) || suspect.probeAt > now) continue;
         suspect.isProbing = true;
-        // A probe that never starts or never ends must not end the probing.
+        // A probe may never start or never end. The next one is then due after
+        // the same delay.
         suspect.probeAt = now + suspect.probeDelayMs;
         setQuarantined(worker, false);
       }
--- a/packages/gypsumwall-placement/src/rack_spread.ts
+++ b/packages/gypsumwall-placement/src/rack_spread.ts
@@ -1,8 +1,8 @@
-/** Counts the replicas of each service by rack. */
+/** Counts the replicas of each service in each rack. */
 import * as types from '@gypsumwall/types';
 import type * as allocationState from './allocation_state.js';
 
-/** Replicas by rack. */
+/** The numbers of replicas by service and rack. */
 export interface RackSpread {
   adjust(task: allocationState.TaskAllocation, sign: 1 | -1): void;
   racksOf(
@@ -10,7 +10,7 @@
   ): ReadonlyMap<types.ids.RackId, number> | undefined;
 }
 
-/** Creates empty counts; tasks of other kinds of jobs are passed over. */
+/** Creates empty counts. Tasks of batch jobs and gangs are ignored. */
 export function createRackSpread(): RackSpread {
   const services = new Map<types.ids.JobId, Map<types.ids.RackId, number>>();
 
--- a/packages/gypsumwall-placement/src/reservations.ts
+++ b/packages/gypsumwall-placement/src/reservations.ts
@@ -1,12 +1,12 @@
 /**
- * Keeps room for jobs that don't fit at present, such as a large gang, so
- * that small tasks which fit at once don't pass them for good.
+ * Reserves resources for jobs that don't fit at present, such as a large gang,
+ * so that small tasks, which fit at once, can't starve them.
  *
- * A reservation is made for all tasks of the job at once, out of room that
- * running tasks will give back, and never together with others for more than
- * a worker has. So a job with a reservation waits for running tasks only and
- * never for another reservation: two gangs can't block each other half
- * reserved. A deadline ends a reservation whose workers don't drain.
+ * A reservation covers all tasks of the job, counts on resources that running
+ * tasks will free, and never exceeds a worker's capacity together with other
+ * reservations. So a job with a reservation waits only for running tasks and
+ * never for another reservation, and two gangs with partial reservations can't
+ * deadlock. A reservation whose workers don't drain ends at its deadline.
  */
 import * as types from '@gypsumwall/types';
 import type * as allocationState from './allocation_state.js';
@@ -15,72 +15,77 @@
 import * as preemption from './preemption.js';
 import type * as placer from './placer.js';
 
-/** A job blocked for so long may have room kept for it. */
+/** A job may get a reservation when it has been blocked for this time. */
 const MIN_BLOCKED_MS = 1000;
-/** How often jobs are looked at that might get a reservation. */
+/** How often the blocked jobs are checked for one that needs a reservation. */
 const CHECK_INTERVAL_MS = 250;
-/** Room that isn't there so long after it should be is planned anew. */
+/** A reservation that isn't used this long after it was due is replanned. */
 const REPLAN_AFTER_MS = 500;
 const MIN_DURATION_MS = 10_000;
 const MAX_DURATION_MS = 1_800_000;
-/** A reservation lasts this much longer than its workers should take. */
+/** A reservation lasts this many times the expected time to drain its workers. */
 const DRAIN_TIME_FACTOR = 1.5;
-/** Reservations at one time; others wait until one ends. */
+/** The number of concurrent reservations; other jobs wait until one ends. */
 const MAX_RESERVATIONS = 2;
 /**
- * Room for one task more is kept for each so many: urgent tasks and usage
- * above the books take a little of it before the last worker has drained.
+ * For each 8 tasks one spare slot is reserved, because urgent tasks and usage
+ * above the allocations take some of the reserved resources before the last
+ * worker has drained.
  */
 const TASKS_PER_SPARE_SLOT = 8;
 /**
- * Room is kept for gangs, and for single tasks of at least this share of the
- * largest worker; smaller ones find room soon enough.
+ * Gangs may get a reservation, and so may tasks that need at least this share
+ * of the largest worker. Smaller tasks are placed soon without one.
  */
 const LARGE_TASK_SHARE = 0.25;
-/** Batch work as urgent as the job itself is moved for it after this. */
+/** After this time, tasks as urgent as the blocked job are preempted for it too. */
 const PREEMPT_EQUALS_AFTER_MS = 60_000;
 /**
- * Share of a reservation's workers that must have drained before the job is
- * tried. Not all of them: there is spare room, and some tasks fit elsewhere.
+ * The share of a reservation's workers that must have drained before the job
+ * is tried. Not all of them are needed, since there are spare slots and some
+ * tasks may fit on other workers.
  */
 const READY_WORKER_SHARE = 0.75;
-/** Workers looked at: more for a larger gang, but never all of thousands. */
+/**
+ * The workers examined for a reservation: `MIN_SAMPLES`, plus
+ * `SAMPLES_PER_TASK` for each task, so that not all of thousands are examined.
+ */
 const MIN_SAMPLES = 64;
 const SAMPLES_PER_TASK = 4;
 
-/** Room that is being kept. */
+/** Resources reserved for a blocked job. */
 export interface Reservation {
   readonly job: jobQueue.WaitingJob;
   readonly size: types.resources.Resources;
-  /** Tasks by worker. */
+  /** The number of tasks reserved for on each worker. */
   readonly slots: ReadonlyMap<allocationState.WorkerState, number>;
-  /** When its workers should have drained. */
+  /** When its workers are expected to have drained. */
   readonly readyAt: number;
   readonly deadline: number;
 }
 
-/** The reservations of a domain. */
+/** The reservations of a failure domain. */
 export interface Reservations {
   of(job: jobQueue.WaitingJob): Reservation | undefined;
   /**
-   * Ends what is over; begins one for a job that has waited long. Returns the
-   * checkpoints that make room for it.
+   * Ends expired reservations and creates one for a job that has been blocked
+   * long enough. Returns the checkpoints that free resources for it.
    */
   tick(
     now: number,
     blocked: () => readonly jobQueue.WaitingJob[],
   ): readonly placer.Relief[];
-  /** Jobs for which most of the room kept for them is free. */
+  /** The jobs most of whose reserved workers have drained. */
   readyJobs(): jobQueue.WaitingJob[];
-  /** Frees the job's own room for a try; `resume` keeps it again. */
+  /** Frees the job's reserved resources for a placement; `resume` reserves them again. */
   suspend(job: jobQueue.WaitingJob): void;
   resume(job: jobQueue.WaitingJob): void;
-  /** The job was placed or went away. */
+  /** Ends the reservation of a job that was placed or removed. */
   end(job: jobQueue.WaitingJob): void;
   removeWorker(worker: allocationState.WorkerState): void;
   /**
-   * Workers whose reserved room the job may use: those kept for less urgent
-   * work, and those it would leave before they are needed.
+   * Workers whose reserved resources the job may use: those reserved for a
+   * later tier, and those that are needed only after the job is done.
    */
   usableBy(
     job: jobQueue.WaitingJob,
@@ -88,7 +93,7 @@
   ): Iterable<allocationState.WorkerState>;
 }
 
-/** What reservations need to know. */
+/** The state and functions of the domain that reservations use. */
 export interface ReservationsOptions {
   readonly workerList: readonly allocationState.WorkerState[];
   readonly largestCapacity: types.resources.Resources;
@@ -99,11 +104,10 @@
     amount: types.resources.Resources,
     sign: 1 | -1,
   ): void;
-  /** Runs an action whose changes of room wake nobody. */
+  /** Runs an action whose freed resources don't unblock waiting jobs. */
   withoutUnblocking(action: () => void): void;
 }
 
-/** Creates the reservations of a domain. */
 export function createReservations(options: ReservationsOptions): Reservations {
   const current = new Map<jobQueue.WaitingJob, Reservation>();
   let suspendedReservation: Reservation | undefined;
@@ -160,8 +164,8 @@
   }
 
   /**
-   * Plans again for a job whose room should have been there by now: urgent
-   * tasks or usage above the books took some of it. The deadline stays.
+   * Replans overdue reservations, of which urgent tasks or usage above the
+   * allocations took some resources. They keep their deadline.
    */
   function replanLate(now: number): placer.Relief[] {
     const reliefs: placer.Relief[] = [];
@@ -198,7 +202,7 @@
     return found;
   }
 
-  /** The job to keep room for next. */
+  /** The job that gets the next reservation, if any. */
   function longestBlocked(
     blocked: readonly jobQueue.WaitingJob[],
     now: number,
@@ -273,7 +277,7 @@
   return drainedWorkers >= reservation.slots.size * READY_WORKER_SHARE;
 }
 
-/** Whether a running task may be checkpointed for the job's sake. */
+/** Whether a running task may be checkpointed in favour of the job. */
 function mayPreempt(
   job: jobQueue.WaitingJob,
   task: allocationState.TaskAllocation,
--- a/packages/gypsumwall-placement/src/scheduling_cycle.ts
+++ b/packages/gypsumwall-placement/src/scheduling_cycle.ts
@@ -1,4 +1,4 @@
-/** One round of decisions: takes jobs in queue order and finds them workers. */
+/** A scheduling cycle: takes jobs in queue order and finds workers for them. */
 import * as types from '@gypsumwall/types';
 import type * as domainAllocations from './domain_allocations.js';
 import * as indexRanges from './index_ranges.js';
@@ -10,15 +10,18 @@
 import type * as reservations from './reservations.js';
 import type * as taskSize from './task_size.js';
 
-/** Vain tries in one round; the rest waits for the next one. */
+/** After this many jobs that can't be placed, the cycle ends. */
 const MAX_FAILURES_PER_CYCLE = 32;
-/** A gang that found no room is tried again after this, then twice this... */
+/**
+ * A gang that doesn't fit is tried again after this time at the earliest, and
+ * then after as long as it has been blocked, up to `MAX_GANG_RETRY_MS`.
+ */
 const MIN_GANG_RETRY_MS = 20;
 const MAX_GANG_RETRY_MS = 1000;
-/** Gangs cost one search for each task, so few may fail in one round. */
+/** A gang costs one search for each of its tasks, so few may fail in a cycle. */
 const MAX_GANG_FAILURES_PER_CYCLE = 2;
 
-/** What a round works on. */
+/** The modules of the policy that a cycle uses. */
 export interface CycleContext {
   readonly allocations: domainAllocations.DomainAllocations;
   readonly queue: jobQueue.JobQueue;
@@ -27,19 +30,19 @@
   readonly failures: jobFailures.JobFailures;
   readonly rackSpread: rackSpread.RackSpread;
   readonly reservations: reservations.Reservations;
-  /** Books a task that was decided on. */
+  /** Allocates the resources of a placed task. */
   allocate(task: placer.HeldTask, endsAt: number): void;
-  /** Gives back the room of a gang that didn't fit whole. */
+  /** Frees the resources of a gang of which only a part fitted. */
   rollBack(tasks: readonly placer.Placement[]): void;
-  /** Tasks of the job no longer wait. */
+  /** Called when tasks of the job were placed and no longer wait. */
   onTasksPlaced(job: jobQueue.WaitingJob, count: number): void;
-  /** The task runs already and must not wait. */
+  /** Removes a task that is already running from the queue. */
   removeWaitingTask(jobId: types.ids.JobId, index: number): void;
 }
 
 type PlacementFailure = 'no_room' | 'over_quota';
 
-/** Decides at most `limit` placements. */
+/** Runs a cycle that makes at most `limit` placements. */
 export function runCycle(
   context: CycleContext,
   now: number,
@@ -55,7 +58,7 @@
     const job = context.queue.next();
     if (job === undefined) break;
     const isGang = job.spec.shape.kind === 'gang';
-    // What has room kept for it was tried already.
+    // Jobs with a reservation were tried above.
     const failure = job.hasReservation
       ? 'no_room'
       : place(context, job, now, placements);
@@ -69,8 +72,8 @@
 }
 
 /**
- * A job that room is kept for goes before the queue: else that room would lie
- * idle while the round tries the many that came before it.
+ * Jobs with a reservation are placed before the queue. Otherwise their reserved
+ * resources would be idle while the cycle tries the jobs queued before them.
  */
 function placeReserved(
   context: CycleContext,
@@ -116,8 +119,9 @@
 }
 
 /**
- * Room was kept for the size of that time. A size learned since may be a
- * little larger, and the last task of a gang would never fit.
+ * A reservation holds resources for the size that was estimated when it was
+ * made. The present estimate may be a little larger, and the last task of a
+ * gang would never fit, so the size of the reservation is used.
  */
 function placementSize(
   context: CycleContext,
@@ -127,7 +131,7 @@
   return reservation?.size ?? context.sizes.sizeOf(job.spec);
 }
 
-/** All waiting tasks of the gang or none. */
+/** Places all waiting tasks of a gang, or none. */
 function placeGang(
   context: CycleContext,
   job: jobQueue.WaitingJob,
@@ -155,7 +159,7 @@
   return undefined;
 }
 
-/** Books every waiting task or none. */
+/** Allocates resources for every waiting task, or for none. */
 function placeAll(
   context: CycleContext,
   job: jobQueue.WaitingJob,
@@ -176,7 +180,7 @@
   return [];
 }
 
-/** Finds a worker for the job's next task and books it. */
+/** Finds a worker for the job's next task and allocates the resources. */
 function placeNextTask(
   context: CycleContext,
   job: jobQueue.WaitingJob,
@@ -188,7 +192,8 @@
   const {spec, jobId} = job;
   const taskId = types.ids.makeTaskId(jobId, index);
   if (context.allocations.taskAllocations.has(taskId)) {
-    // Listed as waiting while it runs: a second run must not start.
+    // The task is listed as waiting although it is running. A second attempt
+    // must not start.
     context.removeWaitingTask(jobId, index);
     return undefined;
   }
@@ -210,7 +215,10 @@
   return placement;
 }
 
-/** Where a job has failed on every worker there is, it may try again. */
+/**
+ * Returns the workers that the job must not use. If it has failed on every
+ * schedulable worker, it may use all of them again.
+ */
 function workersToAvoid(
   context: CycleContext,
   jobId: types.ids.JobId,
@@ -256,7 +264,7 @@
   context.queue.block(job, size, inOwnGroup, miss);
 }
 
-/** Grows with the time that the gang has been blocked. */
+/** The retry delay grows with the time that the gang has been blocked. */
 function nextGangRetryAt(job: jobQueue.WaitingJob, now: number): number {
   const blockedMs = now - (job.blockedSince ?? now);
   const bounded = Math.min(MAX_GANG_RETRY_MS, blockedMs);
--- a/packages/gypsumwall-placement/src/size_learner.ts
+++ b/packages/gypsumwall-placement/src/size_learner.ts
@@ -1,38 +1,42 @@
 /**
- * Learns what tasks of a job class really need, since declared sizes and run
- * times are off by a factor of 4 either way. Processors may be placed on a
- * quantile: when it was too low, tasks run slower and are throttled. Memory
- * never goes below the declared size, since too little memory kills a task.
+ * Learns the actual needs of tasks by job class, since declared sizes and run
+ * times are off by a factor of up to 4 either way. The CPU estimate is a
+ * quantile of the usage seen: if it is too low, tasks run slower and are
+ * throttled. The memory estimate is never below the declared size, since a task
+ * with too little memory is killed.
  */
 import type * as types from '@gypsumwall/types';
 import * as quantityHistory from './quantity_history.js';
 
-/** Below this many runs or reports the declared figures stand. */
+/** With fewer samples than this, the declared values are used. */
 const MIN_SAMPLES = 8;
-/** How far declared figures may be off, as the users report. */
+/** The factor by which declared values may be off, as reported by users. */
 const MAX_DECLARED_ERROR_FACTOR = 4;
 const MEMORY_QUANTILE = 0.99;
 const TYPICAL_QUANTILE = 0.5;
 const PESSIMISTIC_QUANTILE = 0.95;
-/** Processors are booked in steps, so that like tasks have like sizes. */
+/** CPU estimates are multiples of this, so that similar tasks have equal sizes. */
 const CPU_STEP_MILLIS = 10;
-/** About 12 KB each; the class longest without a run is forgotten. */
+/**
+ * A class takes about 12 KB. Above this number, the class whose last completed
+ * task is longest ago is evicted.
+ */
 const MAX_CLASSES = 1000;
-/** Estimates are worked out again when samples have grown by this factor. */
+/** An estimate is recomputed when the samples have grown by this factor. */
 const REFRESH_GROWTH = 1.2;
 
-/** What a task of a class is expected to need. */
+/** The expected size and run time of a task. */
 export interface Estimate {
   readonly size: types.resources.Resources;
   readonly typicalMs: number;
   readonly pessimisticMs: number;
 }
 
-/** Learns from reports and answers with estimates. */
+/** Estimates of sizes and run times, learned from reports. */
 export interface SizeLearner {
   recordUsage(spec: types.job.JobSpec, used: types.resources.Resources): void;
   recordRunTime(spec: types.job.JobSpec, ranMs: number): void;
-  /** `cpuQuantile`: the share of tasks that must do with the processors. */
+  /** `cpuQuantile` is the share of tasks whose CPU usage the estimate covers. */
   estimate(spec: types.job.JobSpec, cpuQuantile: number): Estimate;
 }
 
@@ -40,7 +44,7 @@
   readonly cpu: quantityHistory.QuantityHistory;
   readonly memory: quantityHistory.QuantityHistory;
   readonly runTime: quantityHistory.QuantityHistory;
-  /** The last estimate and what it was made for. */
+  /** The last estimate, with the spec and the quantile it was made for. */
   cached: Estimate | undefined;
   cachedFor: types.job.JobSpec | undefined;
   cachedQuantile: number;
@@ -48,7 +52,7 @@
   refreshAt: number;
 }
 
-/** Creates a learner that knows nothing. */
+/** Creates a learner without samples. */
 export function createSizeLearner(): SizeLearner {
   const classes = new Map<string, JobClass>();
 
--- a/packages/gypsumwall-placement/src/task_size.ts
+++ b/packages/gypsumwall-placement/src/task_size.ts
@@ -1,26 +1,25 @@
 /**
- * The size a job's tasks are placed with: what was learned, as long as that
- * can be placed at all.
+ * The size with which a job's tasks are placed: the learned size, limited so
+ * that the tasks can be placed at all.
  */
 import * as types from '@gypsumwall/types';
 import type * as domainAllocations from './domain_allocations.js';
 import type * as sizeLearner from './size_learner.js';
 
 /**
- * Share of tasks that must do with the processors booked. Tight packing takes
- * the risk that more tasks run slower than they could.
+ * The share of tasks whose CPU usage the allocated CPU covers. With tighter
+ * packing it is smaller, and more tasks may run slower than they could.
  */
 const MAX_CPU_QUANTILE = 0.95;
 const MIN_CPU_QUANTILE = 0.4;
 
-/** Sizes and run times of jobs. */
+/** Estimated sizes and run times of tasks. */
 export interface TaskSizes {
   estimate(spec: types.job.JobSpec): sizeLearner.Estimate;
-  /** The estimated size, made placeable. */
+  /** The estimated size, limited so that the task can be placed. */
   sizeOf(spec: types.job.JobSpec): types.resources.Resources;
 }
 
-/** Creates sizes out of a learner and the books. */
 export function createTaskSizes(
   learner: sizeLearner.SizeLearner,
   allocations: domainAllocations.DomainAllocations,
@@ -47,9 +46,9 @@
 }
 
 /**
- * A size learned above the declared one may pass the largest worker, the
- * team's quota or, for a gang, the whole domain. The job was admitted on its
- * declared size and would wait without end, so its growth is cut back.
+ * A learned size above the declared one may exceed the largest worker, the
+ * team's quota or, for a gang, the whole domain. The job was admitted with its
+ * declared size and would wait forever, so the declared size is the limit then.
  */
 function limitGrowth(
   spec: types.job.JobSpec,
--- a/packages/gypsumwall-placement/src/team_allocations.ts
+++ b/packages/gypsumwall-placement/src/team_allocations.ts
@@ -1,24 +1,24 @@
-/** What each team may do and what it holds. */
+/** The limits of each team and the resources allocated to it. */
 import * as types from '@gypsumwall/types';
 import type * as allocationState from './allocation_state.js';
 import * as mutableResources from './mutable_resources.js';
 import type * as placer from './placer.js';
 
-/** A team and what it holds. */
+/** A team and the resources allocated to its tasks. */
 export interface TeamState {
   readonly id: types.ids.TeamId;
   weight: number;
   packing: number;
   quota: types.resources.Resources;
   readonly allocated: mutableResources.MutableResources;
-  /** The same, apart for each urgency. */
+  /** The same, by urgency of the job. */
   readonly allocatedByUrgency: Readonly<
     Record<types.job.Urgency, mutableResources.MutableResources>
   >;
   waitingJobs: number;
 }
 
-/** What a team gets before its settings arrive. */
+/** The quota of a team whose settings haven't arrived. */
 const UNLIMITED: types.resources.Resources = {
   cpuMillis: Infinity,
   memoryMb: Infinity,
@@ -26,16 +26,16 @@
 };
 const DEFAULT_PACKING = 0.5;
 
-/** The teams of a domain. */
+/** The teams of a failure domain. */
 export interface TeamAllocations {
-  /** A team that is not known yet has no quota and weight 1. */
+  /** Returns a team; one without settings has no quota limit and weight 1. */
   team(id: types.ids.TeamId): TeamState;
   setTeam(team: placer.PlacerTeam): void;
-  /** Books a task for its team, or with -1 takes it out again. */
+  /** Adds a task to its team's allocation; with -1, subtracts it. */
   adjust(task: allocationState.TaskAllocation, sign: 1 | -1): void;
   /**
-   * The largest share of the domain that a team holds of any resource, for
-   * work of the given urgencies.
+   * The team's dominant share: of its shares of each resource of the domain
+   * the largest, counting only tasks of the given urgencies.
    */
   dominantShare(
     team: TeamState,
@@ -43,7 +43,7 @@
   ): number;
 }
 
-/** Creates empty books; `total` is the capacity of all open workers. */
+/** `totalCapacity` is the capacity of all schedulable workers; it is read at each call. */
 export function createTeamAllocations(
   totalCapacity: types.resources.Resources,
 ): TeamAllocations {
--- a/packages/gypsumwall-placement/src/waiting_jobs.ts
+++ b/packages/gypsumwall-placement/src/waiting_jobs.ts
@@ -1,7 +1,7 @@
 /**
- * Every job with waiting tasks: its place in the queue, when it must start at
- * the latest, and the sums that admission looks at. A waiting task costs next
- * to nothing, a waiting job one record.
+ * All jobs with waiting tasks, their latest starts, and the totals that
+ * admission checks. Memory use grows with the number of jobs and hardly with
+ * the number of tasks.
  */
 import * as types from '@gypsumwall/types';
 import * as binaryHeap from './binary_heap.js';
@@ -13,49 +13,51 @@
 import type * as taskSize from './task_size.js';
 
 /**
- * Work without a deadline is ordered as if it had to start this long after
- * it was accepted, so that it isn't passed by deadline work for good.
+ * Jobs without a deadline are ordered as if they had to start within this time
+ * of acceptance, so that jobs with deadlines don't starve them.
  */
 const DEFAULT_START_WITHIN_MS: Readonly<Record<types.job.Urgency, number>> = {
   urgent: 1600,
   normal: 600_000,
   overnight: 28_800_000,
 };
-/** Urgencies that count against a team's share, by tier. */
+/** The urgencies that count towards a team's share, by tier. */
 const URGENCIES_UP_TO: ReadonlyArray<readonly types.job.Urgency[]> = [
   ['urgent'],
   ['urgent', 'normal'],
   ['urgent', 'normal', 'overnight'],
 ];
-/** Work with a deadline becomes due this long before its latest start. */
+/** A job with a deadline becomes due this long before its latest start. */
 const DUE_AHEAD_MS = 2000;
-/** A job of many tasks may count on this share of the processors. */
+/** The latest start of a job of many tasks assumes this share of all cores. */
 const ASSUMED_CORE_SHARE = 0.5;
-/** Entries of jobs that left are swept out beyond this many. */
+/**
+ * The heap keeps entries of jobs that left. It is compacted when it has more
+ * than twice as many entries as there are jobs, plus this many.
+ */
 const MAX_STALE_HEAP_ENTRIES = 64;
 
-/** The waiting jobs and their sums. */
+/** The waiting jobs and their totals. */
 export interface WaitingJobs {
   readonly queue: jobQueue.JobQueue;
   readonly demand: deadlineDemand.DeadlineDemand;
   jobCount(): number;
   taskCount(): number;
-  /** In core milliseconds. */
+  /** The expected CPU time of all waiting tasks, in core milliseconds. */
   coreMs(): number;
   get(jobId: types.ids.JobId): jobQueue.WaitingJob | undefined;
   enqueue(job: placer.QueuedJob, now: number): void;
-  /** Puts a waiting job into the group that its size belongs to now. */
+  /** Moves a waiting job to the group of its present size estimate. */
   requeue(job: jobQueue.WaitingJob, alone: boolean): void;
-  /** Tasks of the job were placed; it leaves with its last one. */
+  /** Called when tasks of the job were placed; removes the job with its last. */
   onTasksPlaced(job: jobQueue.WaitingJob, adjustTotals: number): void;
-  /** A task turned out to be running; it doesn't wait. */
+  /** Removes a task that was found to be running. */
   removeTask(jobId: types.ids.JobId, index: number): void;
   removeJob(job: jobQueue.WaitingJob): void;
-  /** Moves jobs whose latest start has come near to the first tier. */
+  /** Moves jobs whose latest start is near to the first tier. */
   promoteDue(now: number): void;
 }
 
-/** Creates an empty set. */
 export function createWaitingJobs(
   allocations: domainAllocations.DomainAllocations,
   sizes: taskSize.TaskSizes,
--- a/packages/gypsumwall-placement/src/worker_index.ts
+++ b/packages/gypsumwall-placement/src/worker_index.ts
@@ -1,40 +1,41 @@
 /**
- * Finds workers with room for a size without looking at every worker: a tree
- * over the workers in which each node knows the most room of each kind below
- * it. A search goes down only where the size could fit. Workers with
- * accelerators are in a tree of their own, so that plain tasks fill them last.
+ * Finds workers with enough free resources without examining every worker. In
+ * a tree over the workers, each node has the maximum of each free resource
+ * below it, and a search visits only nodes where the size could fit. Workers
+ * with accelerators have a tree of their own, so that tasks that need no
+ * accelerator are placed there last.
  */
 import type * as types from '@gypsumwall/types';
 import type * as allocationState from './allocation_state.js';
 
 /**
- * Nodes one search may visit. Room of different kinds may lie on different
- * workers below a node, so a search can go down in vain; this bounds a
- * decision's time at any number of workers. The next search starts elsewhere.
+ * The number of nodes that a search may visit. The maxima of a node may come
+ * from different workers, so a search can visit a node in vain. The limit
+ * bounds the time of a decision for any number of workers. The next search
+ * starts at another worker.
  */
 const MAX_VISITS_PER_SEARCH = 600;
 const INITIAL_SLOTS = 32;
 
-/** What to look for. */
+/** A search for workers that a task fits on. */
 export interface Search {
   readonly need: types.resources.Resources;
-  /** Where to start among the workers, from 0 to below 1. */
+  /** Where the search starts among the workers, as a fraction below 1. */
   readonly from: number;
-  /** Stop after so many fitting workers. */
+  /** The search stops after this many fitting workers. */
   readonly limit: number;
   readonly skip?: (worker: allocationState.WorkerState) => boolean;
 }
 
-/** The open workers by room. */
+/** The schedulable workers by their free resources. */
 export interface WorkerIndex {
-  /** Adds a worker or takes in its new room; `usable` false hides it. */
+  /** Adds or updates a worker; with `usable` false, searches skip it. */
   update(worker: allocationState.WorkerState, usable: boolean): void;
   remove(worker: allocationState.WorkerState): void;
-  /** Fitting workers, in slot order from the start and around. */
+  /** The fitting workers, in slot order from the start and wrapping around. */
   find(search: Search): allocationState.WorkerState[];
 }
 
-/** Creates an empty index. */
 export function createWorkerIndex(): WorkerIndex {
   const plain = createFreeTree();
   const accelerated = createFreeTree();
@@ -44,7 +45,7 @@
   return {
     update(worker, usable) {
       const tree = treeOf(worker);
-      // A changed capacity may have moved it to the other tree.
+      // A changed capacity may move the worker to the other tree.
       (tree === plain ? accelerated : plain).remove(worker);
       tree.update(worker, usable);
     },
@@ -60,13 +61,13 @@
   };
 }
 
-/** One tree; leaf `slots + i` is slot i, node n has children 2n and 2n+1. */
+/** A tree in an array: leaf `slots + i` is slot i, node n has the children 2n and 2n+1. */
 function createFreeTree() {
   let slots = INITIAL_SLOTS;
   let cpu = new Float64Array(slots * 2).fill(-1);
   let memory = new Float64Array(slots * 2).fill(-1);
   let accelerators = new Float64Array(slots * 2).fill(-1);
-  /** Least room of processors and memory, against a fixed reference worker. */
+  /** The smaller of free CPU and free memory, relative to a reference worker. */
   let balance = new Float64Array(slots * 2).fill(-1);
   let reference: types.resources.Resources | undefined;
   const slotOf = new Map<allocationState.WorkerState, number>();
@@ -123,7 +124,7 @@
     return slot;
   }
 
-  /** Adds fitting workers of slots from `low` to below `high` to `found`. */
+  /** Adds the fitting workers of the slots from `low` to below `high` to `found`. */
   function collect(
     search: Search,
     needBalance: number,
