--- a/packages/gypsumwall-placement/src/admission.ts
+++ b/packages/gypsumwall-placement/src/admission.ts
@@ -95,11 +95,11 @@
     slots += tasksThatFit(spec.size, worker.capacity);
     if (slots >= wanted) return undefined;
   }
-  const what =
+  const shortage =
     slots === 0
       ? `no worker is large enough for a task of ${describe(spec.size)}`
       : `all workers together hold ${slots} of ${wanted} tasks of ${describe(spec.size)} at once`;
-  return {reason: 'can_never_run', message: `${what}; ask for less`};
+  return {reason: 'can_never_run', message: `${shortage}; ask for less`};
 }
 
 function tasksThatFit(
@@ -123,12 +123,13 @@
   spec: types.job.JobSpec,
 ): placer.PlacementRefusal | undefined {
   const limit = state.maxWaitingJobs * LIMIT_SHARE[spec.urgency];
-  const overall = state.waitingJobs >= limit;
-  const byTeam = state.teamWaitingJobs >= state.maxWaitingJobs * MAX_TEAM_SHARE;
-  if (!overall && !byTeam) return undefined;
+  const isOverLimit = state.waitingJobs >= limit;
+  const isTeamOverLimit =
+    state.teamWaitingJobs >= state.maxWaitingJobs * MAX_TEAM_SHARE;
+  if (!isOverLimit && !isTeamOverLimit) return undefined;
   return {
-    reason: overall ? 'overloaded' : 'over_quota',
-    message: overall
+    reason: isOverLimit ? 'overloaded' : 'over_quota',
+    message: isOverLimit
       ? `${state.waitingJobs} jobs wait, the limit for ${spec.urgency} jobs is ${limit}; retry later`
       : `${state.teamWaitingJobs} jobs of team ${spec.team} wait, half of the limit; retry later`,
     retryAfterMs: retryAfterMs(state),
--- a/packages/gypsumwall-placement/src/create_baseline_placer.ts
+++ b/packages/gypsumwall-placement/src/create_baseline_placer.ts
@@ -42,9 +42,9 @@
   let abandonedJobs: Array<{jobId: types.ids.JobId; message: string}> = [];
 
   function allocate(task: placer.HeldTask): void {
-    const booked = workers.get(task.workerId);
-    if (booked !== undefined) {
-      booked.free = types.resources.subtract(booked.free, task.size);
+    const state = workers.get(task.workerId);
+    if (state !== undefined) {
+      state.free = types.resources.subtract(state.free, task.size);
     }
     const team = task.spec.team;
     allocatedByTeam.set(
@@ -55,9 +55,9 @@
   }
 
   function deallocate(task: placer.HeldTask): void {
-    const booked = workers.get(task.workerId);
-    if (booked !== undefined) {
-      booked.free = types.resources.add(booked.free, task.size);
+    const state = workers.get(task.workerId);
+    if (state !== undefined) {
+      state.free = types.resources.add(state.free, task.size);
     }
     const team = task.spec.team;
     allocatedByTeam.set(
@@ -79,9 +79,9 @@
   }
 
   function fitsAnyWorker(size: types.resources.Resources): boolean {
-    for (const booked of workers.values()) {
-      if (!booked.isSchedulable) continue;
-      if (types.resources.fits(size, booked.free)) return true;
+    for (const state of workers.values()) {
+      if (!state.isSchedulable) continue;
+      if (types.resources.fits(size, state.free)) return true;
     }
     return false;
   }
@@ -89,13 +89,13 @@
   function placeOne(job: WaitingJob): placer.HeldTask | undefined {
     const index = job.waiting[0];
     if (index === undefined || !fitsQuota(job.spec)) return undefined;
-    for (const booked of workers.values()) {
-      if (!booked.isSchedulable) continue;
-      if (!types.resources.fits(job.spec.size, booked.free)) continue;
+    for (const state of workers.values()) {
+      if (!state.isSchedulable) continue;
+      if (!types.resources.fits(job.spec.size, state.free)) continue;
       const task = {
         taskId: types.ids.makeTaskId(job.jobId, index),
         spec: job.spec,
-        workerId: booked.worker.id,
+        workerId: state.worker.id,
         size: job.spec.size,
       };
       job.waiting.shift();
@@ -145,17 +145,17 @@
   return {
     setTeam: (team) => void teams.set(team.id, team),
     setWorker(worker) {
-      const known = workers.get(worker.id);
+      const existing = workers.get(worker.id);
       const used =
-        known === undefined
+        existing === undefined
           ? usedOn(worker.id)
-          : types.resources.subtract(known.worker.capacity, known.free);
+          : types.resources.subtract(existing.worker.capacity, existing.free);
       const free = types.resources.subtract(worker.capacity, used);
       workers.set(worker.id, {worker, free, isSchedulable: true});
     },
     closeWorker(workerId) {
-      const booked = workers.get(workerId);
-      if (booked !== undefined) booked.isSchedulable = false;
+      const state = workers.get(workerId);
+      if (state !== undefined) state.isSchedulable = false;
     },
     removeWorker: (workerId) => void workers.delete(workerId),
     admit(spec, now) {
@@ -165,30 +165,30 @@
           message: `deadline ${spec.deadline} is not after the current time ${now}; send a later one`,
         };
       }
-      const known = [...workers.values()];
-      const some = known.some((each) =>
+      const existing = [...workers.values()];
+      const fitsSome = existing.some((each) =>
         types.resources.fits(spec.size, each.worker.capacity),
       );
-      if (some || known.length === 0) return undefined;
+      if (fitsSome || existing.length === 0) return undefined;
       return {
         reason: 'can_never_run',
         message: `no worker is large enough for the declared size ${JSON.stringify(spec.size)}; declare a smaller one`,
       };
     },
     enqueue(job) {
-      const known = queue.get(job.jobId);
-      if (known === undefined) {
+      const existing = queue.get(job.jobId);
+      if (existing === undefined) {
         const waiting = job.waiting.slice();
         queue.set(job.jobId, {jobId: job.jobId, spec: job.spec, waiting});
         return;
       }
-      const merged = new Set([...known.waiting, ...job.waiting]);
-      known.waiting = [...merged];
+      const merged = new Set([...existing.waiting, ...job.waiting]);
+      existing.waiting = [...merged];
     },
     cancel: (jobId) => void queue.delete(jobId),
     adopt(task) {
-      const known = runningTasks.get(task.taskId);
-      if (known !== undefined) deallocate(known);
+      const existing = runningTasks.get(task.taskId);
+      if (existing !== undefined) deallocate(existing);
       allocate(task);
     },
     release(taskId, report) {
@@ -215,8 +215,8 @@
       // large as one that didn't fit needn't be tried; this only saves time.
       const unplaceableSizes: types.resources.Resources[] = [];
       for (const job of queue.values()) {
-        const left = limit - placements.length;
-        if (left <= 0) break;
+        const remaining = limit - placements.length;
+        if (remaining <= 0) break;
         const {size} = job.spec;
         if (unplaceableSizes.some((each) => types.resources.fits(each, size))) {
           continue;
@@ -224,7 +224,7 @@
         const placed =
           job.spec.shape.kind === 'gang'
             ? placeGang(job)
-            : placeUpTo(job, left);
+            : placeUpTo(job, remaining);
         placements.push(...placed);
         if (job.waiting.length === 0) queue.delete(job.jobId);
         else if (!fitsAnyWorker(size)) unplaceableSizes.push(size);
@@ -243,9 +243,9 @@
       return 'no worker has enough free resources for the declared size';
     },
     takeGivenUp() {
-      const taken = abandonedJobs;
+      const jobs = abandonedJobs;
       abandonedJobs = [];
-      return taken;
+      return jobs;
     },
   };
 
--- a/packages/gypsumwall-placement/src/create_placer.ts
+++ b/packages/gypsumwall-placement/src/create_placer.ts
@@ -48,7 +48,7 @@
   const index = workerIndex.createWorkerIndex();
   const learner = sizeLearner.createSizeLearner();
   const failures = jobFailures.createJobFailures();
-  const spread = rackSpread.createRackSpread();
+  const replicaSpread = rackSpread.createRackSpread();
   /** Workers with more free resources than in the last scheduling cycle. */
   const workersWithMoreFree = new Set<allocationState.WorkerState>();
   let abandonedJobs = new Map<types.ids.JobId, string>();
@@ -74,7 +74,7 @@
       allocations.reserve(worker, amount, sign),
     withoutUnblocking,
   });
-  const quarantined = quarantine.createQuarantine(
+  const domainQuarantine = quarantine.createQuarantine(
     allocations.workers,
     onQuarantineChanged,
   );
@@ -84,12 +84,13 @@
     sizes,
     pickWorker: pickWorker.createWorkerPicker(index, random),
     failures,
-    rackSpread: spread,
+    rackSpread: replicaSpread,
     reservations: reservationTable,
     allocate,
     rollBack,
     onTasksPlaced: (job, count) => waiting.onTasksPlaced(job, count),
-    removeWaitingTask: (jobId, at) => waiting.removeTask(jobId, at),
+    removeWaitingTask: (jobId, taskIndex) =>
+      waiting.removeTask(jobId, taskIndex),
   };
 
   function isUsable(worker: allocationState.WorkerState): boolean {
@@ -98,20 +99,20 @@
 
   function onFreeChanged(
     worker: allocationState.WorkerState,
-    grew: boolean,
+    hasGrown: boolean,
   ): void {
     index.update(worker, isUsable(worker));
-    if (grew && !isUnblockingSuppressed) workersWithMoreFree.add(worker);
+    if (hasGrown && !isUnblockingSuppressed) workersWithMoreFree.add(worker);
   }
 
   function onQuarantineChanged(worker: allocationState.WorkerState): void {
     onFreeChanged(worker, isUsable(worker));
   }
 
-  function allocate(task: placer.HeldTask, endsAt: number): void {
-    const record = allocations.allocate(task, endsAt);
-    spread.adjust(record, 1);
-    quarantined.onTaskAllocated(record.worker);
+  function allocate(task: placer.HeldTask, expectedEndAt: number): void {
+    const allocation = allocations.allocate(task, expectedEndAt);
+    replicaSpread.adjust(allocation, 1);
+    domainQuarantine.onTaskAllocated(allocation.worker);
   }
 
   /**
@@ -134,7 +135,7 @@
     taskId: types.ids.TaskId,
   ): allocationState.TaskAllocation | undefined {
     const task = allocations.deallocate(taskId);
-    if (task !== undefined) spread.adjust(task, -1);
+    if (task !== undefined) replicaSpread.adjust(task, -1);
     return task;
   }
 
@@ -150,12 +151,12 @@
     task: allocationState.TaskAllocation,
     message: string,
   ): void {
-    const {jobId, index: at} = types.ids.splitTaskId(task.taskId);
+    const {jobId, index: taskIndex} = types.ids.splitTaskId(task.taskId);
     const {worker} = task;
-    const reason = failures.recordFailure(jobId, at, worker.id, message);
+    const reason = failures.recordFailure(jobId, taskIndex, worker.id, message);
     const avoided = failures.workersToAvoid(jobId)?.size ?? 0;
     if (avoided < SUSPECT_JOB_WORKERS) {
-      quarantined.recordFailure(worker, jobId, lastNow);
+      domainQuarantine.recordFailure(worker, jobId, lastNow);
     }
     if (reason === undefined) {
       // The job now avoids a worker, so it gets a group of its own: if it finds
@@ -172,18 +173,18 @@
     task: allocationState.TaskAllocation,
     report: placer.RunReport,
   ): void {
-    const {jobId, index: at} = types.ids.splitTaskId(task.taskId);
+    const {jobId, index: taskIndex} = types.ids.splitTaskId(task.taskId);
     switch (report.type) {
       case 'done':
         learner.recordRunTime(task.spec, report.ranMs);
-        failures.recordSuccess(jobId, at);
-        quarantined.recordSuccess(task.worker);
+        failures.recordSuccess(jobId, taskIndex);
+        domainQuarantine.recordSuccess(task.worker);
         return;
       case 'failed':
         recordFailure(task, report.message);
         return;
       case 'not_started':
-        quarantined.recordFailure(task.worker, jobId, lastNow);
+        domainQuarantine.recordFailure(task.worker, jobId, lastNow);
         return;
       case 'stopped':
         return;
@@ -206,14 +207,14 @@
       const worker = allocations.removeWorker(workerId);
       if (worker === undefined) return;
       reservationTable.removeWorker(worker);
-      quarantined.removeWorker(worker);
+      domainQuarantine.removeWorker(worker);
       domainPreemptor.removeWorker(worker);
       workersWithMoreFree.delete(worker);
       index.remove(worker);
     },
     admit(spec, now) {
       lastNow = Math.max(lastNow, now);
-      const view = {
+      const admissionState = {
         allocations,
         demand: waiting.demand,
         maxWaitingJobs,
@@ -222,7 +223,7 @@
         waitingCoreMs: waiting.coreMs(),
         estimate: sizes.estimate(spec),
       };
-      return admission.admit(view, spec, now);
+      return admission.admit(admissionState, spec, now);
     },
     enqueue(job) {
       // The holder may not have read yet that the policy gave up this job.
@@ -230,8 +231,8 @@
     },
     cancel: removeJob,
     adopt(task) {
-      const {jobId, index: at} = types.ids.splitTaskId(task.taskId);
-      waiting.removeTask(jobId, at);
+      const {jobId, index: taskIndex} = types.ids.splitTaskId(task.taskId);
+      waiting.removeTask(jobId, taskIndex);
       deallocate(task.taskId);
       allocate(task, lastNow + sizes.estimate(task.spec).typicalMs);
     },
@@ -252,7 +253,7 @@
     },
     decide(now, limit) {
       lastNow = Math.max(lastNow, now);
-      quarantined.tick(now);
+      domainQuarantine.tick(now);
       waiting.promoteDue(now);
       const checkpoints = reservationTable.tick(now, () =>
         waiting.queue.blockedHeads(),
@@ -274,12 +275,12 @@
       return explainWait.explainWait(job, reservationTable.of(job), avoided);
     },
     takeGivenUp() {
-      const taken = [...abandonedJobs].map(([jobId, message]) => ({
+      const jobs = [...abandonedJobs].map(([jobId, message]) => ({
         jobId,
         message,
       }));
       abandonedJobs = new Map();
-      return taken;
+      return jobs;
     },
   };
 }
--- a/packages/gypsumwall-placement/src/domain_allocations.ts
+++ b/packages/gypsumwall-placement/src/domain_allocations.ts
@@ -56,7 +56,10 @@
  * worker whose free resources changed, and whether any of them grew.
  */
 export function createDomainAllocations(
-  onFreeChanged: (worker: allocationState.WorkerState, grew: boolean) => void,
+  onFreeChanged: (
+    worker: allocationState.WorkerState,
+    hasGrown: boolean,
+  ) => void,
 ): DomainAllocations {
   const workers = new Map<types.ids.WorkerId, allocationState.WorkerState>();
   const workerList: allocationState.WorkerState[] = [];
@@ -77,9 +80,9 @@
    * Returns the state of a worker. Tasks may be adopted on a worker before it
    * is added; its state is created then.
    */
-  function worker(id: types.ids.WorkerId): allocationState.WorkerState {
-    const known = workers.get(id);
-    if (known !== undefined) return known;
+  function getOrAddWorker(id: types.ids.WorkerId): allocationState.WorkerState {
+    const existing = workers.get(id);
+    if (existing !== undefined) return existing;
     const created: allocationState.WorkerState = {
       id,
       rack: types.ids.brand(''),
@@ -114,65 +117,65 @@
     );
   }
 
-  function removeFromList(record: allocationState.WorkerState): void {
-    const last = workerList.pop();
-    if (last === undefined || last === record) return;
-    workerList[record.listIndex] = last;
-    last.listIndex = record.listIndex;
+  function removeFromList(state: allocationState.WorkerState): void {
+    const lastWorker = workerList.pop();
+    if (lastWorker === undefined || lastWorker === state) return;
+    workerList[state.listIndex] = lastWorker;
+    lastWorker.listIndex = state.listIndex;
   }
 
-  function recomputeFree(record: allocationState.WorkerState): void {
-    const {capacity, free, reserved} = record;
-    const cpuTaken = Math.max(record.allocated.cpuMillis, record.usedCpuMillis);
+  function recomputeFree(state: allocationState.WorkerState): void {
+    const {capacity, free, reserved} = state;
+    const cpuTaken = Math.max(state.allocated.cpuMillis, state.usedCpuMillis);
     const cpuMillis = capacity.cpuMillis - cpuTaken - reserved.cpuMillis;
     const memoryMb =
-      capacity.memoryMb - record.claimedMemoryMb - reserved.memoryMb;
+      capacity.memoryMb - state.claimedMemoryMb - reserved.memoryMb;
     const accelerators =
       capacity.accelerators -
-      record.allocated.accelerators -
+      state.allocated.accelerators -
       reserved.accelerators;
     const hasGrown =
       cpuMillis > free.cpuMillis ||
       memoryMb > free.memoryMb ||
       accelerators > free.accelerators;
-    if (record.isSchedulable) mutableResources.adjust(totalFree, free, -1);
+    if (state.isSchedulable) mutableResources.adjust(totalFree, free, -1);
     free.cpuMillis = cpuMillis;
     free.memoryMb = memoryMb;
     free.accelerators = accelerators;
-    if (record.isSchedulable) mutableResources.adjust(totalFree, free, 1);
+    if (state.isSchedulable) mutableResources.adjust(totalFree, free, 1);
     // A task may be released after its worker was removed. Nothing is placed
     // on a removed worker, so nobody is notified.
-    if (workers.get(record.id) === record) onFreeChanged(record, hasGrown);
+    if (workers.get(state.id) === state) onFreeChanged(state, hasGrown);
   }
 
-  function setOpen(
-    record: allocationState.WorkerState,
+  function setSchedulable(
+    state: allocationState.WorkerState,
     isSchedulable: boolean,
   ): void {
-    if (record.isSchedulable === isSchedulable) return;
-    record.isSchedulable = isSchedulable;
+    if (state.isSchedulable === isSchedulable) return;
+    state.isSchedulable = isSchedulable;
     mutableResources.adjust(
       totalCapacity,
-      record.capacity,
+      state.capacity,
       isSchedulable ? 1 : -1,
     );
-    mutableResources.adjust(totalFree, record.free, isSchedulable ? 1 : -1);
-    onFreeChanged(record, isSchedulable);
+    mutableResources.adjust(totalFree, state.free, isSchedulable ? 1 : -1);
+    onFreeChanged(state, isSchedulable);
   }
 
-  function unbook(
+  function deallocate(
     taskId: types.ids.TaskId,
   ): allocationState.TaskAllocation | undefined {
     const task = taskAllocations.get(taskId);
     if (task === undefined) return undefined;
     taskAllocations.delete(taskId);
     teams.adjust(task, -1);
-    const record = task.worker;
-    record.allocations.delete(task);
-    mutableResources.adjust(record.allocated, task.size, -1);
-    record.usedCpuMillis -= task.usedCpuMillis;
-    record.claimedMemoryMb -= Math.max(task.size.memoryMb, task.usedMemoryMb);
-    recomputeFree(record);
+    const state = task.worker;
+    state.allocations.delete(task);
+    mutableResources.adjust(state.allocated, task.size, -1);
+    state.usedCpuMillis -= task.usedCpuMillis;
+    state.claimedMemoryMb -= Math.max(task.size.memoryMb, task.usedMemoryMb);
+    recomputeFree(state);
     return task;
   }
 
@@ -184,37 +187,37 @@
     teams,
     totalCapacity,
     totalFree,
-    setSchedulable: setOpen,
-    deallocate: unbook,
+    setSchedulable,
+    deallocate,
     setWorker(next) {
-      const record = worker(next.id);
-      setOpen(record, false);
-      record.rack = next.rack;
-      record.capacity = next.capacity;
+      const state = getOrAddWorker(next.id);
+      setSchedulable(state, false);
+      state.rack = next.rack;
+      state.capacity = next.capacity;
       raiseLargestCapacity(next.capacity);
-      recomputeFree(record);
-      setOpen(record, true);
-      return record;
+      recomputeFree(state);
+      setSchedulable(state, true);
+      return state;
     },
     removeWorker(id) {
-      const record = workers.get(id);
-      if (record === undefined) return undefined;
-      setOpen(record, false);
+      const state = workers.get(id);
+      if (state === undefined) return undefined;
+      setSchedulable(state, false);
       workers.delete(id);
-      removeFromList(record);
+      removeFromList(state);
       Object.assign(largestCapacity, types.resources.NO_RESOURCES);
       for (const each of workerList) raiseLargestCapacity(each.capacity);
-      return record;
+      return state;
     },
-    allocate(task, endsAt) {
-      unbook(task.taskId);
-      const record = worker(task.workerId);
+    allocate(task, expectedEndAt) {
+      deallocate(task.taskId);
+      const state = getOrAddWorker(task.workerId);
       const allocation: allocationState.TaskAllocation = {
         taskId: task.taskId,
         spec: task.spec,
-        worker: record,
+        worker: state,
         size: task.size,
-        expectedEndAt: endsAt,
+        expectedEndAt,
         usedCpuMillis: task.size.cpuMillis,
         usedMemoryMb: 0,
         usageReports: 0,
@@ -223,27 +226,27 @@
       };
       taskAllocations.set(task.taskId, allocation);
       teams.adjust(allocation, 1);
-      record.allocations.add(allocation);
-      mutableResources.adjust(record.allocated, task.size, 1);
-      record.usedCpuMillis += allocation.usedCpuMillis;
-      record.claimedMemoryMb += task.size.memoryMb;
-      recomputeFree(record);
+      state.allocations.add(allocation);
+      mutableResources.adjust(state.allocated, task.size, 1);
+      state.usedCpuMillis += allocation.usedCpuMillis;
+      state.claimedMemoryMb += task.size.memoryMb;
+      recomputeFree(state);
       return allocation;
     },
     updateUsage(task, used) {
-      const record = task.worker;
+      const state = task.worker;
       const claimedBefore = Math.max(task.size.memoryMb, task.usedMemoryMb);
       const claimed = Math.max(task.size.memoryMb, used.memoryMb);
-      record.usedCpuMillis += used.cpuMillis - task.usedCpuMillis;
-      record.claimedMemoryMb += claimed - claimedBefore;
+      state.usedCpuMillis += used.cpuMillis - task.usedCpuMillis;
+      state.claimedMemoryMb += claimed - claimedBefore;
       task.usedCpuMillis = used.cpuMillis;
       task.usedMemoryMb = used.memoryMb;
       task.usageReports += 1;
-      recomputeFree(record);
+      recomputeFree(state);
     },
-    reserve(record, amount, sign) {
-      mutableResources.adjust(record.reserved, amount, sign);
-      recomputeFree(record);
+    reserve(state, amount, sign) {
+      mutableResources.adjust(state.reserved, amount, sign);
+      recomputeFree(state);
     },
   };
 }
--- a/packages/gypsumwall-placement/src/explain_wait.ts
+++ b/packages/gypsumwall-placement/src/explain_wait.ts
@@ -17,11 +17,11 @@
     return `${tasks}: team ${job.team.id} is at its quota`;
   }
   if (state === 'no_room' || job.blockedSince !== undefined) {
-    const less =
+    const exclusion =
       avoided === undefined
         ? ''
         : `; the job isn't placed on ${[...avoided].join(', ')}, where it failed`;
-    return `${tasks}: no worker has enough free resources at present${less}`;
+    return `${tasks}: no worker has enough free resources at present${exclusion}`;
   }
   return `${tasks}: more urgent jobs or teams with a smaller share go first`;
 }
--- a/packages/gypsumwall-placement/src/job_failures.ts
+++ b/packages/gypsumwall-placement/src/job_failures.ts
@@ -53,8 +53,8 @@
   const jobs = new Map<types.ids.JobId, FailingJob>();
 
   function jobOf(jobId: types.ids.JobId): FailingJob {
-    const known = jobs.get(jobId);
-    if (known !== undefined) return known;
+    const existing = jobs.get(jobId);
+    if (existing !== undefined) return existing;
     if (jobs.size >= MAX_JOBS) deleteOldest(jobs);
     const created = {
       count: 0,
@@ -67,8 +67,8 @@
   }
 
   function taskOf(job: FailingJob, index: number): Failures {
-    const known = job.tasks.get(index);
-    if (known !== undefined) return known;
+    const existing = job.tasks.get(index);
+    if (existing !== undefined) return existing;
     if (job.tasks.size >= MAX_TASKS_PER_JOB) deleteOldest(job.tasks);
     const created = {count: 0, workers: new Set<never>()};
     job.tasks.set(index, created);
@@ -88,9 +88,9 @@
         failedOnMaxWorkers(task) || task.count >= MAX_FAILURES_PER_TASK;
       const worst = isTaskAtLimit ? task : job;
       if (!isTaskAtLimit && !failedOnMaxWorkers(job)) return undefined;
-      const what = worst === task ? `task ${index}` : 'the job';
-      const where = [...worst.workers].join(', ');
-      return `${what} failed ${worst.count} times without a success, on ${where}; the last: ${message}`;
+      const subject = worst === task ? `task ${index}` : 'the job';
+      const workerNames = [...worst.workers].join(', ');
+      return `${subject} failed ${worst.count} times without a success, on ${workerNames}; the last: ${message}`;
     },
     recordSuccess(jobId, index) {
       const job = jobs.get(jobId);
--- a/packages/gypsumwall-placement/src/job_queue.ts
+++ b/packages/gypsumwall-placement/src/job_queue.ts
@@ -71,7 +71,11 @@
 
 /** The waiting jobs. */
 export interface JobQueue {
-  add(job: WaitingJob, size: types.resources.Resources, alone: boolean): void;
+  add(
+    job: WaitingJob,
+    size: types.resources.Resources,
+    inOwnGroup: boolean,
+  ): void;
   remove(job: WaitingJob): void;
   /** The job to try next; it stays in the queue. */
   next(): WaitingJob | undefined;
@@ -83,11 +87,14 @@
   block(
     job: WaitingJob,
     size: types.resources.Resources,
-    alone: boolean,
+    inOwnGroup: boolean,
     state: GroupState,
   ): void;
   /** Unblocks the groups that may fit on one of the workers in `grown`. */
-  unblock(grown: ReadonlySet<allocationState.WorkerState>, now: number): void;
+  unblock(
+    freedWorkers: ReadonlySet<allocationState.WorkerState>,
+    now: number,
+  ): void;
   unblockTeam(team: teamAllocations.TeamState): void;
   /** The first jobs of the groups that are blocked for lack of resources. */
   blockedHeads(): WaitingJob[];
@@ -144,8 +151,8 @@
       tier.set(job.team.id, queue);
     }
     const key = groupKey(job, size, inOwnGroup);
-    const known = queue.groups.get(key);
-    if (known !== undefined) return known;
+    const existing = queue.groups.get(key);
+    if (existing !== undefined) return existing;
     const created: JobGroup = {
       key,
       team: job.team,
@@ -206,11 +213,11 @@
     let bestShare = Infinity;
     for (const queue of tiers[tier]!.values()) {
       if (queue.readyGroups === 0) continue;
-      const weighted =
+      const weightedShare =
         shareOf(queue.team, tier) / Math.max(queue.team.weight, MIN_WEIGHT);
-      if (weighted >= bestShare) continue;
+      if (weightedShare >= bestShare) continue;
       best = queue;
-      bestShare = weighted;
+      bestShare = weightedShare;
     }
     return best === undefined ? undefined : firstOf(best);
   }
@@ -221,21 +228,24 @@
    * due jobs would delay the due jobs of the others.
    */
   function nextDue(tier: Map<unknown, TeamQueue>): WaitingJob | undefined {
-    let weights = 0;
-    for (const queue of tier.values()) weights += queue.team.weight;
+    let totalWeight = 0;
+    for (const queue of tier.values()) totalWeight += queue.team.weight;
     let best: WaitingJob | undefined;
     let isBestOverShare = true;
     for (const queue of tier.values()) {
       const head = firstOf(queue);
       if (head === undefined) continue;
-      const entitled = queue.team.weight / weights;
-      const over = tier.size > 1 && shareOf(queue.team, TIER_DUE) > entitled;
-      const better =
+      const entitledShare = queue.team.weight / totalWeight;
+      const isOverShare =
+        tier.size > 1 && shareOf(queue.team, TIER_DUE) > entitledShare;
+      const isBetter =
         best === undefined ||
-        (over === isBestOverShare ? startsBefore(head, best) : !over);
-      if (!better) continue;
+        (isOverShare === isBestOverShare
+          ? startsBefore(head, best)
+          : !isOverShare);
+      if (!isBetter) continue;
       best = head;
-      isBestOverShare = over;
+      isBestOverShare = isOverShare;
     }
     return best;
   }
@@ -276,20 +286,20 @@
       }
       return undefined;
     },
-    block(job, size, alone, state) {
+    block(job, size, inOwnGroup, state) {
       if (job.group === undefined) return;
-      if (job.group.key === groupKey(job, size, alone)) {
+      if (job.group.key === groupKey(job, size, inOwnGroup)) {
         setState(job.group, state);
         return;
       }
       remove(job);
-      add(job, size, alone);
+      add(job, size, inOwnGroup);
     },
-    unblock(grown, now) {
+    unblock(freedWorkers, now) {
       for (const group of blocked) {
         const head = headOf(group);
         if (!group.hasFreedCapacity)
-          group.hasFreedCapacity = fitsAnyWorker(group.minSize, grown);
+          group.hasFreedCapacity = fitsAnyWorker(group.minSize, freedWorkers);
         if (!group.hasFreedCapacity) continue;
         if (head !== undefined && head.retryAt > now) continue;
         setState(group, 'ready');
@@ -344,11 +354,11 @@
 }
 
 function fitsAnyWorker(
-  floor: types.resources.Resources,
-  grown: ReadonlySet<allocationState.WorkerState>,
+  minSize: types.resources.Resources,
+  freedWorkers: ReadonlySet<allocationState.WorkerState>,
 ): boolean {
-  for (const worker of grown) {
-    if (types.resources.fits(floor, worker.free)) return true;
+  for (const worker of freedWorkers) {
+    if (types.resources.fits(minSize, worker.free)) return true;
   }
   return false;
 }
--- a/packages/gypsumwall-placement/src/pick_worker.ts
+++ b/packages/gypsumwall-placement/src/pick_worker.ts
@@ -34,7 +34,7 @@
 
 /** Returns a worker; undefined if the task fits on none. */
 export type WorkerPicker = (
-  pick: WorkerQuery,
+  query: WorkerQuery,
 ) => allocationState.WorkerState | undefined;
 
 /** Creates a picker over an index. */
@@ -84,12 +84,12 @@
   found: readonly allocationState.WorkerState[],
 ): allocationState.WorkerState | undefined {
   let chosen: allocationState.WorkerState | undefined;
-  let lowest = Infinity;
+  let lowestScore = Infinity;
   for (const worker of found) {
     const score = scoreOf(query, worker);
-    if (score >= lowest) continue;
+    if (score >= lowestScore) continue;
     chosen = worker;
-    lowest = score;
+    lowestScore = score;
   }
   return chosen;
 }
--- a/packages/gypsumwall-placement/src/preemptor.ts
+++ b/packages/gypsumwall-placement/src/preemptor.ts
@@ -57,10 +57,10 @@
   function preemptFor(
     job: jobQueue.WaitingJob,
     now: number,
-    reliefs: placer.Relief[],
+    actions: placer.Relief[],
   ): void {
-    const since = job.blockedSince;
-    if (since === undefined || since + DUE_WAIT_MS > now) return;
+    const blockedSince = job.blockedSince;
+    if (blockedSince === undefined || blockedSince + DUE_WAIT_MS > now) return;
     if (job.preemptionPendingUntil > now) return;
     const size = options.sizeOf(job);
     const tasks = Math.min(job.waiting.size, MAX_ACTIONS_PER_CYCLE);
@@ -68,7 +68,7 @@
       const victims = cheapestVictims(job, size, now);
       if (victims === undefined) return;
       for (const victim of victims) {
-        reliefs.push(preemption.requestCheckpoint(victim, now));
+        actions.push(preemption.requestCheckpoint(victim, now));
       }
       job.preemptionPendingUntil = now + PREEMPTION_EXPECTED_MS;
     }
@@ -107,7 +107,7 @@
 
   function throttleExcessCpu(
     worker: allocationState.WorkerState,
-    reliefs: placer.Relief[],
+    actions: placer.Relief[],
   ): void {
     let excess = worker.usedCpuMillis - worker.capacity.cpuMillis;
     const overusing = [...worker.allocations]
@@ -125,14 +125,14 @@
       task.cpuMillisBeforeThrottle = task.usedCpuMillis;
       throttled.add(worker);
       const {cpuMillis} = task.size;
-      reliefs.push({type: 'throttle', taskId: task.taskId, cpuMillis});
+      actions.push({type: 'throttle', taskId: task.taskId, cpuMillis});
     }
   }
 
   function checkpointExcessMemory(
     worker: allocationState.WorkerState,
     now: number,
-    reliefs: placer.Relief[],
+    actions: placer.Relief[],
   ): void {
     let used = 0;
     for (const task of worker.allocations) used += task.usedMemoryMb;
@@ -145,35 +145,39 @@
     for (const task of candidates) {
       if (used <= worker.capacity.memoryMb) return;
       used -= task.usedMemoryMb;
-      reliefs.push(preemption.requestCheckpoint(task, now));
+      actions.push(preemption.requestCheckpoint(task, now));
     }
   }
 
   function liftThrottles(
     worker: allocationState.WorkerState,
-    reliefs: placer.Relief[],
+    actions: placer.Relief[],
   ): void {
-    let wanted = worker.usedCpuMillis;
+    let cpuWithoutThrottles = worker.usedCpuMillis;
     for (const task of worker.allocations) {
       if (task.cpuMillisBeforeThrottle === 0) continue;
-      wanted += Math.max(0, task.cpuMillisBeforeThrottle - task.usedCpuMillis);
+      cpuWithoutThrottles += Math.max(
+        0,
+        task.cpuMillisBeforeThrottle - task.usedCpuMillis,
+      );
     }
-    if (wanted > worker.capacity.cpuMillis * LIFT_THROTTLE_BELOW) return;
+    if (cpuWithoutThrottles > worker.capacity.cpuMillis * LIFT_THROTTLE_BELOW)
+      return;
     throttled.delete(worker);
     for (const task of worker.allocations) {
       if (task.cpuMillisBeforeThrottle === 0) continue;
       task.cpuMillisBeforeThrottle = 0;
-      reliefs.push({type: 'throttle', taskId: task.taskId, cpuMillis: 0});
+      actions.push({type: 'throttle', taskId: task.taskId, cpuMillis: 0});
     }
   }
 
   return {
     onWorkerChanged(worker) {
       const {capacity} = worker;
-      const cpuFull = worker.usedCpuMillis > capacity.cpuMillis;
-      const memoryFull = worker.claimedMemoryMb > capacity.memoryMb;
-      if (cpuFull) overCpu.add(worker);
-      if (memoryFull) overMemory.add(worker);
+      const isOverCpu = worker.usedCpuMillis > capacity.cpuMillis;
+      const isOverMemory = worker.claimedMemoryMb > capacity.memoryMb;
+      if (isOverCpu) overCpu.add(worker);
+      if (isOverMemory) overMemory.add(worker);
       if (throttled.has(worker)) changedThrottled.add(worker);
     },
     removeWorker(worker) {
@@ -183,19 +187,19 @@
       changedThrottled.delete(worker);
     },
     decide(now, due) {
-      const reliefs: placer.Relief[] = [];
-      for (const worker of changedThrottled) liftThrottles(worker, reliefs);
-      for (const worker of overCpu) throttleExcessCpu(worker, reliefs);
+      const actions: placer.Relief[] = [];
+      for (const worker of changedThrottled) liftThrottles(worker, actions);
+      for (const worker of overCpu) throttleExcessCpu(worker, actions);
       for (const worker of overMemory)
-        checkpointExcessMemory(worker, now, reliefs);
+        checkpointExcessMemory(worker, now, actions);
       changedThrottled.clear();
       overCpu.clear();
       overMemory.clear();
       for (const job of due) {
-        if (reliefs.length >= MAX_ACTIONS_PER_CYCLE) break;
-        preemptFor(job, now, reliefs);
+        if (actions.length >= MAX_ACTIONS_PER_CYCLE) break;
+        preemptFor(job, now, actions);
       }
-      return reliefs;
+      return actions;
     },
   };
 }
--- a/packages/gypsumwall-placement/src/quarantine.ts
+++ b/packages/gypsumwall-placement/src/quarantine.ts
@@ -80,8 +80,11 @@
     );
     if (!wasQuarantined && quarantinedCount >= maxQuarantined) return;
     if (!wasQuarantined) quarantinedCount += 1;
-    const doubled = Math.min(MAX_PROBE_DELAY_MS, suspect.probeDelayMs * 2);
-    suspect.probeDelayMs = wasQuarantined ? doubled : MIN_PROBE_DELAY_MS;
+    const doubledDelayMs = Math.min(
+      MAX_PROBE_DELAY_MS,
+      suspect.probeDelayMs * 2,
+    );
+    suspect.probeDelayMs = wasQuarantined ? doubledDelayMs : MIN_PROBE_DELAY_MS;
     suspect.probeAt = now + suspect.probeDelayMs;
     suspect.isProbing = false;
     setQuarantined(worker, true);
@@ -110,10 +113,11 @@
         suspects.set(worker, suspect);
       }
       if (suspect.jobs.size < MIN_FAILED_JOBS) suspect.jobs.add(jobId);
-      const probeFailed = isQuarantined(suspect) && suspect.isProbing;
-      const tooMany =
+      const hasProbeFailed = isQuarantined(suspect) && suspect.isProbing;
+      const hasTooManyFailures =
         !isQuarantined(suspect) && suspect.jobs.size >= MIN_FAILED_JOBS;
-      if (probeFailed || tooMany) quarantineWorker(worker, suspect, now);
+      if (hasProbeFailed || hasTooManyFailures)
+        quarantineWorker(worker, suspect, now);
     },
     tick(now) {
       if (quarantinedCount === 0) return;
--- a/packages/gypsumwall-placement/src/reservations.ts
+++ b/packages/gypsumwall-placement/src/reservations.ts
@@ -109,7 +109,7 @@
 }
 
 export function createReservations(options: ReservationsOptions): Reservations {
-  const current = new Map<jobQueue.WaitingJob, Reservation>();
+  const reservationsByJob = new Map<jobQueue.WaitingJob, Reservation>();
   let suspendedReservation: Reservation | undefined;
   let nextCheckAt = 0;
 
@@ -121,7 +121,7 @@
   }
 
   function end(reservation: Reservation): void {
-    current.delete(reservation.job);
+    reservationsByJob.delete(reservation.job);
     reservation.job.hasReservation = false;
     if (suspendedReservation === reservation) suspendedReservation = undefined;
     else reserveOnWorkers(reservation, -1);
@@ -142,8 +142,8 @@
         now,
         mayPreempt: (task) => mayPreempt(job, task, now),
       });
-    const spare = Math.ceil(tasks / TASKS_PER_SPARE_SLOT);
-    const found = search(tasks + spare) ?? search(tasks);
+    const spareSlots = Math.ceil(tasks / TASKS_PER_SPARE_SLOT);
+    const found = search(tasks + spareSlots) ?? search(tasks);
     if (found === undefined) {
       job.nextReservationAt = now + MIN_DURATION_MS;
       return [];
@@ -158,7 +158,7 @@
     const reservation = {job, size, slots, readyAt, deadline};
     job.nextReservationAt = deadline + MIN_DURATION_MS;
     job.hasReservation = true;
-    current.set(job, reservation);
+    reservationsByJob.set(job, reservation);
     reserveOnWorkers(reservation, 1);
     return victims.map((task) => preemption.requestCheckpoint(task, now));
   }
@@ -167,14 +167,14 @@
    * Replans overdue reservations, of which urgent tasks or usage above the
    * allocations took some resources. They keep their deadline.
    */
-  function replanLate(now: number): placer.Relief[] {
-    const reliefs: placer.Relief[] = [];
-    for (const reservation of [...current.values()]) {
+  function replanOverdue(now: number): placer.Relief[] {
+    const actions: placer.Relief[] = [];
+    for (const reservation of [...reservationsByJob.values()]) {
       if (reservation.readyAt + REPLAN_AFTER_MS > now) continue;
       end(reservation);
-      reliefs.push(...create(reservation.job, now, reservation.deadline));
+      actions.push(...create(reservation.job, now, reservation.deadline));
     }
-    return reliefs;
+    return actions;
   }
 
   function isLarge(job: jobQueue.WaitingJob): boolean {
@@ -203,14 +203,15 @@
   }
 
   /** The job that gets the next reservation, if any. */
-  function longestBlocked(
+  function selectBlockedJob(
     blocked: readonly jobQueue.WaitingJob[],
     now: number,
   ): jobQueue.WaitingJob | undefined {
     let first: jobQueue.WaitingJob | undefined;
     for (const job of blocked) {
-      const since = job.blockedSince;
-      if (since === undefined || since + MIN_BLOCKED_MS > now) continue;
+      const blockedSince = job.blockedSince;
+      if (blockedSince === undefined || blockedSince + MIN_BLOCKED_MS > now)
+        continue;
       if (job.hasReservation || job.nextReservationAt > now || !isLarge(job))
         continue;
       if (first === undefined || precedes(job, first)) first = job;
@@ -219,23 +220,24 @@
   }
 
   return {
-    of: (job) => current.get(job),
+    of: (job) => reservationsByJob.get(job),
     tick(now, blocked) {
-      for (const reservation of current.values()) {
+      for (const reservation of reservationsByJob.values()) {
         if (reservation.deadline <= now) end(reservation);
       }
       if (now < nextCheckAt) return [];
       nextCheckAt = now + CHECK_INTERVAL_MS;
-      const replanned = replanLate(now);
-      if (current.size >= MAX_RESERVATIONS) return replanned;
-      const first = longestBlocked(blocked(), now);
-      if (first !== undefined) replanned.push(...create(first, now));
-      return replanned;
+      const actions = replanOverdue(now);
+      if (reservationsByJob.size >= MAX_RESERVATIONS) return actions;
+      const job = selectBlockedJob(blocked(), now);
+      if (job !== undefined) actions.push(...create(job, now));
+      return actions;
     },
-    readyJobs: () => [...current.values()].filter(isReady).map(({job}) => job),
+    readyJobs: () =>
+      [...reservationsByJob.values()].filter(isReady).map(({job}) => job),
     suspend(job) {
       if (!job.hasReservation) return;
-      suspendedReservation = current.get(job);
+      suspendedReservation = reservationsByJob.get(job);
       if (suspendedReservation === undefined) return;
       const reservation = suspendedReservation;
       options.withoutUnblocking(() => reserveOnWorkers(reservation, -1));
@@ -247,17 +249,17 @@
       options.withoutUnblocking(() => reserveOnWorkers(reservation, 1));
     },
     end(job) {
-      const reservation = current.get(job);
+      const reservation = reservationsByJob.get(job);
       if (reservation !== undefined) end(reservation);
     },
     removeWorker(worker) {
-      for (const reservation of current.values()) {
+      for (const reservation of reservationsByJob.values()) {
         if (reservation.slots.has(worker)) end(reservation);
       }
     },
     usableBy(job, doneAt) {
       const found: allocationState.WorkerState[] = [];
-      for (const reservation of current.values()) {
+      for (const reservation of reservationsByJob.values()) {
         const mayUse =
           job.tier < reservation.job.tier || doneAt <= reservation.readyAt;
         if (mayUse) found.push(...reservation.slots.keys());
--- a/packages/gypsumwall-placement/src/scheduling_cycle.ts
+++ b/packages/gypsumwall-placement/src/scheduling_cycle.ts
@@ -31,7 +31,7 @@
   readonly rackSpread: rackSpread.RackSpread;
   readonly reservations: reservations.Reservations;
   /** Allocates the resources of a placed task. */
-  allocate(task: placer.HeldTask, endsAt: number): void;
+  allocate(task: placer.HeldTask, expectedEndAt: number): void;
   /** Frees the resources of a gang of which only a part fitted. */
   rollBack(tasks: readonly placer.Placement[]): void;
   /** Called when tasks of the job were placed and no longer wait. */
--- a/packages/gypsumwall-placement/src/size_learner.ts
+++ b/packages/gypsumwall-placement/src/size_learner.ts
@@ -58,8 +58,8 @@
 
   function classOf(spec: types.job.JobSpec): JobClass {
     const key = keyOf(spec);
-    const known = classes.get(key);
-    if (known !== undefined) return known;
+    const existing = classes.get(key);
+    if (existing !== undefined) return existing;
     if (classes.size >= MAX_CLASSES) evictOldest();
     const created: JobClass = {
       cpu: quantityHistory.createQuantityHistory(),
@@ -110,14 +110,14 @@
         jobClass.cachedFor !== undefined &&
         hasSameDeclaration(jobClass.cachedFor, spec);
       if (isCached) return jobClass.cached!;
-      const made = {
+      const estimate = {
         size: estimateSize(jobClass, spec, cpuQuantile),
         ...estimateRunTime(jobClass, spec),
       };
-      jobClass.cached = made;
+      jobClass.cached = estimate;
       jobClass.cachedFor = spec;
       jobClass.cachedQuantile = cpuQuantile;
-      return made;
+      return estimate;
     },
   };
 }
--- a/packages/gypsumwall-placement/src/team_allocations.ts
+++ b/packages/gypsumwall-placement/src/team_allocations.ts
@@ -50,9 +50,9 @@
   const teams = new Map<types.ids.TeamId, TeamState>();
 
   function team(id: types.ids.TeamId): TeamState {
-    const known = teams.get(id);
-    if (known !== undefined) return known;
-    const made = {
+    const existing = teams.get(id);
+    if (existing !== undefined) return existing;
+    const created = {
       id,
       weight: 1,
       packing: DEFAULT_PACKING,
@@ -65,33 +65,33 @@
       },
       waitingJobs: 0,
     };
-    teams.set(id, made);
-    return made;
+    teams.set(id, created);
+    return created;
   }
 
   return {
     team,
     setTeam(next) {
-      const record = team(next.id);
-      record.weight = next.weight;
-      record.packing = next.packing;
-      record.quota = next.quota;
+      const state = team(next.id);
+      state.weight = next.weight;
+      state.packing = next.packing;
+      state.quota = next.quota;
     },
     adjust(task, sign) {
-      const record = team(task.spec.team);
-      mutableResources.adjust(record.allocated, task.size, sign);
+      const state = team(task.spec.team);
+      mutableResources.adjust(state.allocated, task.size, sign);
       mutableResources.adjust(
-        record.allocatedByUrgency[task.spec.urgency],
+        state.allocatedByUrgency[task.spec.urgency],
         task.size,
         sign,
       );
     },
-    dominantShare(record, urgencies) {
+    dominantShare(state, urgencies) {
       let cpu = 0;
       let memory = 0;
       let accelerators = 0;
       for (const urgency of urgencies) {
-        const part = record.allocatedByUrgency[urgency];
+        const part = state.allocatedByUrgency[urgency];
         cpu += part.cpuMillis;
         memory += part.memoryMb;
         accelerators += part.accelerators;
--- a/packages/gypsumwall-placement/src/waiting_jobs.ts
+++ b/packages/gypsumwall-placement/src/waiting_jobs.ts
@@ -48,9 +48,9 @@
   get(jobId: types.ids.JobId): jobQueue.WaitingJob | undefined;
   enqueue(job: placer.QueuedJob, now: number): void;
   /** Moves a waiting job to the group of its present size estimate. */
-  requeue(job: jobQueue.WaitingJob, alone: boolean): void;
+  requeue(job: jobQueue.WaitingJob, inOwnGroup: boolean): void;
   /** Called when tasks of the job were placed; removes the job with its last. */
-  onTasksPlaced(job: jobQueue.WaitingJob, adjustTotals: number): void;
+  onTasksPlaced(job: jobQueue.WaitingJob, placedCount: number): void;
   /** Removes a task that was found to be running. */
   removeTask(jobId: types.ids.JobId, index: number): void;
   removeJob(job: jobQueue.WaitingJob): void;
@@ -88,9 +88,9 @@
     const estimate = sizes.estimate(spec);
     const coreMsPerTask = (estimate.typicalMs * estimate.size.cpuMillis) / 1000;
     const cores = Math.max(1, allocations.totalCapacity.cpuMillis / 1000);
-    const shareMs =
+    const queueMs =
       (queued.waiting.length * coreMsPerTask) / (cores * ASSUMED_CORE_SHARE);
-    const longestMs = estimate.pessimisticMs + shareMs;
+    const longestMs = estimate.pessimisticMs + queueMs;
     const startBy =
       spec.deadline === undefined
         ? queued.acceptedAt + DEFAULT_START_WITHIN_MS[spec.urgency]
@@ -154,12 +154,12 @@
     get: (jobId) => jobsById.get(jobId),
     enqueue(queued, now) {
       if (queued.waiting.length === 0) return;
-      const known = jobsById.get(queued.jobId);
-      const job = known ?? createWaitingJob(queued, now);
-      const before = job.waiting.size;
+      const existing = jobsById.get(queued.jobId);
+      const job = existing ?? createWaitingJob(queued, now);
+      const sizeBefore = job.waiting.size;
       for (const index of queued.waiting) indexRanges.add(job.waiting, index);
-      adjustTotals(job, job.waiting.size - before);
-      if (known === undefined) add(job);
+      adjustTotals(job, job.waiting.size - sizeBefore);
+      if (existing === undefined) add(job);
     },
     removeTask(jobId, index) {
       const job = jobsById.get(jobId);
@@ -185,8 +185,8 @@
 }
 
 function tierOf(spec: types.job.JobSpec, startBy: number, now: number): number {
-  const due = spec.deadline !== undefined && startBy - DUE_AHEAD_MS <= now;
-  if (due) return jobQueue.TIER_DUE;
+  const isDue = spec.deadline !== undefined && startBy - DUE_AHEAD_MS <= now;
+  if (isDue) return jobQueue.TIER_DUE;
   switch (spec.urgency) {
     case 'urgent':
       return jobQueue.TIER_DUE;
--- a/packages/gypsumwall-placement/src/worker_index.ts
+++ b/packages/gypsumwall-placement/src/worker_index.ts
@@ -30,7 +30,7 @@
 /** The schedulable workers by their free resources. */
 export interface WorkerIndex {
   /** Adds or updates a worker; with `usable` false, searches skip it. */
-  update(worker: allocationState.WorkerState, usable: boolean): void;
+  update(worker: allocationState.WorkerState, isUsable: boolean): void;
   remove(worker: allocationState.WorkerState): void;
   /** The fitting workers, in slot order from the start and wrapping around. */
   find(search: Search): allocationState.WorkerState[];
@@ -43,11 +43,11 @@
     worker.capacity.accelerators > 0 ? accelerated : plain;
 
   return {
-    update(worker, usable) {
+    update(worker, isUsable) {
       const tree = treeOf(worker);
       // A changed capacity may move the worker to the other tree.
       (tree === plain ? accelerated : plain).remove(worker);
-      tree.update(worker, usable);
+      tree.update(worker, isUsable);
     },
     remove(worker) {
       plain.remove(worker);
@@ -156,10 +156,10 @@
   }
 
   return {
-    update(worker: allocationState.WorkerState, usable: boolean): void {
+    update(worker: allocationState.WorkerState, isUsable: boolean): void {
       reference ??= worker.capacity.cpuMillis > 0 ? worker.capacity : undefined;
       const slot = slotOf.get(worker) ?? assignSlot(worker);
-      setLeaf(slot, worker, usable);
+      setLeaf(slot, worker, isUsable);
     },
     remove(worker: allocationState.WorkerState): void {
       const slot = slotOf.get(worker);
