--- a/packages/gypsumwall-placement/src/allocation_state.ts
+++ b/packages/gypsumwall-placement/src/allocation_state.ts
@@ -25,7 +25,7 @@
    */
   readonly free: mutableResources.MutableResources;
   readonly allocations: Set<TaskAllocation>;
-  /** Its index in the list of workers. */
+  /** Its index in `DomainAllocations.workerList`. */
   listIndex: number;
 }
 
--- a/packages/gypsumwall-placement/src/deadline_demand.ts
+++ b/packages/gypsumwall-placement/src/deadline_demand.ts
@@ -14,7 +14,10 @@
 export interface DeadlineDemand {
   /** Adds work in core milliseconds; a negative amount removes work. */
   add(deadline: number, work: number): void;
-  /** Whether additional work can be done by its deadline, after the work that is due before it. */
+  /**
+   * Whether additional work can be done by its deadline together with all work
+   * that is due by then. `cpuMillis` is the capacity of the domain.
+   */
   accepts(
     deadline: number,
     work: number,
--- a/packages/gypsumwall-placement/src/expected_capacity.ts
+++ b/packages/gypsumwall-placement/src/expected_capacity.ts
@@ -10,7 +10,7 @@
 export interface ExpectedCapacity {
   /** The number of tasks that will fit on each worker. */
   readonly slots: ReadonlyMap<allocationState.WorkerState, number>;
-  /** Running tasks to checkpoint; the prediction depends on it. */
+  /** Running tasks that must be checkpointed to free the resources in time. */
   readonly victims: readonly allocationState.TaskAllocation[];
   readonly readyAt: number;
 }
@@ -89,7 +89,7 @@
   return slots;
 }
 
-/** The tasks of a worker with the times when they end or are checkpointed, in ascending order. */
+/** The tasks of a worker, ordered by when they end or could be checkpointed. */
 function expectedEndsOn(
   worker: allocationState.WorkerState,
   search: CapacitySearch,
--- a/packages/gypsumwall-placement/src/explain_wait.ts
+++ b/packages/gypsumwall-placement/src/explain_wait.ts
@@ -1,4 +1,4 @@
-/** Explains to people why a job waits. */
+/** Readable reasons why a job waits. */
 import type * as jobQueue from './job_queue.js';
 import type * as reservations from './reservations.js';
 
--- a/packages/gypsumwall-placement/src/free_forecast.ts
+++ b/packages/gypsumwall-placement/src/free_forecast.ts
@@ -2,7 +2,8 @@
  * The free resources that a worker would have without some of its tasks. CPU
  * counts as taken by the larger of what is allocated and what is used. So on a
  * worker where more CPU is used than allocated, a task that ends frees less
- * than its size. A plan that ignores this has too little on many workers.
+ * than its size. A prediction that ignores this is a little too high on many
+ * workers.
  */
 import type * as types from '@gypsumwall/types';
 import type * as allocationState from './allocation_state.js';
--- a/packages/gypsumwall-placement/src/job_queue.ts
+++ b/packages/gypsumwall-placement/src/job_queue.ts
@@ -17,7 +17,7 @@
 export const TIER_NORMAL = 1;
 export const TIER_OVERNIGHT = 2;
 const TIER_COUNT = 3;
-/** Replaces a weight of 0: such a team gets what no other team wants. */
+/** The lowest weight that is used; a team of weight 0 gets what no other team wants. */
 const MIN_WEIGHT = 1e-6;
 /**
  * A heap keeps entries of jobs that left its group. It is compacted when it has
@@ -64,7 +64,10 @@
   readonly minSize: types.resources.Resources;
   readonly heap: binaryHeap.BinaryHeap<WaitingJob>;
   state: GroupState;
-  /** Whether a worker that may fit the group has freed resources since it was blocked. */
+  /**
+   * Whether resources that may be enough for a job of the group were freed on a
+   * worker after the group was blocked.
+   */
   hasFreedCapacity: boolean;
   jobCount: number;
 }
@@ -77,7 +80,7 @@
     inOwnGroup: boolean,
   ): void;
   remove(job: WaitingJob): void;
-  /** The job to try next; it stays in the queue. */
+  /** Returns the job to try next, without removing it. */
   next(): WaitingJob | undefined;
   /**
    * Marks the job's group as blocked. If the job's size no longer belongs to
@@ -90,7 +93,7 @@
     inOwnGroup: boolean,
     state: GroupState,
   ): void;
-  /** Unblocks the groups that may fit on one of the workers in `grown`. */
+  /** Unblocks the groups that may fit on one of the given workers. */
   unblock(
     freedWorkers: ReadonlySet<allocationState.WorkerState>,
     now: number,
@@ -98,7 +101,7 @@
   unblockTeam(team: teamAllocations.TeamState): void;
   /** The first jobs of the groups that are blocked for lack of resources. */
   blockedHeads(): WaitingJob[];
-  /** Those of them that are urgent or due. */
+  /** The first jobs of those blocked groups that are urgent or due. */
   blockedDue(): WaitingJob[];
 }
 
--- a/packages/gypsumwall-placement/src/placer.ts
+++ b/packages/gypsumwall-placement/src/placer.ts
@@ -35,7 +35,10 @@
   readonly taskId: types.ids.TaskId;
   readonly spec: types.job.JobSpec;
   readonly workerId: types.ids.WorkerId;
-  /** Allocated resources; at least the size that was sent to the worker when the task started. */
+  /**
+   * The allocated resources, at least the size that was sent to the worker when
+   * the task started.
+   */
   readonly size: types.resources.Resources;
 }
 
@@ -117,7 +120,7 @@
   decide(now: types.clock.WallMs, limit: number): Decisions;
   /** The number of waiting tasks, for status and metrics. */
   waitingTasks(): number;
-  /** A sentence for people on why a job waits; empty if it doesn't wait. */
+  /** Returns a readable reason why a job waits; empty if it doesn't wait. */
   explain(jobId: types.ids.JobId): string;
   /**
    * Returns the jobs that the policy has given up since the last call, such as
--- a/packages/gypsumwall-placement/src/preemptor.ts
+++ b/packages/gypsumwall-placement/src/preemptor.ts
@@ -33,7 +33,10 @@
   /** To be called when a worker's usage or tasks changed. */
   onWorkerChanged(worker: allocationState.WorkerState): void;
   removeWorker(worker: allocationState.WorkerState): void;
-  /** `due` are the first jobs of the due groups that are blocked for lack of resources. */
+  /**
+   * Returns the actions of one cycle. `due` are the first jobs of the due groups
+   * that are blocked for lack of resources.
+   */
   decide(
     now: number,
     due: readonly jobQueue.WaitingJob[],
@@ -214,7 +217,7 @@
   const victims: allocationState.TaskAllocation[] = [];
   const candidates: allocationState.TaskAllocation[] = [];
   for (const task of worker.allocations) {
-    // An earlier cycle preempted a task here in favour of another one.
+    // The resources that a pending checkpoint frees are meant for another task.
     if (preemption.isCheckpointPending(task, now)) return undefined;
     if (preemption.isPreemptible(task, now)) candidates.push(task);
   }
--- a/packages/gypsumwall-placement/src/quantity_history.ts
+++ b/packages/gypsumwall-placement/src/quantity_history.ts
@@ -55,7 +55,7 @@
   };
 }
 
-/** One significant digit: values are off by at most a tenth. */
+/** One significant digit is enough: values are off by at most a tenth. */
 function buildHistogram(): hdr.Histogram {
   return hdr.build({
     bitBucketSize: 16,
--- a/packages/gypsumwall-placement/src/quarantine.ts
+++ b/packages/gypsumwall-placement/src/quarantine.ts
@@ -7,7 +7,7 @@
 import type * as types from '@gypsumwall/types';
 import type * as allocationState from './allocation_state.js';
 
-/** A worker is suspect after failures of this many distinct jobs. */
+/** A worker is quarantined after failures of this many distinct jobs in a row. */
 const MIN_FAILED_JOBS = 3;
 const MIN_PROBE_DELAY_MS = 30_000;
 const MAX_PROBE_DELAY_MS = 600_000;
@@ -63,7 +63,7 @@
     onChange(worker);
   }
 
-  /** A delay above zero means that the worker is in quarantine, even while a probe may be placed. */
+  /** True also while the worker may take its probe task. */
   function isQuarantined(suspect: Suspect): boolean {
     return suspect.probeDelayMs > 0;
   }
--- a/packages/gypsumwall-placement/src/reservations.ts
+++ b/packages/gypsumwall-placement/src/reservations.ts
@@ -5,8 +5,9 @@
  * A reservation covers all tasks of the job, counts on resources that running
  * tasks will free, and never exceeds a worker's capacity together with other
  * reservations. So a job with a reservation waits only for running tasks and
- * never for another reservation, and two gangs with partial reservations can't
- * deadlock. A reservation whose workers don't drain ends at its deadline.
+ * never for another reservation: two gangs can't deadlock, each holding a part
+ * of what the other needs. A reservation whose workers don't drain ends at its
+ * deadline.
  */
 import * as types from '@gypsumwall/types';
 import type * as allocationState from './allocation_state.js';
@@ -19,7 +20,7 @@
 const MIN_BLOCKED_MS = 1000;
 /** How often the blocked jobs are checked for one that needs a reservation. */
 const CHECK_INTERVAL_MS = 250;
-/** A reservation that isn't used this long after it was due is replanned. */
+/** A reservation that is still unused this long after `readyAt` is replanned. */
 const REPLAN_AFTER_MS = 500;
 const MIN_DURATION_MS = 10_000;
 const MAX_DURATION_MS = 1_800_000;
@@ -77,7 +78,10 @@
   ): readonly placer.Relief[];
   /** The jobs most of whose reserved workers have drained. */
   readyJobs(): jobQueue.WaitingJob[];
-  /** Frees the job's reserved resources for a placement; `resume` reserves them again. */
+  /**
+   * Frees the job's reserved resources so that its tasks can be placed;
+   * `resume` reserves them again.
+   */
   suspend(job: jobQueue.WaitingJob): void;
   resume(job: jobQueue.WaitingJob): void;
   /** Ends the reservation of a job that was placed or removed. */
