--- a/packages/gypsumwall-routing/src/__fixtures__/fake_upstreams.ts
+++ b/packages/gypsumwall-routing/src/__fixtures__/fake_upstreams.ts
@@ -1,10 +1,10 @@
-/** Upstreams in process whose answers a test decides one by one. */
+/** In-process upstreams; the test decides the result of each attempt. */
 import * as stream from 'node:stream';
 import * as result from 'true-myth/result';
 import type * as platform from '@gypsumwall/platform';
 import * as types from '@gypsumwall/types';
 
-/** One attempt that reached an upstream and waits for the test's word. */
+/** An attempt that reached an upstream and whose result the test decides. */
 export interface PendingAttempt {
   readonly upstream: string;
   readonly req: platform.upstream.UpstreamRequest;
@@ -15,11 +15,11 @@
   ): void;
 }
 
-/** All upstreams of a test. */
+/** The upstreams of a test. */
 export interface FakeUpstreams {
-  /** Every attempt so far, in order. */
+  /** All attempts so far, in order. */
   readonly attempts: PendingAttempt[];
-  /** Connections each upstream was last told to keep to. */
+  /** The last limit on connections that was set for each upstream. */
   readonly connections: Map<string, number>;
   make(
     listed: platform.instanceList.ListedUpstream,
@@ -27,7 +27,7 @@
   ): platform.upstream.Upstream;
 }
 
-/** Makes upstreams that answer nothing by themselves but an abort. */
+/** Creates upstreams that fail aborted attempts and otherwise wait for the test. */
 export function createFakeUpstreams(): FakeUpstreams {
   const attempts: PendingAttempt[] = [];
   const connections = new Map<string, number>();
--- a/packages/gypsumwall-routing/src/__fixtures__/fault_script.ts
+++ b/packages/gypsumwall-routing/src/__fixtures__/fault_script.ts
@@ -1,6 +1,7 @@
 /**
- * Random mixes of faults: a script says what callers and upstreams do, a run
- * of it leaves a history to be held against what callers were told.
+ * Random mixes of faults. A script defines the actions of callers and upstreams.
+ * Running it records a history of attempts, which is compared with the outcomes
+ * that the callers got.
  */
 import * as timers from 'node:timers/promises';
 import * as fastCheck from 'fast-check';
@@ -10,18 +11,18 @@
 
 export const UPSTREAMS = 3;
 export const SLOTS = 2;
-/** Things happen at multiples of this. */
+/** Events occur at multiples of this time. */
 export const STEP_MS = 20;
 const STEPS = 100;
 const LEAVING_UPSTREAM = 'u0';
 
-/** What an upstream does with one attempt, after so many steps. */
+/** What an upstream does with an attempt, after the given number of steps. */
 export interface Behaviour {
   readonly type: 'done' | 'refuse' | 'unreachable' | 'reset' | 'silent';
   readonly steps: number;
 }
 
-/** A request and its caller. */
+/** A request, when it is sent, and when its caller cancels it. */
 export interface Arrival {
   readonly step: number;
   readonly idempotent: boolean;
@@ -30,15 +31,15 @@
   readonly cancelAfterMs: number | undefined;
 }
 
-/** All that happens in a run. */
+/** All events of a run. */
 export interface Script {
   readonly arrivals: readonly Arrival[];
   readonly behaviours: readonly Behaviour[];
-  /** Step from which the first upstream is leaving. */
+  /** The step from which the first upstream is leaving. */
   readonly leavesAt: number;
 }
 
-/** Draws scripts. */
+/** Random scripts. */
 export const script: fastCheck.Arbitrary<Script> = fastCheck.record({
   arrivals: fastCheck.array(
     fastCheck.record({
@@ -71,7 +72,7 @@
   leavesAt: fastCheck.nat({max: 40}),
 });
 
-/** Attempts and outcomes of one run. */
+/** The attempts and outcomes of a run. */
 export interface History {
   readonly attempts: readonly fakeUpstreams.PendingAttempt[];
   readonly behaviourOf: ReadonlyMap<fakeUpstreams.PendingAttempt, Behaviour>;
@@ -82,7 +83,7 @@
   readonly mostInFlight: number;
 }
 
-/** Events that are due at moments of the manual clock. */
+/** Events that are due at times of the manual clock. */
 interface Agenda {
   add(at: number, event: () => void): void;
   runDue(now: number): void;
@@ -161,7 +162,9 @@
     const deadline = types.clock.after(now, spanMs);
     const caller = new AbortController();
     if (cancelAfterMs !== undefined) {
-      agenda.add(now + cancelAfterMs, () => caller.abort('the caller left'));
+      agenda.add(now + cancelAfterMs, () =>
+        caller.abort('the caller cancelled the request'),
+      );
     }
     const {signal} = caller;
     const fields = {requestId, idempotent, urgency, deadline, signal};
--- a/packages/gypsumwall-routing/src/__fixtures__/manual_clock.ts
+++ b/packages/gypsumwall-routing/src/__fixtures__/manual_clock.ts
@@ -1,12 +1,12 @@
-/** A clock that stands still until a test moves it. */
+/** A clock that advances only when a test advances it. */
 import * as timers from 'node:timers/promises';
 import type * as types from '@gypsumwall/types';
 
-/** A clock with a hand on it. */
+/** A clock controlled by a test. */
 export interface ManualClock extends types.clock.Clock {
-  /** Moves on by `spanMs`, waking each sleeper at its own moment. */
+  /** Advances the clock by `spanMs` and ends each sleep at its time. */
   advance(spanMs: number): Promise<void>;
-  /** How many sleeps are under way. */
+  /** The number of pending sleeps. */
   sleepers(): number;
 }
 
@@ -15,7 +15,7 @@
   readonly wake: () => void;
 }
 
-/** Makes a clock at time 0. */
+/** Creates a clock at time 0. */
 export function createManualClock(): ManualClock {
   let now = 0;
   const sleepers = new Set<Sleeper>();
--- a/packages/gypsumwall-routing/src/__fixtures__/router_harness.ts
+++ b/packages/gypsumwall-routing/src/__fixtures__/router_harness.ts
@@ -1,4 +1,4 @@
-/** A router with fake upstreams on a manual clock, past its settling time. */
+/** A router with fake upstreams and a manual clock, which has joined already. */
 import * as telemetry from '@gypsumwall/telemetry';
 import * as types from '@gypsumwall/types';
 import * as createRouter from '../create_router.js';
@@ -7,7 +7,7 @@
 import * as fakeUpstreams from './fake_upstreams.js';
 import * as manualClock from './manual_clock.js';
 
-/** What a test holds in its hands. */
+/** The router and the fakes that a test uses. */
 export interface RouterHarness {
   readonly clock: manualClock.ManualClock;
   readonly fakes: fakeUpstreams.FakeUpstreams;
@@ -18,12 +18,12 @@
   send(fields?: Partial<router.RoutedRequest>): Promise<types.outcome.Outcome>;
 }
 
-/** A list lag and request bound small enough to step over. */
+/** The list lag and the request bound, small enough that tests can wait for them. */
 export const LAG_MS = 100;
 const BOUND_MS = 1_000;
 const SEED = 7;
 
-/** Makes a router alone with upstreams `u0`, `u1` and so on. */
+/** Creates a router that is the only entry, with the upstreams `u0`, `u1` and so on. */
 export async function createRouterHarness(
   upstreams: number,
   slots: number,
--- a/packages/gypsumwall-routing/src/__fixtures__/share_model.ts
+++ b/packages/gypsumwall-routing/src/__fixtures__/share_model.ts
@@ -1,22 +1,23 @@
 /**
- * Entries that share one upstream, on a list that lags: each tick of a script
- * says what befalls each entry. Entries are as greedy as they may be.
+ * A model of entries that share one upstream and read a list with a lag. For
+ * each tick, a script defines what happens to each entry. Entries always use
+ * their whole share.
  */
 import type * as types from '@gypsumwall/types';
 
-/** What befalls one entry in one tick. */
+/** What happens to an entry in one tick. */
 export interface EntryTick {
   readonly event:
     'none' | 'join' | 'stop' | 'die' | 'drop' | 'relist' | 'pause' | 'wake';
-  /** Whether it reads the list in this tick. */
+  /** Whether the entry reads the list in this tick. */
   readonly reads: boolean;
-  /** How old the list is that it reads, in ticks; at most the lag. */
+  /** The age of the list that the entry reads, in ticks; at most the lag. */
   readonly age: number;
-  /** How long the requests last that it sends in this tick. */
+  /** The duration of the requests sent in this tick, in ticks. */
   readonly lasts: number;
 }
 
-/** What an entry under test must offer. */
+/** The part of `SlotShares` that the model uses. */
 export interface ModelShares {
   observe(entries: readonly string[], now: types.clock.MonotonicMs): void;
   isStale(now: types.clock.MonotonicMs): boolean;
@@ -28,17 +29,17 @@
   shares?: ModelShares;
   state: 'absent' | 'running' | 'stopping' | 'paused' | 'gone';
   listed: boolean;
-  /** Tick of the list it has read. */
+  /** The tick of the last list that the entry read. */
   readTick: number;
-  /** Ticks at which its requests end at the upstream. */
+  /** The ticks at which its requests end at the upstream. */
   ends: number[];
 }
 
-/** Slots of the upstream. */
+/** The number of slots of the upstream. */
 export const TOTAL_SLOTS = 8;
 const UPSTREAM = 'u0';
 
-/** Runs a script; returns the most slots that were ever in use. */
+/** Runs a script and returns the maximum number of slots in use. */
 export function mostSlotsInUse(
   script: ReadonlyArray<readonly EntryTick[]>,
   makeShares: (id: string) => ModelShares,
@@ -79,7 +80,7 @@
       if (one.state === 'running') one.state = 'stopping';
       return;
     case 'die':
-      // What it sent runs on at the upstream; the list drops it later.
+      // Its requests go on at the upstream, and it is still listed for a while.
       if (alive) one.state = 'gone';
       return;
     case 'drop':
@@ -112,7 +113,7 @@
     one.listed = false;
   }
   if (one.state !== 'running') return;
-  // One that wakes from a pause sends before it reads the list again.
+  // An entry that resumes sends requests before it reads the list again.
   send(one, tick, now);
   if (!tick.reads) return;
   one.readTick = Math.max(one.readTick, now - tick.age);
--- a/packages/gypsumwall-routing/src/__tests__/create_router.test.ts
+++ b/packages/gypsumwall-routing/src/__tests__/create_router.test.ts
@@ -4,7 +4,7 @@
 import * as routerHarness from '../__fixtures__/router_harness.js';
 
 nodeTest.test(
-  'a request gets the whole answer and frees its slot',
+  'a request gets the whole answer and releases its slot',
   async () => {
     const harness = await routerHarness.createRouterHarness(1, 1);
     const routed = harness.router.route(harness.makeRequest());
@@ -21,9 +21,9 @@
   },
 );
 
-nodeTest.test('nothing is started on a view older than the lag', async () => {
-  // The process pauses for longer than the list's lag and wakes: others may
-  // have stopped counting it, so a request it starts could be one too many.
+nodeTest.test('no request is sent on a view older than the lag', async () => {
+  // The process pauses for longer than the list's lag. Other entries may no
+  // longer count it, so a request that it sends could exceed the slots.
   const harness = await routerHarness.createRouterHarness(1, 1);
   await harness.clock.advance(2 * routerHarness.LAG_MS);
   void harness.router.route(harness.makeRequest());
@@ -31,7 +31,7 @@
   assert.equal(harness.fakes.attempts.length, 0);
 });
 
-nodeTest.test('a leaving upstream gets nothing new', async () => {
+nodeTest.test('a leaving upstream gets no new requests', async () => {
   const harness = await routerHarness.createRouterHarness(2, 1);
   const upstreams = harness.view.upstreams.map((listed, index) =>
     index === 0 ? {...listed, state: 'leaving' as const} : listed,
--- a/packages/gypsumwall-routing/src/__tests__/promises.test.ts
+++ b/packages/gypsumwall-routing/src/__tests__/promises.test.ts
@@ -5,13 +5,13 @@
 
 const SEED = 17;
 const RUNS = 150;
-/** How late an outcome may be: a timer's grain and the step of the test. */
+/** The maximum delay of an outcome: the timer resolution and the test's steps. */
 const GRACE_MS = 2 * faultScript.STEP_MS;
 
 nodeTest.test('outcomes are true under any mix of faults', async () => {
-  // Upstreams answer, refuse, reset, go silent and leave at random while
-  // callers come and go. Whatever happens, "not run" must mean that no
-  // attempt may have run, and what may not be repeated may run only once.
+  // Upstreams answer, refuse, reset, stop answering and leave at random while
+  // callers send and cancel requests. "Not run" must always mean that no attempt
+  // may have run, and a request that isn't idempotent may run only once.
   await fastCheck.assert(
     fastCheck.asyncProperty(faultScript.script, async (drawn) =>
       check(await faultScript.runScript(drawn)),
--- a/packages/gypsumwall-routing/src/__tests__/queueing.test.ts
+++ b/packages/gypsumwall-routing/src/__tests__/queueing.test.ts
@@ -8,7 +8,7 @@
 const OTHER_TEAM = types.ids.brand<types.ids.TeamId>('tesfaye');
 const SPAN_MS = 100_000;
 
-/** A router whose only slot is taken, so that what follows has to wait. */
+/** Creates a router whose only slot is in use, so that further requests wait. */
 async function createBusyHarness(maxQueuedRequests: number) {
   const harness = await routerHarness.createRouterHarness(1, 1, {
     requestBoundMs: SPAN_MS,
@@ -20,7 +20,7 @@
   return harness;
 }
 
-/** Answers what is in flight, one after the other. */
+/** Answers the requests in flight, one after the other. */
 async function serve(harness: routerHarness.RouterHarness, count: number) {
   for (let served = 0; served < count; served += 1) {
     harness.fakes.attempts.at(-1)?.done();
@@ -28,52 +28,61 @@
   }
 }
 
-/** The refusal that an outcome must be. */
+/** Asserts that the outcome is a refusal. */
 function refusalOf(outcome: types.outcome.Outcome) {
   assert.ok(outcome.type === 'not_run', outcome.type);
   return outcome;
 }
 
-nodeTest.test('the most urgent goes first, then the latest start', async () => {
-  const harness = await createBusyHarness(10);
-  const later = types.clock.after(AMPLE, 1);
-  void harness.send({requestId: 'third', urgency: 'normal', deadline: AMPLE});
-  void harness.send({requestId: 'second', deadline: later});
-  void harness.send({requestId: 'first', deadline: AMPLE});
-  await serve(harness, 4);
-  assert.deepEqual(
-    harness.fakes.attempts.slice(1).map((attempt) => attempt.req.requestId),
-    ['first', 'second', 'third'],
-  );
-});
+nodeTest.test(
+  'the most urgent request is served first, then the earliest latest start',
+  async () => {
+    const harness = await createBusyHarness(10);
+    const later = types.clock.after(AMPLE, 1);
+    void harness.send({requestId: 'third', urgency: 'normal', deadline: AMPLE});
+    void harness.send({requestId: 'second', deadline: later});
+    void harness.send({requestId: 'first', deadline: AMPLE});
+    await serve(harness, 4);
+    assert.deepEqual(
+      harness.fakes.attempts.slice(1).map((attempt) => attempt.req.requestId),
+      ['first', 'second', 'third'],
+    );
+  },
+);
 
-nodeTest.test('a full queue sheds the least urgent first', async () => {
-  const harness = await createBusyHarness(1);
-  const overnight = harness.send({urgency: 'overnight', deadline: AMPLE});
-  void harness.send({deadline: AMPLE});
-  const shed = refusalOf(await overnight);
-  assert.equal(shed.reason, 'overloaded');
-  assert.ok((shed.retryAfterMs ?? 0) > 0);
-  const refused = refusalOf(await harness.send({deadline: AMPLE}));
-  assert.equal(refused.reason, 'overloaded');
-});
+nodeTest.test(
+  'a full queue refuses the least urgent request first',
+  async () => {
+    const harness = await createBusyHarness(1);
+    const overnight = harness.send({urgency: 'overnight', deadline: AMPLE});
+    void harness.send({deadline: AMPLE});
+    const shed = refusalOf(await overnight);
+    assert.equal(shed.reason, 'overloaded');
+    assert.ok((shed.retryAfterMs ?? 0) > 0);
+    const refused = refusalOf(await harness.send({deadline: AMPLE}));
+    assert.equal(refused.reason, 'overloaded');
+  },
+);
 
-nodeTest.test("a request that can't make it is refused at once", async () => {
-  // The queue holds 50 s of work for one slot. A request due in 10 s hears
-  // of it now, not in 10 s.
-  const harness = await createBusyHarness(10);
-  for (let sent = 0; sent < 5; sent += 1) {
-    void harness.send({estimateMs: 10_000, deadline: AMPLE});
-  }
-  const before = harness.clock.monotonic();
-  const deadline = types.clock.after(before, 10_000);
-  const refused = refusalOf(await harness.send({deadline}));
-  assert.equal(refused.reason, 'deadline_unreachable');
-  assert.ok((refused.retryAfterMs ?? 0) >= 40_000);
-  assert.equal(harness.clock.monotonic(), before);
-});
+nodeTest.test(
+  'a request that cannot meet its deadline is refused at once',
+  async () => {
+    // The queue holds 50 s of work for one slot. A request with a deadline in 10 s
+    // is refused immediately and not after 10 s.
+    const harness = await createBusyHarness(10);
+    for (let sent = 0; sent < 5; sent += 1) {
+      void harness.send({estimateMs: 10_000, deadline: AMPLE});
+    }
+    const before = harness.clock.monotonic();
+    const deadline = types.clock.after(before, 10_000);
+    const refused = refusalOf(await harness.send({deadline}));
+    assert.equal(refused.reason, 'deadline_unreachable');
+    assert.ok((refused.retryAfterMs ?? 0) >= 40_000);
+    assert.equal(harness.clock.monotonic(), before);
+  },
+);
 
-nodeTest.test('one that waited is dropped at its latest start', async () => {
+nodeTest.test('a waiting request is refused at its latest start', async () => {
   const harness = await createBusyHarness(10);
   const deadline = types.clock.after(harness.clock.monotonic(), 1_000);
   const waiting = harness.send({estimateMs: 100, deadline});
@@ -82,19 +91,23 @@
   assert.equal(refusalOf(await waiting).reason, 'deadline_unreachable');
 });
 
-nodeTest.test("one team's flood does not keep another waiting", async () => {
-  // Ten requests of one team wait; then one of another team comes. It is the
-  // first or second to be served, not the eleventh.
-  const harness = await createBusyHarness(10);
-  for (let sent = 0; sent < 10; sent += 1) void harness.send({deadline: AMPLE});
-  void harness.send({deadline: AMPLE, team: OTHER_TEAM});
-  await serve(harness, 2);
-  const teams = harness.fakes.attempts.map((attempt) => attempt.req.team);
-  assert.ok(teams.includes(OTHER_TEAM));
-});
+nodeTest.test(
+  'many requests of one team do not delay another team',
+  async () => {
+    // 10 requests of one team wait when one of another team arrives. It is served
+    // first or second, not eleventh.
+    const harness = await createBusyHarness(10);
+    for (let sent = 0; sent < 10; sent += 1)
+      void harness.send({deadline: AMPLE});
+    void harness.send({deadline: AMPLE, team: OTHER_TEAM});
+    await serve(harness, 2);
+    const teams = harness.fakes.attempts.map((attempt) => attempt.req.team);
+    assert.ok(teams.includes(OTHER_TEAM));
+  },
+);
 
 nodeTest.test(
-  'drain lets what is under way finish, takes no more',
+  'drain lets admitted requests finish and refuses new ones',
   async () => {
     const harness = await createBusyHarness(10);
     const waiting = harness.router.route(
@@ -130,20 +143,26 @@
   assert.equal(harness.router.status().queued, 11);
 });
 
-nodeTest.test('a lost share ends every wait at once', async () => {
-  const harness = await createBusyHarness(10);
-  const waiting = harness.send({deadline: AMPLE});
-  await timers.setImmediate();
-  harness.router.setView({...harness.view, entries: []});
-  assert.equal(refusalOf(await waiting).reason, 'no_upstream');
-});
+nodeTest.test(
+  'all waiting requests are refused at once when the share is lost',
+  async () => {
+    const harness = await createBusyHarness(10);
+    const waiting = harness.send({deadline: AMPLE});
+    await timers.setImmediate();
+    harness.router.setView({...harness.view, entries: []});
+    assert.equal(refusalOf(await waiting).reason, 'no_upstream');
+  },
+);
 
-nodeTest.test('closing ends every wait and leaves no timer', async () => {
-  const harness = await createBusyHarness(10);
-  const waiting = harness.send({deadline: AMPLE});
-  await timers.setImmediate();
-  await harness.router.close();
-  assert.equal(refusalOf(await waiting).reason, 'deadline_unreachable');
-  await timers.setImmediate();
-  assert.equal(harness.clock.sleepers(), 0);
-});
+nodeTest.test(
+  'closing refuses all waiting requests and leaves no timer',
+  async () => {
+    const harness = await createBusyHarness(10);
+    const waiting = harness.send({deadline: AMPLE});
+    await timers.setImmediate();
+    await harness.router.close();
+    assert.equal(refusalOf(await waiting).reason, 'deadline_unreachable');
+    await timers.setImmediate();
+    assert.equal(harness.clock.sleepers(), 0);
+  },
+);
--- a/packages/gypsumwall-routing/src/__tests__/retries.test.ts
+++ b/packages/gypsumwall-routing/src/__tests__/retries.test.ts
@@ -13,34 +13,40 @@
   key: types.ids.brand<types.ids.IdempotencyKey>('file-1'),
 } as const;
 
-nodeTest.test('a proven not run goes to another upstream', async () => {
-  const harness = await routerHarness.createRouterHarness(2, 1);
-  const routed = harness.router.route(harness.makeRequest(ONCE));
-  await timers.setImmediate();
-  harness.fakes.attempts[0]?.fail('refused', 'not_run');
-  await timers.setImmediate();
-  harness.fakes.attempts[1]?.done();
-  assert.ok((await routed).isOk);
-  const [first, second] = harness.fakes.attempts;
-  assert.notEqual(first?.upstream, second?.upstream);
-});
+nodeTest.test(
+  'a request that did not run is retried at another upstream',
+  async () => {
+    const harness = await routerHarness.createRouterHarness(2, 1);
+    const routed = harness.router.route(harness.makeRequest(ONCE));
+    await timers.setImmediate();
+    harness.fakes.attempts[0]?.fail('refused', 'not_run');
+    await timers.setImmediate();
+    harness.fakes.attempts[1]?.done();
+    assert.ok((await routed).isOk);
+    const [first, second] = harness.fakes.attempts;
+    assert.notEqual(first?.upstream, second?.upstream);
+  },
+);
 
-nodeTest.test('one that may not be repeated ends unknown at once', async () => {
-  // The connection is reset after a plan was written to it. The upstream may
-  // have filed it: a second try could file it twice, and "not run" be a lie.
-  const harness = await routerHarness.createRouterHarness(2, 1);
-  const routed = harness.router.route(harness.makeRequest(ONCE));
-  await timers.setImmediate();
-  harness.fakes.attempts[0]?.fail('closed', 'unknown');
-  assert.equal(await failureOf(routed), 'unknown');
-  assert.equal(harness.fakes.attempts.length, 1);
-});
+nodeTest.test(
+  'a request that is not idempotent ends unknown at once',
+  async () => {
+    // The connection is reset after the request was written to it. The upstream
+    // may have run it: a retry could run it twice, and "not run" could be wrong.
+    const harness = await routerHarness.createRouterHarness(2, 1);
+    const routed = harness.router.route(harness.makeRequest(ONCE));
+    await timers.setImmediate();
+    harness.fakes.attempts[0]?.fail('closed', 'unknown');
+    assert.equal(await failureOf(routed), 'unknown');
+    assert.equal(harness.fakes.attempts.length, 1);
+  },
+);
 
 nodeTest.test(
-  'an unknown try is not forgotten by a later refusal',
+  'the outcome is unknown if an attempt may have run before a refusal',
   async () => {
-    // The first try may have run; the second is refused as not run. "Not run"
-    // for the request as a whole would be untrue.
+    // The first attempt may have run, and the second is refused as not run.
+    // "Not run" would be wrong for the request as a whole.
     const harness = await routerHarness.createRouterHarness(2, 1, {
       defaults: {weight: 1, maxQueuedRequests: 10, retryBudget: 0},
     });
@@ -57,35 +63,38 @@
   },
 );
 
-nodeTest.test('a silent upstream is given up for another one', async () => {
-  // The connection has gone silent. Long before its deadline the request is
-  // tried elsewhere; the caller sees an answer that is a little late.
-  const harness = await routerHarness.createRouterHarness(2, 1);
-  const {attempts} = harness.fakes;
-  const step = async () => {
-    await harness.clock.advance(10);
-    harness.router.setView(harness.view);
-  };
-  for (let learned = 0; learned < 20; learned += 1) {
-    void harness.send();
-    await step();
-    attempts.at(-1)?.done();
-    await step();
-  }
-  const deadline = types.clock.after(harness.clock.monotonic(), 1_000);
-  const routed = harness.router.route(harness.makeRequest({deadline}));
-  await timers.setImmediate();
-  const silent = attempts.length;
-  while (attempts.length === silent) await step();
-  assert.ok(harness.clock.monotonic() < deadline - 500);
-  assert.equal(attempts[silent - 1]?.req.signal?.aborted, true);
-  attempts[silent]?.done();
-  assert.ok((await routed).isOk);
-});
+nodeTest.test(
+  'an upstream that does not answer is abandoned for another one',
+  async () => {
+    // The connection is dead. Long before its deadline the request is retried at
+    // the other upstream, and the caller gets an answer that is a little late.
+    const harness = await routerHarness.createRouterHarness(2, 1);
+    const {attempts} = harness.fakes;
+    const step = async () => {
+      await harness.clock.advance(10);
+      harness.router.setView(harness.view);
+    };
+    for (let learned = 0; learned < 20; learned += 1) {
+      void harness.send();
+      await step();
+      attempts.at(-1)?.done();
+      await step();
+    }
+    const deadline = types.clock.after(harness.clock.monotonic(), 1_000);
+    const routed = harness.router.route(harness.makeRequest({deadline}));
+    await timers.setImmediate();
+    const silent = attempts.length;
+    while (attempts.length === silent) await step();
+    assert.ok(harness.clock.monotonic() < deadline - 500);
+    assert.equal(attempts[silent - 1]?.req.signal?.aborted, true);
+    attempts[silent]?.done();
+    assert.ok((await routed).isOk);
+  },
+);
 
-nodeTest.test('an answer to a try that was given up is not used', async () => {
-  // The answer comes in the very moment in which its try is given up, and
-  // its connection is cut: the caller would get the first part of it only.
+nodeTest.test('an answer to an abandoned attempt is not used', async () => {
+  // The answer arrives just when its attempt is abandoned and its connection is
+  // closed. The caller would get only the first part of it.
   const bodies: stream.PassThrough[] = [];
   const execute: platform.upstream.Upstream['execute'] = (req) =>
     new Promise((resolve) => {
@@ -113,9 +122,9 @@
   assert.equal(ended, false);
 });
 
-nodeTest.test('retries stay within a tenth of first tries', async () => {
-  // Every upstream refuses everything. Blind retries would multiply the load
-  // by four; the budget allows a tenth and the few of the start.
+nodeTest.test('retries stay within a tenth of first attempts', async () => {
+  // All upstreams refuse all requests. Unlimited retries would multiply the load
+  // by 4; the budget allows a tenth and a few initial retries.
   const harness = await routerHarness.createRouterHarness(4, 8);
   const answered = new Set<string>();
   const total = 300;
@@ -130,7 +139,7 @@
     await timers.setImmediate();
   }
   const tries = harness.fakes.attempts.length;
-  assert.ok(tries <= 1.1 * answered.size + 3, `${tries} tries`);
+  assert.ok(tries <= 1.1 * answered.size + 3, `${tries} attempts`);
 });
 
 async function failureOf(
--- a/packages/gypsumwall-routing/src/__tests__/slot_shares.test.ts
+++ b/packages/gypsumwall-routing/src/__tests__/slot_shares.test.ts
@@ -51,9 +51,9 @@
   });
 
 nodeTest.test('shares never sum to more than the slots', () => {
-  // Entries join, stop, die, pause and are dropped from a lagging list while
-  // they live. If two count each other differently at the wrong moment, the
-  // upstream is sent more than its slots.
+  // Entries join, stop, crash, pause and are dropped from a lagging list while
+  // they run. If two entries count each other differently at the wrong time, the
+  // upstream gets more requests than it has slots.
   fastCheck.assert(
     fastCheck.property(
       script,
@@ -64,7 +64,7 @@
   );
 });
 
-nodeTest.test('the model catches a share that follows each view', () => {
+nodeTest.test('the model detects shares that follow each view at once', () => {
   const naive = (id: string): shareModel.ModelShares => {
     let view: readonly string[] = [];
     return {
@@ -97,35 +97,42 @@
   }
 });
 
-nodeTest.test('settled entries use every slot, also more than slots', () => {
-  for (const count of [1, 3, 7, 12]) {
-    const ids = Array.from({length: count}, (_, index) => `e${index}`);
-    const all = ids.map((id) => makeShares(id));
-    for (let now = 0; now < 20; now += 1) {
-      all.forEach((one) => one.observe(ids, now as types.clock.MonotonicMs));
+nodeTest.test(
+  'joined entries use all slots, even if there are more entries than slots',
+  () => {
+    for (const count of [1, 3, 7, 12]) {
+      const ids = Array.from({length: count}, (_, index) => `e${index}`);
+      const all = ids.map((id) => makeShares(id));
+      for (let now = 0; now < 20; now += 1) {
+        all.forEach((one) => one.observe(ids, now as types.clock.MonotonicMs));
+      }
+      const shares = all.map((one) => one.shareOf('u0', 8));
+      assert.equal(
+        shares.reduce((sum, share) => sum + share, 0),
+        8,
+      );
     }
-    const shares = all.map((one) => one.shareOf('u0', 8));
-    assert.equal(
-      shares.reduce((sum, share) => sum + share, 0),
-      8,
-    );
-  }
-});
+  },
+);
 
-nodeTest.test('one that was off the list unseen keeps its share', () => {
-  // The list drops a living entry, which reads nothing meanwhile, and shows
-  // it again just as the other, on an old list, might take over its share.
-  const droppedAt = 20;
-  const quiet = {event: 'none', reads: true, age: 0, lasts: BOUND_TICKS};
-  const ticks = Array.from({length: 40}, (_, now): shareModel.EntryTick[] => {
-    const off = now - droppedAt;
-    const event = now === 0 ? ('join' as const) : ('none' as const);
-    const first = {...quiet, event, reads: off <= 1 || off >= 6};
-    const second = {...quiet, event, age: off > 0 ? LAG_TICKS : 0};
-    if (off === 1) return [{...first, age: LAG_TICKS}, second];
-    if (off === 0) return [{...first, event: 'drop', reads: false}, second];
-    return [off === 6 ? {...first, event: 'relist'} : first, second];
-  });
-  const most = shareModel.mostSlotsInUse(ticks, makeShares);
-  assert.equal(most, shareModel.TOTAL_SLOTS);
-});
+nodeTest.test(
+  'an entry that missed a short absence from the list keeps its share',
+  () => {
+    // The list drops a running entry, which reads no list in the meantime, and
+    // lists it again just when the other entry, on an old list, might use its
+    // share.
+    const droppedAt = 20;
+    const quiet = {event: 'none', reads: true, age: 0, lasts: BOUND_TICKS};
+    const ticks = Array.from({length: 40}, (_, now): shareModel.EntryTick[] => {
+      const off = now - droppedAt;
+      const event = now === 0 ? ('join' as const) : ('none' as const);
+      const first = {...quiet, event, reads: off <= 1 || off >= 6};
+      const second = {...quiet, event, age: off > 0 ? LAG_TICKS : 0};
+      if (off === 1) return [{...first, age: LAG_TICKS}, second];
+      if (off === 0) return [{...first, event: 'drop', reads: false}, second];
+      return [off === 6 ? {...first, event: 'relist'} : first, second];
+    });
+    const most = shareModel.mostSlotsInUse(ticks, makeShares);
+    assert.equal(most, shareModel.TOTAL_SLOTS);
+  },
+);
--- a/packages/gypsumwall-routing/src/__tests__/suspect_upstreams.test.ts
+++ b/packages/gypsumwall-routing/src/__tests__/suspect_upstreams.test.ts
@@ -12,55 +12,59 @@
   return upstreamHealth.createUpstreamHealth(types.random.createRandom(SEED));
 }
 
-nodeTest.test('one silent connection does not make it suspect', () => {
+nodeTest.test('one fault does not make an upstream suspect, three do', () => {
   const health = makeHealth();
-  health.failed('failing', START);
+  health.recordFault('failing', START);
   assert.equal(health.mode(START), 'open');
-  health.failed('failing', START);
-  health.failed('failing', START);
+  health.recordFault('failing', START);
+  health.recordFault('failing', START);
   assert.equal(health.mode(START), 'suspect');
 });
 
-nodeTest.test('a dead one gets rarer probes until it answers', () => {
+nodeTest.test('probes of a dead upstream become rarer until it answers', () => {
   const health = makeHealth();
   const pauses: number[] = [];
   let now = START;
   for (let probe = 0; probe < 8; probe += 1) {
-    health.failed('unreachable', now);
+    health.recordFault('unreachable', now);
     assert.equal(health.mode(now), 'dead');
-    const due = health.probeAt() ?? now;
+    const due = health.nextProbeAt() ?? now;
     pauses.push(due - now);
     now = due;
     assert.equal(health.mode(now), 'probe');
   }
   assert.ok((pauses.at(-1) ?? 0) > 10 * (pauses[0] ?? 0));
-  health.answered(1, now);
+  health.recordAnswer(1, now);
   assert.equal(health.mode(now), 'open');
 });
 
-nodeTest.test('many slow answers make it suspect, one does not', () => {
-  const health = makeHealth();
-  health.answered(10, START);
-  assert.equal(health.mode(START), 'open');
-  for (let count = 0; count < 5; count += 1) health.answered(10, START);
-  assert.equal(health.mode(START), 'suspect');
-});
+nodeTest.test(
+  'many slow answers make an upstream suspect, one does not',
+  () => {
+    const health = makeHealth();
+    health.recordAnswer(10, START);
+    assert.equal(health.mode(START), 'open');
+    for (let count = 0; count < 5; count += 1) health.recordAnswer(10, START);
+    assert.equal(health.mode(START), 'suspect');
+  },
+);
 
-nodeTest.test('a slow probe does not clear it', () => {
+nodeTest.test('a slow probe does not clear a suspect upstream', () => {
   const health = makeHealth();
-  for (let count = 0; count < 3; count += 1) health.failed('failing', START);
-  const due = health.probeAt() ?? START;
-  health.probing(due);
-  health.answered(10, due);
+  for (let count = 0; count < 3; count += 1)
+    health.recordFault('failing', START);
+  const due = health.nextProbeAt() ?? START;
+  health.onProbeSent(due);
+  health.recordAnswer(10, due);
   assert.equal(health.mode(due), 'suspect');
 });
 
 nodeTest.test(
-  'no request that may not be repeated is sent as a probe',
+  'a request that is not idempotent is not sent as a probe',
   async () => {
-    // One of two upstreams keeps breaking connections. Once a probe is due, a
-    // request to file a plan comes: as a probe it could well end unknown, so
-    // it goes to the other upstream.
+    // One of two upstreams keeps closing connections. When a probe is due, a
+    // request arrives that isn't idempotent. As a probe it could end with an
+    // unknown outcome, so it is sent to the other upstream.
     const harness = await routerHarness.createRouterHarness(2, 8);
     const {attempts} = harness.fakes;
     for (let sent = 0; sent < 60; sent += 1) {
--- a/packages/gypsumwall-routing/src/admission.ts
+++ b/packages/gypsumwall-routing/src/admission.ts
@@ -1,7 +1,7 @@
 /**
- * Whether a request can still make it, told on arrival. A refusal that comes
- * at once leaves the caller time to act; one held back until the deadline
- * doesn't, and its slot time is lost to others.
+ * Decides on arrival whether a request can meet its deadline. An immediate
+ * refusal leaves the caller time for an alternative. A request that misses its
+ * deadline doesn't, and it wastes slot time that others could have used.
  */
 import type * as types from '@gypsumwall/types';
 import type * as queuedRequest from './queued_request.js';
@@ -11,7 +11,7 @@
 import type * as serviceTimes from './service_times.js';
 import type * as upstreamTable from './upstream_table.js';
 
-/** What a verdict is made from. */
+/** The dependencies of admission. */
 export interface AdmissionOptions {
   readonly clock: types.clock.Clock;
   readonly random: types.random.Random;
@@ -20,75 +20,82 @@
   readonly times: serviceTimes.ServiceTimes;
 }
 
-/** Says what is taken in. */
+/** Admission of requests to the queue. */
 export interface Admission {
-  /** Undefined when the request may wait for a slot. */
-  verdict(
+  /** Returns why a request is refused; undefined if it may wait for a slot. */
+  findRefusal(
     req: router.RoutedRequest,
     team: Omit<router.RouterTeam, 'id'>,
   ): router.RouteFailure | undefined;
-  /** Whether one that waits would most likely miss its deadline by now. */
-  isHopeless(queued: queuedRequest.QueuedRequest): boolean;
-  /** When to come back after a refusal, from how fast the queue drains. */
+  /** Whether a waiting request will most likely miss its deadline. */
+  willMissDeadline(queued: queuedRequest.QueuedRequest): boolean;
+  /** The retry delay after a refusal, estimated from how fast the queue drains. */
   retryAfterMs(req: router.RoutedRequest, weight: number): number;
 }
 
-/** Share of all slots that the least urgent work is taken to get at least. */
-const LEAST_SHARE = 0.02;
-const SOONEST_RETRY_MS = 100;
-const LATEST_RETRY_MS = 60_000;
+/** The least urgent requests are assumed to get at least this share of all slots. */
+const MIN_SLOT_SHARE = 0.02;
+const MIN_RETRY_AFTER_MS = 100;
+const MAX_RETRY_AFTER_MS = 60_000;
 
-/** Makes the gate in front of a queue. */
+/** Creates the admission control of a queue. */
 export function createAdmission(options: AdmissionOptions): Admission {
   const {clock, queue, table, times} = options;
 
   const expectedWaitMs = (req: router.RoutedRequest, weight: number) => {
     if (queue.size === 0) return 0;
     const now = clock.monotonic();
-    const team = queue.ofTeam(req.team);
+    const team = queue.teamQueueOf(req.team);
     const slots = Math.max(1, table.reliableSlots());
-    // What is more urgent and comes in meanwhile goes first, too.
-    const overtaking = team.slotsOvertaking(req.urgency, now);
+    // More urgent requests that arrive in the meantime are served first.
+    const overtakingSlots = team.moreUrgentSlotDemand(req.urgency, now);
     const drainMs = (workMs: number, takenSlots: number) =>
-      workMs / Math.max(slots - takenSlots, slots * LEAST_SHARE);
+      workMs / Math.max(slots - takenSlots, slots * MIN_SLOT_SHARE);
     const fairSlots = slots * queue.fairShare(req.team, weight);
-    const others = queue.slotsWantedByOthers(req.team, now);
-    // Others can't take more than they bring: many teams with little each
-    // get through sooner than by their shares.
+    const slotsOfOthers = queue.slotDemandOfOthers(req.team, now);
+    // Other teams can't use more slots than their requests need. With many
+    // teams that send little, the wait is shorter than fair shares suggest.
     return Math.min(
-      drainMs(team.workAheadMs(req.urgency), slots - fairSlots + overtaking),
-      drainMs(queue.workMs, others + overtaking),
+      drainMs(
+        team.workAheadMs(req.urgency),
+        slots - fairSlots + overtakingSlots,
+      ),
+      drainMs(queue.workMs, slotsOfOthers + overtakingSlots),
     );
   };
-  // Callers refused together must not come back together.
+  // Callers that are refused at the same time must not retry at the same time.
   const withJitter = (spanMs: number) =>
     Math.min(
-      LATEST_RETRY_MS,
+      MAX_RETRY_AFTER_MS,
       Math.round(
-        Math.max(SOONEST_RETRY_MS, spanMs) * (1 + options.random.next() / 4),
+        Math.max(MIN_RETRY_AFTER_MS, spanMs) * (1 + options.random.next() / 4),
       ),
     );
 
   return {
-    verdict: (req, team) => {
+    findRefusal: (req, team) => {
       const slackMs = req.deadline - clock.monotonic();
       if (slackMs <= 0) {
-        return routeFailure.notRun('deadline_passed', 'its deadline is past');
+        return routeFailure.notRun(
+          'deadline_passed',
+          'the deadline has passed',
+        );
       }
       const waitMs = expectedWaitMs(req, team.weight);
-      // Without a wait it gets its chance; behind others it must be likely
-      // to make it, since a miss costs one of them its slot.
+      // A request that doesn't have to wait is admitted if it is expected to
+      // meet its deadline. Behind others it must be likely to meet it, since a
+      // miss would waste a slot that another request could have used.
       const neededMs =
         waitMs === 0 ? times.typicalMs(req) : waitMs + times.pessimisticMs(req);
       if (neededMs <= slackMs) return undefined;
-      const message = `it needs about ${Math.round(neededMs)} ms and has ${Math.round(slackMs)} ms`;
+      const message = `the request needs about ${Math.round(neededMs)} ms, but its deadline is in ${Math.round(slackMs)} ms`;
       return routeFailure.notRun(
         'deadline_unreachable',
         message,
         waitMs === 0 ? undefined : withJitter(neededMs - slackMs),
       );
     },
-    isHopeless: ({req, weight}) => {
+    willMissDeadline: ({req, weight}) => {
       const neededMs = expectedWaitMs(req, weight) + times.typicalMs(req);
       return neededMs > req.deadline - clock.monotonic();
     },
--- a/packages/gypsumwall-routing/src/attempt.ts
+++ b/packages/gypsumwall-routing/src/attempt.ts
@@ -1,144 +1,147 @@
 /**
- * One try of a request at one upstream: it ends with the head of an answer or
- * with an error, and the slot is given back when the upstream is done with it.
+ * An attempt sends a request to one upstream. It ends with the head of an
+ * answer or with an error. The slot is released when the upstream has finished
+ * the request.
  */
 import * as stream from 'node:stream';
 import * as result from 'true-myth/result';
 import type * as platform from '@gypsumwall/platform';
 import * as types from '@gypsumwall/types';
-import type * as alarms from './alarms.js';
-import * as patienceWatch from './patience_watch.js';
+import type * as sharedTimers from './shared_timers.js';
+import * as attemptTimeout from './attempt_timeout.js';
 import type * as retryBudget from './retry_budget.js';
 import type * as router from './router.js';
 import type * as serviceTimes from './service_times.js';
 import type * as upstreamHealth from './upstream_health.js';
-import type * as upstreamSlots from './upstream_slots.js';
+import type * as upstreamState from './upstream_state.js';
 
-/** The parts that an attempt goes through. */
+/** The dependencies of attempts. */
 export interface AttemptOptions {
   readonly clock: types.clock.Clock;
-  readonly alarms: alarms.Alarms;
+  readonly timers: sharedTimers.SharedTimers;
   readonly times: serviceTimes.ServiceTimes;
   readonly requestBoundMs: number;
-  /** Called once, when the slot may be used again. */
-  readonly release: (slots: upstreamSlots.UpstreamSlots) => void;
-  /** Called when an answer that was promised has come to its end. */
-  readonly answerEnded: (req: router.RoutedRequest, tookMs: number) => void;
-  /** Called when something spoke against the upstream. */
-  readonly onFault: (slots: upstreamSlots.UpstreamSlots) => void;
+  /** Called once for each attempt, when its slot may be used again. */
+  readonly release: (upstream: upstreamState.UpstreamState) => void;
+  /** Called when the body of an answer has ended, completely or not. */
+  readonly onAnswerEnd: (req: router.RoutedRequest, tookMs: number) => void;
+  /** Called when the health of the upstream was updated. */
+  readonly onFault: (upstream: upstreamState.UpstreamState) => void;
 }
 
-type Sent = result.Result<
+type SendResult = result.Result<
   platform.upstream.UpstreamAnswer,
   types.stepError.StepError
 >;
 
-/** How a try ended. */
-export interface AttemptEnd {
-  readonly answer: Sent;
-  /** The retry that follows has been taken out of the budget already. */
-  readonly retryTaken: boolean;
+/** The result of an attempt. */
+export interface AttemptResult {
+  readonly answer: SendResult;
+  /** Whether the next retry has been taken out of the budget already. */
+  readonly hasTakenRetry: boolean;
 }
 
 /** Sends one request to one upstream. */
 export type Attempt = (
   req: router.RoutedRequest,
-  slots: upstreamSlots.UpstreamSlots,
+  upstream: upstreamState.UpstreamState,
   budget: retryBudget.RetryBudget,
-) => Promise<AttemptEnd>;
+) => Promise<AttemptResult>;
 
 /**
- * Service times have long tails: to give up a request that is merely long
- * wastes what was done for it, and a slot at the upstream until it is done.
- * So a try is given up only in this range of multiples of the pessimistic
- * time, as late as another try can still make the deadline.
+ * Service times have long tails. Abandoning an attempt that is merely slow
+ * wastes the work done for it, and its slot until the upstream has finished. So
+ * the timeout of an attempt is within this range of multiples of the
+ * pessimistic service time, and as late as a retry can still meet the deadline.
  */
-const SOONEST_GIVE_UP = 3;
-const LATEST_GIVE_UP = 8;
-const SHORTEST_PATIENCE_MS = 50;
+const MIN_TIMEOUT_FACTOR = 3;
+const MAX_TIMEOUT_FACTOR = 8;
+const MIN_TIMEOUT_MS = 50;
 
-/** Makes the function that sends. */
+/** Creates the function that sends a request to an upstream. */
 export function createAttempt(options: AttemptOptions): Attempt {
   const {clock, times} = options;
 
-  const blame = (
-    slots: upstreamSlots.UpstreamSlots,
+  const recordFault = (
+    upstream: upstreamState.UpstreamState,
     fault: upstreamHealth.UpstreamFault,
   ) => {
-    slots.health.failed(fault, clock.monotonic());
-    options.onFault(slots);
+    upstream.health.recordFault(fault, clock.monotonic());
+    options.onFault(upstream);
   };
 
   /**
-   * After an unknown end the upstream may still be at work on the request, and
-   * a new one in its place would be one too many there. It is taken to be at
-   * work for as long again as it has been.
+   * After an unknown outcome the upstream may still be executing the request,
+   * and another request in its slot would exceed the upstream's slots. The
+   * request is assumed to take as long again as it has taken so far.
    */
-  const releaseAfterLinger = (
-    slots: upstreamSlots.UpstreamSlots,
+  const releaseWhenLikelyDone = (
+    upstream: upstreamState.UpstreamState,
     startedAt: types.clock.MonotonicMs,
-    latest: types.clock.MonotonicMs,
+    latestEnd: types.clock.MonotonicMs,
   ) => {
     const now = clock.monotonic();
     const twice = types.clock.after(now, now - startedAt);
-    const endsAt = twice < latest ? twice : latest;
-    options.alarms.set(endsAt, () => options.release(slots));
+    const likelyEndAt = twice < latestEnd ? twice : latestEnd;
+    options.timers.set(likelyEndAt, () => options.release(upstream));
   };
 
-  const giveUpAfterMs = (req: router.RoutedRequest, slackMs: number) => {
+  const attemptTimeoutMs = (req: router.RoutedRequest, slackMs: number) => {
     const pessimisticMs = times.pessimisticMs(req);
-    const lastChanceMs = slackMs - pessimisticMs;
-    const soonestMs = Math.max(
-      SHORTEST_PATIENCE_MS,
-      SOONEST_GIVE_UP * pessimisticMs,
+    const latestRetryMs = slackMs - pessimisticMs;
+    const minTimeoutMs = Math.max(
+      MIN_TIMEOUT_MS,
+      MIN_TIMEOUT_FACTOR * pessimisticMs,
     );
-    return lastChanceMs < soonestMs
+    return latestRetryMs < minTimeoutMs
       ? Infinity
-      : Math.min(lastChanceMs, LATEST_GIVE_UP * pessimisticMs);
+      : Math.min(latestRetryMs, MAX_TIMEOUT_FACTOR * pessimisticMs);
   };
 
-  return async (req, slots, budget) => {
+  return async (req, upstream, budget) => {
     const startedAt = clock.monotonic();
-    const bound = types.clock.after(startedAt, options.requestBoundMs);
-    const deadline = req.deadline < bound ? req.deadline : bound;
+    const latestEnd = types.clock.after(startedAt, options.requestBoundMs);
+    const deadline = req.deadline < latestEnd ? req.deadline : latestEnd;
     const typicalMs = times.typicalMs(req);
-    const patienceMs = giveUpAfterMs(req, req.deadline - startedAt);
-    const giveUpAt = types.clock.after(startedAt, patienceMs);
-    const watch = patienceWatch.watchPatience(
-      options.alarms,
+    const timeoutMs = attemptTimeoutMs(req, req.deadline - startedAt);
+    const timeoutAt = types.clock.after(startedAt, timeoutMs);
+    const timeout = attemptTimeout.startAttemptTimeout(
+      options.timers,
       req,
-      giveUpAt,
+      timeoutAt,
       () => {
-        blame(slots, 'failing');
-        return req.idempotent && budget.take();
+        recordFault(upstream, 'failing');
+        return req.idempotent && budget.tryTake();
       },
     );
-    const sent = await slots.client.execute(
-      upstreamRequest(req, deadline, watch.signal),
+    const sent = await upstream.client.execute(
+      upstreamRequest(req, deadline, timeout.signal),
     );
-    watch.stop();
-    const answer = watch.gaveUp() ? withoutAnswer(sent, slots.id) : sent;
-    const end = {answer, retryTaken: watch.gaveUp()};
+    timeout.stop();
+    const answer = timeout.isAbandoned()
+      ? discardAnswer(sent, upstream.id)
+      : sent;
+    const attemptResult = {answer, hasTakenRetry: timeout.isAbandoned()};
     if (answer.isErr) {
-      const fault = faultOf(answer.error, req, watch);
-      if (fault !== undefined) blame(slots, fault);
-      if (answer.error.effect === 'not_run') options.release(slots);
-      else releaseAfterLinger(slots, startedAt, bound);
-      return end;
+      const fault = faultOf(answer.error, req, timeout);
+      if (fault !== undefined) recordFault(upstream, fault);
+      if (answer.error.effect === 'not_run') options.release(upstream);
+      else releaseWhenLikelyDone(upstream, startedAt, latestEnd);
+      return attemptResult;
     }
-    // The slot is in use until the last byte of the answer has come.
+    // The slot is in use until the last byte of the answer has arrived.
     stream.finished(answer.value.body, (err) => {
       const now = clock.monotonic();
       const tookMs = now - startedAt;
-      if (isBroken(err, req)) blame(slots, 'failing');
-      else if (!watch.isOver()) {
-        slots.health.answered(tookMs / typicalMs, now);
-        options.onFault(slots);
+      if (hasUpstreamFailed(err, req)) recordFault(upstream, 'failing');
+      else if (!timeout.hasExpired()) {
+        upstream.health.recordAnswer(tookMs / typicalMs, now);
+        options.onFault(upstream);
       }
-      options.release(slots);
-      options.answerEnded(req, tookMs);
+      options.release(upstream);
+      options.onAnswerEnd(req, tookMs);
     });
-    return end;
+    return attemptResult;
   };
 }
 
@@ -161,40 +164,41 @@
 }
 
 /**
- * An answer may come in the moment in which its try is given up. The signal
- * has cut its connection already: it would break off halfway.
+ * Discards an answer that arrived just when its attempt was abandoned. The
+ * signal has already closed the connection, so the body would be truncated.
  */
-function withoutAnswer(
-  sent: Sent,
+function discardAnswer(
+  sent: SendResult,
   peer: string,
 ): result.Result<never, types.stepError.StepError> {
   if (sent.isErr) return result.err(sent.error);
   sent.value.body.on('error', () => undefined);
   sent.value.body.destroy();
   const step = 'routing.attempt';
-  const message = 'the answer came when the try had been given up';
+  const message = 'the answer arrived after the attempt had timed out';
   return result.err({kind: 'timeout', effect: 'unknown', step, peer, message});
 }
 
-/** Whether an answer broke off for want of its upstream. */
-function isBroken(
+/** Whether an answer was truncated because of its upstream. */
+function hasUpstreamFailed(
   err: NodeJS.ErrnoException | null | undefined,
   req: router.RoutedRequest,
 ): boolean {
   if (err === null || err === undefined) return false;
   if (err.name === 'TimeoutError' || req.signal?.aborted === true) return false;
-  // The reader stopped reading.
+  // This code means that the reader closed the stream.
   return err.code !== 'ERR_STREAM_PREMATURE_CLOSE';
 }
 
-/** What an error says about the upstream; undefined when it says nothing. */
+/** The fault of the upstream that an error shows, if any. */
 function faultOf(
   err: types.stepError.StepError,
   req: router.RoutedRequest,
-  watch: patienceWatch.PatienceWatch,
+  timeout: attemptTimeout.AttemptTimeout,
 ): upstreamHealth.UpstreamFault | undefined {
-  // Blamed when the patience ended; a caller that left proves nothing.
-  if (watch.isOver() || req.signal?.aborted === true) return undefined;
+  // A timeout was recorded as a fault when it expired. A request that its
+  // caller cancelled shows nothing about the upstream.
+  if (timeout.hasExpired() || req.signal?.aborted === true) return undefined;
   switch (err.kind) {
     case 'unreachable':
       return 'unreachable';
@@ -208,7 +212,7 @@
       return 'failing';
     case 'timeout':
     case 'too_late':
-      // The request's own deadline came first.
+      // The deadline of the request passed first.
       return undefined;
   }
 }
--- a/packages/gypsumwall-routing/src/choose_upstream.ts
+++ b/packages/gypsumwall-routing/src/choose_upstream.ts
@@ -1,123 +1,140 @@
-/** Which of the upstreams with a free slot takes a request. */
+/** Chooses an upstream with a free slot for a request. */
 import type * as types from '@gypsumwall/types';
-import type * as freeList from './free_list.js';
+import type * as freeUpstreams from './free_upstreams.js';
 import type * as router from './router.js';
-import type * as upstreamSlots from './upstream_slots.js';
+import type * as upstreamState from './upstream_state.js';
 
-/** What a choice is made from. */
-export interface Choice {
-  readonly free: freeList.FreeList;
-  /** Upstreams that were suspect when last looked at. */
-  readonly suspects: ReadonlySet<upstreamSlots.UpstreamSlots>;
-  /** How many upstreams this entry has a share of. */
-  readonly shared: number;
+/** The state that the choice is based on. */
+export interface ChoiceInput {
+  readonly free: freeUpstreams.FreeUpstreams;
+  /** The upstreams that were suspect when last checked. */
+  readonly suspects: ReadonlySet<upstreamState.UpstreamState>;
+  /** The number of upstreams of which this entry has a share. */
+  readonly sharedUpstreams: number;
   readonly req: router.RoutedRequest;
-  /** Upstreams that failed this request; taken only if no other is free. */
-  readonly avoid: ReadonlySet<upstreamSlots.UpstreamSlots>;
+  /** The upstreams that failed this request; chosen only if no other is free. */
+  readonly avoid: ReadonlySet<upstreamState.UpstreamState>;
   readonly now: types.clock.MonotonicMs;
   readonly random: types.random.Random;
 }
 
-/** Undefined when no slot may be used now. */
+/** Returns undefined if no slot may be used now. */
 export type ChooseUpstream = (
-  choice: Choice,
-) => upstreamSlots.UpstreamSlots | undefined;
+  choice: ChoiceInput,
+) => upstreamState.UpstreamState | undefined;
 
-/** How many are drawn; docs/design/003-routing.md has the figures. */
-const DRAWN = 16;
+/** The number of upstreams sampled; docs/design/003-routing.md has the measurements. */
+const SAMPLE_SIZE = 16;
 
-/** The choice of the policy. */
-export const chooseUpstream = createChooseUpstream(DRAWN);
+/** The choice that the routing policy uses. */
+export const chooseUpstream = createChooseUpstream(SAMPLE_SIZE);
 
 /**
- * Makes a choice: a due probe first, then the least loaded of `drawn` open
- * upstreams taken at random, then one that failed the request before, and
- * last a suspect one where suspect ones are at least half: then it is more
- * likely that the work is slow than they.
+ * Creates a choice that tries in this order: a suspect upstream that is due for
+ * a probe; the least loaded of `sampleSize` open upstreams sampled at random; an
+ * open upstream that failed the request before; a probe whose failure is safe;
+ * and a suspect upstream if at least half of all are suspect, since then the
+ * requests are more likely to be slow than the upstreams.
  */
-export function createChooseUpstream(drawn: number): ChooseUpstream {
+export function createChooseUpstream(sampleSize: number): ChooseUpstream {
   return (choice) =>
     dueProbe(choice) ??
-    leastLoaded(choice, drawn) ??
-    anyOf(choice.avoid, (slots) => isFree(slots) && isOpen(choice, slots)) ??
+    leastLoaded(choice, sampleSize) ??
+    findFirst(
+      choice.avoid,
+      (upstream) => isFree(upstream) && isOpen(choice, upstream),
+    ) ??
     safeProbe(choice) ??
-    lastResort(choice);
+    suspectFallback(choice);
 }
 
-/** The naive way: any upstream with a free slot, whatever its state. */
+/** The baseline's choice: a random upstream with a free slot, in any state. */
 export function chooseAtRandom(
-  choice: Choice,
-): upstreamSlots.UpstreamSlots | undefined {
+  choice: ChoiceInput,
+): upstreamState.UpstreamState | undefined {
   const {free, random} = choice;
   if (free.size === 0) return undefined;
   return free.at(random.integer(0, free.size - 1));
 }
 
 function leastLoaded(
-  choice: Choice,
-  drawn: number,
-): upstreamSlots.UpstreamSlots | undefined {
+  choice: ChoiceInput,
+  sampleSize: number,
+): upstreamState.UpstreamState | undefined {
   const {free, random} = choice;
   if (free.size === 0) return undefined;
   const first = random.integer(0, free.size - 1);
-  let best: upstreamSlots.UpstreamSlots | undefined;
+  let best: upstreamState.UpstreamState | undefined;
   for (let step = 0; step < free.size; step += 1) {
-    if (step >= drawn && best !== undefined) return best;
-    const slots = free.at((first + step) % free.size);
-    if (slots === undefined || choice.avoid.has(slots)) continue;
-    if (!isOpen(choice, slots)) continue;
-    if (best === undefined || loadOf(slots) < loadOf(best)) best = slots;
+    if (step >= sampleSize && best !== undefined) return best;
+    const upstream = free.at((first + step) % free.size);
+    if (upstream === undefined || choice.avoid.has(upstream)) continue;
+    if (!isOpen(choice, upstream)) continue;
+    if (best === undefined || loadOf(upstream) < loadOf(best)) best = upstream;
   }
   return best;
 }
 
 /**
- * A probe may end unknown, so it is no work for a request that may not be
- * repeated or that has failed once already.
+ * A probe may end with an unknown outcome, so requests that aren't idempotent or
+ * have failed once are not used as probes.
  */
-function dueProbe(choice: Choice): upstreamSlots.UpstreamSlots | undefined {
+function dueProbe(
+  choice: ChoiceInput,
+): upstreamState.UpstreamState | undefined {
   if (!choice.req.idempotent || choice.avoid.size > 0) return undefined;
-  return anyOf(choice.suspects, (slots) => isProbe(choice, slots));
+  return findFirst(choice.suspects, (upstream) => isProbeDue(choice, upstream));
 }
 
-/** A probe whose failure most likely proves that nothing ran. */
-function safeProbe(choice: Choice): upstreamSlots.UpstreamSlots | undefined {
-  return anyOf(
+/** A probe whose failure most likely proves that the request didn't run. */
+function safeProbe(
+  choice: ChoiceInput,
+): upstreamState.UpstreamState | undefined {
+  return findFirst(
     choice.suspects,
-    (slots) => isProbe(choice, slots) && slots.health.probeIsSafe(),
+    (upstream) => isProbeDue(choice, upstream) && upstream.health.isProbeSafe(),
   );
 }
 
-function lastResort(choice: Choice): upstreamSlots.UpstreamSlots | undefined {
-  if (2 * choice.suspects.size < choice.shared) return undefined;
-  return anyOf(
+function suspectFallback(
+  choice: ChoiceInput,
+): upstreamState.UpstreamState | undefined {
+  if (2 * choice.suspects.size < choice.sharedUpstreams) return undefined;
+  return findFirst(
     choice.suspects,
-    (slots) => isFree(slots) && slots.health.mode(choice.now) !== 'dead',
+    (upstream) =>
+      isFree(upstream) && upstream.health.mode(choice.now) !== 'dead',
   );
 }
 
-function anyOf(
-  some: ReadonlySet<upstreamSlots.UpstreamSlots>,
-  isGood: (slots: upstreamSlots.UpstreamSlots) => boolean,
-): upstreamSlots.UpstreamSlots | undefined {
-  for (const slots of some) {
-    if (isGood(slots)) return slots;
+function findFirst(
+  upstreams: ReadonlySet<upstreamState.UpstreamState>,
+  isEligible: (upstream: upstreamState.UpstreamState) => boolean,
+): upstreamState.UpstreamState | undefined {
+  for (const upstream of upstreams) {
+    if (isEligible(upstream)) return upstream;
   }
   return undefined;
 }
 
-function isProbe(choice: Choice, slots: upstreamSlots.UpstreamSlots): boolean {
-  return isFree(slots) && slots.health.mode(choice.now) === 'probe';
+function isProbeDue(
+  choice: ChoiceInput,
+  upstream: upstreamState.UpstreamState,
+): boolean {
+  return isFree(upstream) && upstream.health.mode(choice.now) === 'probe';
 }
 
-function isOpen(choice: Choice, slots: upstreamSlots.UpstreamSlots): boolean {
-  return slots.health.mode(choice.now) === 'open';
+function isOpen(
+  choice: ChoiceInput,
+  upstream: upstreamState.UpstreamState,
+): boolean {
+  return upstream.health.mode(choice.now) === 'open';
 }
 
-function isFree(slots: upstreamSlots.UpstreamSlots): boolean {
-  return slots.inFlight < slots.share;
+function isFree(upstream: upstreamState.UpstreamState): boolean {
+  return upstream.inFlight < upstream.share;
 }
 
-function loadOf(slots: upstreamSlots.UpstreamSlots): number {
-  return slots.inFlight / slots.share;
+function loadOf(upstream: upstreamState.UpstreamState): number {
+  return upstream.inFlight / upstream.share;
 }
--- a/packages/gypsumwall-routing/src/create_baseline_router.ts
+++ b/packages/gypsumwall-routing/src/create_baseline_router.ts
@@ -1,7 +1,8 @@
 /**
- * The naive way, kept runnable to be measured against: a random upstream, an
- * unbounded queue in order of arrival, one timeout for all tries, blind retries. Its shares are those
- * of the policy, so that a comparison shows the decisions and nothing else.
+ * The baseline to which the routing policy is compared: a random upstream, an
+ * unbounded queue in order of arrival, the same timeout for all attempts, and
+ * retries after any error. It uses the same shares as the policy, so that a
+ * comparison shows the effect of the decisions only.
  */
 import * as result from 'true-myth/result';
 import type * as platform from '@gypsumwall/platform';
@@ -10,24 +11,24 @@
 import * as routeFailure from './route_failure.js';
 import type * as router from './router.js';
 import * as routerOptions from './router_options.js';
-import type * as upstreamSlots from './upstream_slots.js';
+import type * as upstreamState from './upstream_state.js';
 import * as upstreamTable from './upstream_table.js';
 
-type Routed = result.Result<
+type RouteResult = result.Result<
   platform.upstream.UpstreamAnswer,
   router.RouteFailure
 >;
 
-interface Waiting {
+interface WaitingRequest {
   readonly req: router.RoutedRequest;
-  readonly grant: (slots: upstreamSlots.UpstreamSlots) => void;
+  readonly assign: (upstream: upstreamState.UpstreamState) => void;
 }
 
-/** Tries after the first one, whatever became of the one before. */
+/** The number of retries after the first attempt, for any kind of error. */
 const MAX_RETRIES = 3;
-const NONE: ReadonlySet<upstreamSlots.UpstreamSlots> = new Set();
+const NO_UPSTREAMS: ReadonlySet<upstreamState.UpstreamState> = new Set();
 
-/** Makes a baseline router; not for production use. */
+/** Creates a baseline router; not for production use. */
 export function createBaselineRouter(
   options: routerOptions.RouterOptions,
 ): router.Router {
@@ -38,27 +39,31 @@
     timeoutMs,
     chooseUpstream.chooseAtRandom,
   );
-  const waiting = new Set<Waiting>();
+  const waiting = new Set<WaitingRequest>();
 
-  const pump = () => {
+  const dispatch = () => {
     for (const one of waiting) {
-      const slots = table.take(one.req, NONE);
-      if (slots === undefined) return;
+      const upstream = table.acquireSlot(one.req, NO_UPSTREAMS);
+      if (upstream === undefined) return;
       waiting.delete(one);
-      one.grant(slots);
+      one.assign(upstream);
     }
   };
 
-  const attempt = async (req: router.RoutedRequest): Promise<Routed> => {
-    const slots = await new Promise<upstreamSlots.UpstreamSlots>((resolve) => {
-      waiting.add({req, grant: resolve});
-      pump();
-    });
+  const sendAttempt = async (
+    req: router.RoutedRequest,
+  ): Promise<RouteResult> => {
+    const upstream = await new Promise<upstreamState.UpstreamState>(
+      (resolve) => {
+        waiting.add({req, assign: resolve});
+        dispatch();
+      },
+    );
     const deadline = types.clock.after(options.clock.monotonic(), timeoutMs);
-    const answer = await slots.client.execute({...req, deadline});
+    const answer = await upstream.client.execute({...req, deadline});
     const release = () => {
-      table.release(slots);
-      pump();
+      table.releaseSlot(upstream);
+      dispatch();
     };
     if (answer.isOk) {
       answer.value.body.once('close', release);
@@ -72,15 +77,19 @@
   return {
     setView: (view) => {
       table.setView(view);
-      pump();
+      dispatch();
     },
     setTeam: () => undefined,
     route: async (req) => {
-      let last = await attempt(req);
-      for (let retry = 0; retry < MAX_RETRIES && last.isErr; retry += 1) {
-        last = await attempt(req);
+      let routeResult = await sendAttempt(req);
+      for (
+        let retry = 0;
+        retry < MAX_RETRIES && routeResult.isErr;
+        retry += 1
+      ) {
+        routeResult = await sendAttempt(req);
       }
-      return last;
+      return routeResult;
     },
     status: () => {
       const upstreams = table.status();
--- a/packages/gypsumwall-routing/src/create_router.ts
+++ b/packages/gypsumwall-routing/src/create_router.ts
@@ -1,14 +1,14 @@
 /**
- * The policy for quick requests: bounded queues that are fair to teams, the
- * entry's share of every upstream's slots, one layer of retries within a
- * budget, and refusals that are early and final.
+ * The routing policy for quick requests. Its queues are bounded and fair among
+ * teams, it uses only the entry's share of each upstream's slots, it retries
+ * within a budget and in this layer only, and its refusals are early and final.
  */
 import * as events from 'node:events';
 import * as result from 'true-myth/result';
 import type * as platform from '@gypsumwall/platform';
 import * as types from '@gypsumwall/types';
 import * as admission from './admission.js';
-import * as alarms from './alarms.js';
+import * as sharedTimers from './shared_timers.js';
 import * as attempt from './attempt.js';
 import * as chooseUpstream from './choose_upstream.js';
 import * as requestQueue from './request_queue.js';
@@ -17,19 +17,19 @@
 import type * as router from './router.js';
 import * as routerOptions from './router_options.js';
 import * as serviceTimes from './service_times.js';
-import * as slotWait from './slot_wait.js';
-import type * as upstreamSlots from './upstream_slots.js';
+import * as slotDispatcher from './slot_dispatcher.js';
+import type * as upstreamState from './upstream_state.js';
 import * as upstreamTable from './upstream_table.js';
 
-type Routed = result.Result<
+type RouteResult = result.Result<
   platform.upstream.UpstreamAnswer,
   router.RouteFailure
 >;
 
-/** When to come back to an entry that has no share or is stopping. */
-const OTHER_ENTRY_AFTER_MS = 1_000;
+/** The retry delay for callers of an entry that has no share or is stopping. */
+const OTHER_ENTRY_RETRY_AFTER_MS = 1_000;
 
-/** Makes the router of one entry; it serves nothing before its first view. */
+/** Creates the router of an entry. It sends no requests before its first view. */
 export function createRouter(
   options: routerOptions.RouterOptions,
   choose: chooseUpstream.ChooseUpstream = chooseUpstream.chooseUpstream,
@@ -43,119 +43,143 @@
     choose,
   );
   const closing = new AbortController();
-  // Every timer of the router listens to it; that is no leak.
+  // Every timer of the router listens to this signal, so the warning about
+  // many listeners must not be logged.
   events.EventEmitter.setMaxListeners(0, closing.signal);
-  const ringing = alarms.createAlarms(clock, closing.signal);
+  const timers = sharedTimers.createSharedTimers(clock, closing.signal);
   const queue = requestQueue.createRequestQueue();
   const times = serviceTimes.createServiceTimes();
   const teams = new Map<types.ids.TeamId, routerOptions.TeamDefaults>();
   const budgets = new Map<types.ids.TeamId, retryBudget.RetryBudget>();
   const idleWaiters: Array<() => void> = [];
-  let active = 0;
-  let draining = false;
+  let activeRequests = 0;
+  let isDraining = false;
 
   const limitsOf = (team: types.ids.TeamId) =>
     teams.get(team) ?? options.defaults;
-  const gate = admission.createAdmission({clock, random, queue, table, times});
-  const slots = slotWait.createSlotWait({
+  const admissionControl = admission.createAdmission({
     clock,
-    alarms: ringing,
+    random,
     queue,
     table,
     times,
-    gate,
+  });
+  const dispatcher = slotDispatcher.createSlotDispatcher({
+    clock,
+    timers,
+    queue,
+    table,
+    times,
+    admissionControl,
     limitsOf,
   });
   const budgetOf = (team: types.ids.TeamId) => {
-    const known = budgets.get(team);
-    if (known !== undefined) return known;
-    const made = retryBudget.createRetryBudget();
-    budgets.set(team, made);
-    return made;
+    const existing = budgets.get(team);
+    if (existing !== undefined) return existing;
+    const created = retryBudget.createRetryBudget();
+    budgets.set(team, created);
+    return created;
   };
-  const leave = () => {
-    active -= 1;
-    if (active === 0) idleWaiters.splice(0).forEach((wake) => wake());
+  const onRequestEnd = () => {
+    activeRequests -= 1;
+    if (activeRequests === 0)
+      idleWaiters.splice(0).forEach((resolve) => resolve());
   };
-  const probesAwaited = new WeakMap<upstreamSlots.UpstreamSlots, number>();
-  /** Those who wait learn of a probe that falls due without any other event. */
-  const pumpAtProbe = async (one: upstreamSlots.UpstreamSlots) => {
-    const at = one.health.probeAt();
-    if (at === undefined || probesAwaited.get(one) === at) return;
-    probesAwaited.set(one, at);
-    const inMs = Math.round(at - clock.monotonic());
-    logger.info('routing.suspect', {upstream: one.id, probeInMs: inMs});
-    await clock.sleepUntil(at, closing.signal);
-    slots.pump();
+  const scheduledProbes = new WeakMap<upstreamState.UpstreamState, number>();
+  /** Dispatches waiting requests when a probe is due, since no other event may occur then. */
+  const dispatchAtProbe = async (upstream: upstreamState.UpstreamState) => {
+    const probeAt = upstream.health.nextProbeAt();
+    if (probeAt === undefined || scheduledProbes.get(upstream) === probeAt)
+      return;
+    scheduledProbes.set(upstream, probeAt);
+    const delayMs = Math.round(probeAt - clock.monotonic());
+    logger.info('routing.suspect', {upstream: upstream.id, probeInMs: delayMs});
+    await clock.sleepUntil(probeAt, closing.signal);
+    dispatcher.dispatch();
   };
-  const send = attempt.createAttempt({
+  const sendAttempt = attempt.createAttempt({
     clock,
-    alarms: ringing,
+    timers,
     times,
     requestBoundMs,
-    release: (one) => {
-      table.release(one);
-      slots.pump();
+    release: (upstream) => {
+      table.releaseSlot(upstream);
+      dispatcher.dispatch();
     },
-    answerEnded: (req, tookMs) => {
+    onAnswerEnd: (req, tookMs) => {
       const {weight} = limitsOf(req.team);
-      queue.correct(req.team, weight, tookMs - times.typicalMs(req));
-      times.learn(req, tookMs);
-      leave();
+      queue.adjustCharge(req.team, weight, tookMs - times.typicalMs(req));
+      times.record(req, tookMs);
+      onRequestEnd();
     },
-    onFault: (one) => {
-      table.noteFault(one);
-      void pumpAtProbe(one);
+    onFault: (upstream) => {
+      table.onFault(upstream);
+      void dispatchAtProbe(upstream);
     },
   });
 
-  const tryUntilFinal = async (req: router.RoutedRequest): Promise<Routed> => {
+  const routeWithRetries = async (
+    req: router.RoutedRequest,
+  ): Promise<RouteResult> => {
     const budget = budgetOf(req.team);
-    const failed = new Set<upstreamSlots.UpstreamSlots>();
+    const failed = new Set<upstreamState.UpstreamState>();
     let mayHaveRun: string | undefined;
     for (;;) {
-      const waited = await slots.wait(req, failed);
-      if (waited.type === 'refused') {
-        // A proof that nothing ran must cover the tries before it, too.
-        if (mayHaveRun === undefined) return result.err(waited.failure);
+      const waitResult = await dispatcher.acquireSlot(req, failed);
+      if (waitResult.type === 'refused') {
+        // "Not run" must be true of all attempts before as well.
+        if (mayHaveRun === undefined) return result.err(waitResult.failure);
         return result.err(routeFailure.unknown(mayHaveRun));
       }
-      if (failed.size === 0) budget.earn(limitsOf(req.team).retryBudget);
-      const end = await send(req, waited.slots, budget);
-      if (end.answer.isOk) return result.ok(end.answer.value);
-      const err = end.answer.error;
+      if (failed.size === 0) budget.refill(limitsOf(req.team).retryBudget);
+      const attemptResult = await sendAttempt(req, waitResult.upstream, budget);
+      if (attemptResult.answer.isOk)
+        return result.ok(attemptResult.answer.value);
+      const err = attemptResult.answer.error;
       const message = types.stepError.describeError(err);
       if (err.effect === 'unknown') mayHaveRun = message;
-      failed.add(waited.slots);
-      if (mayTryAgain(req, err) && (end.retryTaken || budget.take())) continue;
+      failed.add(waitResult.upstream);
+      if (
+        mayRetry(req, err) &&
+        (attemptResult.hasTakenRetry || budget.tryTake())
+      )
+        continue;
       if (mayHaveRun !== undefined) {
         return result.err(routeFailure.unknown(mayHaveRun));
       }
-      return result.err(finalRefusal(req, message));
+      return result.err(refusalAfterAttempts(req, message));
     }
   };
 
-  const finalRefusal = (req: router.RoutedRequest, message: string) =>
+  const refusalAfterAttempts = (req: router.RoutedRequest, message: string) =>
     req.signal?.aborted === true
-      ? routeFailure.notRun('cancelled', 'the caller left')
+      ? routeFailure.notRun('cancelled', 'the caller cancelled the request')
       : routeFailure.notRun(
           'no_upstream',
           message,
-          gate.retryAfterMs(req, limitsOf(req.team).weight),
+          admissionControl.retryAfterMs(req, limitsOf(req.team).weight),
         );
 
-  const refusalAtTheDoor = (req: router.RoutedRequest) => {
-    if (draining) {
+  const initialRefusal = (req: router.RoutedRequest) => {
+    if (isDraining) {
       const message = 'this entry is stopping';
-      return routeFailure.notRun('leaving', message, OTHER_ENTRY_AFTER_MS);
+      return routeFailure.notRun(
+        'leaving',
+        message,
+        OTHER_ENTRY_RETRY_AFTER_MS,
+      );
     }
     if (req.estimateMs > requestBoundMs) {
-      const message = `estimateMs is ${req.estimateMs}; a quick request may take ${requestBoundMs} at most: submit a job instead`;
+      const message = `estimateMs is ${req.estimateMs}, but a quick request may take at most ${requestBoundMs} ms; submit a job instead`;
       return routeFailure.notRun('invalid', message);
     }
     if (!table.hasShare()) {
       const message = 'this entry has no share of any upstream yet';
-      return routeFailure.notRun('no_upstream', message, OTHER_ENTRY_AFTER_MS);
+      return routeFailure.notRun(
+        'no_upstream',
+        message,
+        OTHER_ENTRY_RETRY_AFTER_MS,
+      );
     }
     return undefined;
   };
@@ -163,18 +187,18 @@
   return {
     setView: (view) => {
       table.setView(view);
-      if (table.hasShare()) slots.pump();
-      else slots.refuseAll();
+      if (table.hasShare()) dispatcher.dispatch();
+      else dispatcher.refuseAll();
     },
     setTeam: (team) => void teams.set(team.id, team),
     route: async (req) => {
-      const failure = refusalAtTheDoor(req);
+      const failure = initialRefusal(req);
       if (failure !== undefined) return result.err(failure);
-      active += 1;
-      const routed = await tryUntilFinal(req);
-      // An answer is active until its last byte has come.
-      if (routed.isErr) leave();
-      return routed;
+      activeRequests += 1;
+      const routeResult = await routeWithRetries(req);
+      // A request with an answer is active until the last byte has arrived.
+      if (routeResult.isErr) onRequestEnd();
+      return routeResult;
     },
     status: () => {
       const upstreams = table.status();
@@ -182,8 +206,8 @@
       return {queued: queue.size, inFlight, upstreams};
     },
     drain: async () => {
-      draining = true;
-      if (active === 0) return;
+      isDraining = true;
+      if (activeRequests === 0) return;
       await new Promise<void>((resolve) => idleWaiters.push(resolve));
     },
     close: async () => {
@@ -193,8 +217,8 @@
   };
 }
 
-/** Whether another try can't make a request run twice that must not. */
-function mayTryAgain(
+/** Whether a retry is safe: it must not run a request twice that isn't idempotent. */
+function mayRetry(
   req: router.RoutedRequest,
   err: types.stepError.StepError,
 ): boolean {
--- a/packages/gypsumwall-routing/src/queued_request.ts
+++ b/packages/gypsumwall-routing/src/queued_request.ts
@@ -1,62 +1,64 @@
-/** One request that waits for a slot. */
+/** A request that waits for a slot. */
 import type * as types from '@gypsumwall/types';
 import type * as router from './router.js';
-import type * as upstreamSlots from './upstream_slots.js';
+import type * as upstreamState from './upstream_state.js';
 
-/** What becomes of the wait. */
-export type WaitEnd =
-  | {readonly type: 'slot'; readonly slots: upstreamSlots.UpstreamSlots}
+/** How the wait for a slot ended. */
+export type WaitResult =
+  | {readonly type: 'slot'; readonly upstream: upstreamState.UpstreamState}
   | {readonly type: 'refused'; readonly failure: router.RouteFailure};
 
-/** What is known of a request when it begins to wait. */
+/** The properties of a request when it is queued. */
 export interface QueuedFields {
   readonly req: router.RoutedRequest;
-  /** Weight of its team. */
+  /** The weight of its team. */
   readonly weight: number;
-  /** Slot time to expect, in milliseconds. */
+  /** The expected slot time. */
   readonly typicalMs: number;
-  /** From then on it would most likely miss its deadline. */
+  /** If it starts after this time, it will most likely miss its deadline. */
   readonly latestStart: types.clock.MonotonicMs;
-  /** Upstreams that failed it before. */
-  readonly avoid: ReadonlySet<upstreamSlots.UpstreamSlots>;
+  /** The upstreams that have failed this request. */
+  readonly avoid: ReadonlySet<upstreamState.UpstreamState>;
 }
 
-/** A request in the queue. */
+/** A request in a queue. */
 export interface QueuedRequest extends QueuedFields {
-  /** Set when the wait has ended. */
-  readonly ended: WaitEnd | undefined;
-  /** Resolves when the wait has ended. */
-  readonly waited: Promise<WaitEnd>;
-  /** Called once by whoever ends the wait. */
-  end(ended: WaitEnd): void;
+  /** The result of the wait; undefined while the request waits. */
+  readonly result: WaitResult | undefined;
+  /** Resolves with the result when the wait ends. */
+  readonly resultPromise: Promise<WaitResult>;
+  /** Ends the wait. Must be called only once. */
+  end(result: WaitResult): void;
 }
 
-/** Makes a request that is in no queue yet. */
+/** Creates a request that isn't in any queue yet. */
 export function createQueuedRequest(fields: QueuedFields): QueuedRequest {
-  let ended: WaitEnd | undefined;
-  let wake: (ended: WaitEnd) => void = () => undefined;
-  const waited = new Promise<WaitEnd>((resolve) => (wake = resolve));
+  let result: WaitResult | undefined;
+  let resolveResult: (result: WaitResult) => void = () => undefined;
+  const resultPromise = new Promise<WaitResult>(
+    (resolve) => (resolveResult = resolve),
+  );
   return {
     ...fields,
-    waited,
-    get ended() {
-      return ended;
+    resultPromise,
+    get result() {
+      return result;
     },
-    end: (how) => {
-      ended = how;
-      wake(how);
+    end: (waitResult) => {
+      result = waitResult;
+      resolveResult(waitResult);
     },
   };
 }
 
-/** Order of urgencies; the highest is shed first. */
+/** The rank of each urgency; requests of the highest rank are refused first. */
 export const URGENCY_RANK: Readonly<Record<types.job.Urgency, number>> = {
   urgent: 0,
   normal: 1,
   overnight: 2,
 };
 
-/** Negative when the left one goes first. */
+/** Negative if the left request is served first. */
 export function compareQueued(
   left: QueuedRequest,
   right: QueuedRequest,
--- a/packages/gypsumwall-routing/src/request_queue.ts
+++ b/packages/gypsumwall-routing/src/request_queue.ts
@@ -1,49 +1,55 @@
 /**
- * Requests that wait for a slot: shared out fairly over teams by weight, and
- * within a team the most urgent first, then the one that must start first.
+ * Requests that wait for a slot. Slots are shared among teams by weight. Within
+ * a team the most urgent request is served first and, among equally urgent ones,
+ * the one with the earliest latest start.
  */
 import type * as types from '@gypsumwall/types';
 import type * as queuedRequest from './queued_request.js';
 import * as teamQueue from './team_queue.js';
 import * as workRate from './work_rate.js';
 
-/** All waiting requests of an entry. */
+/** The waiting requests of an entry. */
 export interface RequestQueue {
   readonly size: number;
-  /** Expected slot time of all that waits. */
+  /** The expected slot time of all waiting requests. */
   readonly workMs: number;
-  /** The queue of a team; made on first use. */
-  ofTeam(team: types.ids.TeamId): teamQueue.TeamQueue;
+  /** Returns the queue of a team; it is created on first use. */
+  teamQueueOf(team: types.ids.TeamId): teamQueue.TeamQueue;
   push(queued: queuedRequest.QueuedRequest, now: types.clock.MonotonicMs): void;
-  /** The one to be served next; it stays in the queue. */
+  /** Returns the request to serve next, without removing it. */
   peek(): queuedRequest.QueuedRequest | undefined;
-  /** Takes out the one to be served and charges its team for it. */
+  /** Removes a request that is served and charges its team for it. */
   serve(queued: queuedRequest.QueuedRequest): void;
-  /** Takes out one that will not be served; false when it isn't in there. */
+  /** Removes a request that won't be served; returns false if it isn't queued. */
   remove(queued: queuedRequest.QueuedRequest): boolean;
-  /** Charges or credits a team by how far off an expected time was. */
-  correct(team: types.ids.TeamId, weight: number, offMs: number): void;
-  /** Slots that the requests of other teams, as they come in, keep busy. */
-  slotsWantedByOthers(
+  /** Charges a team the difference between actual and expected slot time. */
+  adjustCharge(
+    team: types.ids.TeamId,
+    weight: number,
+    differenceMs: number,
+  ): void;
+  /** The number of slots that the requests of other teams need at their present rate. */
+  slotDemandOfOthers(
     team: types.ids.TeamId,
     now: types.clock.MonotonicMs,
   ): number;
-  /** Share of all service that falls to a team of this weight now. */
+  /** The fair share of a team among the teams with waiting requests. */
   fairShare(team: types.ids.TeamId, weight: number): number;
 }
 
 /**
- * Slot time that a team which used less than its share may catch up on. With
- * none, its requests in a burst take turns with those of teams that always
- * wait; with much, others would wait for it for long.
+ * The slot time that a team may catch up after it used less than its share. With
+ * 0, a burst of its requests would take turns with the requests of teams that
+ * always have some waiting. With a high value, the others would wait for long.
  */
-const CATCH_UP_MS = 1_000;
+const MAX_CATCH_UP_MS = 1_000;
 
 /**
- * Makes an empty queue. Fairness is start-time fair queueing: each team has a
- * virtual time that moves on by the slot time it uses over its weight, and
- * the team furthest behind is served next. A team that was idle comes in a
- * little behind those that were not, so that it can't save up much.
+ * Creates an empty queue with start-time fair queueing. Each team has a virtual
+ * time that advances by the slot time used divided by the team's weight, and
+ * the team with the lowest virtual time is served next. The virtual time of a
+ * team that was idle is set to at most `MAX_CATCH_UP_MS` over its weight behind
+ * that of the queue, so that an idle team can't accumulate much.
  */
 export function createRequestQueue(): RequestQueue {
   const teams = new Map<types.ids.TeamId, teamQueue.TeamQueue>();
@@ -53,14 +59,14 @@
   let size = 0;
   let workMs = 0;
 
-  const ofTeam = (team: types.ids.TeamId) => {
-    const known = teams.get(team);
-    if (known !== undefined) return known;
-    const made = teamQueue.createTeamQueue(team);
-    teams.set(team, made);
-    return made;
+  const teamQueueOf = (team: types.ids.TeamId) => {
+    const existing = teams.get(team);
+    if (existing !== undefined) return existing;
+    const created = teamQueue.createTeamQueue(team);
+    teams.set(team, created);
+    return created;
   };
-  const next = () => {
+  const nextTeam = () => {
     let first: teamQueue.TeamQueue | undefined;
     for (const team of backlogged) {
       if (first === undefined || team.virtualTime < first.virtualTime) {
@@ -70,7 +76,7 @@
     return first;
   };
   const remove = (queued: queuedRequest.QueuedRequest) => {
-    const team = ofTeam(queued.req.team);
+    const team = teamQueueOf(queued.req.team);
     if (!team.remove(queued)) return false;
     size -= 1;
     workMs = size === 0 ? 0 : workMs - queued.typicalMs;
@@ -85,13 +91,13 @@
     get workMs() {
       return workMs;
     },
-    ofTeam,
+    teamQueueOf,
     push: (queued, now) => {
-      const team = ofTeam(queued.req.team);
+      const team = teamQueueOf(queued.req.team);
       if (team.size === 0) {
         team.virtualTime = Math.max(
           team.virtualTime,
-          virtualTime - CATCH_UP_MS / queued.weight,
+          virtualTime - MAX_CATCH_UP_MS / queued.weight,
         );
         backlogged.add(team);
       }
@@ -101,25 +107,25 @@
       size += 1;
       workMs += queued.typicalMs;
     },
-    peek: () => next()?.first(),
+    peek: () => nextTeam()?.first(),
     serve: (queued) => {
-      const team = ofTeam(queued.req.team);
+      const team = teamQueueOf(queued.req.team);
       virtualTime = Math.max(virtualTime, team.virtualTime);
       team.virtualTime += queued.typicalMs / queued.weight;
       remove(queued);
     },
     remove,
-    correct: (team, weight, offMs) => {
-      ofTeam(team).virtualTime += offMs / weight;
+    adjustCharge: (team, weight, differenceMs) => {
+      teamQueueOf(team).virtualTime += differenceMs / weight;
     },
-    slotsWantedByOthers: (team, now) =>
-      Math.max(0, arrivals.slots(now) - ofTeam(team).slotsWanted(now)),
+    slotDemandOfOthers: (team, now) =>
+      Math.max(0, arrivals.slots(now) - teamQueueOf(team).slotDemand(now)),
     fairShare: (team, weight) => {
-      let others = 0;
+      let otherWeights = 0;
       for (const one of backlogged) {
-        if (one.id !== team) others += one.weight;
+        if (one.id !== team) otherWeights += one.weight;
       }
-      return weight / (weight + others);
+      return weight / (weight + otherWeights);
     },
   };
 }
--- a/packages/gypsumwall-routing/src/retry_budget.ts
+++ b/packages/gypsumwall-routing/src/retry_budget.ts
@@ -1,33 +1,33 @@
 /**
- * Retries of one team as a share of its first tries (a token bucket). When
- * upstreams fail, retries would multiply the load just then; with a budget
- * they add at most that share to it.
+ * Limits the retries of a team to a share of its first attempts, with a token
+ * bucket. Without a limit, retries would multiply the load just when upstreams
+ * fail. With it they add at most that share.
  */
 
-/** The bucket of one team. */
+/** The retry budget of one team. */
 export interface RetryBudget {
-  /** A first try was sent; it earns `share` of a retry. */
-  earn(share: number): void;
-  /** Takes one retry; false when there is none left. */
-  take(): boolean;
+  /** Adds `share` of a retry; to be called for each first attempt. */
+  refill(share: number): void;
+  /** Takes one retry; returns false if the budget is exhausted. */
+  tryTake(): boolean;
 }
 
-/** A team with few requests may retry its first ones, too. */
-const FIRST_TOKENS = 3;
-/** A long quiet time saves up no more than this. */
-const MOST_TOKENS = 10;
-/** Ten times a tenth is a little less than one in floating point. */
-const WHOLE_TOKEN = 1 - 1e-9;
+/** The initial tokens, so that a team with few requests can retry too. */
+const INITIAL_TOKENS = 3;
+/** The budget never grows above this. */
+const MAX_TOKENS = 10;
+/** In floating point, adding 0.1 ten times yields a little less than 1. */
+const ONE_TOKEN = 1 - 1e-9;
 
-/** Makes a bucket with a few tokens in it. */
+/** Creates a budget with a few initial tokens. */
 export function createRetryBudget(): RetryBudget {
-  let tokens = FIRST_TOKENS;
+  let tokens = INITIAL_TOKENS;
   return {
-    earn: (share) => {
-      tokens = Math.min(MOST_TOKENS, tokens + share);
+    refill: (share) => {
+      tokens = Math.min(MAX_TOKENS, tokens + share);
     },
-    take: () => {
-      if (tokens < WHOLE_TOKEN) return false;
+    tryTake: () => {
+      if (tokens < ONE_TOKEN) return false;
       tokens -= 1;
       return true;
     },
--- a/packages/gypsumwall-routing/src/route_failure.ts
+++ b/packages/gypsumwall-routing/src/route_failure.ts
@@ -1,8 +1,8 @@
-/** Makes the final words on requests that get no answer. */
+/** Creates the outcomes of requests that get no answer. */
 import type * as types from '@gypsumwall/types';
 import type * as router from './router.js';
 
-/** Nothing ran; `retryAfterMs` is left out where coming back is of no use. */
+/** The request didn't run. `retryAfterMs` is omitted if a retry is no use. */
 export function notRun(
   reason: types.outcome.RefusalReason,
   message: string,
--- a/packages/gypsumwall-routing/src/router.ts
+++ b/packages/gypsumwall-routing/src/router.ts
@@ -1,7 +1,8 @@
 /**
- * What an entry asks of the policy that sends quick requests to the upstreams
- * of its failure domain: bounded queues, shares of upstream slots, one layer
- * of retries, and early final refusals.
+ * The interface between an entry and its routing policy, which sends quick
+ * requests to the upstreams of the entry's failure domain. The policy has
+ * bounded queues, uses only the entry's share of upstream slots, retries in one
+ * layer only, and refuses early requests that can't meet their deadline.
  */
 import type * as result from 'true-myth/result';
 import type * as platform from '@gypsumwall/platform';
@@ -13,7 +14,7 @@
   readonly team: types.ids.TeamId;
   readonly operation: string;
   readonly urgency: types.job.Urgency;
-  /** Whether it may be sent again after it may have run. */
+  /** Whether it may be sent again after an attempt that may have run. */
   readonly idempotent: boolean;
   readonly key?: types.ids.IdempotencyKey;
   readonly estimateMs: number;
@@ -23,30 +24,30 @@
   readonly traceparent?: string;
 }
 
-/** The final word on a request that has no answer. */
+/** The final outcome of a request that gets no answer. */
 export type RouteFailure = Exclude<
   types.outcome.Outcome,
   {readonly type: 'done'}
 >;
 
-/** Limits of one team, out of its settings subtree. */
+/** The limits of a team, read from its settings subtree. */
 export interface RouterTeam {
   readonly id: types.ids.TeamId;
   readonly weight: number;
   readonly maxQueuedRequests: number;
-  /** Retries allowed, as a share of first tries. */
+  /** The retries allowed, as a share of the first attempts. */
   readonly retryBudget: number;
 }
 
-/** What this entry believes about its domain's upstreams and entries. */
+/** The upstreams and entries of the domain in this entry's view. */
 export interface RouterView {
-  /** Upstreams of the domain, leaving ones included. */
+  /** The upstreams of the domain, including those that are leaving. */
   readonly upstreams: readonly platform.instanceList.ListedUpstream[];
-  /** Ids of all entries of the domain that may use them, this one included. */
+  /** The ids of all entries that may use these upstreams, including this one. */
   readonly entries: readonly string[];
 }
 
-/** State for `status` and metrics. */
+/** The state of a router, for `status` and metrics. */
 export interface RouterStatus {
   readonly queued: number;
   readonly inFlight: number;
@@ -61,10 +62,10 @@
 /** Sends requests to upstreams. */
 export interface Router {
   /**
-   * The latest belief; a share shrinks at once and grows after the lag.
-   * To be called at every refresh, changed or not, and at least once within
-   * `listLagMs`: nothing is started on an older view, and a share grows only
-   * here. An entry that is cut off goes on calling it with what it believes.
+   * Sets the latest view. A share shrinks at once and grows after a delay. Must
+   * be called at every refresh, even without a change, and at least once within
+   * `listLagMs`: no request is sent on an older view, and shares grow only in
+   * this call. An entry that is partitioned off keeps passing its last view.
    */
   setView(view: RouterView): void;
   setTeam(team: RouterTeam): void;
@@ -72,7 +73,7 @@
     req: RoutedRequest,
   ): Promise<result.Result<platform.upstream.UpstreamAnswer, RouteFailure>>;
   status(): RouterStatus;
-  /** Takes nothing new; resolves when nothing is in flight. */
+  /** Refuses new requests; resolves when no request is in flight. */
   drain(): Promise<void>;
   close(): Promise<void>;
 }
--- a/packages/gypsumwall-routing/src/router_options.ts
+++ b/packages/gypsumwall-routing/src/router_options.ts
@@ -1,26 +1,27 @@
-/** What a router is made of; the policy and its baseline take the same. */
+/** The options of a router; the policy and its baseline have the same. */
 import type * as platform from '@gypsumwall/platform';
 import type * as telemetry from '@gypsumwall/telemetry';
 import type * as types from '@gypsumwall/types';
 import type * as router from './router.js';
 
-/** Limits of a team that has none of its own. */
+/** The limits of teams without settings of their own. */
 export type TeamDefaults = Omit<router.RouterTeam, 'id'>;
 
-/** Settings and outside parts of a router. */
+/** The settings and dependencies of a router. */
 export interface RouterOptions {
   readonly entryId: string;
   readonly clock: types.clock.Clock;
   readonly random: types.random.Random;
   readonly logger: telemetry.logger.Logger;
   /**
-   * A view is never older than this when it is handed over, and nothing is
-   * started on one that was handed over longer ago than this.
+   * The maximum age of a view when it is passed to `setView`, and also the
+   * maximum time for which it is used after that.
    */
   readonly listLagMs: number;
   /**
-   * No request may hold a slot for longer than this; a longer estimate is
-   * refused. A new entry serves nothing for 2 x `listLagMs` plus this.
+   * The maximum time for which a request may hold a slot; requests with a longer
+   * estimate are refused. A new entry sends no requests for 2 x `listLagMs` plus
+   * this time.
    */
   readonly requestBoundMs?: number;
   readonly makeUpstream: (
@@ -30,5 +31,5 @@
   readonly defaults: TeamDefaults;
 }
 
-/** Bound on the time a request holds a slot, where none is set. */
+/** The default of `requestBoundMs`. */
 export const DEFAULT_REQUEST_BOUND_MS = 5_000;
--- a/packages/gypsumwall-routing/src/slot_shares.ts
+++ b/packages/gypsumwall-routing/src/slot_shares.ts
@@ -1,115 +1,119 @@
 /**
- * An entry's share of the slots and connections of each upstream, worked out
- * from the entries it believes in. Entries do not see the same list at the
- * same time, and still the shares in use never sum to more than there is:
- * docs/design/003-routing.md gives the argument and its limits.
+ * An entry's share of the slots and connections of each upstream, computed from
+ * the entries in its view. Although entries don't have the same view at the same
+ * time, the shares in use never sum to more than the total:
+ * docs/design/003-routing.md has the proof and its limits.
  */
 import * as crypto from 'node:crypto';
 import type * as types from '@gypsumwall/types';
 
-/** How long views may differ, and how long a request may hold a slot. */
+/** The bounds on the age of views and on the duration of requests. */
 export interface SlotSharesOptions {
   readonly entryId: string;
-  /** A view is never older than this when it is handed over. */
+  /** The maximum age of a view when it is passed to `observe`. */
   readonly listLagMs: number;
-  /** No request holds a slot for longer than this. */
+  /** The maximum time for which a request holds a slot. */
   readonly requestBoundMs: number;
 }
 
-/** The share of one entry in everything that is divided. */
+/** The share of one entry in the slots and connections of upstreams. */
 export interface SlotShares {
-  /** Takes in a view that is current now; the only moment a share may grow. */
+  /** Sets the current view. Shares grow only in this call. */
   observe(entries: readonly string[], now: types.clock.MonotonicMs): void;
   /**
-   * Whether the last view was handed over longer than `listLagMs` ago, so
-   * that nothing may be started on it. A process that wakes from a pause still believes its
-   * old view, while others have stopped counting it.
+   * Whether the last view was passed longer than `listLagMs` ago, so that no
+   * request may be sent on it. A process that resumes after a pause still has
+   * its old view, while the other entries may no longer count it.
    */
   isStale(now: types.clock.MonotonicMs): boolean;
-  /** Units of `total` of this upstream that this entry may use. */
+  /** The part of `total` at this upstream that this entry may use. */
   shareOf(upstream: string, total: number): number;
 }
 
-/** Upstreams that come and go must not fill the memory. */
-const MAX_RANKS = 100_000;
+/** Bounds the memory if upstreams keep being added and removed. */
+const MAX_CACHED_RANKS = 100_000;
 
-/** How long each kind of change has to wait; see `createSlotShares`. */
-interface Waits {
-  /** A view is used for no longer than this after it was handed over. */
-  readonly viewHoldMs: number;
-  /** From an entry's first view of itself to its first use of a share. */
-  readonly joinMs: number;
-  /** From the first view without another entry to the use of its share. */
-  readonly leaveMs: number;
-  /** A longer time without a view makes an entry start anew. */
-  readonly restartMs: number;
+/** The delays after which changes take effect; see `delaysFor`. */
+interface Delays {
+  /** The maximum time for which a view is used after it was passed. */
+  readonly viewLifetimeMs: number;
+  /** The time from the first view that contains the entry itself to the first use of its share. */
+  readonly joinDelayMs: number;
+  /** The time from the first view without another entry to the use of that entry's share. */
+  readonly leaveDelayMs: number;
+  /** After a longer time without a view, the entry joins anew. */
+  readonly restartAfterMs: number;
 }
 
 /**
- * With `age` the oldest view in use:
- * - every other entry has seen a new one within `age`, and what they sent
- *   before ends within the bound: `joinMs`;
- * - an entry that the list dropped while it was alive sees that within `age`
- *   and its requests end within the bound; another `age` covers one that came
- *   back on the list, which a lagging view does not show yet: `leaveMs`;
- * - in a shorter gap than `restartMs` an entry can have missed only an
- *   absence too short for the others to have used its share.
+ * With `age` the maximum age of a view in use, and `bound` the maximum time for
+ * which a request holds a slot:
+ * - `joinDelayMs`: all other entries have seen a new entry within `age`, and the
+ *   requests that they sent before have ended within `bound` after that.
+ * - `leaveDelayMs`: an entry that is dropped from the list while it runs has seen
+ *   this within `age`, and its requests have ended within `bound` after that.
+ *   Another `age` covers an entry that is listed again, which a lagging view
+ *   doesn't show yet.
+ * - `restartAfterMs`: in a shorter time without a view, an entry can have missed
+ *   only an absence too short for the others to have used its share.
  */
-function waitsFor(options: SlotSharesOptions): Waits {
-  const viewHoldMs = options.listLagMs;
-  const ageMs = options.listLagMs + viewHoldMs;
+function delaysFor(options: SlotSharesOptions): Delays {
+  const viewLifetimeMs = options.listLagMs;
+  const maxViewAgeMs = options.listLagMs + viewLifetimeMs;
   return {
-    viewHoldMs,
-    joinMs: ageMs + options.requestBoundMs,
-    leaveMs: 2 * ageMs + options.requestBoundMs,
-    restartMs: viewHoldMs + options.requestBoundMs,
+    viewLifetimeMs,
+    joinDelayMs: maxViewAgeMs + options.requestBoundMs,
+    leaveDelayMs: 2 * maxViewAgeMs + options.requestBoundMs,
+    restartAfterMs: viewLifetimeMs + options.requestBoundMs,
   };
 }
 
-/** Keeps what one entry has seen of the others. */
+/** Creates the shares of one entry, which are 0 until it has joined. */
 export function createSlotShares(options: SlotSharesOptions): SlotShares {
-  const waits = waitsFor(options);
-  /** For each entry that counts: since when it is absent from the views. */
+  const delays = delaysFor(options);
+  /** For each counted entry, since when it is absent from the views, if it is. */
   const absentSince = new Map<string, types.clock.MonotonicMs | undefined>();
   let presentSince: types.clock.MonotonicMs | undefined;
   let observedAt: types.clock.MonotonicMs | undefined;
-  let settled = false;
-  let counted: readonly string[] = [];
-  /** Ranks by upstream; they hold as long as the same entries count. */
+  let hasJoined = false;
+  let countedEntries: readonly string[] = [];
+  /** Ranks by upstream; they are valid as long as the counted entries don't change. */
   const ranks = new Map<string, number>();
   const rankFor = (upstream: string) => {
-    const known = ranks.get(upstream);
-    if (known !== undefined) return known;
-    const rank = rankOf(upstream, options.entryId, counted);
-    if (ranks.size >= MAX_RANKS) ranks.clear();
+    const cached = ranks.get(upstream);
+    if (cached !== undefined) return cached;
+    const rank = rankOf(upstream, options.entryId, countedEntries);
+    if (ranks.size >= MAX_CACHED_RANKS) ranks.clear();
     ranks.set(upstream, rank);
     return rank;
   };
 
-  const sinceView = (now: types.clock.MonotonicMs) =>
+  const sinceViewMs = (now: types.clock.MonotonicMs) =>
     observedAt === undefined ? Infinity : now - observedAt;
 
   return {
-    isStale: (now) => sinceView(now) > waits.viewHoldMs,
+    isStale: (now) => sinceViewMs(now) > delays.viewLifetimeMs,
     observe: (entries, now) => {
       markPresence(absentSince, entries, now);
-      dropLongAbsent(absentSince, now, waits.leaveMs);
-      const present = entries.includes(options.entryId);
-      // A process that was paused may have been dropped from the list and
-      // come back unseen, with its share given away: it starts anew.
-      if (sinceView(now) > waits.restartMs) presentSince = undefined;
-      presentSince = present ? (presentSince ?? now) : undefined;
+      removeLongAbsent(absentSince, now, delays.leaveDelayMs);
+      const isPresent = entries.includes(options.entryId);
+      // While the process was paused, it may have been dropped from the list
+      // and listed again, and others may use its share. So it joins anew.
+      if (sinceViewMs(now) > delays.restartAfterMs) presentSince = undefined;
+      presentSince = isPresent ? (presentSince ?? now) : undefined;
       observedAt = now;
-      // Others may not have seen a new entry yet: until they have, and until
-      // what they sent before has ended, its share is in use elsewhere.
-      settled =
-        presentSince !== undefined && now - presentSince >= waits.joinMs;
-      const before = counted;
-      counted = [...absentSince.keys()];
-      if (!sameEntries(before, counted)) ranks.clear();
+      // Until all other entries have seen a new entry, and until the requests
+      // that they sent before have ended, they use its share.
+      hasJoined =
+        presentSince !== undefined && now - presentSince >= delays.joinDelayMs;
+      const previousEntries = countedEntries;
+      countedEntries = [...absentSince.keys()];
+      if (!sameEntries(previousEntries, countedEntries)) ranks.clear();
     },
     shareOf: (upstream, total) =>
-      settled ? divideByRank(total, counted.length, rankFor(upstream)) : 0,
+      hasJoined
+        ? divideByRank(total, countedEntries.length, rankFor(upstream))
+        : 0,
   };
 }
 
@@ -122,23 +126,24 @@
     if (since === undefined) absentSince.set(id, now);
   }
   for (const id of entries) absentSince.set(id, undefined);
-  // An entry absent before keeps the moment at which it was first missed.
+  // An entry that was absent before keeps the time of the first view without it.
 }
 
-function dropLongAbsent(
+function removeLongAbsent(
   absentSince: Map<string, types.clock.MonotonicMs | undefined>,
   now: types.clock.MonotonicMs,
-  leaveMs: number,
+  leaveDelayMs: number,
 ): void {
   for (const [id, since] of absentSince) {
-    if (since !== undefined && now - since >= leaveMs) absentSince.delete(id);
+    if (since !== undefined && now - since >= leaveDelayMs)
+      absentSince.delete(id);
   }
 }
 
 /**
- * Divides `total` evenly; what is left over goes to the entries that rank
- * highest for this upstream. An added entry never raises another's share,
- * which is what lets views differ safely.
+ * Divides `total` evenly. The remainder goes to the entries that rank highest
+ * for this upstream. An additional entry never raises the share of another one,
+ * so it is safe if views differ by an entry.
  */
 export function divide(
   total: number,
@@ -152,8 +157,8 @@
 }
 
 function divideByRank(total: number, entries: number, rank: number): number {
-  const even = Math.floor(total / entries);
-  return rank < total % entries ? even + 1 : even;
+  const evenShare = Math.floor(total / entries);
+  return rank < total % entries ? evenShare + 1 : evenShare;
 }
 
 function sameEntries(
@@ -166,15 +171,16 @@
   );
 }
 
-/** How many entries come before this one for the upstream (rendezvous). */
+/** The rank of an entry for an upstream, from 0, by rendezvous hashing. */
 function rankOf(
   upstream: string,
   entry: string,
   entries: readonly string[],
 ): number {
-  const own = rendezvousWeight(upstream, entry);
-  return entries.filter((other) => rendezvousWeight(upstream, other) > own)
-    .length;
+  const ownWeight = rendezvousWeight(upstream, entry);
+  return entries.filter(
+    (other) => rendezvousWeight(upstream, other) > ownWeight,
+  ).length;
 }
 
 function rendezvousWeight(upstream: string, entry: string): string {
--- a/packages/gypsumwall-routing/src/team_queue.ts
+++ b/packages/gypsumwall-routing/src/team_queue.ts
@@ -1,34 +1,34 @@
-/** The waiting requests of one team, in the order in which they are served. */
+/** The waiting requests of a team, in the order in which they are served. */
 import type * as types from '@gypsumwall/types';
 import * as queuedRequest from './queued_request.js';
 import * as workRate from './work_rate.js';
 
-/** One team's queue. */
+/** The queue of a team. */
 export interface TeamQueue {
   readonly id: types.ids.TeamId;
   readonly size: number;
   weight: number;
-  /** Slot time used over weight; see `createRequestQueue`. */
+  /** The slot time used divided by the weight; see `createRequestQueue`. */
   virtualTime: number;
   push(queued: queuedRequest.QueuedRequest, now: types.clock.MonotonicMs): void;
   first(): queuedRequest.QueuedRequest | undefined;
-  /** The one to shed first. */
+  /** The request that is refused first if the queue is full. */
   last(): queuedRequest.QueuedRequest | undefined;
   remove(queued: queuedRequest.QueuedRequest): boolean;
-  /** Expected slot time of all that is at least this urgent. */
+  /** The expected slot time of all waiting requests that are at least this urgent. */
   workAheadMs(urgency: types.job.Urgency): number;
-  /** Slots that this team's requests, as they have come in, keep busy. */
-  slotsWanted(now: types.clock.MonotonicMs): number;
-  /** Slots that more urgent requests, as they have come in, keep busy. */
-  slotsOvertaking(
+  /** The number of slots that this team's requests need at their recent rate. */
+  slotDemand(now: types.clock.MonotonicMs): number;
+  /** The number of slots that its more urgent requests need at their recent rate. */
+  moreUrgentSlotDemand(
     urgency: types.job.Urgency,
     now: types.clock.MonotonicMs,
   ): number;
 }
 
-/** Makes an empty queue. */
+/** Creates an empty queue. */
 export function createTeamQueue(id: types.ids.TeamId): TeamQueue {
-  /** Sorted; queues are bounded to what a splice moves in microseconds. */
+  /** Sorted. Queues are so short that a splice takes microseconds. */
   const waiting: queuedRequest.QueuedRequest[] = [];
   const workMs: Record<types.job.Urgency, number> = {
     urgent: 0,
@@ -49,7 +49,7 @@
     },
     push: (queued, now) => {
       arrivals[queued.req.urgency].add(queued.typicalMs, now);
-      waiting.splice(placeAfterEqual(waiting, queued), 0, queued);
+      waiting.splice(insertionIndex(waiting, queued), 0, queued);
       workMs[queued.req.urgency] += queued.typicalMs;
     },
     first: () => waiting[0],
@@ -71,11 +71,11 @@
           return workMs.urgent + workMs.normal + workMs.overnight;
       }
     },
-    slotsWanted: (now) =>
+    slotDemand: (now) =>
       arrivals.urgent.slots(now) +
       arrivals.normal.slots(now) +
       arrivals.overnight.slots(now),
-    slotsOvertaking: (urgency, now) => {
+    moreUrgentSlotDemand: (urgency, now) => {
       switch (urgency) {
         case 'urgent':
           return 0;
@@ -88,8 +88,8 @@
   };
 }
 
-/** Where one goes so that those of equal rank stay in order of arrival. */
-function placeAfterEqual(
+/** The index that keeps requests of equal rank in order of arrival. */
+function insertionIndex(
   waiting: readonly queuedRequest.QueuedRequest[],
   queued: queuedRequest.QueuedRequest,
 ): number {
@@ -114,8 +114,8 @@
   waiting: readonly queuedRequest.QueuedRequest[],
   queued: queuedRequest.QueuedRequest,
 ): number {
-  // Equal ones stand together, right before the place for a new one.
-  let index = placeAfterEqual(waiting, queued) - 1;
+  // Requests of equal rank are adjacent and end before the insertion index.
+  let index = insertionIndex(waiting, queued) - 1;
   while (index >= 0) {
     const other = waiting[index];
     if (other === queued) return index;
--- a/packages/gypsumwall-routing/src/upstream_health.ts
+++ b/packages/gypsumwall-routing/src/upstream_health.ts
@@ -1,112 +1,117 @@
 /**
- * Whether one upstream can be relied on, from what became of its requests. A
- * suspect upstream gets a probe now and then, and all of its share again
- * after the first answer in time.
+ * The health of one upstream, judged by the results of its requests. A suspect
+ * upstream is sent a probe from time to time, and its full share is used again
+ * after the first answer within the expected time.
  */
 import * as types from '@gypsumwall/types';
 
-/** What speaks against an upstream. */
+/** The kinds of faults of an upstream. */
 export type UpstreamFault =
-  /** Its address takes no connection. */
+  /** Its address accepts no connections. */
   | 'unreachable'
-  /** It answers that it did not run the request. */
+  /** It answers that it didn't run the request. */
   | 'refusing'
-  /** It breaks off, mixes up, or is silent or far too slow. */
+  /** It truncates answers, gives invalid ones, doesn't answer or is far too slow. */
   | 'failing';
 
-/** What may be sent to an upstream now. */
+/** Which requests may be sent to an upstream at present. */
 export type UpstreamMode =
   | 'open'
-  /** Suspect, and due for one request that shows how it is. */
+  /** Suspect; one request is due as a probe. */
   | 'probe'
-  /** Suspect; to be used when most others are no better. */
+  /** Suspect; used only if at least half of the upstreams are suspect. */
   | 'suspect'
-  /** Takes no connection; nothing is sent but probes. */
+  /** Accepts no connections; only probes are sent. */
   | 'dead';
 
 /** The health of one upstream. */
 export interface UpstreamHealth {
   mode(now: types.clock.MonotonicMs): UpstreamMode;
-  /** An answer came, after this multiple of the time to expect. */
-  answered(slowness: number, now: types.clock.MonotonicMs): void;
-  failed(fault: UpstreamFault, now: types.clock.MonotonicMs): void;
-  /** Whether a failed probe most likely proves that it did not run. */
-  probeIsSafe(): boolean;
-  /** A probe is on its way; the next one is due later. */
-  probing(now: types.clock.MonotonicMs): void;
-  /** When the next probe is due; undefined while it isn't suspect. */
-  probeAt(): types.clock.MonotonicMs | undefined;
+  /** Records an answer; `slowness` is the ratio of its time to the expected time. */
+  recordAnswer(slowness: number, now: types.clock.MonotonicMs): void;
+  recordFault(fault: UpstreamFault, now: types.clock.MonotonicMs): void;
+  /** Whether a failed probe most likely proves that its request didn't run. */
+  isProbeSafe(): boolean;
+  /** Called when a probe was sent; the next one is due after a delay. */
+  onProbeSent(now: types.clock.MonotonicMs): void;
+  /** When the next probe is due; undefined while the upstream isn't suspect. */
+  nextProbeAt(): types.clock.MonotonicMs | undefined;
 }
 
 /**
- * One silent connection is no silent upstream: each request that it swallows
- * is one fault, and the next goes over a new connection. A share has one or
- * two connections to an upstream, so that a third fault in a row means more.
+ * A dead connection doesn't mean a dead upstream: its request fails, and the
+ * next one uses a new connection. A share has 1 or 2 connections to an upstream,
+ * so a third fault in a row isn't explained by dead connections.
  */
-const FAULTS_TO_SUSPECT = 3;
+const MIN_FAULTS_TO_SUSPECT = 3;
 /**
- * Answers that take so much longer than expected on average make an upstream
- * suspect. Times have long tails, so that a single one says little.
+ * An upstream is suspect if its answers take this many times the expected time
+ * on average. Service times have long tails, so a single answer says little.
  */
-const SUSPECT_SLOWNESS = 4;
+const MIN_SLOWNESS_TO_SUSPECT = 4;
 const SLOWNESS_GAIN = 1 / 8;
-const LARGEST_SLOWNESS = 20;
-const FIRST_PAUSE_MS = 100;
-const LONGEST_PAUSE_MS = 5_000;
-/** Without a probe for so long (too few may be repeated), it is trusted. */
-const FORGET_AFTER_MS = 30_000;
+const MAX_SLOWNESS = 20;
+const MIN_PROBE_DELAY_MS = 100;
+const MAX_PROBE_DELAY_MS = 5_000;
+/**
+ * If no probe was sent for this time after it was due, because too few requests
+ * may be repeated, the upstream is trusted again.
+ */
+const TRUST_AFTER_MS = 30_000;
 
-/** Makes the health of an upstream that nothing speaks against. */
+/** Creates the health of an upstream without faults. */
 export function createUpstreamHealth(
   random: types.random.Random,
 ): UpstreamHealth {
-  let faults = 0;
+  let faultsInARow = 0;
   let fault: UpstreamFault | undefined;
   let meanSlowness = 1;
-  let pauseMs = FIRST_PAUSE_MS;
+  let probeDelayMs = MIN_PROBE_DELAY_MS;
   let nextProbeAt: types.clock.MonotonicMs | undefined;
 
-  const pause = (now: types.clock.MonotonicMs) => {
-    // Entries that saw it fail together must not all come back together.
+  const scheduleProbe = (now: types.clock.MonotonicMs) => {
+    // Entries that saw faults at the same time must not probe at the same time.
     const jitter = 0.5 + random.next();
-    nextProbeAt = types.clock.after(now, pauseMs * jitter);
-    pauseMs = Math.min(LONGEST_PAUSE_MS, pauseMs * 2);
+    nextProbeAt = types.clock.after(now, probeDelayMs * jitter);
+    probeDelayMs = Math.min(MAX_PROBE_DELAY_MS, probeDelayMs * 2);
   };
-  const suspect = (why: UpstreamFault, now: types.clock.MonotonicMs) => {
-    fault = why;
-    // Requests that were under way together count as one failed probe.
-    if (nextProbeAt === undefined || now >= nextProbeAt) pause(now);
+  const markSuspect = (cause: UpstreamFault, now: types.clock.MonotonicMs) => {
+    fault = cause;
+    // Requests that were in flight at the same time count as one failed probe.
+    if (nextProbeAt === undefined || now >= nextProbeAt) scheduleProbe(now);
   };
   return {
     mode: (now) => {
       if (nextProbeAt === undefined) return 'open';
-      if (now >= nextProbeAt + FORGET_AFTER_MS) return 'open';
+      if (now >= nextProbeAt + TRUST_AFTER_MS) return 'open';
       if (now >= nextProbeAt) return 'probe';
       return fault === 'unreachable' ? 'dead' : 'suspect';
     },
-    answered: (sample, now) => {
+    recordAnswer: (sample, now) => {
       const wasSuspect = nextProbeAt !== undefined;
-      faults = 0;
+      faultsInARow = 0;
       fault = undefined;
       // One answer in the expected time clears a suspect upstream.
       meanSlowness = wasSuspect
         ? sample
         : meanSlowness +
-          SLOWNESS_GAIN * (Math.min(sample, LARGEST_SLOWNESS) - meanSlowness);
-      if (meanSlowness >= SUSPECT_SLOWNESS) {
-        suspect('failing', now);
+          SLOWNESS_GAIN * (Math.min(sample, MAX_SLOWNESS) - meanSlowness);
+      if (meanSlowness >= MIN_SLOWNESS_TO_SUSPECT) {
+        markSuspect('failing', now);
         return;
       }
-      pauseMs = FIRST_PAUSE_MS;
+      probeDelayMs = MIN_PROBE_DELAY_MS;
       nextProbeAt = undefined;
     },
-    failed: (latest, now) => {
-      faults += 1;
-      const certain = latest === 'unreachable' || nextProbeAt !== undefined;
-      if (certain || faults >= FAULTS_TO_SUSPECT) suspect(latest, now);
+    recordFault: (latestFault, now) => {
+      faultsInARow += 1;
+      const isCertain =
+        latestFault === 'unreachable' || nextProbeAt !== undefined;
+      if (isCertain || faultsInARow >= MIN_FAULTS_TO_SUSPECT)
+        markSuspect(latestFault, now);
     },
-    probeIsSafe: () => fault === 'unreachable' || fault === 'refusing',
-    probing: (now) => pause(now),
-    probeAt: () => nextProbeAt,
+    isProbeSafe: () => fault === 'unreachable' || fault === 'refusing',
+    onProbeSent: (now) => scheduleProbe(now),
+    nextProbeAt: () => nextProbeAt,
   };
 }
--- a/packages/gypsumwall-routing/src/upstream_table.ts
+++ b/packages/gypsumwall-routing/src/upstream_table.ts
@@ -1,41 +1,41 @@
 /**
- * The upstreams that this entry knows of: its share of each, what it has in
- * flight there, and which one takes the next request.
+ * The upstreams in this entry's view, its share of each, its requests in flight
+ * there, and the choice of the upstream for the next request.
  */
 import type * as platform from '@gypsumwall/platform';
 import type * as types from '@gypsumwall/types';
 import * as chooseUpstream from './choose_upstream.js';
-import * as freeList from './free_list.js';
+import * as freeUpstreams from './free_upstreams.js';
 import type * as router from './router.js';
 import type * as routerOptions from './router_options.js';
 import * as slotShares from './slot_shares.js';
 import * as upstreamHealth from './upstream_health.js';
-import type * as upstreamSlots from './upstream_slots.js';
+import type * as upstreamState from './upstream_state.js';
 
-/** All upstreams of the failure domain. */
+/** The upstreams of the failure domain. */
 export interface UpstreamTable {
   setView(view: router.RouterView): void;
   /**
-   * Takes a slot for a request, if need be at one of those to `avoid`;
-   * undefined when none is free or the view is too old.
+   * Takes a slot for a request; an upstream in `avoid` is used only if no other
+   * is available. Returns undefined if no slot may be used now.
    */
-  take(
+  acquireSlot(
     req: router.RoutedRequest,
-    avoid: ReadonlySet<upstreamSlots.UpstreamSlots>,
-  ): upstreamSlots.UpstreamSlots | undefined;
-  /** Gives a slot back and forgets an upstream that is gone. */
-  release(slots: upstreamSlots.UpstreamSlots): void;
-  /** To be called after a fault of the upstream. */
-  noteFault(slots: upstreamSlots.UpstreamSlots): void;
-  /** Slots of this entry at upstreams that can be relied on. */
+    avoid: ReadonlySet<upstreamState.UpstreamState>,
+  ): upstreamState.UpstreamState | undefined;
+  /** Releases a slot; removes the upstream if it is unlisted and now unused. */
+  releaseSlot(upstream: upstreamState.UpstreamState): void;
+  /** Must be called after the health of an upstream was updated. */
+  onFault(upstream: upstreamState.UpstreamState): void;
+  /** The number of this entry's slots at upstreams that aren't suspect. */
   reliableSlots(): number;
-  /** Whether this entry has any share at all. */
+  /** Whether this entry has a share of any upstream. */
   hasShare(): boolean;
   status(): router.RouterStatus['upstreams'];
   close(): Promise<void>;
 }
 
-/** Makes an empty table. */
+/** Creates an empty table. */
 export function createUpstreamTable(
   options: routerOptions.RouterOptions,
   requestBoundMs: number,
@@ -47,102 +47,117 @@
     listLagMs: options.listLagMs,
     requestBoundMs,
   });
-  const table = new Map<string, upstreamSlots.UpstreamSlots>();
-  const free = freeList.createFreeList();
-  const suspects = new Set<upstreamSlots.UpstreamSlots>();
-  let shared = 0;
+  const upstreamsById = new Map<string, upstreamState.UpstreamState>();
+  const free = freeUpstreams.createFreeUpstreams();
+  const suspects = new Set<upstreamState.UpstreamState>();
+  let sharedUpstreams = 0;
   let sharedSlots = 0;
 
-  const forgetIfGone = (slots: upstreamSlots.UpstreamSlots) => {
-    if (slots.listed || slots.inFlight > 0) return;
-    // It may be listed anew under its old id, as another object.
-    if (table.get(slots.id) === slots) table.delete(slots.id);
-    suspects.delete(slots);
-    void slots.client.close();
+  const removeIfUnused = (upstream: upstreamState.UpstreamState) => {
+    if (upstream.isListed || upstream.inFlight > 0) return;
+    // The id may be listed again with another address, as another object.
+    if (upstreamsById.get(upstream.id) === upstream)
+      upstreamsById.delete(upstream.id);
+    suspects.delete(upstream);
+    void upstream.client.close();
   };
-  const update = (listed: platform.instanceList.ListedUpstream) => {
+  const updateUpstream = (listed: platform.instanceList.ListedUpstream) => {
     const connections = shares.shareOf(listed.id, listed.connections);
-    const known = table.get(listed.id);
-    const moved = known?.address !== listed.address;
-    const slots = moved ? makeSlots(options, listed) : known;
-    // What is still in flight at an old address ends there by itself.
-    if (known !== undefined && moved) forgetIfGone(known);
-    table.set(listed.id, slots);
-    slots.listed = true;
-    slots.leaving = listed.state === 'leaving';
-    slots.share = slots.leaving ? 0 : shares.shareOf(listed.id, listed.slots);
-    if (slots.connections === connections) return;
-    slots.connections = connections;
-    slots.client.setConnections(connections);
+    const existing = upstreamsById.get(listed.id);
+    const hasMoved = existing?.address !== listed.address;
+    const upstream = hasMoved ? createUpstreamState(options, listed) : existing;
+    // Requests in flight at the old address are left to end.
+    if (existing !== undefined && hasMoved) removeIfUnused(existing);
+    upstreamsById.set(listed.id, upstream);
+    upstream.isListed = true;
+    upstream.isLeaving = listed.state === 'leaving';
+    upstream.share = upstream.isLeaving
+      ? 0
+      : shares.shareOf(listed.id, listed.slots);
+    if (upstream.connections === connections) return;
+    upstream.connections = connections;
+    upstream.client.setConnections(connections);
   };
-  const markUnlisted = (slots: upstreamSlots.UpstreamSlots) => {
-    slots.listed = false;
-    slots.leaving = true;
-    slots.share = 0;
+  const markUnlisted = (upstream: upstreamState.UpstreamState) => {
+    upstream.isListed = false;
+    upstream.isLeaving = true;
+    upstream.share = 0;
   };
-  const countShares = () => {
-    shared = 0;
+  const recomputeShares = () => {
+    sharedUpstreams = 0;
     sharedSlots = 0;
-    for (const slots of table.values()) {
-      free.refresh(slots);
-      if (slots.share > 0) shared += 1;
-      sharedSlots += slots.share;
+    for (const upstream of upstreamsById.values()) {
+      free.update(upstream);
+      if (upstream.share > 0) sharedUpstreams += 1;
+      sharedSlots += upstream.share;
     }
   };
-  const forgetCleared = (now: types.clock.MonotonicMs) => {
-    for (const slots of suspects) {
-      const cleared = slots.health.mode(now) === 'open';
-      if (cleared || slots.share === 0) suspects.delete(slots);
+  const removeClearedSuspects = (now: types.clock.MonotonicMs) => {
+    for (const upstream of suspects) {
+      const isCleared = upstream.health.mode(now) === 'open';
+      if (isCleared || upstream.share === 0) suspects.delete(upstream);
     }
   };
 
   return {
     setView: (view) => {
       shares.observe(view.entries, clock.monotonic());
-      for (const slots of table.values()) markUnlisted(slots);
-      view.upstreams.forEach(update);
-      countShares();
-      for (const slots of table.values()) forgetIfGone(slots);
+      for (const upstream of upstreamsById.values()) markUnlisted(upstream);
+      view.upstreams.forEach(updateUpstream);
+      recomputeShares();
+      for (const upstream of upstreamsById.values()) removeIfUnused(upstream);
     },
-    take: (req, avoid) => {
+    acquireSlot: (req, avoid) => {
       const now = clock.monotonic();
       if (shares.isStale(now)) return undefined;
-      forgetCleared(now);
-      const slots = choose({free, suspects, shared, req, avoid, now, random});
-      if (slots === undefined) return undefined;
-      if (slots.health.mode(now) === 'probe') slots.health.probing(now);
-      slots.inFlight += 1;
-      free.refresh(slots);
-      return slots;
+      removeClearedSuspects(now);
+      const upstream = choose({
+        free,
+        suspects,
+        sharedUpstreams,
+        req,
+        avoid,
+        now,
+        random,
+      });
+      if (upstream === undefined) return undefined;
+      if (upstream.health.mode(now) === 'probe')
+        upstream.health.onProbeSent(now);
+      upstream.inFlight += 1;
+      free.update(upstream);
+      return upstream;
     },
-    release: (slots) => {
-      slots.inFlight -= 1;
-      free.refresh(slots);
-      forgetIfGone(slots);
+    releaseSlot: (upstream) => {
+      upstream.inFlight -= 1;
+      free.update(upstream);
+      removeIfUnused(upstream);
     },
-    noteFault: (slots) => {
-      const suspect = slots.health.mode(clock.monotonic()) !== 'open';
-      if (suspect && slots.share > 0) suspects.add(slots);
+    onFault: (upstream) => {
+      const isSuspect = upstream.health.mode(clock.monotonic()) !== 'open';
+      if (isSuspect && upstream.share > 0) suspects.add(upstream);
     },
     reliableSlots: () => {
-      forgetCleared(clock.monotonic());
+      removeClearedSuspects(clock.monotonic());
       let slots = sharedSlots;
       for (const suspect of suspects) slots -= suspect.share;
       return slots;
     },
-    hasShare: () => shared > 0,
-    status: () => [...table.values()].map((slots) => statusOf(slots, clock)),
+    hasShare: () => sharedUpstreams > 0,
+    status: () =>
+      [...upstreamsById.values()].map((upstream) => statusOf(upstream, clock)),
     close: async () => {
-      await Promise.all([...table.values()].map((one) => one.client.close()));
-      table.clear();
+      await Promise.all(
+        [...upstreamsById.values()].map((one) => one.client.close()),
+      );
+      upstreamsById.clear();
     },
   };
 }
 
-function makeSlots(
+function createUpstreamState(
   options: routerOptions.RouterOptions,
   listed: platform.instanceList.ListedUpstream,
-): upstreamSlots.UpstreamSlots {
+): upstreamState.UpstreamState {
   return {
     id: listed.id,
     address: listed.address,
@@ -151,17 +166,17 @@
     share: 0,
     connections: 0,
     inFlight: 0,
-    leaving: false,
-    listed: true,
+    isLeaving: false,
+    isListed: true,
   };
 }
 
 function statusOf(
-  slots: upstreamSlots.UpstreamSlots,
+  upstream: upstreamState.UpstreamState,
   clock: types.clock.Clock,
 ): router.RouterStatus['upstreams'][number] {
-  const {id, share, inFlight} = slots;
-  if (slots.leaving) return {id, share, inFlight, state: 'leaving'};
-  const open = slots.health.mode(clock.monotonic()) === 'open';
-  return {id, share, inFlight, state: open ? 'open' : 'suspect'};
+  const {id, share, inFlight} = upstream;
+  if (upstream.isLeaving) return {id, share, inFlight, state: 'leaving'};
+  const isOpen = upstream.health.mode(clock.monotonic()) === 'open';
+  return {id, share, inFlight, state: isOpen ? 'open' : 'suspect'};
 }
--- a/packages/gypsumwall-routing/src/work_rate.ts
+++ b/packages/gypsumwall-routing/src/work_rate.ts
@@ -1,32 +1,33 @@
-/** How much work comes in, as the number of slots that it keeps busy. */
+/** Measures incoming work as the number of slots that it needs. */
 import type * as types from '@gypsumwall/types';
 
-/** A mean that forgets. */
+/** An exponentially decaying average of the incoming work. */
 export interface WorkRate {
-  /** Work of so much slot time came in. */
+  /** Adds work with the given expected slot time. */
   add(workMs: number, now: types.clock.MonotonicMs): void;
+  /** The average number of slots that the work needs. */
   slots(now: types.clock.MonotonicMs): number;
 }
 
-/** What came in longer ago than this counts for less than half. */
-const MEMORY_MS = 2_000;
+/** The time constant of the decay: work this old counts for 1/e. */
+const DECAY_TIME_MS = 2_000;
 
-/** Makes one that has seen nothing. */
+/** Creates an average without any work. */
 export function createWorkRate(): WorkRate {
-  let remembered = 0;
-  let rememberedAt = 0;
-  const forget = (now: number) => {
-    remembered *= Math.exp((rememberedAt - now) / MEMORY_MS);
-    rememberedAt = now;
+  let decayedWorkMs = 0;
+  let decayedAt = 0;
+  const decay = (now: number) => {
+    decayedWorkMs *= Math.exp((decayedAt - now) / DECAY_TIME_MS);
+    decayedAt = now;
   };
   return {
     add: (workMs, now) => {
-      forget(now);
-      remembered += workMs;
+      decay(now);
+      decayedWorkMs += workMs;
     },
     slots: (now) => {
-      forget(now);
-      return remembered / MEMORY_MS;
+      decay(now);
+      return decayedWorkMs / DECAY_TIME_MS;
     },
   };
 }
