--- a/packages/gypsumwall-placement/src/__tests__/create_placer.test.ts
+++ b/packages/gypsumwall-placement/src/__tests__/create_placer.test.ts
@@ -28,9 +28,10 @@
   nodeTest.it(
     'starts a job with a distant deadline before its latest start',
     () => {
-      // A job is queued at 0 s with a deadline at 60 s and a run time of at most
-      // 10 s. Later jobs with nearer deadlines keep the only worker busy. If jobs
-      // were ordered by deadline alone, the first one would start too late.
+      // A job is queued at 0 s with a deadline at 60 s and a run time of at
+      // most 10 s. Later jobs with nearer deadlines keep the only worker busy.
+      // If jobs were ordered by deadline alone, the first one would start too
+      // late.
       const policy = placerWith(1, specs.resources(1));
       const early = specs.spec({
         estimateMs: 2500,
--- a/packages/gypsumwall-placement/src/__tests__/placer_invariants.test.ts
+++ b/packages/gypsumwall-placement/src/__tests__/placer_invariants.test.ts
@@ -228,7 +228,7 @@
 
 function checkAllocations(
   running: ReadonlyMap<types.ids.TaskId, placer.HeldTask>,
-  held: (used: number, quota: number) => void,
+  checkQuota: (used: number, quota: number) => void,
 ): void {
   const sums = new Map<string, types.resources.Resources>();
   for (const task of running.values()) {
@@ -244,7 +244,7 @@
     assert.ok(fits, `${id} was sent tasks of ${JSON.stringify(sum)}`);
   }
   const letters = sums.get('letters') ?? types.resources.NO_RESOURCES;
-  held(letters.cpuMillis, QUOTA.cpuMillis);
+  checkQuota(letters.cpuMillis, QUOTA.cpuMillis);
 }
 
 /** Adopted tasks may exceed a quota, but they belong to the other team. */
--- a/packages/gypsumwall-placement/src/admission.ts
+++ b/packages/gypsumwall-placement/src/admission.ts
@@ -164,9 +164,10 @@
     };
   }
   const tasks = types.job.taskCount(spec.shape);
-  const work = (tasks * typicalMs * size.cpuMillis) / 1000;
+  const neededCoreMs = (tasks * typicalMs * size.cpuMillis) / 1000;
   const {cpuMillis} = state.allocations.totalCapacity;
-  if (state.demand.accepts(deadline, work, now, cpuMillis)) return undefined;
+  if (state.demand.accepts(deadline, neededCoreMs, now, cpuMillis))
+    return undefined;
   return {
     reason: 'deadline_unreachable',
     message: `jobs admitted before leave too little time until the deadline, ${deadline - now} ms away; send a later deadline or less work`,
--- a/packages/gypsumwall-placement/src/binary_heap.ts
+++ b/packages/gypsumwall-placement/src/binary_heap.ts
@@ -10,7 +10,10 @@
   retain(wanted: (item: Item) => boolean): void;
 }
 
-/** Creates an empty heap. An item's order must not change while it is in the heap. */
+/**
+ * Creates an empty heap. An item's order must not change while it is in the
+ * heap.
+ */
 export function createBinaryHeap<Item>(
   before: (left: Item, right: Item) => boolean,
 ): BinaryHeap<Item> {
--- a/packages/gypsumwall-placement/src/deadline_demand.ts
+++ b/packages/gypsumwall-placement/src/deadline_demand.ts
@@ -13,14 +13,14 @@
 /** Waiting work by deadline. */
 export interface DeadlineDemand {
   /** Adds work in core milliseconds; a negative amount removes work. */
-  add(deadline: number, work: number): void;
+  add(deadline: number, coreMs: number): void;
   /**
-   * Whether additional work can be done by its deadline together with all work
-   * that is due by then. `cpuMillis` is the capacity of the domain.
+   * Whether additional work of `coreMs` can be done by its deadline together
+   * with all work that is due by then. `cpuMillis` is the domain's capacity.
    */
   accepts(
     deadline: number,
-    work: number,
+    coreMs: number,
     now: number,
     cpuMillis: number,
   ): boolean;
@@ -30,16 +30,16 @@
   const buckets = new Map<number, number>();
 
   return {
-    add(deadline, work) {
+    add(deadline, coreMs) {
       const bucket = Math.floor(deadline / BUCKET_MS);
-      const sum = (buckets.get(bucket) ?? 0) + work;
+      const sum = (buckets.get(bucket) ?? 0) + coreMs;
       if (sum < 1) buckets.delete(bucket);
       else buckets.set(bucket, sum);
     },
-    accepts(deadline, work, now, cpuMillis) {
+    accepts(deadline, coreMs, now, cpuMillis) {
       const lastBucket = Math.floor(now / BUCKET_MS) + MAX_BUCKETS_AHEAD;
       const dueBucket = Math.min(Math.floor(deadline / BUCKET_MS), lastBucket);
-      let sum = work;
+      let sum = coreMs;
       for (const [bucket, planned] of buckets) {
         if (Math.min(bucket, lastBucket) <= dueBucket) sum += planned;
       }
--- a/packages/gypsumwall-placement/src/domain_allocations.ts
+++ b/packages/gypsumwall-placement/src/domain_allocations.ts
@@ -30,11 +30,14 @@
   /** The free resources of all schedulable workers. */
   readonly totalFree: types.resources.Resources;
   setWorker(worker: placer.PlacerWorker): allocationState.WorkerState;
-  setSchedulable(worker: allocationState.WorkerState, open: boolean): void;
+  setSchedulable(
+    worker: allocationState.WorkerState,
+    isSchedulable: boolean,
+  ): void;
   removeWorker(id: types.ids.WorkerId): allocationState.WorkerState | undefined;
   allocate(
     task: placer.HeldTask,
-    endsAt: number,
+    expectedEndAt: number,
   ): allocationState.TaskAllocation;
   deallocate(
     taskId: types.ids.TaskId,
--- a/packages/gypsumwall-placement/src/job_queue.ts
+++ b/packages/gypsumwall-placement/src/job_queue.ts
@@ -17,7 +17,10 @@
 export const TIER_NORMAL = 1;
 export const TIER_OVERNIGHT = 2;
 const TIER_COUNT = 3;
-/** The lowest weight that is used; a team of weight 0 gets what no other team wants. */
+/**
+ * The lowest weight that is used; a team of weight 0 gets what no other team
+ * wants.
+ */
 const MIN_WEIGHT = 1e-6;
 /**
  * A heap keeps entries of jobs that left its group. It is compacted when it has
@@ -42,7 +45,9 @@
   group: JobGroup | undefined;
   /** Since when it hasn't fitted anywhere; undefined while it isn't blocked. */
   blockedSince: number | undefined;
-  /** A blocked gang, or a job with a reservation, isn't tried before this time. */
+  /**
+   * A blocked gang, or a job with a reservation, isn't tried before this time.
+   */
   retryAt: number;
   /** No reservation is made for it before this time. */
   nextReservationAt: number;
--- a/packages/gypsumwall-placement/src/pick_worker.ts
+++ b/packages/gypsumwall-placement/src/pick_worker.ts
@@ -23,7 +23,9 @@
 /** The needs of the task to place. */
 export interface WorkerQuery {
   readonly need: types.resources.Resources;
-  /** 0 prefers the emptiest worker, 1 the fullest one on which the task fits. */
+  /**
+   * 0 prefers the emptiest worker, 1 the fullest one on which the task fits.
+   */
   readonly packing: number;
   readonly avoid?: ReadonlySet<types.ids.WorkerId>;
   /** For services, the number of replicas in each rack. */
--- a/packages/gypsumwall-placement/src/preemptor.ts
+++ b/packages/gypsumwall-placement/src/preemptor.ts
@@ -19,7 +19,9 @@
  * tasks are preempted for at most this many tasks of each job.
  */
 const MAX_ACTIONS_PER_CYCLE = 8;
-/** After a preemption for a job, no further one is made for it for this time. */
+/**
+ * After a preemption for a job, no further one is made for it for this time.
+ */
 const PREEMPTION_EXPECTED_MS = 1000;
 /**
  * Throttles are lifted if the tasks' usage before they were throttled would fit
@@ -34,8 +36,8 @@
   onWorkerChanged(worker: allocationState.WorkerState): void;
   removeWorker(worker: allocationState.WorkerState): void;
   /**
-   * Returns the actions of one cycle. `due` are the first jobs of the due groups
-   * that are blocked for lack of resources.
+   * Returns the actions of one cycle. `due` are the first jobs of the due
+   * groups that are blocked for lack of resources.
    */
   decide(
     now: number,
--- a/packages/gypsumwall-placement/src/quarantine.ts
+++ b/packages/gypsumwall-placement/src/quarantine.ts
@@ -7,7 +7,9 @@
 import type * as types from '@gypsumwall/types';
 import type * as allocationState from './allocation_state.js';
 
-/** A worker is quarantined after failures of this many distinct jobs in a row. */
+/**
+ * A worker is quarantined after failures of this many distinct jobs in a row.
+ */
 const MIN_FAILED_JOBS = 3;
 const MIN_PROBE_DELAY_MS = 30_000;
 const MAX_PROBE_DELAY_MS = 600_000;
--- a/packages/gypsumwall-placement/src/reservations.ts
+++ b/packages/gypsumwall-placement/src/reservations.ts
@@ -20,11 +20,15 @@
 const MIN_BLOCKED_MS = 1000;
 /** How often the blocked jobs are checked for one that needs a reservation. */
 const CHECK_INTERVAL_MS = 250;
-/** A reservation that is still unused this long after `readyAt` is replanned. */
+/**
+ * A reservation that is still unused this long after `readyAt` is replanned.
+ */
 const REPLAN_AFTER_MS = 500;
 const MIN_DURATION_MS = 10_000;
 const MAX_DURATION_MS = 1_800_000;
-/** A reservation lasts this many times the expected time to drain its workers. */
+/**
+ * A reservation lasts this many times the expected time to drain its workers.
+ */
 const DRAIN_TIME_FACTOR = 1.5;
 /** The number of concurrent reservations; other jobs wait until one ends. */
 const MAX_RESERVATIONS = 2;
@@ -39,7 +43,9 @@
  * of the largest worker. Smaller tasks are placed soon without one.
  */
 const LARGE_TASK_SHARE = 0.25;
-/** After this time, tasks as urgent as the blocked job are preempted for it too. */
+/**
+ * After this time, tasks as urgent as the blocked job are preempted for it too.
+ */
 const PREEMPT_EQUALS_AFTER_MS = 60_000;
 /**
  * The share of a reservation's workers that must have drained before the job
--- a/packages/gypsumwall-placement/src/scheduling_cycle.ts
+++ b/packages/gypsumwall-placement/src/scheduling_cycle.ts
@@ -18,7 +18,9 @@
  */
 const MIN_GANG_RETRY_MS = 20;
 const MAX_GANG_RETRY_MS = 1000;
-/** A gang costs one search for each of its tasks, so few may fail in a cycle. */
+/**
+ * A gang costs one search for each of its tasks, so few may fail in a cycle.
+ */
 const MAX_GANG_FAILURES_PER_CYCLE = 2;
 
 /** The modules of the policy that a cycle uses. */
@@ -33,7 +35,7 @@
   /** Allocates the resources of a placed task. */
   allocate(task: placer.HeldTask, expectedEndAt: number): void;
   /** Frees the resources of a gang of which only a part fitted. */
-  rollBack(tasks: readonly placer.Placement[]): void;
+  rollBack(placements: readonly placer.Placement[]): void;
   /** Called when tasks of the job were placed and no longer wait. */
   onTasksPlaced(job: jobQueue.WaitingJob, count: number): void;
   /** Removes a task that is already running from the queue. */
--- a/packages/gypsumwall-placement/src/size_learner.ts
+++ b/packages/gypsumwall-placement/src/size_learner.ts
@@ -15,7 +15,9 @@
 const MEMORY_QUANTILE = 0.99;
 const TYPICAL_QUANTILE = 0.5;
 const PESSIMISTIC_QUANTILE = 0.95;
-/** CPU estimates are multiples of this, so that similar tasks have equal sizes. */
+/**
+ * CPU estimates are multiples of this, so that similar tasks have equal sizes.
+ */
 const CPU_STEP_MILLIS = 10;
 /**
  * A class takes about 12 KB. Above this number, the class whose last completed
@@ -36,7 +38,9 @@
 export interface SizeLearner {
   recordUsage(spec: types.job.JobSpec, used: types.resources.Resources): void;
   recordRunTime(spec: types.job.JobSpec, ranMs: number): void;
-  /** `cpuQuantile` is the share of tasks whose CPU usage the estimate covers. */
+  /**
+   * `cpuQuantile` is the share of tasks whose CPU usage the estimate covers.
+   */
   estimate(spec: types.job.JobSpec, cpuQuantile: number): Estimate;
 }
 
--- a/packages/gypsumwall-placement/src/team_allocations.ts
+++ b/packages/gypsumwall-placement/src/team_allocations.ts
@@ -43,7 +43,10 @@
   ): number;
 }
 
-/** `totalCapacity` is the capacity of all schedulable workers; it is read at each call. */
+/**
+ * `totalCapacity` is the capacity of all schedulable workers; it is read at
+ * each call.
+ */
 export function createTeamAllocations(
   totalCapacity: types.resources.Resources,
 ): TeamAllocations {
--- a/packages/gypsumwall-placement/src/waiting_jobs.ts
+++ b/packages/gypsumwall-placement/src/waiting_jobs.ts
@@ -49,7 +49,9 @@
   enqueue(job: placer.QueuedJob, now: number): void;
   /** Moves a waiting job to the group of its present size estimate. */
   requeue(job: jobQueue.WaitingJob, inOwnGroup: boolean): void;
-  /** Called when tasks of the job were placed; removes the job with its last. */
+  /**
+   * Called when tasks of the job were placed; removes the job with its last.
+   */
   onTasksPlaced(job: jobQueue.WaitingJob, placedCount: number): void;
   /** Removes a task that was found to be running. */
   removeTask(jobId: types.ids.JobId, index: number): void;
--- a/packages/gypsumwall-placement/src/worker_index.ts
+++ b/packages/gypsumwall-placement/src/worker_index.ts
@@ -61,13 +61,18 @@
   };
 }
 
-/** A tree in an array: leaf `slots + i` is slot i, node n has the children 2n and 2n+1. */
+/**
+ * A tree in an array: leaf `slots + i` is slot i, node n has the children 2n
+ * and 2n+1.
+ */
 function createFreeTree() {
   let slots = INITIAL_SLOTS;
   let cpu = new Float64Array(slots * 2).fill(-1);
   let memory = new Float64Array(slots * 2).fill(-1);
   let accelerators = new Float64Array(slots * 2).fill(-1);
-  /** The smaller of free CPU and free memory, relative to a reference worker. */
+  /**
+   * The smaller of free CPU and free memory, relative to a reference worker.
+   */
   let balance = new Float64Array(slots * 2).fill(-1);
   let reference: types.resources.Resources | undefined;
   const slotOf = new Map<allocationState.WorkerState, number>();
@@ -124,7 +129,10 @@
     return slot;
   }
 
-  /** Adds the fitting workers of the slots from `low` to below `high` to `found`. */
+  /**
+   * Adds the fitting workers of the slots from `low` to below `high` to
+   * `found`.
+   */
   function collect(
     search: Search,
     needBalance: number,
--- a/packages/gypsumwall-routing/src/__fixtures__/fake_upstreams.ts
+++ b/packages/gypsumwall-routing/src/__fixtures__/fake_upstreams.ts
@@ -27,7 +27,9 @@
   ): platform.upstream.Upstream;
 }
 
-/** Creates upstreams that fail aborted attempts and otherwise wait for the test. */
+/**
+ * Creates upstreams that fail aborted attempts and otherwise wait for the test.
+ */
 export function createFakeUpstreams(): FakeUpstreams {
   const attempts: PendingAttempt[] = [];
   const connections = new Map<string, number>();
--- a/packages/gypsumwall-routing/src/__fixtures__/fault_script.ts
+++ b/packages/gypsumwall-routing/src/__fixtures__/fault_script.ts
@@ -1,7 +1,7 @@
 /**
- * Random mixes of faults. A script defines the actions of callers and upstreams.
- * Running it records a history of attempts, which is compared with the outcomes
- * that the callers got.
+ * Random mixes of faults. A script defines the actions of callers and
+ * upstreams. Running it records a history of attempts, which is compared with
+ * the outcomes that the callers got.
  */
 import * as timers from 'node:timers/promises';
 import * as fastCheck from 'fast-check';
--- a/packages/gypsumwall-routing/src/__fixtures__/manual_clock.ts
+++ b/packages/gypsumwall-routing/src/__fixtures__/manual_clock.ts
@@ -4,7 +4,7 @@
 
 /** A clock controlled by a test. */
 export interface ManualClock extends types.clock.Clock {
-  /** Advances the clock by `spanMs` and ends each sleep at its time. */
+  /** Advances the clock by `byMs` and ends each sleep at its time. */
   advance(byMs: number): Promise<void>;
   /** The number of pending sleeps. */
   pendingSleeps(): number;
--- a/packages/gypsumwall-routing/src/__fixtures__/router_harness.ts
+++ b/packages/gypsumwall-routing/src/__fixtures__/router_harness.ts
@@ -1,4 +1,6 @@
-/** A router with fake upstreams and a manual clock, which has joined already. */
+/**
+ * A router with fake upstreams and a manual clock, which has joined already.
+ */
 import * as telemetry from '@gypsumwall/telemetry';
 import * as types from '@gypsumwall/types';
 import * as createRouter from '../create_router.js';
@@ -18,12 +20,18 @@
   send(fields?: Partial<router.RoutedRequest>): Promise<types.outcome.Outcome>;
 }
 
-/** The list lag and the request bound, small enough that tests can wait for them. */
+/**
+ * The list lag and the request bound, small enough that tests can wait for
+ * them.
+ */
 export const LIST_LAG_MS = 100;
 const REQUEST_BOUND_MS = 1_000;
 const SEED = 7;
 
-/** Creates a router that is the only entry, with the upstreams `u0`, `u1` and so on. */
+/**
+ * Creates a router that is the only entry, with the upstreams `u0`, `u1` and so
+ * on.
+ */
 export async function createRouterHarness(
   upstreams: number,
   slots: number,
--- a/packages/gypsumwall-routing/src/__tests__/promises.test.ts
+++ b/packages/gypsumwall-routing/src/__tests__/promises.test.ts
@@ -5,13 +5,16 @@
 
 const SEED = 17;
 const RUNS = 150;
-/** The maximum delay of an outcome: the timer resolution and the test's steps. */
+/**
+ * The maximum delay of an outcome: the timer resolution and the test's steps.
+ */
 const MAX_DELAY_MS = 2 * faultScript.STEP_MS;
 
 nodeTest.test('outcomes are true under any mix of faults', async () => {
   // Upstreams answer, refuse, reset, stop answering and leave at random while
-  // callers send and cancel requests. "Not run" must always mean that no attempt
-  // may have run, and a request that isn't idempotent may run only once.
+  // callers send and cancel requests. "Not run" must always mean that no
+  // attempt may have run, and a request that isn't idempotent may run only
+  // once.
   await fastCheck.assert(
     fastCheck.asyncProperty(faultScript.arbitraryScript, async (script) =>
       checkHistory(await faultScript.runScript(script)),
--- a/packages/gypsumwall-routing/src/__tests__/queueing.test.ts
+++ b/packages/gypsumwall-routing/src/__tests__/queueing.test.ts
@@ -11,7 +11,9 @@
 const OTHER_TEAM = types.ids.brand<types.ids.TeamId>('tesfaye');
 const BOUND_MS = 100_000;
 
-/** Creates a router whose only slot is in use, so that further requests wait. */
+/**
+ * Creates a router whose only slot is in use, so that further requests wait.
+ */
 async function createBusyHarness(maxQueuedRequests: number) {
   const harness = await routerHarness.createRouterHarness(1, 1, {
     requestBoundMs: BOUND_MS,
@@ -80,8 +82,8 @@
 nodeTest.test(
   'a request that cannot meet its deadline is refused at once',
   async () => {
-    // The queue holds 50 s of work for one slot. A request with a deadline in 10 s
-    // is refused immediately and not after 10 s.
+    // The queue holds 50 s of work for one slot. A request with a deadline in
+    // 10 s is refused immediately and not after 10 s.
     const harness = await createBusyHarness(10);
     for (let sent = 0; sent < 5; sent += 1) {
       void harness.send({estimateMs: 10_000, deadline: DISTANT_DEADLINE});
@@ -107,8 +109,8 @@
 nodeTest.test(
   'many requests of one team do not delay another team',
   async () => {
-    // 10 requests of one team wait when one of another team arrives. It is served
-    // first or second, not eleventh.
+    // 10 requests of one team wait when one of another team arrives. It is
+    // served first or second, not eleventh.
     const harness = await createBusyHarness(10);
     for (let sent = 0; sent < 10; sent += 1)
       void harness.send({deadline: DISTANT_DEADLINE});
@@ -141,8 +143,8 @@
 
 nodeTest.test('many teams with one request each are not refused', async () => {
   // 9 other teams have one request of 10 s each in the queue, and so has the
-  // team under test. Its next request waits for 100 s at most. Its fair share of
-  // the slot alone would predict a longer wait and get the request refused.
+  // team under test. Its next request waits for 100 s at most. Its fair share
+  // of the slot alone would predict a longer wait and get the request refused.
   const harness = await createBusyHarness(10);
   for (let team = 0; team < 9; team += 1) {
     const id = types.ids.brand<types.ids.TeamId>(`team-${team}`);
--- a/packages/gypsumwall-routing/src/__tests__/retries.test.ts
+++ b/packages/gypsumwall-routing/src/__tests__/retries.test.ts
@@ -32,7 +32,8 @@
   'a request that is not idempotent ends unknown at once',
   async () => {
     // The connection is reset after the request was written to it. The upstream
-    // may have run it: a retry could run it twice, and "not run" could be wrong.
+    // may have run it: a retry could run it twice, and "not run" could be
+    // wrong.
     const harness = await routerHarness.createRouterHarness(2, 1);
     const routed = harness.router.route(harness.makeRequest(NOT_IDEMPOTENT));
     await timers.setImmediate();
@@ -66,8 +67,9 @@
 nodeTest.test(
   'an upstream that does not answer is abandoned for another one',
   async () => {
-    // The connection is dead. Long before its deadline the request is retried at
-    // the other upstream, and the caller gets an answer that is a little late.
+    // The connection is dead. Long before its deadline the request is retried
+    // at the other upstream, and the caller gets an answer that is a little
+    // late.
     const harness = await routerHarness.createRouterHarness(2, 1);
     const {attempts} = harness.fakes;
     const step = async () => {
@@ -123,8 +125,8 @@
 });
 
 nodeTest.test('retries stay within a tenth of first attempts', async () => {
-  // All upstreams refuse all requests. Unlimited retries would multiply the load
-  // by 4; the budget allows a tenth and a few initial retries.
+  // All upstreams refuse all requests. Unlimited retries would multiply the
+  // load by 4; the budget allows a tenth and a few initial retries.
   const harness = await routerHarness.createRouterHarness(4, 8);
   const answered = new Set<string>();
   const total = 300;
--- a/packages/gypsumwall-routing/src/__tests__/slot_shares.test.ts
+++ b/packages/gypsumwall-routing/src/__tests__/slot_shares.test.ts
@@ -52,8 +52,8 @@
 
 nodeTest.test('shares never sum to more than the slots', () => {
   // Entries join, stop, crash, pause and are dropped from a lagging list while
-  // they run. If two entries count each other differently at the wrong time, the
-  // upstream gets more requests than it has slots.
+  // they run. If two entries count each other differently at the wrong time,
+  // the upstream gets more requests than it has slots.
   fastCheck.assert(
     fastCheck.property(
       script,
@@ -135,12 +135,12 @@
       const first = {
         ...noEvent,
         event,
-        reads: ticksSinceDrop <= 1 || ticksSinceDrop >= 6,
+        readsList: ticksSinceDrop <= 1 || ticksSinceDrop >= 6,
       };
       const second = {
         ...noEvent,
         event,
-        age: ticksSinceDrop > 0 ? LAG_TICKS : 0,
+        listAgeTicks: ticksSinceDrop > 0 ? LAG_TICKS : 0,
       };
       if (ticksSinceDrop === 1)
         return [{...first, listAgeTicks: LAG_TICKS}, second];
--- a/packages/gypsumwall-routing/src/admission.ts
+++ b/packages/gypsumwall-routing/src/admission.ts
@@ -29,11 +29,16 @@
   ): router.RouteFailure | undefined;
   /** Whether a waiting request will most likely miss its deadline. */
   willMissDeadline(queued: queuedRequest.QueuedRequest): boolean;
-  /** The retry delay after a refusal, estimated from how fast the queue drains. */
+  /**
+   * The retry delay after a refusal, estimated from how fast the queue drains.
+   */
   retryAfterMs(req: router.RoutedRequest, weight: number): number;
 }
 
-/** The least urgent requests are assumed to get at least this share of all slots. */
+/**
+ * The least urgent requests are assumed to get at least this share of all
+ * slots.
+ */
 const MIN_SLOT_SHARE = 0.02;
 const MIN_RETRY_AFTER_MS = 100;
 const MAX_RETRY_AFTER_MS = 60_000;
@@ -64,11 +69,11 @@
     );
   };
   // Callers that are refused at the same time must not retry at the same time.
-  const withJitter = (spanMs: number) =>
+  const withJitter = (delayMs: number) =>
     Math.min(
       MAX_RETRY_AFTER_MS,
       Math.round(
-        Math.max(MIN_RETRY_AFTER_MS, spanMs) * (1 + options.random.next() / 4),
+        Math.max(MIN_RETRY_AFTER_MS, delayMs) * (1 + options.random.next() / 4),
       ),
     );
 
--- a/packages/gypsumwall-routing/src/attempt.ts
+++ b/packages/gypsumwall-routing/src/attempt.ts
@@ -26,7 +26,7 @@
   /** Called when the body of an answer has ended, completely or not. */
   readonly onAnswerEnd: (req: router.RoutedRequest, tookMs: number) => void;
   /** Called when the health of the upstream was updated. */
-  readonly onFault: (upstream: upstreamState.UpstreamState) => void;
+  readonly onHealthUpdate: (upstream: upstreamState.UpstreamState) => void;
 }
 
 type SendResult = result.Result<
@@ -67,7 +67,7 @@
     fault: upstreamHealth.UpstreamFault,
   ) => {
     upstream.health.recordFault(fault, clock.monotonic());
-    options.onFault(upstream);
+    options.onHealthUpdate(upstream);
   };
 
   /**
@@ -136,7 +136,7 @@
       if (hasUpstreamFailed(err, req)) recordFault(upstream, 'failing');
       else if (!timeout.hasExpired()) {
         upstream.health.recordAnswer(tookMs / typicalMs, now);
-        options.onFault(upstream);
+        options.onHealthUpdate(upstream);
       }
       options.release(upstream);
       options.onAnswerEnd(req, tookMs);
--- a/packages/gypsumwall-routing/src/choose_upstream.ts
+++ b/packages/gypsumwall-routing/src/choose_upstream.ts
@@ -12,7 +12,9 @@
   /** The number of upstreams of which this entry has a share. */
   readonly sharedUpstreams: number;
   readonly req: router.RoutedRequest;
-  /** The upstreams that failed this request; chosen only if no other is free. */
+  /**
+   * The upstreams that failed this request; chosen only if no other is free.
+   */
   readonly avoid: ReadonlySet<upstreamState.UpstreamState>;
   readonly now: types.clock.MonotonicMs;
   readonly random: types.random.Random;
@@ -23,7 +25,10 @@
   choice: ChoiceInput,
 ) => upstreamState.UpstreamState | undefined;
 
-/** The number of upstreams sampled; docs/design/003-routing.md has the measurements. */
+/**
+ * The number of upstreams sampled; docs/design/003-routing.md has the
+ * measurements.
+ */
 const SAMPLE_SIZE = 16;
 
 /** The choice that the routing policy uses. */
@@ -31,10 +36,10 @@
 
 /**
  * Creates a choice that tries in this order: a suspect upstream that is due for
- * a probe; the least loaded of `sampleSize` open upstreams sampled at random; an
- * open upstream that failed the request before; a probe whose failure is safe;
- * and a suspect upstream if at least half of all are suspect, since then the
- * requests are more likely to be slow than the upstreams.
+ * a probe; the least loaded of `sampleSize` open upstreams sampled at random;
+ * an open upstream that failed the request before; a probe whose failure is
+ * safe; and a suspect upstream if at least half of all are suspect, since then
+ * the requests are more likely to be slow than the upstreams.
  */
 export function createChooseUpstream(sampleSize: number): ChooseUpstream {
   return (choice) =>
@@ -76,8 +81,8 @@
 }
 
 /**
- * A probe may end with an unknown outcome, so requests that aren't idempotent or
- * have failed once are not used as probes.
+ * A probe may end with an unknown outcome, so requests that aren't idempotent
+ * or have failed once are not used as probes.
  */
 function dueProbe(
   choice: ChoiceInput,
--- a/packages/gypsumwall-routing/src/create_router.ts
+++ b/packages/gypsumwall-routing/src/create_router.ts
@@ -29,7 +29,9 @@
 /** The retry delay for callers of an entry that has no share or is stopping. */
 const OTHER_ENTRY_RETRY_AFTER_MS = 1_000;
 
-/** Creates the router of an entry. It sends no requests before its first view. */
+/**
+ * Creates the router of an entry. It sends no requests before its first view.
+ */
 export function createRouter(
   options: routerOptions.RouterOptions,
   choose: chooseUpstream.ChooseUpstream = chooseUpstream.chooseUpstream,
@@ -43,8 +45,8 @@
     choose,
   );
   const closing = new AbortController();
-  // Every timer of the router listens to this signal, so the warning about
-  // many listeners must not be logged.
+  // Every timer of the router listens to this signal. Many listeners aren't a
+  // leak here, so the limit that triggers Node's warning is removed.
   events.EventEmitter.setMaxListeners(0, closing.signal);
   const timers = sharedTimers.createSharedTimers(clock, closing.signal);
   const queue = requestQueue.createRequestQueue();
@@ -86,7 +88,10 @@
       idleWaiters.splice(0).forEach((resolve) => resolve());
   };
   const scheduledProbes = new WeakMap<upstreamState.UpstreamState, number>();
-  /** Dispatches waiting requests when a probe is due, since no other event may occur then. */
+  /**
+   * Dispatches waiting requests when a probe becomes due, since no other event
+   * may trigger it at that time.
+   */
   const dispatchAtProbe = async (upstream: upstreamState.UpstreamState) => {
     const probeAt = upstream.health.nextProbeAt();
     if (probeAt === undefined || scheduledProbes.get(upstream) === probeAt)
@@ -112,8 +117,8 @@
       times.record(req, tookMs);
       onRequestEnd();
     },
-    onFault: (upstream) => {
-      table.onFault(upstream);
+    onHealthUpdate: (upstream) => {
+      table.onHealthUpdate(upstream);
       void dispatchAtProbe(upstream);
     },
   });
@@ -127,7 +132,7 @@
     for (;;) {
       const waitResult = await dispatcher.acquireSlot(req, failed);
       if (waitResult.type === 'refused') {
-        // "Not run" must be true of all attempts before as well.
+        // The outcome "not run" must be true of all earlier attempts as well.
         if (mayHaveRun === undefined) return result.err(waitResult.failure);
         return result.err(routeFailure.unknown(mayHaveRun));
       }
@@ -217,7 +222,7 @@
   };
 }
 
-/** Whether a retry is safe: it must not run a request twice that isn't idempotent. */
+/** Whether a retry can't run a request twice that isn't idempotent. */
 function mayRetry(
   req: router.RoutedRequest,
   err: types.stepError.StepError,
--- a/packages/gypsumwall-routing/src/free_upstreams.ts
+++ b/packages/gypsumwall-routing/src/free_upstreams.ts
@@ -7,7 +7,10 @@
 /** A set of upstreams with access by index. */
 export interface FreeUpstreams {
   readonly size: number;
-  /** Returns an upstream by an index below the size. Any change may reorder them. */
+  /**
+   * Returns the upstream at an index from 0 to below the size. Any change of
+   * the set may reorder it.
+   */
   at(index: number): upstreamState.UpstreamState | undefined;
   /** Adds or removes an upstream, depending on whether it has a free slot. */
   update(upstream: upstreamState.UpstreamState): void;
--- a/packages/gypsumwall-routing/src/request_queue.ts
+++ b/packages/gypsumwall-routing/src/request_queue.ts
@@ -1,7 +1,7 @@
 /**
  * Requests that wait for a slot. Slots are shared among teams by weight. Within
- * a team the most urgent request is served first and, among equally urgent ones,
- * the one with the earliest latest start.
+ * a team the most urgent request is served first and, among equally urgent
+ * ones, the one with the earliest latest start.
  */
 import type * as types from '@gypsumwall/types';
 import type * as queuedRequest from './queued_request.js';
@@ -20,7 +20,9 @@
   peek(): queuedRequest.QueuedRequest | undefined;
   /** Removes a request that is served and charges its team for it. */
   serve(queued: queuedRequest.QueuedRequest): void;
-  /** Removes a request that won't be served; returns false if it isn't queued. */
+  /**
+   * Removes a request that won't be served; returns false if it isn't queued.
+   */
   remove(queued: queuedRequest.QueuedRequest): boolean;
   /** Charges a team the difference between actual and expected slot time. */
   adjustCharge(
@@ -28,7 +30,9 @@
     weight: number,
     differenceMs: number,
   ): void;
-  /** The number of slots that the requests of other teams need at their present rate. */
+  /**
+   * The number of slots that other teams' requests need at their recent rate.
+   */
   slotDemandOfOthers(
     team: types.ids.TeamId,
     now: types.clock.MonotonicMs,
@@ -38,9 +42,10 @@
 }
 
 /**
- * The slot time that a team may catch up after it used less than its share. With
- * 0, a burst of its requests would take turns with the requests of teams that
- * always have some waiting. With a high value, the others would wait for long.
+ * The slot time that a team may catch up after it used less than its share.
+ * With 0, a burst of its requests would take turns with the requests of teams
+ * that always have some waiting. With a high value, the others would wait for
+ * long.
  */
 const MAX_CATCH_UP_MS = 1_000;
 
--- a/packages/gypsumwall-routing/src/router.ts
+++ b/packages/gypsumwall-routing/src/router.ts
@@ -43,7 +43,9 @@
 export interface RouterView {
   /** The upstreams of the domain, including those that are leaving. */
   readonly upstreams: readonly platform.instanceList.ListedUpstream[];
-  /** The ids of all entries that may use these upstreams, including this one. */
+  /**
+   * The ids of all entries that may use these upstreams, including this one.
+   */
   readonly entries: readonly string[];
 }
 
--- a/packages/gypsumwall-routing/src/router_options.ts
+++ b/packages/gypsumwall-routing/src/router_options.ts
@@ -19,9 +19,9 @@
    */
   readonly listLagMs: number;
   /**
-   * The maximum time for which a request may hold a slot; requests with a longer
-   * estimate are refused. A new entry sends no requests for 2 x `listLagMs` plus
-   * this time.
+   * The maximum time for which a request may hold a slot; requests with a
+   * longer estimate are refused. A new entry sends no requests for 2 x
+   * `listLagMs` plus this time.
    */
   readonly requestBoundMs?: number;
   readonly makeUpstream: (
--- a/packages/gypsumwall-routing/src/service_times.ts
+++ b/packages/gypsumwall-routing/src/service_times.ts
@@ -14,7 +14,10 @@
   record(req: router.RoutedRequest, tookMs: number): void;
 }
 
-/** The mean and the mean absolute deviation of the ratio of actual to declared time. */
+/**
+ * The mean and the mean absolute deviation of the ratio of actual to declared
+ * time.
+ */
 interface LearnedRatio {
   readonly mean: number;
   readonly deviation: number;
@@ -30,7 +33,10 @@
 /** Without samples: the declared time may be off by a factor of 4 and vary. */
 const INITIAL_RATIO: LearnedRatio = {mean: 1, deviation: 4, samples: 1};
 const PESSIMISTIC_DEVIATIONS = 2;
-/** Limits a sample, so that one extreme answer doesn't get later requests refused. */
+/**
+ * Limits a sample, so that one extreme answer doesn't get later requests
+ * refused.
+ */
 const MAX_RATIO = 20;
 /** The number of operations stored; the oldest one is removed first. */
 const MAX_OPERATIONS = 4_096;
--- a/packages/gypsumwall-routing/src/shared_timers.ts
+++ b/packages/gypsumwall-routing/src/shared_timers.ts
@@ -20,8 +20,8 @@
 export const RESOLUTION_MS = 10;
 
 /**
- * Creates timers without any callbacks. When `closing` aborts, all callbacks are
- * called at once, so that no timer keeps the process running.
+ * Creates timers without any callbacks. When `closing` aborts, all callbacks
+ * are called at once, so that no timer keeps the process running.
  */
 export function createSharedTimers(
   clock: types.clock.Clock,
--- a/packages/gypsumwall-routing/src/slot_dispatcher.ts
+++ b/packages/gypsumwall-routing/src/slot_dispatcher.ts
@@ -32,7 +32,10 @@
     req: router.RoutedRequest,
     avoid: ReadonlySet<upstreamState.UpstreamState>,
   ): Promise<queuedRequest.WaitResult>;
-  /** Assigns free slots to waiting requests. Must be called when a slot is released. */
+  /**
+   * Assigns free slots to waiting requests. Must be called when a slot is
+   * released.
+   */
   dispatch(): void;
   /** Refuses all waiting requests, since this entry no longer has a share. */
   refuseAll(): void;
@@ -105,7 +108,9 @@
       admissionControl.retryAfterMs(req, options.limitsOf(req.team).weight),
     );
 
-  /** Refuses at once the requests that an added request has delayed too much. */
+  /**
+   * Refuses at once the requests that an added request has delayed too much.
+   */
   const refuseDelayed = (added: queuedRequest.QueuedRequest) => {
     const team = queue.teamQueueOf(added.req.team);
     for (;;) {
@@ -116,7 +121,10 @@
     }
   };
 
-  /** Waits for the result; the wait ends early if it is too late or the caller cancels. */
+  /**
+   * Waits for the result; the wait ends early if it is too late or the caller
+   * cancels.
+   */
   const waitForResult = async (queued: queuedRequest.QueuedRequest) => {
     const {req} = queued;
     const onAbort = () =>
--- a/packages/gypsumwall-routing/src/slot_shares.ts
+++ b/packages/gypsumwall-routing/src/slot_shares.ts
@@ -1,7 +1,7 @@
 /**
  * An entry's share of the slots and connections of each upstream, computed from
- * the entries in its view. Although entries don't have the same view at the same
- * time, the shares in use never sum to more than the total:
+ * the entries in its view. Although entries don't have the same view at the
+ * same time, the shares in use never sum to more than the total:
  * docs/design/003-routing.md has the proof and its limits.
  */
 import * as crypto from 'node:crypto';
@@ -37,9 +37,15 @@
 interface Delays {
   /** The maximum time for which a view is used after it was passed. */
   readonly viewLifetimeMs: number;
-  /** The time from the first view that contains the entry itself to the first use of its share. */
+  /**
+   * The time from the first view that contains the entry itself to the first
+   * use of its share.
+   */
   readonly joinDelayMs: number;
-  /** The time from the first view without another entry to the use of that entry's share. */
+  /**
+   * The time from the first view without another entry to the use of that
+   * entry's share.
+   */
   readonly leaveDelayMs: number;
   /** After a longer time without a view, the entry joins anew. */
   readonly restartAfterMs: number;
@@ -48,14 +54,14 @@
 /**
  * With `age` the maximum age of a view in use, and `bound` the maximum time for
  * which a request holds a slot:
- * - `joinDelayMs`: all other entries have seen a new entry within `age`, and the
- *   requests that they sent before have ended within `bound` after that.
- * - `leaveDelayMs`: an entry that is dropped from the list while it runs has seen
- *   this within `age`, and its requests have ended within `bound` after that.
- *   Another `age` covers an entry that is listed again, which a lagging view
- *   doesn't show yet.
- * - `restartAfterMs`: in a shorter time without a view, an entry can have missed
- *   only an absence too short for the others to have used its share.
+ * - `joinDelayMs`: all other entries have seen a new entry within `age`, and
+ *   the requests that they sent before have ended within `bound` after that.
+ * - `leaveDelayMs`: an entry that is dropped from the list while it runs has
+ *   seen this within `age`, and its requests have ended within `bound` after
+ *   that. Another `age` covers an entry that is listed again, which a lagging
+ *   view doesn't show yet.
+ * - `restartAfterMs`: in a shorter time without a view, an entry can have
+ *   missed only an absence too short for the others to have used its share.
  */
 function delaysFor(options: SlotSharesOptions): Delays {
   const viewLifetimeMs = options.listLagMs;
@@ -71,13 +77,18 @@
 /** Creates the shares of one entry, which are 0 until it has joined. */
 export function createSlotShares(options: SlotSharesOptions): SlotShares {
   const delays = delaysFor(options);
-  /** For each counted entry, since when it is absent from the views, if it is. */
+  /**
+   * For each counted entry, since when it is absent from the views, if it is.
+   */
   const absentSince = new Map<string, types.clock.MonotonicMs | undefined>();
   let presentSince: types.clock.MonotonicMs | undefined;
   let observedAt: types.clock.MonotonicMs | undefined;
   let hasJoined = false;
   let countedEntries: readonly string[] = [];
-  /** Ranks by upstream; they are valid as long as the counted entries don't change. */
+  /**
+   * Ranks by upstream; they are valid as long as the counted entries don't
+   * change.
+   */
   const ranks = new Map<string, number>();
   const rankFor = (upstream: string) => {
     const cached = ranks.get(upstream);
@@ -126,7 +137,8 @@
     if (since === undefined) absentSince.set(id, now);
   }
   for (const id of entries) absentSince.set(id, undefined);
-  // An entry that was absent before keeps the time of the first view without it.
+  // An entry that was absent before keeps the time of the first view without
+  // it.
 }
 
 function removeLongAbsent(
--- a/packages/gypsumwall-routing/src/team_queue.ts
+++ b/packages/gypsumwall-routing/src/team_queue.ts
@@ -15,11 +15,19 @@
   /** The request that is refused first if the queue is full. */
   last(): queuedRequest.QueuedRequest | undefined;
   remove(queued: queuedRequest.QueuedRequest): boolean;
-  /** The expected slot time of all waiting requests that are at least this urgent. */
+  /**
+   * The expected slot time of all waiting requests that are at least this
+   * urgent.
+   */
   workAheadMs(urgency: types.job.Urgency): number;
-  /** The number of slots that this team's requests need at their recent rate. */
+  /**
+   * The number of slots that this team's requests need at their recent rate.
+   */
   slotDemand(now: types.clock.MonotonicMs): number;
-  /** The number of slots that its more urgent requests need at their recent rate. */
+  /**
+   * The number of slots that its more urgent requests need at their recent
+   * rate.
+   */
   moreUrgentSlotDemand(
     urgency: types.job.Urgency,
     now: types.clock.MonotonicMs,
--- a/packages/gypsumwall-routing/src/upstream_health.ts
+++ b/packages/gypsumwall-routing/src/upstream_health.ts
@@ -11,7 +11,10 @@
   | 'unreachable'
   /** It answers that it didn't run the request. */
   | 'refusing'
-  /** It truncates answers, gives invalid ones, doesn't answer or is far too slow. */
+  /**
+   * It truncates answers, gives invalid ones, doesn't answer or is far too
+   * slow.
+   */
   | 'failing';
 
 /** Which requests may be sent to an upstream at present. */
@@ -27,7 +30,10 @@
 /** The health of one upstream. */
 export interface UpstreamHealth {
   mode(now: types.clock.MonotonicMs): UpstreamMode;
-  /** Records an answer; `slowness` is the ratio of its time to the expected time. */
+  /**
+   * Records an answer. `slowness` is the ratio of the time it took to the
+   * expected time.
+   */
   recordAnswer(slowness: number, now: types.clock.MonotonicMs): void;
   recordFault(fault: UpstreamFault, now: types.clock.MonotonicMs): void;
   /** Whether a failed probe most likely proves that its request didn't run. */
@@ -40,8 +46,8 @@
 
 /**
  * A dead connection doesn't mean a dead upstream: its request fails, and the
- * next one uses a new connection. A share has 1 or 2 connections to an upstream,
- * so a third fault in a row isn't explained by dead connections.
+ * next one uses a new connection. A share has 1 or 2 connections to an
+ * upstream, so a third fault in a row isn't explained by dead connections.
  */
 const MIN_FAULTS_TO_SUSPECT = 3;
 /**
--- a/packages/gypsumwall-routing/src/upstream_table.ts
+++ b/packages/gypsumwall-routing/src/upstream_table.ts
@@ -26,7 +26,7 @@
   /** Releases a slot; removes the upstream if it is unlisted and now unused. */
   releaseSlot(upstream: upstreamState.UpstreamState): void;
   /** Must be called after the health of an upstream was updated. */
-  onFault(upstream: upstreamState.UpstreamState): void;
+  onHealthUpdate(upstream: upstreamState.UpstreamState): void;
   /** The number of this entry's slots at upstreams that aren't suspect. */
   reliableSlots(): number;
   /** Whether this entry has a share of any upstream. */
@@ -132,7 +132,7 @@
       free.update(upstream);
       removeIfUnused(upstream);
     },
-    onFault: (upstream) => {
+    onHealthUpdate: (upstream) => {
       const isSuspect = upstream.health.mode(clock.monotonic()) !== 'open';
       if (isSuspect && upstream.share > 0) suspects.add(upstream);
     },
