--- a/packages/gypsumwall-placement/src/__tests__/create_baseline_placer.test.ts
+++ b/packages/gypsumwall-placement/src/__tests__/create_baseline_placer.test.ts
@@ -30,7 +30,7 @@
     assert.equal(placer.decide(specs.wallMs(1), 10).placements.length, 3);
   });
 
-  nodeTest.it('respects quotas and places nothing on closed workers', () => {
+  nodeTest.it('respects quotas and places nothing on cordoned workers', () => {
     const placer = createBaselinePlacer.createBaselinePlacer();
     placer.setTeam(specs.team('plans', {quota: specs.resources(1, 65_536)}));
     placer.setWorker(specs.worker(0));
--- a/packages/gypsumwall-placement/src/__tests__/create_placer.test.ts
+++ b/packages/gypsumwall-placement/src/__tests__/create_placer.test.ts
@@ -211,7 +211,7 @@
     assert.ok(onBad > 20, `only ${onBad} tasks after it was repaired`);
   });
 
-  nodeTest.it('gives up a job after failures on distinct workers', () => {
+  nodeTest.it('abandons a job after failures on distinct workers', () => {
     const policy = placerWith(5);
     const job = specs.queued('a.1');
     for (let run = 0; run < 10; run += 1) {
@@ -220,14 +220,14 @@
         policy.release(each.taskId, {type: 'failed', message: 'exit 3'});
       }
     }
-    const [given] = policy.takeGivenUp();
-    assert.equal(given?.jobId, 'a.1');
-    assert.match(given?.message ?? '', /3 times.*exit 3/);
+    const [abandoned] = policy.takeGivenUp();
+    assert.equal(abandoned?.jobId, 'a.1');
+    assert.match(abandoned?.message ?? '', /3 times.*exit 3/);
     assert.equal(policy.takeGivenUp().length, 0);
   });
 
   nodeTest.it(
-    'does not give up a job whose tasks fail on one faulty worker',
+    'does not abandon a job whose tasks fail on one faulty worker',
     () => {
       // 8 tasks of a job start at once on a worker that fails all of them. The
       // job then avoids that worker and runs on the other one.
@@ -254,20 +254,23 @@
     },
   );
 
-  nodeTest.it('gives up a task that always fails on the only worker', () => {
-    const policy = placerWith(1);
-    const job = specs.queued('a.1');
-    let runs = 0;
-    for (let now = 0; now < 20; now += 1) {
-      policy.enqueue(job);
-      for (const each of decide(policy, now)) {
-        runs += 1;
-        policy.release(each.taskId, {type: 'failed', message: 'exit 3'});
+  nodeTest.it(
+    'abandons a job whose task always fails on the only worker',
+    () => {
+      const policy = placerWith(1);
+      const job = specs.queued('a.1');
+      let attempts = 0;
+      for (let now = 0; now < 20; now += 1) {
+        policy.enqueue(job);
+        for (const each of decide(policy, now)) {
+          attempts += 1;
+          policy.release(each.taskId, {type: 'failed', message: 'exit 3'});
+        }
+        if (policy.takeGivenUp().length > 0) break;
       }
-      if (policy.takeGivenUp().length > 0) break;
-    }
-    assert.equal(runs, 6);
-  });
+      assert.equal(attempts, 6);
+    },
+  );
 
   nodeTest.it(
     'removes 10,000 cancelled jobs and places the remaining one',
--- a/packages/gypsumwall-placement/src/__tests__/placer_invariants.test.ts
+++ b/packages/gypsumwall-placement/src/__tests__/placer_invariants.test.ts
@@ -20,7 +20,7 @@
   | {type: 'decide'; limit: number; advanceMs: number}
   | {type: 'release'; pick: number; report: placer.RunReport['type']}
   | {type: 'usage'; pick: number; factor: number}
-  | {type: 'close' | 'open'; worker: number}
+  | {type: 'cordon' | 'uncordon'; worker: number}
   | {type: 'cancel'; pick: number}
   | {type: 'adopt'; worker: number; cores: number};
 
@@ -53,7 +53,7 @@
     factor: fc.constantFrom(0.25, 1, 4),
   }),
   fc.record({
-    type: fc.constantFrom('close' as const, 'open' as const),
+    type: fc.constantFrom('cordon' as const, 'uncordon' as const),
     worker: fc.nat(WORKERS - 1),
   }),
   fc.record({type: fc.constant('cancel' as const), pick: fc.nat(20)}),
@@ -89,15 +89,15 @@
   });
 }
 
-function reportOf(how: placer.RunReport['type']): placer.RunReport {
-  switch (how) {
+function reportOf(type: placer.RunReport['type']): placer.RunReport {
+  switch (type) {
     case 'done':
       return {type: 'done', ranMs: 500};
     case 'failed':
       return {type: 'failed', message: 'exit 1'};
     case 'not_started':
     case 'stopped':
-      return {type: how};
+      return {type: type};
   }
 }
 
@@ -110,9 +110,9 @@
   const policy = make();
   const running = new Map<types.ids.TaskId, placer.HeldTask>();
   const waiting = new Map<types.ids.JobId, types.job.JobSpec>();
-  const closed = new Set<types.ids.WorkerId>();
+  const cordoned = new Set<types.ids.WorkerId>();
   let now = 0;
-  let made = 0;
+  let createdJobs = 0;
   for (let n = 0; n < WORKERS; n += 1) {
     policy.setWorker(specs.worker(n, CAPACITY));
   }
@@ -123,7 +123,7 @@
     const tasks = [...running.values()];
     switch (step.type) {
       case 'enqueue': {
-        const job = specs.queued(`a.${made++}`, step.spec, now);
+        const job = specs.queued(`a.${createdJobs++}`, step.spec, now);
         waiting.set(job.jobId, step.spec);
         policy.enqueue(job);
         break;
@@ -131,7 +131,7 @@
       case 'decide': {
         now += step.advanceMs;
         const {placements} = policy.decide(specs.wallMs(now), step.limit);
-        recordPlacements(placements, waiting, running, closed);
+        recordPlacements(placements, waiting, running, cordoned);
         break;
       }
       case 'release': {
@@ -152,19 +152,19 @@
         });
         break;
       }
-      case 'close':
-        closed.add(specs.worker(step.worker).id);
+      case 'cordon':
+        cordoned.add(specs.worker(step.worker).id);
         policy.closeWorker(specs.worker(step.worker).id);
         break;
-      case 'open':
-        closed.delete(specs.worker(step.worker).id);
+      case 'uncordon':
+        cordoned.delete(specs.worker(step.worker).id);
         policy.setWorker(specs.worker(step.worker, CAPACITY));
         break;
       case 'cancel':
         policy.cancel(types.ids.brand(`a.${step.pick}`));
         break;
       case 'adopt':
-        adopt(policy, step, running, made++);
+        adopt(policy, step, running, createdJobs++);
         break;
     }
     checkAllocations(running, checkQuota);
@@ -179,10 +179,15 @@
 ): void {
   const workerId = specs.worker(step.worker).id;
   const size = specs.resources(step.cores);
-  const there = [...running.values()].filter((t) => t.workerId === workerId);
-  const sum = there.reduce((all, t) => types.resources.add(all, t.size), size);
+  const tasksOnWorker = [...running.values()].filter(
+    (t) => t.workerId === workerId,
+  );
+  const totalSize = tasksOnWorker.reduce(
+    (all, t) => types.resources.add(all, t.size),
+    size,
+  );
   // A task that is found running fits, since the worker accepted it before.
-  if (!types.resources.fits(sum, CAPACITY)) return;
+  if (!types.resources.fits(totalSize, CAPACITY)) return;
   const taskId = types.ids.makeTaskId(types.ids.brand(`adopted.${n}`), 0);
   const task = {taskId, spec: specs.spec({size}), workerId, size};
   running.set(taskId, task);
@@ -206,7 +211,7 @@
   placements: readonly placer.Placement[],
   waiting: ReadonlyMap<types.ids.JobId, types.job.JobSpec>,
   running: Map<types.ids.TaskId, placer.HeldTask>,
-  closed: ReadonlySet<types.ids.WorkerId>,
+  cordoned: ReadonlySet<types.ids.WorkerId>,
 ): void {
   const gangs = new Map<types.ids.JobId, number>();
   for (const each of placements) {
@@ -214,7 +219,7 @@
     const spec = waiting.get(jobId);
     assert.ok(spec, `${each.taskId} was placed without waiting`);
     assert.ok(!running.has(each.taskId), `${each.taskId} runs twice`);
-    assert.ok(!closed.has(each.workerId), `${each.workerId} is closed`);
+    assert.ok(!cordoned.has(each.workerId), `${each.workerId} is cordoned`);
     assert.ok(each.size.memoryMb >= spec.size.memoryMb);
     running.set(each.taskId, {...each, spec});
     if (spec.shape.kind !== 'gang') continue;
--- a/packages/gypsumwall-placement/src/admission.ts
+++ b/packages/gypsumwall-placement/src/admission.ts
@@ -80,7 +80,7 @@
 }
 
 /**
- * Closed workers count as well, since they may become schedulable again and a
+ * Cordoned workers count as well, since they may become schedulable again and a
  * refusal is final for the caller. Without any worker nothing is refused.
  */
 function refuseByCapacity(
--- a/packages/gypsumwall-placement/src/allocation_state.ts
+++ b/packages/gypsumwall-placement/src/allocation_state.ts
@@ -7,7 +7,7 @@
   readonly id: types.ids.WorkerId;
   rack: types.ids.RackId;
   capacity: types.resources.Resources;
-  /** False before the worker is added and after it is closed. */
+  /** False before the worker is added and after it is cordoned. */
   isSchedulable: boolean;
   /** True while in quarantine, except when one probe task may be placed. */
   isQuarantined: boolean;
--- a/packages/gypsumwall-placement/src/create_baseline_placer.ts
+++ b/packages/gypsumwall-placement/src/create_baseline_placer.ts
@@ -7,7 +7,7 @@
 import * as types from '@gypsumwall/types';
 import type * as placer from './placer.js';
 
-/** A job is given up after this many failures in a row. */
+/** A job is abandoned after this many failures in a row. */
 const MAX_CONSECUTIVE_FAILURES = 5;
 
 interface WorkerState {
--- a/packages/gypsumwall-placement/src/create_placer.ts
+++ b/packages/gypsumwall-placement/src/create_placer.ts
@@ -226,7 +226,7 @@
       return admission.admit(admissionState, spec, now);
     },
     enqueue(job) {
-      // The holder may not have read yet that the policy gave up this job.
+      // The holder may not have read yet that the policy abandoned this job.
       if (!abandonedJobs.has(job.jobId)) waiting.enqueue(job, lastNow);
     },
     cancel: removeJob,
--- a/packages/gypsumwall-placement/src/job_failures.ts
+++ b/packages/gypsumwall-placement/src/job_failures.ts
@@ -1,15 +1,15 @@
 /**
  * Finds jobs that keep failing. A job with a failed task avoids the worker
- * where it failed. A job is given up if it fails on several workers without a
+ * where it failed. A job is abandoned if it fails on several workers without a
  * success, or if one of its tasks does. Failures on a single worker may be the
- * worker's fault and aren't enough to give up the job.
+ * worker's fault and aren't enough to abandon the job.
  */
 import type * as types from '@gypsumwall/types';
 
-/** A job is given up after failures on this many distinct workers. */
+/** A job is abandoned after failures on this many distinct workers. */
 const MAX_FAILED_WORKERS = 3;
 /**
- * A job is given up when one of its tasks has failed this often, even on fewer
+ * A job is abandoned when one of its tasks has failed this often, even on fewer
  * workers. Failures of several tasks aren't added up, since a job may have six
  * tasks on one faulty worker at once.
  */
@@ -20,7 +20,7 @@
 
 /** The failures of the jobs of a failure domain. */
 export interface JobFailures {
-  /** Returns why the job must be given up; undefined if it may go on. */
+  /** Returns why the job must be abandoned; undefined if it may go on. */
   recordFailure(
     jobId: types.ids.JobId,
     index: number,
--- a/packages/gypsumwall-placement/src/placer.ts
+++ b/packages/gypsumwall-placement/src/placer.ts
@@ -123,7 +123,7 @@
   /** Returns a readable reason why a job waits; empty if it doesn't wait. */
   explain(jobId: types.ids.JobId): string;
   /**
-   * Returns the jobs that the policy has given up since the last call, such as
+   * Returns the jobs that the policy has abandoned since the last call, such as
    * a job that failed on several workers. The holder records them as failed.
    */
   takeGivenUp(): ReadonlyArray<{
