--- a/packages/gypsumwall-placement/src/__tests__/create_placer.test.ts
+++ b/packages/gypsumwall-placement/src/__tests__/create_placer.test.ts
@@ -5,7 +5,7 @@
 import * as createPlacer from '../create_placer.js';
 import type * as placer from '../placer.js';
 
-function placerWith(
+function createPlacerWithWorkers(
   workers: number,
   capacity = specs.resources(8, 32_768),
 ): placer.Placer {
@@ -32,7 +32,7 @@
       // most 10 s. Later jobs with nearer deadlines keep the only worker busy.
       // If jobs were ordered by deadline alone, the first one would start too
       // late.
-      const policy = placerWith(1, specs.resources(1));
+      const policy = createPlacerWithWorkers(1, specs.resources(1));
       const early = specs.spec({
         estimateMs: 2500,
         deadline: specs.wallMs(60_000),
@@ -55,7 +55,7 @@
   );
 
   nodeTest.it('starts urgent jobs first and shares workers by weight', () => {
-    const policy = placerWith(3, specs.resources(4));
+    const policy = createPlacerWithWorkers(3, specs.resources(4));
     policy.setTeam(specs.team('big', {weight: 2}));
     policy.setTeam(specs.team('small', {weight: 1}));
     for (const name of ['big', 'small']) {
@@ -71,7 +71,7 @@
   });
 
   nodeTest.it('respects quotas and places another task when one ends', () => {
-    const policy = placerWith(1);
+    const policy = createPlacerWithWorkers(1);
     policy.setTeam(specs.team('plans', {quota: specs.resources(2, 65_536)}));
     const three = specs.spec({shape: {kind: 'batch', tasks: 3}});
     policy.enqueue(specs.queued('a.1', three));
@@ -87,7 +87,7 @@
   nodeTest.it(
     'allocates the learned CPU, and never less memory than declared',
     () => {
-      const policy = placerWith(1);
+      const policy = createPlacerWithWorkers(1);
       policy.setTeam(specs.team('plans', {packing: 1}));
       const spec = specs.spec({size: specs.resources(4, 1024)});
       for (let run = 0; run < 20; run += 1) {
@@ -107,7 +107,7 @@
   nodeTest.it(
     'allocates the learned memory if it is above the declared one',
     () => {
-      const policy = placerWith(1, specs.resources(64, 8192));
+      const policy = createPlacerWithWorkers(1, specs.resources(64, 8192));
       const spec = specs.spec({size: specs.resources(1, 1024)});
       for (let run = 0; run < 20; run += 1) {
         policy.enqueue(specs.queued(`a.${run}`, spec));
@@ -127,7 +127,7 @@
     // Small tasks use all resources as soon as they become free. Without a
     // reservation there is never enough for all tasks of the gang at once, and
     // it waits forever.
-    const policy = placerWith(4, specs.resources(4));
+    const policy = createPlacerWithWorkers(4, specs.resources(4));
     const small = specs.spec({shape: {kind: 'batch', tasks: 100_000}});
     policy.enqueue(specs.queued('a.small', small));
     const running = decide(policy, 0);
@@ -152,7 +152,7 @@
   nodeTest.it(
     'run one after the other if each needs most of the workers',
     () => {
-      const policy = placerWith(4, specs.resources(4));
+      const policy = createPlacerWithWorkers(4, specs.resources(4));
       const gang = specs.spec({
         shape: {kind: 'gang', tasks: 3},
         size: specs.resources(4),
@@ -171,7 +171,7 @@
 
 nodeTest.describe('services', () => {
   nodeTest.it('are spread over racks', () => {
-    const policy = placerWith(32);
+    const policy = createPlacerWithWorkers(32);
     const spec = specs.spec({shape: {kind: 'service', replicas: 4}});
     policy.enqueue(specs.queued('a.1', spec));
     const racks = decide(policy, 0).map((each) =>
@@ -186,7 +186,7 @@
     // The worker fails each task at once, so it is always free and would
     // attract every task. Failures of 3 jobs put it into quarantine; a probe
     // that succeeds ends the quarantine.
-    const policy = placerWith(5);
+    const policy = createPlacerWithWorkers(5);
     const bad = specs.worker(2).id;
     let now = 0;
     let onBad = 0;
@@ -212,7 +212,7 @@
   });
 
   nodeTest.it('abandons a job after failures on distinct workers', () => {
-    const policy = placerWith(5);
+    const policy = createPlacerWithWorkers(5);
     const job = specs.queued('a.1');
     for (let run = 0; run < 10; run += 1) {
       policy.enqueue(job);
@@ -231,7 +231,7 @@
     () => {
       // 8 tasks of a job start at once on a worker that fails all of them. The
       // job then avoids that worker and runs on the other one.
-      const policy = placerWith(2, specs.resources(8));
+      const policy = createPlacerWithWorkers(2, specs.resources(8));
       const bad = specs.worker(0).id;
       const many = specs.spec({shape: {kind: 'batch', tasks: 16}});
       const job = specs.queued('a.1', many);
@@ -257,7 +257,7 @@
   nodeTest.it(
     'abandons a job whose task always fails on the only worker',
     () => {
-      const policy = placerWith(1);
+      const policy = createPlacerWithWorkers(1);
       const job = specs.queued('a.1');
       let attempts = 0;
       for (let now = 0; now < 20; now += 1) {
@@ -275,7 +275,7 @@
   nodeTest.it(
     'removes 10,000 cancelled jobs and places the remaining one',
     () => {
-      const policy = placerWith(1, specs.resources(1));
+      const policy = createPlacerWithWorkers(1, specs.resources(1));
       for (let n = 0; n < 10_001; n += 1)
         policy.enqueue(specs.queued(`a.${n}`));
       for (let n = 0; n < 10_000; n += 1)
@@ -286,7 +286,7 @@
   );
 
   nodeTest.it('does not start a task that is already running', () => {
-    const policy = placerWith(2);
+    const policy = createPlacerWithWorkers(2);
     const job = specs.queued('a.1');
     const taskId = types.ids.makeTaskId(job.jobId, 0);
     const task = {taskId, spec: job.spec, size: job.spec.size};
@@ -301,7 +301,7 @@
   nodeTest.it(
     'checkpoints an overnight task for an urgent job that waits',
     () => {
-      const policy = placerWith(2, specs.resources(4));
+      const policy = createPlacerWithWorkers(2, specs.resources(4));
       const night = specs.spec({
         urgency: 'overnight',
         shape: {kind: 'batch', tasks: 8},
@@ -323,7 +323,7 @@
   nodeTest.it(
     'throttles the least urgent task if CPU usage exceeds the capacity',
     () => {
-      const policy = placerWith(1, specs.resources(4));
+      const policy = createPlacerWithWorkers(1, specs.resources(4));
       const night = specs.spec({urgency: 'overnight'});
       policy.enqueue(specs.queued('a.night', night));
       policy.enqueue(specs.queued('a.day', specs.spec()));
--- a/packages/gypsumwall-placement/src/__tests__/worker_index.test.ts
+++ b/packages/gypsumwall-placement/src/__tests__/worker_index.test.ts
@@ -8,15 +8,15 @@
 
 nodeTest.describe('createWorkerIndex', () => {
   nodeTest.it('finds a worker exactly if one has enough free resources', () => {
-    const room = fc.record({
+    const amount = fc.record({
       cpuMillis: fc.integer({min: 0, max: 8}),
       memoryMb: fc.integer({min: 0, max: 8}),
       accelerators: fc.integer({min: 0, max: 2}),
     });
-    const rooms = fc.array(fc.tuple(room, fc.boolean()), {maxLength: 100});
+    const workers = fc.array(fc.tuple(amount, fc.boolean()), {maxLength: 100});
     const from = fc.double({min: 0, max: 0.99, noNaN: true});
     fc.assert(
-      fc.property(rooms, room, from, (all, need, start) => {
+      fc.property(workers, amount, from, (all, need, start) => {
         const index = workerIndex.createWorkerIndex();
         const made = domainAllocations.createDomainAllocations((worker) =>
           index.update(worker, worker.isSchedulable),
@@ -26,10 +26,10 @@
           made.setSchedulable(worker, open);
         });
         const found = index.find({need, from: start, limit: 1});
-        const some = all.some(
+        const fitsSome = all.some(
           ([capacity, open]) => open && types.resources.fits(need, capacity),
         );
-        assert.equal(found.length, some ? 1 : 0);
+        assert.equal(found.length, fitsSome ? 1 : 0);
         for (const each of found) {
           assert.ok(
             each.isSchedulable && types.resources.fits(need, each.free),
--- a/packages/gypsumwall-placement/src/admission.ts
+++ b/packages/gypsumwall-placement/src/admission.ts
@@ -12,7 +12,7 @@
  * The share of the limit on waiting jobs up to which jobs of each urgency are
  * admitted, so that the least urgent jobs are refused first.
  */
-const LIMIT_SHARE: Readonly<Record<types.job.Urgency, number>> = {
+const ADMITTED_LIMIT_SHARE: Readonly<Record<types.job.Urgency, number>> = {
   urgent: 1,
   normal: 0.8,
   overnight: 0.6,
@@ -61,7 +61,7 @@
 }
 
 /** The number of tasks that must run at the same time. */
-function tasksAtOnce(shape: types.job.JobShape): number {
+function concurrentTasks(shape: types.job.JobShape): number {
   return shape.kind === 'batch' ? 1 : types.job.taskCount(shape);
 }
 
@@ -70,7 +70,7 @@
   spec: types.job.JobSpec,
 ): placer.PlacementRefusal | undefined {
   const {quota} = state.allocations.teams.team(spec.team);
-  const tasks = tasksAtOnce(spec.shape);
+  const tasks = concurrentTasks(spec.shape);
   const need = types.resources.times(spec.size, tasks);
   if (types.resources.fits(need, quota)) return undefined;
   return {
@@ -89,7 +89,7 @@
 ): placer.PlacementRefusal | undefined {
   const {workers} = state.allocations;
   if (workers.size === 0) return undefined;
-  const wanted = tasksAtOnce(spec.shape);
+  const wanted = concurrentTasks(spec.shape);
   let slots = 0;
   for (const worker of workers.values()) {
     slots += tasksThatFit(spec.size, worker.capacity);
@@ -122,7 +122,7 @@
   state: AdmissionState,
   spec: types.job.JobSpec,
 ): placer.PlacementRefusal | undefined {
-  const limit = state.maxWaitingJobs * LIMIT_SHARE[spec.urgency];
+  const limit = state.maxWaitingJobs * ADMITTED_LIMIT_SHARE[spec.urgency];
   const isOverLimit = state.waitingJobs >= limit;
   const isTeamOverLimit =
     state.teamWaitingJobs >= state.maxWaitingJobs * MAX_TEAM_SHARE;
--- a/packages/gypsumwall-placement/src/create_placer.ts
+++ b/packages/gypsumwall-placement/src/create_placer.ts
@@ -11,11 +11,11 @@
 import * as explainWait from './explain_wait.js';
 import * as jobFailures from './job_failures.js';
 import * as jobQueue from './job_queue.js';
-import * as pickWorker from './pick_worker.js';
+import * as workerPicker from './worker_picker.js';
 import * as schedulingCycle from './scheduling_cycle.js';
 import type * as placer from './placer.js';
 import * as quarantine from './quarantine.js';
-import * as rackSpread from './rack_spread.js';
+import * as rackReplicas from './rack_replicas.js';
 import * as preemptor from './preemptor.js';
 import * as reservations from './reservations.js';
 import * as sizeLearner from './size_learner.js';
@@ -48,7 +48,7 @@
   const index = workerIndex.createWorkerIndex();
   const learner = sizeLearner.createSizeLearner();
   const failures = jobFailures.createJobFailures();
-  const replicaSpread = rackSpread.createRackSpread();
+  const replicas = rackReplicas.createRackReplicas();
   /** Workers with more free resources than in the last scheduling cycle. */
   const workersWithMoreFree = new Set<allocationState.WorkerState>();
   let abandonedJobs = new Map<types.ids.JobId, string>();
@@ -82,9 +82,9 @@
     allocations,
     queue: waiting.queue,
     sizes,
-    pickWorker: pickWorker.createWorkerPicker(index, random),
+    pickWorker: workerPicker.createWorkerPicker(index, random),
     failures,
-    rackSpread: replicaSpread,
+    rackReplicas: replicas,
     reservations: reservationTable,
     allocate,
     rollBack,
@@ -111,7 +111,7 @@
 
   function allocate(task: placer.HeldTask, expectedEndAt: number): void {
     const allocation = allocations.allocate(task, expectedEndAt);
-    replicaSpread.adjust(allocation, 1);
+    replicas.adjust(allocation, 1);
     domainQuarantine.onTaskAllocated(allocation.worker);
   }
 
@@ -135,7 +135,7 @@
     taskId: types.ids.TaskId,
   ): allocationState.TaskAllocation | undefined {
     const task = allocations.deallocate(taskId);
-    if (task !== undefined) replicaSpread.adjust(task, -1);
+    if (task !== undefined) replicas.adjust(task, -1);
     return task;
   }
 
--- a/packages/gypsumwall-placement/src/expected_capacity.ts
+++ b/packages/gypsumwall-placement/src/expected_capacity.ts
@@ -35,13 +35,13 @@
  * when estimated. Services don't end, and resources reserved for other jobs
  * aren't used. Returns undefined if the workers can't hold that many tasks.
  */
-export function earliestCapacity(
+export function findEarliestCapacity(
   workers: readonly allocationState.WorkerState[],
   search: CapacitySearch,
 ): ExpectedCapacity | undefined {
   const {count, now} = search;
   const all: Slot[] = [];
-  for (const worker of workers) all.push(...slotsOn(worker, search));
+  for (const worker of workers) all.push(...findSlotsOn(worker, search));
   if (all.length < count) return undefined;
   all.sort((left, right) => left.at - right.at);
   const slots = new Map<allocationState.WorkerState, number>();
@@ -60,12 +60,12 @@
 }
 
 /** The times at which one more task fits on a worker. */
-function slotsOn(
+function findSlotsOn(
   worker: allocationState.WorkerState,
   search: CapacitySearch,
 ): Slot[] {
   const {size, count, now} = search;
-  const expectedEnds = expectedEndsOn(worker, search);
+  const expectedEnds = listExpectedEnds(worker, search);
   const forecast = freeForecast.createFreeForecast(worker);
   const slots: Slot[] = [];
   let victims: allocationState.TaskAllocation[] = [];
@@ -90,7 +90,7 @@
 }
 
 /** The tasks of a worker, ordered by when they end or could be checkpointed. */
-function expectedEndsOn(
+function listExpectedEnds(
   worker: allocationState.WorkerState,
   search: CapacitySearch,
 ): ExpectedEnd[] {
--- a/packages/gypsumwall-placement/src/preemption.ts
+++ b/packages/gypsumwall-placement/src/preemption.ts
@@ -4,7 +4,7 @@
 import type * as placer from './placer.js';
 
 /** A checkpoint without effect after this time may be requested again. */
-export const CHECKPOINT_EXPECTED_MS = 10_000;
+export const CHECKPOINT_RETRY_AFTER_MS = 10_000;
 
 /** Tasks of lower rank are preempted first. */
 export const URGENCY_RANK: Readonly<Record<types.job.Urgency, number>> = {
@@ -37,7 +37,7 @@
 ): boolean {
   return (
     task.checkpointRequestedAt > 0 &&
-    task.checkpointRequestedAt + CHECKPOINT_EXPECTED_MS > now
+    task.checkpointRequestedAt + CHECKPOINT_RETRY_AFTER_MS > now
   );
 }
 
--- a/packages/gypsumwall-placement/src/preemptor.ts
+++ b/packages/gypsumwall-placement/src/preemptor.ts
@@ -70,7 +70,7 @@
     const size = options.sizeOf(job);
     const tasks = Math.min(job.waiting.size, MAX_ACTIONS_PER_CYCLE);
     for (let task = 0; task < tasks; task += 1) {
-      const victims = cheapestVictims(job, size, now);
+      const victims = findCheapestVictims(job, size, now);
       if (victims === undefined) return;
       for (const victim of victims) {
         actions.push(preemption.requestCheckpoint(victim, now));
@@ -83,7 +83,7 @@
    * Of the sampled workers, chooses the one where preemption costs least, and
    * returns the tasks to preempt there.
    */
-  function cheapestVictims(
+  function findCheapestVictims(
     job: jobQueue.WaitingJob,
     size: types.resources.Resources,
     now: number,
@@ -100,7 +100,7 @@
     ) {
       const worker = workerList[(start + step) % workerList.length]!;
       if (!worker.isSchedulable || worker.isQuarantined) continue;
-      const victims = victimsOn(worker, job, size, now);
+      const victims = findVictimsOn(worker, job, size, now);
       if (victims === undefined) continue;
       const cost = costOf(victims);
       if (cost >= bestCost) continue;
@@ -209,7 +209,7 @@
   };
 }
 
-function victimsOn(
+function findVictimsOn(
   worker: allocationState.WorkerState,
   job: jobQueue.WaitingJob,
   size: types.resources.Resources,
--- a/packages/gypsumwall-placement/src/quantity_history.ts
+++ b/packages/gypsumwall-placement/src/quantity_history.ts
@@ -14,7 +14,7 @@
  * The histograms are reset after this many samples, so that old samples are
  * dropped and the 16-bit counters can't overflow.
  */
-const SAMPLES_PER_GENERATION = 2000;
+const MAX_SAMPLES = 2000;
 
 /** The recorded amounts of one quantity. */
 export interface QuantityHistory {
@@ -37,7 +37,7 @@
   return {
     samples: () => amounts.totalCount,
     record(declared, used) {
-      if (amounts.totalCount >= SAMPLES_PER_GENERATION) {
+      if (amounts.totalCount >= MAX_SAMPLES) {
         amounts.reset();
         ratios.reset();
       }
--- a/packages/gypsumwall-placement/src/rack_spread.ts
+++ b/packages/gypsumwall-placement/src/rack_replicas.ts
@@ -3,15 +3,15 @@
 import type * as allocationState from './allocation_state.js';
 
 /** The numbers of replicas by service and rack. */
-export interface RackSpread {
+export interface RackReplicas {
   adjust(task: allocationState.TaskAllocation, sign: 1 | -1): void;
-  racksOf(
+  replicasByRack(
     jobId: types.ids.JobId,
   ): ReadonlyMap<types.ids.RackId, number> | undefined;
 }
 
 /** Creates empty counts. Tasks of batch jobs and gangs are ignored. */
-export function createRackSpread(): RackSpread {
+export function createRackReplicas(): RackReplicas {
   const services = new Map<types.ids.JobId, Map<types.ids.RackId, number>>();
 
   return {
@@ -26,6 +26,6 @@
       else racks.delete(rack);
       if (racks.size === 0) services.delete(jobId);
     },
-    racksOf: (jobId) => services.get(jobId),
+    replicasByRack: (jobId) => services.get(jobId),
   };
 }
--- a/packages/gypsumwall-placement/src/reservations.ts
+++ b/packages/gypsumwall-placement/src/reservations.ts
@@ -146,7 +146,7 @@
     const tasks = job.spec.shape.kind === 'gang' ? job.waiting.size : 1;
     const sample = sampleWorkers(MIN_SAMPLES + tasks * SAMPLES_PER_TASK);
     const search = (count: number) =>
-      expectedCapacity.earliestCapacity(sample, {
+      expectedCapacity.findEarliestCapacity(sample, {
         size,
         count,
         now,
--- a/packages/gypsumwall-placement/src/scheduling_cycle.ts
+++ b/packages/gypsumwall-placement/src/scheduling_cycle.ts
@@ -4,9 +4,9 @@
 import * as indexRanges from './index_ranges.js';
 import type * as jobFailures from './job_failures.js';
 import type * as jobQueue from './job_queue.js';
-import type * as pickWorker from './pick_worker.js';
+import type * as workerPicker from './worker_picker.js';
 import type * as placer from './placer.js';
-import type * as rackSpread from './rack_spread.js';
+import type * as rackReplicas from './rack_replicas.js';
 import type * as reservations from './reservations.js';
 import type * as taskSize from './task_size.js';
 
@@ -28,9 +28,9 @@
   readonly allocations: domainAllocations.DomainAllocations;
   readonly queue: jobQueue.JobQueue;
   readonly sizes: taskSize.TaskSizes;
-  readonly pickWorker: pickWorker.WorkerPicker;
+  readonly pickWorker: workerPicker.WorkerPicker;
   readonly failures: jobFailures.JobFailures;
-  readonly rackSpread: rackSpread.RackSpread;
+  readonly rackReplicas: rackReplicas.RackReplicas;
   readonly reservations: reservations.Reservations;
   /** Allocates the resources of a placed task. */
   allocate(task: placer.HeldTask, expectedEndAt: number): void;
@@ -206,7 +206,7 @@
     packing: job.team.packing,
     avoid: workersToAvoid(context, jobId),
     racks: isService
-      ? (context.rackSpread.racksOf(jobId) ?? NO_RACKS)
+      ? (context.rackReplicas.replicasByRack(jobId) ?? NO_RACKS)
       : undefined,
     reservedFallback: () =>
       context.reservations.usableBy(job, now + estimate.pessimisticMs),
--- a/packages/gypsumwall-placement/src/size_learner.ts
+++ b/packages/gypsumwall-placement/src/size_learner.ts
@@ -25,7 +25,7 @@
  */
 const MAX_CLASSES = 1000;
 /** An estimate is recomputed when the samples have grown by this factor. */
-const REFRESH_GROWTH = 1.2;
+const REFRESH_GROWTH_FACTOR = 1.2;
 
 /** The expected size and run time of a task. */
 export interface Estimate {
@@ -50,7 +50,7 @@
   readonly runTime: quantityHistory.QuantityHistory;
   /** The last estimate, with the spec and the quantile it was made for. */
   cached: Estimate | undefined;
-  cachedFor: types.job.JobSpec | undefined;
+  cachedSpec: types.job.JobSpec | undefined;
   cachedQuantile: number;
   samples: number;
   refreshAt: number;
@@ -70,7 +70,7 @@
       memory: quantityHistory.createQuantityHistory(),
       runTime: quantityHistory.createQuantityHistory(),
       cached: undefined,
-      cachedFor: undefined,
+      cachedSpec: undefined,
       cachedQuantile: 0,
       samples: 0,
       refreshAt: 0,
@@ -87,7 +87,8 @@
   function countSample(jobClass: JobClass): void {
     jobClass.samples += 1;
     if (jobClass.samples < jobClass.refreshAt) return;
-    jobClass.refreshAt = Math.ceil(jobClass.samples * REFRESH_GROWTH) + 1;
+    jobClass.refreshAt =
+      Math.ceil(jobClass.samples * REFRESH_GROWTH_FACTOR) + 1;
     jobClass.cached = undefined;
   }
 
@@ -111,15 +112,15 @@
       const isCached =
         jobClass.cached !== undefined &&
         jobClass.cachedQuantile === cpuQuantile &&
-        jobClass.cachedFor !== undefined &&
-        hasSameDeclaration(jobClass.cachedFor, spec);
+        jobClass.cachedSpec !== undefined &&
+        hasSameDeclaration(jobClass.cachedSpec, spec);
       if (isCached) return jobClass.cached!;
       const estimate = {
         size: estimateSize(jobClass, spec, cpuQuantile),
         ...estimateRunTime(jobClass, spec),
       };
       jobClass.cached = estimate;
-      jobClass.cachedFor = spec;
+      jobClass.cachedSpec = spec;
       jobClass.cachedQuantile = cpuQuantile;
       return estimate;
     },
--- a/packages/gypsumwall-placement/src/task_size.ts
+++ b/packages/gypsumwall-placement/src/task_size.ts
@@ -26,7 +26,7 @@
 ): TaskSizes {
   function estimate(spec: types.job.JobSpec): sizeLearner.Estimate {
     const {packing} = allocations.teams.team(spec.team);
-    return learner.estimate(spec, cpuQuantile(spec, packing));
+    return learner.estimate(spec, cpuQuantileOf(spec, packing));
   }
 
   return {
@@ -39,7 +39,7 @@
   };
 }
 
-function cpuQuantile(spec: types.job.JobSpec, packing: number): number {
+function cpuQuantileOf(spec: types.job.JobSpec, packing: number): number {
   if (spec.shape.kind === 'service') return MAX_CPU_QUANTILE;
   const range = MAX_CPU_QUANTILE - MIN_CPU_QUANTILE;
   return MAX_CPU_QUANTILE - range * packing;
--- a/packages/gypsumwall-placement/src/team_allocations.ts
+++ b/packages/gypsumwall-placement/src/team_allocations.ts
@@ -100,14 +100,14 @@
         accelerators += part.accelerators;
       }
       return Math.max(
-        share(cpu, totalCapacity.cpuMillis),
-        share(memory, totalCapacity.memoryMb),
-        share(accelerators, totalCapacity.accelerators),
+        ratio(cpu, totalCapacity.cpuMillis),
+        ratio(memory, totalCapacity.memoryMb),
+        ratio(accelerators, totalCapacity.accelerators),
       );
     },
   };
 }
 
-function share(part: number, whole: number): number {
+function ratio(part: number, whole: number): number {
   return whole > 0 ? part / whole : 0;
 }
--- a/packages/gypsumwall-placement/src/waiting_jobs.ts
+++ b/packages/gypsumwall-placement/src/waiting_jobs.ts
@@ -22,13 +22,13 @@
   overnight: 28_800_000,
 };
 /** The urgencies that count towards a team's share, by tier. */
-const URGENCIES_UP_TO: ReadonlyArray<readonly types.job.Urgency[]> = [
+const URGENCIES_BY_TIER: ReadonlyArray<readonly types.job.Urgency[]> = [
   ['urgent'],
   ['urgent', 'normal'],
   ['urgent', 'normal', 'overnight'],
 ];
 /** A job with a deadline becomes due this long before its latest start. */
-const DUE_AHEAD_MS = 2000;
+const DUE_BEFORE_START_MS = 2000;
 /** The latest start of a job of many tasks assumes this share of all cores. */
 const ASSUMED_CORE_SHARE = 0.5;
 /**
@@ -65,7 +65,7 @@
   sizes: taskSize.TaskSizes,
 ): WaitingJobs {
   const queue = jobQueue.createJobQueue((team, tier) =>
-    allocations.teams.dominantShare(team, URGENCIES_UP_TO[tier] ?? []),
+    allocations.teams.dominantShare(team, URGENCIES_BY_TIER[tier] ?? []),
   );
   const demand = deadlineDemand.createDeadlineDemand();
   const jobsById = new Map<types.ids.JobId, jobQueue.WaitingJob>();
@@ -175,7 +175,7 @@
         const first = notYetDue.peek();
         if (first === undefined) return;
         const isRemoved = first.group === undefined;
-        if (!isRemoved && first.startBy - DUE_AHEAD_MS > now) return;
+        if (!isRemoved && first.startBy - DUE_BEFORE_START_MS > now) return;
         notYetDue.pop();
         if (isRemoved) continue;
         queue.remove(first);
@@ -187,7 +187,8 @@
 }
 
 function tierOf(spec: types.job.JobSpec, startBy: number, now: number): number {
-  const isDue = spec.deadline !== undefined && startBy - DUE_AHEAD_MS <= now;
+  const isDue =
+    spec.deadline !== undefined && startBy - DUE_BEFORE_START_MS <= now;
   if (isDue) return jobQueue.TIER_DUE;
   switch (spec.urgency) {
     case 'urgent':
--- a/packages/gypsumwall-placement/src/worker_index.ts
+++ b/packages/gypsumwall-placement/src/worker_index.ts
@@ -18,7 +18,7 @@
 const INITIAL_SLOTS = 32;
 
 /** A search for workers that a task fits on. */
-export interface Search {
+export interface WorkerSearch {
   readonly need: types.resources.Resources;
   /** Where the search starts among the workers, as a fraction below 1. */
   readonly from: number;
@@ -33,7 +33,7 @@
   update(worker: allocationState.WorkerState, isUsable: boolean): void;
   remove(worker: allocationState.WorkerState): void;
   /** The fitting workers, in slot order from the start and wrapping around. */
-  find(search: Search): allocationState.WorkerState[];
+  find(search: WorkerSearch): allocationState.WorkerState[];
 }
 
 export function createWorkerIndex(): WorkerIndex {
@@ -74,17 +74,17 @@
    * The smaller of free CPU and free memory, relative to a reference worker.
    */
   let balance = new Float64Array(slots * 2).fill(-1);
-  let reference: types.resources.Resources | undefined;
+  let referenceCapacity: types.resources.Resources | undefined;
   const slotOf = new Map<allocationState.WorkerState, number>();
   const workerAt: Array<allocationState.WorkerState | undefined> = [];
   const freeSlots: number[] = [];
-  let visits = 0;
+  let visitCount = 0;
 
   function balanceOf(amount: types.resources.Resources): number {
-    if (reference === undefined) return 0;
+    if (referenceCapacity === undefined) return 0;
     return Math.min(
-      amount.cpuMillis / reference.cpuMillis,
-      amount.memoryMb / reference.memoryMb,
+      amount.cpuMillis / referenceCapacity.cpuMillis,
+      amount.memoryMb / referenceCapacity.memoryMb,
     );
   }
 
@@ -134,7 +134,7 @@
    * `found`.
    */
   function collect(
-    search: Search,
+    search: WorkerSearch,
     needBalance: number,
     node: number,
     nodeLow: number,
@@ -144,8 +144,9 @@
     found: allocationState.WorkerState[],
   ): void {
     if (nodeHigh <= low || nodeLow >= high) return;
-    if (found.length >= search.limit || visits >= MAX_VISITS_PER_SEARCH) return;
-    visits += 1;
+    if (found.length >= search.limit || visitCount >= MAX_VISITS_PER_SEARCH)
+      return;
+    visitCount += 1;
     const {need} = search;
     if (cpu[node]! < need.cpuMillis || memory[node]! < need.memoryMb) return;
     if (accelerators[node]! < need.accelerators) return;
@@ -165,7 +166,8 @@
 
   return {
     update(worker: allocationState.WorkerState, isUsable: boolean): void {
-      reference ??= worker.capacity.cpuMillis > 0 ? worker.capacity : undefined;
+      referenceCapacity ??=
+        worker.capacity.cpuMillis > 0 ? worker.capacity : undefined;
       const slot = slotOf.get(worker) ?? assignSlot(worker);
       setLeaf(slot, worker, isUsable);
     },
@@ -177,11 +179,11 @@
       workerAt[slot] = undefined;
       freeSlots.push(slot);
     },
-    find(search: Search): allocationState.WorkerState[] {
+    find(search: WorkerSearch): allocationState.WorkerState[] {
       const found: allocationState.WorkerState[] = [];
       const start = Math.floor(search.from * workerAt.length);
       const needBalance = balanceOf(search.need);
-      visits = 0;
+      visitCount = 0;
       collect(search, needBalance, 1, 0, slots, start, slots, found);
       collect(search, needBalance, 1, 0, slots, 0, start, found);
       return found;
--- a/packages/gypsumwall-routing/src/admission.ts
+++ b/packages/gypsumwall-routing/src/admission.ts
@@ -47,25 +47,25 @@
 export function createAdmission(options: AdmissionOptions): Admission {
   const {clock, queue, table, times} = options;
 
-  const expectedWaitMs = (req: router.RoutedRequest, weight: number) => {
+  const estimateWaitMs = (req: router.RoutedRequest, weight: number) => {
     if (queue.size === 0) return 0;
     const now = clock.monotonic();
     const team = queue.teamQueueOf(req.team);
     const slots = Math.max(1, table.reliableSlots());
     // More urgent requests that arrive in the meantime are served first.
     const overtakingSlots = team.moreUrgentSlotDemand(req.urgency, now);
-    const drainMs = (workMs: number, takenSlots: number) =>
+    const estimateDrainMs = (workMs: number, takenSlots: number) =>
       workMs / Math.max(slots - takenSlots, slots * MIN_SLOT_SHARE);
     const fairSlots = slots * queue.fairShare(req.team, weight);
     const slotsOfOthers = queue.slotDemandOfOthers(req.team, now);
     // Other teams can't use more slots than their requests need. With many
     // teams that send little, the wait is shorter than fair shares suggest.
     return Math.min(
-      drainMs(
+      estimateDrainMs(
         team.workAheadMs(req.urgency),
         slots - fairSlots + overtakingSlots,
       ),
-      drainMs(queue.workMs, slotsOfOthers + overtakingSlots),
+      estimateDrainMs(queue.expectedWorkMs, slotsOfOthers + overtakingSlots),
     );
   };
   // Callers that are refused at the same time must not retry at the same time.
@@ -86,7 +86,7 @@
           'the deadline has passed',
         );
       }
-      const waitMs = expectedWaitMs(req, team.weight);
+      const waitMs = estimateWaitMs(req, team.weight);
       // A request that doesn't have to wait is admitted if it is expected to
       // meet its deadline. Behind others it must be likely to meet it, since a
       // miss would waste a slot that another request could have used.
@@ -101,9 +101,9 @@
       );
     },
     willMissDeadline: ({req, weight}) => {
-      const neededMs = expectedWaitMs(req, weight) + times.typicalMs(req);
+      const neededMs = estimateWaitMs(req, weight) + times.typicalMs(req);
       return neededMs > req.deadline - clock.monotonic();
     },
-    retryAfterMs: (req, weight) => withJitter(expectedWaitMs(req, weight)),
+    retryAfterMs: (req, weight) => withJitter(estimateWaitMs(req, weight)),
   };
 }
--- a/packages/gypsumwall-routing/src/attempt.ts
+++ b/packages/gypsumwall-routing/src/attempt.ts
@@ -81,12 +81,12 @@
     latestEnd: types.clock.MonotonicMs,
   ) => {
     const now = clock.monotonic();
-    const twice = types.clock.after(now, now - startedAt);
-    const likelyEndAt = twice < latestEnd ? twice : latestEnd;
+    const doubledEnd = types.clock.after(now, now - startedAt);
+    const likelyEndAt = doubledEnd < latestEnd ? doubledEnd : latestEnd;
     options.timers.set(likelyEndAt, () => options.release(upstream));
   };
 
-  const attemptTimeoutMs = (req: router.RoutedRequest, slackMs: number) => {
+  const computeTimeoutMs = (req: router.RoutedRequest, slackMs: number) => {
     const pessimisticMs = times.pessimisticMs(req);
     const latestRetryMs = slackMs - pessimisticMs;
     const minTimeoutMs = Math.max(
@@ -103,7 +103,7 @@
     const latestEnd = types.clock.after(startedAt, options.requestBoundMs);
     const deadline = req.deadline < latestEnd ? req.deadline : latestEnd;
     const typicalMs = times.typicalMs(req);
-    const timeoutMs = attemptTimeoutMs(req, req.deadline - startedAt);
+    const timeoutMs = computeTimeoutMs(req, req.deadline - startedAt);
     const timeoutAt = types.clock.after(startedAt, timeoutMs);
     const timeout = attemptTimeout.startAttemptTimeout(
       options.timers,
@@ -115,7 +115,7 @@
       },
     );
     const sent = await upstream.client.execute(
-      upstreamRequest(req, deadline, timeout.signal),
+      createUpstreamRequest(req, deadline, timeout.signal),
     );
     timeout.stop();
     const answer = timeout.isAbandoned()
@@ -145,7 +145,7 @@
   };
 }
 
-function upstreamRequest(
+function createUpstreamRequest(
   req: router.RoutedRequest,
   deadline: types.clock.MonotonicMs,
   signal: AbortSignal | undefined,
--- a/packages/gypsumwall-routing/src/choose_upstream.ts
+++ b/packages/gypsumwall-routing/src/choose_upstream.ts
@@ -43,14 +43,14 @@
  */
 export function createChooseUpstream(sampleSize: number): ChooseUpstream {
   return (choice) =>
-    dueProbe(choice) ??
-    leastLoaded(choice, sampleSize) ??
+    findDueProbe(choice) ??
+    findLeastLoaded(choice, sampleSize) ??
     findFirst(
       choice.avoid,
       (upstream) => isFree(upstream) && isOpen(choice, upstream),
     ) ??
-    safeProbe(choice) ??
-    suspectFallback(choice);
+    findSafeProbe(choice) ??
+    findSuspectFallback(choice);
 }
 
 /** The baseline's choice: a random upstream with a free slot, in any state. */
@@ -62,7 +62,7 @@
   return free.at(random.integer(0, free.size - 1));
 }
 
-function leastLoaded(
+function findLeastLoaded(
   choice: ChoiceInput,
   sampleSize: number,
 ): upstreamState.UpstreamState | undefined {
@@ -84,7 +84,7 @@
  * A probe may end with an unknown outcome, so requests that aren't idempotent
  * or have failed once are not used as probes.
  */
-function dueProbe(
+function findDueProbe(
   choice: ChoiceInput,
 ): upstreamState.UpstreamState | undefined {
   if (!choice.req.idempotent || choice.avoid.size > 0) return undefined;
@@ -92,7 +92,7 @@
 }
 
 /** A probe whose failure most likely proves that the request didn't run. */
-function safeProbe(
+function findSafeProbe(
   choice: ChoiceInput,
 ): upstreamState.UpstreamState | undefined {
   return findFirst(
@@ -101,7 +101,7 @@
   );
 }
 
-function suspectFallback(
+function findSuspectFallback(
   choice: ChoiceInput,
 ): upstreamState.UpstreamState | undefined {
   if (2 * choice.suspects.size < choice.sharedUpstreams) return undefined;
--- a/packages/gypsumwall-routing/src/create_router.ts
+++ b/packages/gypsumwall-routing/src/create_router.ts
@@ -152,11 +152,11 @@
       if (mayHaveRun !== undefined) {
         return result.err(routeFailure.unknown(mayHaveRun));
       }
-      return result.err(refusalAfterAttempts(req, message));
+      return result.err(createFinalRefusal(req, message));
     }
   };
 
-  const refusalAfterAttempts = (req: router.RoutedRequest, message: string) =>
+  const createFinalRefusal = (req: router.RoutedRequest, message: string) =>
     req.signal?.aborted === true
       ? routeFailure.notRun('cancelled', 'the caller cancelled the request')
       : routeFailure.notRun(
@@ -165,7 +165,7 @@
           admissionControl.retryAfterMs(req, limitsOf(req.team).weight),
         );
 
-  const initialRefusal = (req: router.RoutedRequest) => {
+  const findInitialRefusal = (req: router.RoutedRequest) => {
     if (isDraining) {
       const message = 'this entry is stopping';
       return routeFailure.notRun(
@@ -197,7 +197,7 @@
     },
     setTeam: (team) => void teams.set(team.id, team),
     route: async (req) => {
-      const failure = initialRefusal(req);
+      const failure = findInitialRefusal(req);
       if (failure !== undefined) return result.err(failure);
       activeRequests += 1;
       const routeResult = await routeWithRetries(req);
--- a/packages/gypsumwall-routing/src/queued_request.ts
+++ b/packages/gypsumwall-routing/src/queued_request.ts
@@ -9,7 +9,7 @@
   | {readonly type: 'refused'; readonly failure: router.RouteFailure};
 
 /** The properties of a request when it is queued. */
-export interface QueuedFields {
+export interface QueuedRequestFields {
   readonly req: router.RoutedRequest;
   /** The weight of its team. */
   readonly weight: number;
@@ -22,7 +22,7 @@
 }
 
 /** A request in a queue. */
-export interface QueuedRequest extends QueuedFields {
+export interface QueuedRequest extends QueuedRequestFields {
   /** The result of the wait; undefined while the request waits. */
   readonly result: WaitResult | undefined;
   /** Resolves with the result when the wait ends. */
@@ -32,7 +32,9 @@
 }
 
 /** Creates a request that isn't in any queue yet. */
-export function createQueuedRequest(fields: QueuedFields): QueuedRequest {
+export function createQueuedRequest(
+  fields: QueuedRequestFields,
+): QueuedRequest {
   let result: WaitResult | undefined;
   let resolveResult: (result: WaitResult) => void = () => undefined;
   const resultPromise = new Promise<WaitResult>(
--- a/packages/gypsumwall-routing/src/slot_dispatcher.ts
+++ b/packages/gypsumwall-routing/src/slot_dispatcher.ts
@@ -94,14 +94,17 @@
     if (rank[last.req.urgency] <= rank[req.urgency]) return false;
     refuse(
       last,
-      overloadedRefusal(
+      createOverloadedRefusal(
         last.req,
         'the queue is full and a more urgent request took its place',
       ),
     );
     return true;
   };
-  const overloadedRefusal = (req: router.RoutedRequest, message: string) =>
+  const createOverloadedRefusal = (
+    req: router.RoutedRequest,
+    message: string,
+  ) =>
     routeFailure.notRun(
       'overloaded',
       message,
@@ -162,7 +165,10 @@
       if (failure !== undefined) return {type: 'refused', failure};
       // A retry was admitted to the queue before, so it isn't limited again.
       if (!isRetry && !ensureQueueCapacity(req)) {
-        const refusal = overloadedRefusal(req, "the team's queue is full");
+        const refusal = createOverloadedRefusal(
+          req,
+          "the team's queue is full",
+        );
         return {type: 'refused', failure: refusal};
       }
       const typicalMs = times.typicalMs(req);
--- a/packages/gypsumwall-routing/src/team_queue.ts
+++ b/packages/gypsumwall-routing/src/team_queue.ts
@@ -38,7 +38,7 @@
 export function createTeamQueue(id: types.ids.TeamId): TeamQueue {
   /** Sorted. Queues are so short that a splice takes microseconds. */
   const waiting: queuedRequest.QueuedRequest[] = [];
-  const workMs: Record<types.job.Urgency, number> = {
+  const expectedWorkMs: Record<types.job.Urgency, number> = {
     urgent: 0,
     normal: 0,
     overnight: 0,
@@ -58,7 +58,7 @@
     push: (queued, now) => {
       arrivals[queued.req.urgency].add(queued.typicalMs, now);
       waiting.splice(insertionIndex(waiting, queued), 0, queued);
-      workMs[queued.req.urgency] += queued.typicalMs;
+      expectedWorkMs[queued.req.urgency] += queued.typicalMs;
     },
     first: () => waiting[0],
     last: () => waiting.at(-1),
@@ -66,17 +66,21 @@
       const index = indexOf(waiting, queued);
       if (index < 0) return false;
       waiting.splice(index, 1);
-      workMs[queued.req.urgency] -= queued.typicalMs;
+      expectedWorkMs[queued.req.urgency] -= queued.typicalMs;
       return true;
     },
     workAheadMs: (urgency) => {
       switch (urgency) {
         case 'urgent':
-          return workMs.urgent;
+          return expectedWorkMs.urgent;
         case 'normal':
-          return workMs.urgent + workMs.normal;
+          return expectedWorkMs.urgent + expectedWorkMs.normal;
         case 'overnight':
-          return workMs.urgent + workMs.normal + workMs.overnight;
+          return (
+            expectedWorkMs.urgent +
+            expectedWorkMs.normal +
+            expectedWorkMs.overnight
+          );
       }
     },
     slotDemand: (now) =>
