--- a/packages/gypsumwall-routing/src/admission.ts
+++ b/packages/gypsumwall-routing/src/admission.ts
@@ -65,7 +65,7 @@
         team.workAheadMs(req.urgency),
         slots - fairSlots + overtakingSlots,
       ),
-      estimateDrainMs(queue.expectedWorkMs, slotsOfOthers + overtakingSlots),
+      estimateDrainMs(queue.workMs, slotsOfOthers + overtakingSlots),
     );
   };
   // Callers that are refused at the same time must not retry at the same time.
--- a/packages/gypsumwall-routing/src/request_queue.ts
+++ b/packages/gypsumwall-routing/src/request_queue.ts
@@ -12,7 +12,7 @@
 export interface RequestQueue {
   readonly size: number;
   /** The expected slot time of all waiting requests. */
-  readonly expectedWorkMs: number;
+  readonly workMs: number;
   /** Returns the queue of a team; it is created on first use. */
   teamQueueOf(team: types.ids.TeamId): teamQueue.TeamQueue;
   push(queued: queuedRequest.QueuedRequest, now: types.clock.MonotonicMs): void;
@@ -62,7 +62,7 @@
   let virtualTime = 0;
   const arrivals = workRate.createWorkRate();
   let size = 0;
-  let expectedWorkMs = 0;
+  let workMs = 0;
 
   const teamQueueOf = (team: types.ids.TeamId) => {
     const existing = teams.get(team);
@@ -84,7 +84,7 @@
     const team = teamQueueOf(queued.req.team);
     if (!team.remove(queued)) return false;
     size -= 1;
-    expectedWorkMs = size === 0 ? 0 : expectedWorkMs - queued.typicalMs;
+    workMs = size === 0 ? 0 : workMs - queued.typicalMs;
     if (team.size === 0) backlogged.delete(team);
     return true;
   };
@@ -93,8 +93,8 @@
     get size() {
       return size;
     },
-    get expectedWorkMs() {
-      return expectedWorkMs;
+    get workMs() {
+      return workMs;
     },
     teamQueueOf,
     push: (queued, now) => {
@@ -110,7 +110,7 @@
       team.push(queued, now);
       arrivals.add(queued.typicalMs, now);
       size += 1;
-      expectedWorkMs += queued.typicalMs;
+      workMs += queued.typicalMs;
     },
     peek: () => nextTeam()?.first(),
     serve: (queued) => {
--- a/packages/gypsumwall-routing/src/team_queue.ts
+++ b/packages/gypsumwall-routing/src/team_queue.ts
@@ -38,7 +38,7 @@
 export function createTeamQueue(id: types.ids.TeamId): TeamQueue {
   /** Sorted. Queues are so short that a splice takes microseconds. */
   const waiting: queuedRequest.QueuedRequest[] = [];
-  const expectedWorkMs: Record<types.job.Urgency, number> = {
+  const workMs: Record<types.job.Urgency, number> = {
     urgent: 0,
     normal: 0,
     overnight: 0,
@@ -58,7 +58,7 @@
     push: (queued, now) => {
       arrivals[queued.req.urgency].add(queued.typicalMs, now);
       waiting.splice(insertionIndex(waiting, queued), 0, queued);
-      expectedWorkMs[queued.req.urgency] += queued.typicalMs;
+      workMs[queued.req.urgency] += queued.typicalMs;
     },
     first: () => waiting[0],
     last: () => waiting.at(-1),
@@ -66,21 +66,17 @@
       const index = indexOf(waiting, queued);
       if (index < 0) return false;
       waiting.splice(index, 1);
-      expectedWorkMs[queued.req.urgency] -= queued.typicalMs;
+      workMs[queued.req.urgency] -= queued.typicalMs;
       return true;
     },
     workAheadMs: (urgency) => {
       switch (urgency) {
         case 'urgent':
-          return expectedWorkMs.urgent;
+          return workMs.urgent;
         case 'normal':
-          return expectedWorkMs.urgent + expectedWorkMs.normal;
+          return workMs.urgent + workMs.normal;
         case 'overnight':
-          return (
-            expectedWorkMs.urgent +
-            expectedWorkMs.normal +
-            expectedWorkMs.overnight
-          );
+          return workMs.urgent + workMs.normal + workMs.overnight;
       }
     },
     slotDemand: (now) =>
