--- a/packages/gypsumwall-placement/src/__tests__/placer_invariants.test.ts
+++ b/packages/gypsumwall-placement/src/__tests__/placer_invariants.test.ts
@@ -89,15 +89,15 @@
   });
 }
 
-function reportOf(type: placer.RunReport['type']): placer.RunReport {
-  switch (type) {
+function reportOf(reportType: placer.RunReport['type']): placer.RunReport {
+  switch (reportType) {
     case 'done':
       return {type: 'done', ranMs: 500};
     case 'failed':
       return {type: 'failed', message: 'exit 1'};
     case 'not_started':
     case 'stopped':
-      return {type: type};
+      return {type: reportType};
   }
 }
 
--- a/packages/gypsumwall-placement/src/scheduling_cycle.ts
+++ b/packages/gypsumwall-placement/src/scheduling_cycle.ts
@@ -10,7 +10,7 @@
 import type * as reservations from './reservations.js';
 import type * as taskSize from './task_size.js';
 
-/** After this many jobs that can't be placed, the cycle ends. */
+/** A cycle ends after this many jobs that can't be placed. */
 const MAX_FAILURES_PER_CYCLE = 32;
 /**
  * A gang that doesn't fit is tried again after this time at the earliest, and
@@ -18,9 +18,7 @@
  */
 const MIN_GANG_RETRY_MS = 20;
 const MAX_GANG_RETRY_MS = 1000;
-/**
- * A gang costs one search for each of its tasks, so few may fail in a cycle.
- */
+/** Gangs take one search for each task, so a cycle ends after few failed ones. */
 const MAX_GANG_FAILURES_PER_CYCLE = 2;
 
 /** The modules of the policy that a cycle uses. */
@@ -254,16 +252,16 @@
   context: CycleContext,
   job: jobQueue.WaitingJob,
   now: number,
-  miss: PlacementFailure,
+  failure: PlacementFailure,
 ): void {
-  if (miss === 'no_room') {
+  if (failure === 'no_room') {
     job.blockedSince ??= now;
     if (!job.hasReservation && job.spec.shape.kind === 'gang')
       job.retryAt = nextGangRetryAt(job, now);
   }
   const size = context.sizes.sizeOf(job.spec);
   const inOwnGroup = context.failures.workersToAvoid(job.jobId) !== undefined;
-  context.queue.block(job, size, inOwnGroup, miss);
+  context.queue.block(job, size, inOwnGroup, failure);
 }
 
 /** The retry delay grows with the time that the gang has been blocked. */
--- a/packages/gypsumwall-placement/src/team_allocations.ts
+++ b/packages/gypsumwall-placement/src/team_allocations.ts
@@ -34,8 +34,8 @@
   /** Adds a task to its team's allocation; with -1, subtracts it. */
   adjust(task: allocationState.TaskAllocation, sign: 1 | -1): void;
   /**
-   * The team's dominant share: of its shares of each resource of the domain
-   * the largest, counting only tasks of the given urgencies.
+   * The team's dominant share, which is the largest of its shares of the
+   * domain's resources. Only tasks of the given urgencies count.
    */
   dominantShare(
     team: TeamState,
@@ -44,8 +44,8 @@
 }
 
 /**
- * `totalCapacity` is the capacity of all schedulable workers; it is read at
- * each call.
+ * Creates an empty set of teams. `totalCapacity` is the capacity of all
+ * schedulable workers; it may change between calls.
  */
 export function createTeamAllocations(
   totalCapacity: types.resources.Resources,
