--- a/packages/gypsumwall-cell/src/election.ts
+++ b/packages/gypsumwall-cell/src/election.ts
@@ -67,7 +67,7 @@
 ): Promise<void> {
   const {self, follower, clock, logger} = parts;
 
-  const pause = (spanMs: number) => types.clock.pause(clock, spanMs, signal);
+  const pause = (spanMs: number) => types.clock.sleepFor(clock, spanMs, signal);
 
   function vacancy(): failoverPolicy.Vacancy | undefined {
     if (parts.isHolder()) return undefined;
--- a/packages/gypsumwall-cell/src/http_client.ts
+++ b/packages/gypsumwall-cell/src/http_client.ts
@@ -170,7 +170,7 @@
 ): types.stepError.StepError {
   const {sent = true, code} = thrown as {sent?: boolean; code?: string};
   const refused = code === 'ECONNREFUSED';
-  return types.stepError.stepError({
+  return types.stepError.createStepError({
     kind: refused ? 'unreachable' : 'timeout',
     step: call.step,
     peer,
@@ -194,7 +194,7 @@
     return result.ok(decode(answer.body));
   } catch (thrown) {
     return result.err(
-      types.stepError.stepError({
+      types.stepError.createStepError({
         kind: 'invalid',
         step,
         peer,
@@ -211,7 +211,7 @@
   peer: string,
   answer: HttpAnswer,
 ): types.stepError.StepError {
-  return types.stepError.stepError({
+  return types.stepError.createStepError({
     kind: 'refused',
     step,
     peer,
--- a/packages/gypsumwall-cell/src/worker_session.ts
+++ b/packages/gypsumwall-cell/src/worker_session.ts
@@ -209,7 +209,7 @@
   }
 
   const pause = (spanMs: number) =>
-    types.clock.pause(clock, spanMs, closing.signal);
+    types.clock.sleepFor(clock, spanMs, closing.signal);
 
   function startOutcome(
     answer: result.Result<ports.OrderAnswer, types.stepError.StepError>,
--- a/packages/gypsumwall-entry/src/domain_scheduler.ts
+++ b/packages/gypsumwall-entry/src/domain_scheduler.ts
@@ -29,8 +29,8 @@
   /** Workers as the list shows them now. */
   setWorkers(listed: readonly platform.instanceList.ListedWorker[]): void;
   setTeam(team: placement.placer.PlacerTeam): void;
-  onJob(change: records.jobFold.JobChange): void;
-  running(jobId: types.ids.JobId): number;
+  onJobChange(change: records.jobFold.JobChange): void;
+  activeTaskCount(jobId: types.ids.JobId): number;
   /** Runs of its tasks that failed while this entry has held the domain. */
   failures(jobId: types.ids.JobId): number;
   explain(jobId: types.ids.JobId): string;
@@ -52,7 +52,7 @@
 export function createDomainScheduler(
   options: schedulerOptions.DomainSchedulerOptions,
 ): DomainScheduler {
-  const {clock, placer, spans, epoch} = options;
+  const {clock, placer, durations: spans, epoch} = options;
   const logger = options.logger.with({epoch});
   const heldSince = clock.monotonic();
   const closing = new AbortController();
@@ -203,7 +203,7 @@
 
   function onAttached(
     id: types.ids.WorkerId,
-    answer: platform.worker.Attached,
+    answer: platform.worker.AttachAnswer,
   ): void {
     fenced.add(id);
     capacities.set(id, answer.capacity);
@@ -311,8 +311,8 @@
       scheduleRound();
     },
     setTeam: (team) => placer.setTeam(team),
-    onJob,
-    running: (jobId) => tasks.of(jobId).length,
+    onJobChange: onJob,
+    activeTaskCount: (jobId) => tasks.of(jobId).length,
     failures: (jobId) => books.failures(jobId),
     explain: (jobId) => placer.explain(jobId),
     admit: (spec) => placer.admit(spec, clock.wall()),
--- a/packages/gypsumwall-entry/src/task_books.ts
+++ b/packages/gypsumwall-entry/src/task_books.ts
@@ -60,13 +60,13 @@
     const job = jobOf(taskId);
     if (job?.phase.type !== 'open') return false;
     const {index} = types.ids.splitTaskId(taskId);
-    const count = types.job.taskCount(job.spec.shape);
+    const count = types.job.maxTaskCount(job.spec.shape);
     return index < count && !job.results.has(index);
   }
 
   function waitingIndexes(job: JobState): number[] {
     const waiting: number[] = [];
-    const count = types.job.taskCount(job.spec.shape);
+    const count = types.job.maxTaskCount(job.spec.shape);
     for (let index = 0; index < count; index++) {
       if (job.results.has(index)) continue;
       const taskId = types.ids.makeTaskId(job.jobId, index);
--- a/packages/gypsumwall-placement/src/__tests__/placer_invariants.test.ts
+++ b/packages/gypsumwall-placement/src/__tests__/placer_invariants.test.ts
@@ -227,7 +227,10 @@
   }
   for (const [jobId, count] of gangs) {
     const shape = waiting.get(jobId)?.shape;
-    assert.equal(count, shape === undefined ? 0 : types.job.taskCount(shape));
+    assert.equal(
+      count,
+      shape === undefined ? 0 : types.job.maxTaskCount(shape),
+    );
   }
 }
 
--- a/packages/gypsumwall-placement/src/admission.ts
+++ b/packages/gypsumwall-placement/src/admission.ts
@@ -62,7 +62,7 @@
 
 /** The number of tasks that must run at the same time. */
 function concurrentTasks(shape: types.job.JobShape): number {
-  return shape.kind === 'batch' ? 1 : types.job.taskCount(shape);
+  return shape.kind === 'batch' ? 1 : types.job.maxTaskCount(shape);
 }
 
 function refuseByQuota(
@@ -71,7 +71,7 @@
 ): placer.PlacementRefusal | undefined {
   const {quota} = state.allocations.teams.team(spec.team);
   const tasks = concurrentTasks(spec.shape);
-  const need = types.resources.times(spec.size, tasks);
+  const need = types.resources.multiply(spec.size, tasks);
   if (types.resources.fits(need, quota)) return undefined;
   return {
     reason: 'over_quota',
@@ -163,7 +163,7 @@
       message: `a task takes about ${Math.round(typicalMs)} ms, the deadline is ${deadline - now} ms away; send a later one`,
     };
   }
-  const tasks = types.job.taskCount(spec.shape);
+  const tasks = types.job.maxTaskCount(spec.shape);
   const neededCoreMs = (tasks * typicalMs * size.cpuMillis) / 1000;
   const {cpuMillis} = state.allocations.totalCapacity;
   if (state.demand.accepts(deadline, neededCoreMs, now, cpuMillis))
--- a/packages/gypsumwall-placement/src/reservations.ts
+++ b/packages/gypsumwall-placement/src/reservations.ts
@@ -125,7 +125,7 @@
 
   function reserveOnWorkers(reservation: Reservation, sign: 1 | -1): void {
     for (const [worker, count] of reservation.slots) {
-      const amount = types.resources.times(reservation.size, count);
+      const amount = types.resources.multiply(reservation.size, count);
       options.reserve(worker, amount, sign);
     }
   }
--- a/packages/gypsumwall-placement/src/scheduling_cycle.ts
+++ b/packages/gypsumwall-placement/src/scheduling_cycle.ts
@@ -140,7 +140,7 @@
 ): PlacementFailure | undefined {
   const size = placementSize(context, job);
   const tasks = job.waiting.size;
-  const gangSize = types.resources.times(size, tasks);
+  const gangSize = types.resources.multiply(size, tasks);
   if (!fitsQuota(job, gangSize)) return 'over_quota';
   context.reservations.suspend(job);
   const allocated = types.resources.fits(
--- a/packages/gypsumwall-placement/src/task_size.ts
+++ b/packages/gypsumwall-placement/src/task_size.ts
@@ -58,7 +58,7 @@
   const {largestCapacity, totalCapacity} = allocations;
   const {quota} = allocations.teams.team(spec.team);
   const {kind} = spec.shape;
-  const atOnce = kind === 'batch' ? 1 : types.job.taskCount(spec.shape);
+  const atOnce = kind === 'batch' ? 1 : types.job.maxTaskCount(spec.shape);
   const fitsAll =
     types.resources.fits(learned, largestCapacity) &&
     learned.cpuMillis * atOnce <=
--- a/packages/gypsumwall-routing/src/__tests__/retries.test.ts
+++ b/packages/gypsumwall-routing/src/__tests__/retries.test.ts
@@ -108,7 +108,7 @@
   const harness = await routerHarness.createRouterHarness(2, 1, {
     makeUpstream: () => ({
       execute,
-      setConnections: () => undefined,
+      setMaxConnections: () => undefined,
       close: () => Promise.resolve(),
     }),
   });
--- a/packages/gypsumwall-routing/src/upstream_table.ts
+++ b/packages/gypsumwall-routing/src/upstream_table.ts
@@ -76,7 +76,7 @@
       : shares.shareOf(listed.id, listed.slots);
     if (upstream.connections === connections) return;
     upstream.connections = connections;
-    upstream.client.setConnections(connections);
+    upstream.client.setMaxConnections(connections);
   };
   const markUnlisted = (upstream: upstreamState.UpstreamState) => {
     upstream.isListed = false;
