--- a/packages/gypsumwall-cell/src/__fixtures__/fake_log.ts
+++ b/packages/gypsumwall-cell/src/__fixtures__/fake_log.ts
@@ -90,7 +90,7 @@
     appends: 0,
     maxReadRecords: Infinity,
     compact: () => void (firstOffset = records.length),
-    async append(entries, {onlyAt, fence, timeoutMs}) {
+    async append(entries, {expectedEndOffset, fence, timeoutMs}) {
       await Promise.resolve();
       log.appends++;
       if (log.fault === 'silent') return silence('append', timeoutMs);
@@ -101,7 +101,10 @@
         return result.ok(refused);
       }
       if (refused === undefined) {
-        if (onlyAt !== undefined && onlyAt !== records.length) {
+        if (
+          expectedEndOffset !== undefined &&
+          expectedEndOffset !== records.length
+        ) {
           return result.ok({type: 'moved'});
         }
         if (fence !== undefined) {
--- a/packages/gypsumwall-cell/src/cell_entry.ts
+++ b/packages/gypsumwall-cell/src/cell_entry.ts
@@ -357,14 +357,14 @@
         },
         stopping.signal,
       );
-      const {keepOverMs} = options;
+      const {retentionMs} = options;
       const held = () => holder;
       void retention.runRetention(
         {
           jobsLog: logs.jobs,
           jobs,
           holder: held,
-          retentionMs: keepOverMs,
+          retentionMs,
           clock,
           logger,
         },
@@ -389,7 +389,7 @@
       holdsCell: holder !== undefined,
       configVersion: configs.config()?.version,
       storeReachable: jobsFollower.reachableSince() !== undefined,
-      copyAgeMs: replicaAgeMs(),
+      replicaAgeMs: replicaAgeMs(),
       scheduler: holder?.counts(),
     }),
   };
--- a/packages/gypsumwall-cell/src/cell_entry_types.ts
+++ b/packages/gypsumwall-cell/src/cell_entry_types.ts
@@ -38,7 +38,7 @@
    */
   readonly listExpiryMs: number | undefined;
   /** How long the state of a finished job can be queried; milliseconds. */
-  readonly keepOverMs: () => number;
+  readonly retentionMs: () => number;
   readonly clock: types.clock.Clock;
   readonly random: types.random.Random;
   readonly logger: telemetry.logger.Logger;
@@ -70,6 +70,6 @@
    * Maximum age of this entry's replica of the logs, in milliseconds; infinite
    * if unknown.
    */
-  readonly copyAgeMs: number;
+  readonly replicaAgeMs: number;
   readonly scheduler: scheduling.schedulerTypes.SchedulerCounts | undefined;
 }
--- a/packages/gypsumwall-cell/src/election.ts
+++ b/packages/gypsumwall-cell/src/election.ts
@@ -128,7 +128,7 @@
     const answer = await parts.cellLog.append(
       [storeRecords.encode({kind: 'claim', claim})],
       {
-        onlyAt: position,
+        expectedEndOffset: position,
         fence: {epoch: position + 1, sequence: 0},
         timeoutMs: CLAIM_TIMEOUT_MS,
       },
--- a/packages/gypsumwall-cell/src/http_client.ts
+++ b/packages/gypsumwall-cell/src/http_client.ts
@@ -28,7 +28,7 @@
    * link may need longer than the timeout to transfer them, and each chunk
    * shows that the server is alive; milliseconds.
    */
-  readonly pieceTimeoutMs?: number;
+  readonly chunkTimeoutMs?: number;
 }
 
 /** An answer of any status. */
@@ -89,12 +89,12 @@
         else socket.once('connect', () => (sent = true));
       });
       req.on('error', fail);
-      const {pieceTimeoutMs} = call;
+      const {chunkTimeoutMs} = call;
       req.on('response', (res) => {
         const chunks: Buffer[] = [];
         res.on('data', (chunk: Buffer) => {
           chunks.push(chunk);
-          if (pieceTimeoutMs !== undefined) timer.restart(pieceTimeoutMs);
+          if (chunkTimeoutMs !== undefined) timer.restart(chunkTimeoutMs);
         });
         res.on('error', fail);
         res.on('aborted', () =>
--- a/packages/gypsumwall-cell/src/ports.ts
+++ b/packages/gypsumwall-cell/src/ports.ts
@@ -26,7 +26,7 @@
 /** Conditions of an append. */
 export interface AppendOptions {
   /** The append is refused unless the log ends at this offset. */
-  readonly onlyAt?: number;
+  readonly expectedEndOffset?: number;
   /**
    * Rejects earlier epochs from then on, and drops repeats of a sequence
    * number.
@@ -121,7 +121,7 @@
       readonly running: readonly scheduling.schedulerTypes.RunningAttempt[];
       readonly ends: readonly scheduling.schedulerTypes.AttemptEnd[];
       /** Whether there may be more ended attempts than were listed. */
-      readonly moreEnds: boolean;
+      readonly hasMoreEnds: boolean;
     }
   | {readonly type: 'fenced'}
   | {readonly type: 'gone'};
--- a/packages/gypsumwall-cell/src/worker_session.ts
+++ b/packages/gypsumwall-cell/src/worker_session.ts
@@ -203,7 +203,7 @@
     }
     const ends = report.ends.filter((end) => end.sequence > lastSequence);
     for (const end of ends) lastSequence = Math.max(lastSequence, end.sequence);
-    const complete = !report.moreEnds;
+    const complete = !report.hasMoreEnds;
     const {running} = report;
     scheduler.report(
       {workerId: worker.id, askedAt, running, ends, complete},
--- a/packages/gypsumwall-entry/src/domain_scheduler.ts
+++ b/packages/gypsumwall-entry/src/domain_scheduler.ts
@@ -69,7 +69,7 @@
     mustRunOnce: (taskId) => tracker.mustRunOnce(taskId),
     sessionEventsOf,
     onUnschedulable: (id) => {
-      placer.closeWorker(id);
+      placer.cordonWorker(id);
       evacuate(id);
     },
     onSchedulable: updatePlacerWorker,
@@ -111,8 +111,8 @@
       options.metrics.observe('placementTime', decisionMs / decidedCount);
     }
     decisions.placements.forEach(startTask);
-    decisions.reliefs.forEach(applyRelief);
-    placer.takeGivenUp().forEach(giveUpJob);
+    decisions.preemptions.forEach(applyRelief);
+    placer.takeAbandonedJobs().forEach(giveUpJob);
     if (decidedCount >= MAX_DECISIONS_PER_CYCLE) requestCycle();
   }
 
@@ -142,7 +142,7 @@
     });
   }
 
-  function applyRelief(relief: placement.placer.Relief): void {
+  function applyRelief(relief: placement.placer.PreemptionAction): void {
     const task = tasks.get(relief.taskId);
     const session = task && pool.session(task.workerId);
     if (task === undefined || session === undefined) return;
@@ -231,7 +231,7 @@
     const capacity = capacities.get(id);
     if (listed === undefined || capacity === undefined) return;
     placer.setWorker({id, rack: listed.rack, capacity});
-    if (listed.state === 'leaving') placer.closeWorker(id);
+    if (listed.state === 'leaving') placer.cordonWorker(id);
   }
 
   /**
@@ -271,7 +271,7 @@
       usage: (usage) => {
         for (const {taskId, used} of usage) placer.reportUsage(taskId, used);
       },
-      silent: () => placer.closeWorker(id),
+      silent: () => placer.cordonWorker(id),
       lapsed: () => {
         for (const task of tasks.onWorker(id))
           tracker.release(task, {type: 'stopped'});
@@ -321,7 +321,7 @@
     onJobChange: handleJobChange,
     activeTaskCount: (jobId) => tasks.ofJob(jobId).length,
     failedAttempts: (jobId) => tracker.failedAttempts(jobId),
-    explain: (jobId) => placer.explain(jobId),
+    explain: (jobId) => placer.explainWait(jobId),
     admit: (spec) => placer.admit(spec, clock.wall()),
     status: () => ({
       epoch,
--- a/packages/gypsumwall-entry/src/task_tracker.ts
+++ b/packages/gypsumwall-entry/src/task_tracker.ts
@@ -32,7 +32,10 @@
     startedAt: types.clock.MonotonicMs,
   ): taskTable.ActiveTask;
   /** Frees a task's resources; queues it again if it is still needed. */
-  release(task: taskTable.ActiveTask, report: placement.placer.RunReport): void;
+  release(
+    task: taskTable.ActiveTask,
+    report: placement.placer.AttemptReport,
+  ): void;
   /** Number of the job's attempts that failed in this epoch. */
   failedAttempts(jobId: types.ids.JobId): number;
   /** Number of jobs from before this epoch that are held back. */
@@ -85,7 +88,7 @@
 
   function release(
     task: taskTable.ActiveTask,
-    report: placement.placer.RunReport,
+    report: placement.placer.AttemptReport,
   ): void {
     tasks.remove(task);
     placer.release(task.taskId, report);
--- a/packages/gypsumwall-placement/src/__tests__/create_placer.test.ts
+++ b/packages/gypsumwall-placement/src/__tests__/create_placer.test.ts
@@ -77,7 +77,7 @@
     policy.enqueue(specs.queued('a.1', three));
     const placed = decide(policy, 0);
     assert.equal(placed.length, 2);
-    assert.match(policy.explain(specs.queued('a.1').jobId), /quota/);
+    assert.match(policy.explainWait(specs.queued('a.1').jobId), /quota/);
     policy.release(placed[0]!.taskId, {type: 'done', ranMs: 1});
     assert.equal(decide(policy, 1).length, 1);
   });
@@ -220,10 +220,10 @@
         policy.release(each.taskId, {type: 'failed', message: 'exit 3'});
       }
     }
-    const [abandoned] = policy.takeGivenUp();
+    const [abandoned] = policy.takeAbandonedJobs();
     assert.equal(abandoned?.jobId, 'a.1');
     assert.match(abandoned?.message ?? '', /3 times.*exit 3/);
-    assert.equal(policy.takeGivenUp().length, 0);
+    assert.equal(policy.takeAbandonedJobs().length, 0);
   });
 
   nodeTest.it(
@@ -249,7 +249,7 @@
           policy.enqueue({...job, waiting: [index]});
         }
       }
-      assert.deepEqual(policy.takeGivenUp(), []);
+      assert.deepEqual(policy.takeAbandonedJobs(), []);
       assert.equal(done, 16);
     },
   );
@@ -266,7 +266,7 @@
           attempts += 1;
           policy.release(each.taskId, {type: 'failed', message: 'exit 3'});
         }
-        if (policy.takeGivenUp().length > 0) break;
+        if (policy.takeAbandonedJobs().length > 0) break;
       }
       assert.equal(attempts, 6);
     },
@@ -312,10 +312,10 @@
         specs.queued('a.now', specs.spec({urgency: 'urgent'}), 10),
       );
       decide(policy, 10);
-      const {reliefs} = policy.decide(specs.wallMs(300), 10);
-      assert.equal(reliefs.length, 1);
-      assert.equal(reliefs[0]?.type, 'checkpoint');
-      policy.release(reliefs[0].taskId, {type: 'stopped'});
+      const {preemptions} = policy.decide(specs.wallMs(300), 10);
+      assert.equal(preemptions.length, 1);
+      assert.equal(preemptions[0]?.type, 'checkpoint');
+      policy.release(preemptions[0].taskId, {type: 'stopped'});
       assert.deepEqual(jobsOf(decide(policy, 310)), ['a.now']);
     },
   );
@@ -330,12 +330,12 @@
       const placed = decide(policy, 0);
       for (const each of placed)
         policy.reportUsage(each.taskId, specs.resources(3, 1024));
-      const {reliefs} = policy.decide(specs.wallMs(1), 10);
-      assert.deepEqual(reliefs, [
+      const {preemptions} = policy.decide(specs.wallMs(1), 10);
+      assert.deepEqual(preemptions, [
         {type: 'throttle', taskId: 'a.night/0', cpuMillis: 1000},
       ]);
       policy.release(types.ids.brand('a.day/0'), {type: 'done', ranMs: 1});
-      const lifted = policy.decide(specs.wallMs(2), 10).reliefs;
+      const lifted = policy.decide(specs.wallMs(2), 10).preemptions;
       assert.deepEqual(lifted, [
         {type: 'throttle', taskId: 'a.night/0', cpuMillis: 0},
       ]);
--- a/packages/gypsumwall-placement/src/__tests__/placer_invariants.test.ts
+++ b/packages/gypsumwall-placement/src/__tests__/placer_invariants.test.ts
@@ -18,7 +18,7 @@
 type Step =
   | {type: 'enqueue'; spec: types.job.JobSpec}
   | {type: 'decide'; limit: number; advanceMs: number}
-  | {type: 'release'; pick: number; report: placer.RunReport['type']}
+  | {type: 'release'; pick: number; report: placer.AttemptReport['type']}
   | {type: 'usage'; pick: number; factor: number}
   | {type: 'cordon' | 'uncordon'; worker: number}
   | {type: 'cancel'; pick: number}
@@ -89,7 +89,9 @@
   });
 }
 
-function reportOf(reportType: placer.RunReport['type']): placer.RunReport {
+function reportOf(
+  reportType: placer.AttemptReport['type'],
+): placer.AttemptReport {
   switch (reportType) {
     case 'done':
       return {type: 'done', ranMs: 500};
@@ -108,7 +110,7 @@
   steps: readonly Step[],
 ): void {
   const policy = make();
-  const running = new Map<types.ids.TaskId, placer.HeldTask>();
+  const running = new Map<types.ids.TaskId, placer.RunningTask>();
   const waiting = new Map<types.ids.JobId, types.job.JobSpec>();
   const cordoned = new Set<types.ids.WorkerId>();
   let now = 0;
@@ -154,7 +156,7 @@
       }
       case 'cordon':
         cordoned.add(specs.worker(step.worker).id);
-        policy.closeWorker(specs.worker(step.worker).id);
+        policy.cordonWorker(specs.worker(step.worker).id);
         break;
       case 'uncordon':
         cordoned.delete(specs.worker(step.worker).id);
@@ -174,7 +176,7 @@
 function adopt(
   policy: placer.Placer,
   step: {worker: number; cores: number},
-  running: Map<types.ids.TaskId, placer.HeldTask>,
+  running: Map<types.ids.TaskId, placer.RunningTask>,
   n: number,
 ): void {
   const workerId = specs.worker(step.worker).id;
@@ -197,7 +199,7 @@
 /** Queues an unfinished task again, as the holder of the domain does. */
 function requeue(
   policy: placer.Placer,
-  task: placer.HeldTask,
+  task: placer.RunningTask,
   waiting: ReadonlyMap<types.ids.JobId, types.job.JobSpec>,
 ): void {
   const {jobId, index} = types.ids.splitTaskId(task.taskId);
@@ -210,7 +212,7 @@
 function recordPlacements(
   placements: readonly placer.Placement[],
   waiting: ReadonlyMap<types.ids.JobId, types.job.JobSpec>,
-  running: Map<types.ids.TaskId, placer.HeldTask>,
+  running: Map<types.ids.TaskId, placer.RunningTask>,
   cordoned: ReadonlySet<types.ids.WorkerId>,
 ): void {
   const gangs = new Map<types.ids.JobId, number>();
@@ -235,7 +237,7 @@
 }
 
 function checkAllocations(
-  running: ReadonlyMap<types.ids.TaskId, placer.HeldTask>,
+  running: ReadonlyMap<types.ids.TaskId, placer.RunningTask>,
   checkQuota: (used: number, quota: number) => void,
 ): void {
   const sums = new Map<string, types.resources.Resources>();
--- a/packages/gypsumwall-placement/src/create_baseline_placer.ts
+++ b/packages/gypsumwall-placement/src/create_baseline_placer.ts
@@ -35,13 +35,13 @@
     types.ids.TeamId,
     types.resources.Resources
   >();
-  const runningTasks = new Map<types.ids.TaskId, placer.HeldTask>();
+  const runningTasks = new Map<types.ids.TaskId, placer.RunningTask>();
   /** The insertion order is the order of arrival. */
   const queue = new Map<types.ids.JobId, WaitingJob>();
   const failures = new Map<types.ids.JobId, number>();
   let abandonedJobs: Array<{jobId: types.ids.JobId; message: string}> = [];
 
-  function allocate(task: placer.HeldTask): void {
+  function allocate(task: placer.RunningTask): void {
     const state = workers.get(task.workerId);
     if (state !== undefined) {
       state.free = types.resources.subtract(state.free, task.size);
@@ -54,7 +54,7 @@
     runningTasks.set(task.taskId, task);
   }
 
-  function deallocate(task: placer.HeldTask): void {
+  function deallocate(task: placer.RunningTask): void {
     const state = workers.get(task.workerId);
     if (state !== undefined) {
       state.free = types.resources.add(state.free, task.size);
@@ -86,7 +86,7 @@
     return false;
   }
 
-  function placeOne(job: WaitingJob): placer.HeldTask | undefined {
+  function placeOne(job: WaitingJob): placer.RunningTask | undefined {
     const index = job.waiting[0];
     if (index === undefined || !fitsQuota(job.spec)) return undefined;
     for (const state of workers.values()) {
@@ -105,9 +105,9 @@
     return undefined;
   }
 
-  function placeGang(job: WaitingJob): placer.HeldTask[] {
+  function placeGang(job: WaitingJob): placer.RunningTask[] {
     const before = job.waiting.slice();
-    const placed: placer.HeldTask[] = [];
+    const placed: placer.RunningTask[] = [];
     while (job.waiting.length > 0) {
       const task = placeOne(job);
       if (task === undefined) {
@@ -120,8 +120,8 @@
     return placed;
   }
 
-  function placeUpTo(job: WaitingJob, limit: number): placer.HeldTask[] {
-    const placed: placer.HeldTask[] = [];
+  function placeUpTo(job: WaitingJob, limit: number): placer.RunningTask[] {
+    const placed: placer.RunningTask[] = [];
     while (placed.length < limit) {
       const task = placeOne(job);
       if (task === undefined) break;
@@ -153,7 +153,7 @@
       const free = types.resources.subtract(worker.capacity, used);
       workers.set(worker.id, {worker, free, isSchedulable: true});
     },
-    closeWorker(workerId) {
+    cordonWorker(workerId) {
       const state = workers.get(workerId);
       if (state !== undefined) state.isSchedulable = false;
     },
@@ -229,20 +229,20 @@
         if (job.waiting.length === 0) queue.delete(job.jobId);
         else if (!fitsAnyWorker(size)) unplaceableSizes.push(size);
       }
-      return {placements, reliefs: []};
+      return {placements, preemptions: []};
     },
     waitingTasks() {
       let count = 0;
       for (const job of queue.values()) count += job.waiting.length;
       return count;
     },
-    explain(jobId) {
+    explainWait(jobId) {
       const job = queue.get(jobId);
       if (job === undefined) return '';
       if (!fitsQuota(job.spec)) return `team ${job.spec.team} is at its quota`;
       return 'no worker has enough free resources for the declared size';
     },
-    takeGivenUp() {
+    takeAbandonedJobs() {
       const jobs = abandonedJobs;
       abandonedJobs = [];
       return jobs;
--- a/packages/gypsumwall-placement/src/create_placer.ts
+++ b/packages/gypsumwall-placement/src/create_placer.ts
@@ -109,7 +109,7 @@
     onFreeChanged(worker, isUsable(worker));
   }
 
-  function allocate(task: placer.HeldTask, expectedEndAt: number): void {
+  function allocate(task: placer.RunningTask, expectedEndAt: number): void {
     const allocation = allocations.allocate(task, expectedEndAt);
     replicas.adjust(allocation, 1);
     domainQuarantine.onTaskAllocated(allocation.worker);
@@ -171,7 +171,7 @@
 
   function recordEnd(
     task: allocationState.TaskAllocation,
-    report: placer.RunReport,
+    report: placer.AttemptReport,
   ): void {
     const {jobId, index: taskIndex} = types.ids.splitTaskId(task.taskId);
     switch (report.type) {
@@ -197,7 +197,7 @@
       waiting.queue.unblockTeam(allocations.teams.team(team.id));
     },
     setWorker: (worker) => void allocations.setWorker(worker),
-    closeWorker(workerId) {
+    cordonWorker(workerId) {
       const worker = allocations.workers.get(workerId);
       if (worker === undefined) return;
       allocations.setSchedulable(worker, false);
@@ -264,17 +264,17 @@
       const due = waiting.queue.blockedDue();
       return {
         placements,
-        reliefs: [...checkpoints, ...domainPreemptor.decide(now, due)],
+        preemptions: [...checkpoints, ...domainPreemptor.decide(now, due)],
       };
     },
     waitingTasks: () => waiting.taskCount(),
-    explain(jobId) {
+    explainWait(jobId) {
       const job = waiting.get(jobId);
       if (job === undefined) return '';
       const avoided = failures.workersToAvoid(jobId);
       return explainWait.explainWait(job, reservationTable.of(job), avoided);
     },
-    takeGivenUp() {
+    takeAbandonedJobs() {
       const jobs = [...abandonedJobs].map(([jobId, message]) => ({
         jobId,
         message,
--- a/packages/gypsumwall-placement/src/domain_allocations.ts
+++ b/packages/gypsumwall-placement/src/domain_allocations.ts
@@ -36,7 +36,7 @@
   ): void;
   removeWorker(id: types.ids.WorkerId): allocationState.WorkerState | undefined;
   allocate(
-    task: placer.HeldTask,
+    task: placer.RunningTask,
     expectedEndAt: number,
   ): allocationState.TaskAllocation;
   deallocate(
--- a/packages/gypsumwall-placement/src/placer.ts
+++ b/packages/gypsumwall-placement/src/placer.ts
@@ -31,7 +31,7 @@
 }
 
 /** A task that has resources allocated on a worker. */
-export interface HeldTask {
+export interface RunningTask {
   readonly taskId: types.ids.TaskId;
   readonly spec: types.job.JobSpec;
   readonly workerId: types.ids.WorkerId;
@@ -60,7 +60,7 @@
 }
 
 /** Takes resources from a running task in favour of more urgent work. */
-export type Relief =
+export type PreemptionAction =
   | {
       readonly type: 'throttle';
       readonly taskId: types.ids.TaskId;
@@ -72,11 +72,11 @@
 /** The decisions of one scheduling cycle. */
 export interface Decisions {
   readonly placements: readonly Placement[];
-  readonly reliefs: readonly Relief[];
+  readonly preemptions: readonly PreemptionAction[];
 }
 
 /** How an attempt of a task ended; used for size estimates and quarantine. */
-export type RunReport =
+export type AttemptReport =
   | {readonly type: 'done'; readonly ranMs: number}
   | {readonly type: 'failed'; readonly message: string}
   /** The attempt never started: the worker refused it or was unreachable. */
@@ -92,7 +92,7 @@
    * Places no new tasks on a worker that is leaving, silent or removed from the
    * list. Its tasks keep their allocations until each of them is released.
    */
-  closeWorker(workerId: types.ids.WorkerId): void;
+  cordonWorker(workerId: types.ids.WorkerId): void;
   /** Removes a worker; its tasks must have been released before. */
   removeWorker(workerId: types.ids.WorkerId): void;
   /**
@@ -111,9 +111,9 @@
    */
   cancel(jobId: types.ids.JobId): void;
   /** Allocates resources for a task found running after a failover. */
-  adopt(task: HeldTask): void;
+  adopt(task: RunningTask): void;
   /** Frees a task's resources and records how its attempt ended. */
-  release(taskId: types.ids.TaskId, report: RunReport): void;
+  release(taskId: types.ids.TaskId, report: AttemptReport): void;
   /** Records the usage that a worker reported; reports arrive with a delay. */
   reportUsage(taskId: types.ids.TaskId, used: types.resources.Resources): void;
   /** Runs a scheduling cycle that makes at most `limit` placements. */
@@ -121,12 +121,12 @@
   /** The number of waiting tasks, for status and metrics. */
   waitingTasks(): number;
   /** Returns a readable reason why a job waits; empty if it doesn't wait. */
-  explain(jobId: types.ids.JobId): string;
+  explainWait(jobId: types.ids.JobId): string;
   /**
    * Returns the jobs that the policy has abandoned since the last call, such as
    * a job that failed on several workers. The holder records them as failed.
    */
-  takeGivenUp(): ReadonlyArray<{
+  takeAbandonedJobs(): ReadonlyArray<{
     readonly jobId: types.ids.JobId;
     readonly message: string;
   }>;
--- a/packages/gypsumwall-placement/src/preemption.ts
+++ b/packages/gypsumwall-placement/src/preemption.ts
@@ -50,7 +50,7 @@
 export function requestCheckpoint(
   task: allocationState.TaskAllocation,
   now: number,
-): placer.Relief {
+): placer.PreemptionAction {
   task.checkpointRequestedAt = now;
   return {type: 'checkpoint', taskId: task.taskId};
 }
--- a/packages/gypsumwall-placement/src/preemptor.ts
+++ b/packages/gypsumwall-placement/src/preemptor.ts
@@ -42,7 +42,7 @@
   decide(
     now: number,
     due: readonly jobQueue.WaitingJob[],
-  ): readonly placer.Relief[];
+  ): readonly placer.PreemptionAction[];
 }
 
 /** The state and functions of the domain that preemption uses. */
@@ -62,7 +62,7 @@
   function preemptFor(
     job: jobQueue.WaitingJob,
     now: number,
-    actions: placer.Relief[],
+    actions: placer.PreemptionAction[],
   ): void {
     const blockedSince = job.blockedSince;
     if (blockedSince === undefined || blockedSince + DUE_WAIT_MS > now) return;
@@ -112,7 +112,7 @@
 
   function throttleExcessCpu(
     worker: allocationState.WorkerState,
-    actions: placer.Relief[],
+    actions: placer.PreemptionAction[],
   ): void {
     let excess = worker.usedCpuMillis - worker.capacity.cpuMillis;
     const overusing = [...worker.allocations]
@@ -137,7 +137,7 @@
   function checkpointExcessMemory(
     worker: allocationState.WorkerState,
     now: number,
-    actions: placer.Relief[],
+    actions: placer.PreemptionAction[],
   ): void {
     let used = 0;
     for (const task of worker.allocations) used += task.usedMemoryMb;
@@ -156,7 +156,7 @@
 
   function liftThrottles(
     worker: allocationState.WorkerState,
-    actions: placer.Relief[],
+    actions: placer.PreemptionAction[],
   ): void {
     let cpuWithoutThrottles = worker.usedCpuMillis;
     for (const task of worker.allocations) {
@@ -192,7 +192,7 @@
       changedThrottled.delete(worker);
     },
     decide(now, due) {
-      const actions: placer.Relief[] = [];
+      const actions: placer.PreemptionAction[] = [];
       for (const worker of changedThrottled) liftThrottles(worker, actions);
       for (const worker of overCpu) throttleExcessCpu(worker, actions);
       for (const worker of overMemory)
--- a/packages/gypsumwall-placement/src/reservations.ts
+++ b/packages/gypsumwall-placement/src/reservations.ts
@@ -81,7 +81,7 @@
   tick(
     now: number,
     blocked: () => readonly jobQueue.WaitingJob[],
-  ): readonly placer.Relief[];
+  ): readonly placer.PreemptionAction[];
   /** The jobs most of whose reserved workers have drained. */
   readyJobs(): jobQueue.WaitingJob[];
   /**
@@ -141,7 +141,7 @@
     job: jobQueue.WaitingJob,
     now: number,
     fixedDeadline?: number,
-  ): readonly placer.Relief[] {
+  ): readonly placer.PreemptionAction[] {
     const size = options.sizeOf(job);
     const tasks = job.spec.shape.kind === 'gang' ? job.waiting.size : 1;
     const sample = sampleWorkers(MIN_SAMPLES + tasks * SAMPLES_PER_TASK);
@@ -177,8 +177,8 @@
    * Replans overdue reservations, of which urgent tasks or usage above the
    * allocations took some resources. They keep their deadline.
    */
-  function replanOverdue(now: number): placer.Relief[] {
-    const actions: placer.Relief[] = [];
+  function replanOverdue(now: number): placer.PreemptionAction[] {
+    const actions: placer.PreemptionAction[] = [];
     for (const reservation of [...reservationsByJob.values()]) {
       if (reservation.readyAt + REPLAN_AFTER_MS > now) continue;
       end(reservation);
--- a/packages/gypsumwall-placement/src/scheduling_cycle.ts
+++ b/packages/gypsumwall-placement/src/scheduling_cycle.ts
@@ -31,7 +31,7 @@
   readonly rackReplicas: rackReplicas.RackReplicas;
   readonly reservations: reservations.Reservations;
   /** Allocates the resources of a placed task. */
-  allocate(task: placer.HeldTask, expectedEndAt: number): void;
+  allocate(task: placer.RunningTask, expectedEndAt: number): void;
   /** Frees the resources of a gang of which only a part fitted. */
   rollBack(placements: readonly placer.Placement[]): void;
   /** Called when tasks of the job were placed and no longer wait. */
