--- a/packages/gypsumwall-scheduling/src/__fixtures__/crash_checks.ts
+++ b/packages/gypsumwall-scheduling/src/__fixtures__/crash_checks.ts
@@ -4,7 +4,7 @@
 import * as crashWorlds from './crash_world.js';
 
 /** Starts that are allowed after three workers have crashed under a task. */
-const MOST_STARTS_AFTER_THIRD = 2;
+const MAX_STARTS_AFTER_THIRD_CRASH = 2;
 /** Three failure domains of three machines. */
 export const CELL = {domains: 3, machinesPerDomain: 3, cores: 16};
 
@@ -20,7 +20,7 @@
 }
 
 /** Hands in a job of four lasting tasks. */
-export function submitLasting(world: World, name: string): types.ids.JobId {
+export function submitLongRunning(world: World, name: string): types.ids.JobId {
   const size = {cpuMillis: 2_000, memoryMb: 100, accelerators: 0};
   const fields = {taskCount: 4, longRunning: true, size};
   return world.submit(name, fields, {workMs: 0});
@@ -33,7 +33,10 @@
   index = 0,
 ): void {
   const after = world.startsAfterThirdCrash(`${id}.0.0.${index}`);
-  assert.ok(after <= MOST_STARTS_AFTER_THIRD, `${id}: ${after} starts more`);
+  assert.ok(
+    after <= MAX_STARTS_AFTER_THIRD_CRASH,
+    `${id}: ${after} starts more`,
+  );
   assert.equal(world.stateOf(id), 'failed', id);
 }
 
@@ -46,7 +49,7 @@
 }
 
 /** The most crashes under one task of a job. */
-export function mostCrashesUnder(world: World, id: types.ids.JobId): number {
+export function maxCrashesUnder(world: World, id: types.ids.JobId): number {
   const counts = new Map<string, number>();
   for (const taskId of world.crashes.flatMap((one) => one.tasks)) {
     if (!taskId.startsWith(`${id}.`)) continue;
--- a/packages/gypsumwall-scheduling/src/__fixtures__/crash_model.ts
+++ b/packages/gypsumwall-scheduling/src/__fixtures__/crash_model.ts
@@ -13,16 +13,16 @@
 }
 
 /** A start that a worker carried out. */
-export interface SeenStart {
+export interface ObservedStart {
   readonly taskId: types.ids.TaskId;
   readonly worker: types.ids.WorkerId;
   readonly at: types.clock.MonotonicMs;
   /** Whether the worker's runs took more than its capacity from then on. */
-  readonly exceeds: boolean;
+  readonly exceedsCapacity: boolean;
 }
 
 /** A worker's crash and what ran there. */
-export interface SeenCrash {
+export interface ObservedCrash {
   readonly at: types.clock.MonotonicMs;
   readonly worker: types.ids.WorkerId;
   /** The task that crashed it; absent where it crashed by itself. */
@@ -31,9 +31,9 @@
 }
 
 /** A run, as it is on its worker. */
-export interface RealRun {
+export interface RealAttempt {
   readonly taskId: types.ids.TaskId;
-  readonly attempt: number;
+  readonly number: number;
   readonly startedAt: types.clock.MonotonicMs;
   readonly size: types.resources.Resources;
   stopsAt?: types.clock.MonotonicMs;
@@ -42,15 +42,15 @@
 /** A machine and the life of its worker. */
 export interface Machine {
   readonly name: string;
-  life: number;
+  incarnation: number;
   info: workerRegistry.WorkerInfo;
   /** Down until then, if it isn't up. */
   backAt?: types.clock.MonotonicMs;
   crashedAt?: types.clock.MonotonicMs;
-  runs: RealRun[];
+  attempts: RealAttempt[];
   ends: schedulerTypes.AttemptEnd[];
   sequence: number;
-  heard: number;
+  receivedSequence: number;
 }
 
 /** A job as it was handed in. */
@@ -66,9 +66,9 @@
 export interface Write {
   readonly dirty: readonly schedulerTypes.DirtyJob[];
   readonly dueAt: types.clock.MonotonicMs;
-  readonly heard: ReadonlyMap<Machine, number>;
+  readonly receivedSequences: ReadonlyMap<Machine, number>;
   /** Lives that are off the record with it. */
-  readonly forgotten: readonly types.ids.WorkerId[];
+  readonly removedWorkers: readonly types.ids.WorkerId[];
 }
 
 /** Creates a machine with a worker that has run nothing. */
@@ -79,7 +79,7 @@
 ): Machine {
   return {
     name,
-    life: 1,
+    incarnation: 1,
     info: {
       id: types.ids.brand(`${name}.1`),
       address: `${name}:1`,
@@ -94,16 +94,16 @@
       rack: types.ids.brand(domain),
       draining: false,
     },
-    runs: [],
+    attempts: [],
     ends: [],
     sequence: 0,
-    heard: 0,
+    receivedSequence: 0,
   };
 }
 
 /** What the runs on a machine take together. */
-export function usedOf(machine: Machine): types.resources.Resources {
-  return machine.runs
-    .map((run) => run.size)
+export function usedResources(machine: Machine): types.resources.Resources {
+  return machine.attempts
+    .map((attempt) => attempt.size)
     .reduce(types.resources.add, types.resources.NO_RESOURCES);
 }
--- a/packages/gypsumwall-scheduling/src/__fixtures__/crash_world.ts
+++ b/packages/gypsumwall-scheduling/src/__fixtures__/crash_world.ts
@@ -21,7 +21,7 @@
 const STORE_MS = 20;
 const TAKEOVER_MS = 1_000;
 const ATTEMPTS_PER_GENERATION = 1_000;
-const WHOLE = 100;
+const FULL_PERCENT = 100;
 
 /** What a world is made with. */
 export interface CrashWorldOptions {
@@ -46,16 +46,16 @@
   const machines: crashModel.Machine[] = [];
   const jobs: crashModel.Job[] = [];
   const persisted = new Map<types.ids.JobId, jobProgress.JobProgress>();
-  const unaccounted = new Set<types.ids.WorkerId>();
+  const unreconciled = new Set<types.ids.WorkerId>();
   /** Machines by the ids of their workers' lives. */
-  const lives = new Map<types.ids.WorkerId, crashModel.Machine>();
+  const machinesByWorker = new Map<types.ids.WorkerId, crashModel.Machine>();
   /** Lives that the store has on record as used. */
-  const used = new Map<types.ids.WorkerId, workerRegistry.WorkerInfo>();
-  const starts: crashModel.SeenStart[] = [];
-  const crashes: crashModel.SeenCrash[] = [];
+  const usedWorkers = new Map<types.ids.WorkerId, workerRegistry.WorkerInfo>();
+  const starts: crashModel.ObservedStart[] = [];
+  const crashes: crashModel.ObservedCrash[] = [];
   const events: schedulerTypes.SchedulerEvent[] = [];
   let writes: crashModel.Write[] = [];
-  let forgotten: types.ids.WorkerId[] = [];
+  let removedWorkers: types.ids.WorkerId[] = [];
 
   for (let domain = 0; domain < options.domains; domain++) {
     for (let nth = 0; nth < options.machinesPerDomain; nth++) {
@@ -66,7 +66,7 @@
   function addMachine(domain: string, name: string): void {
     const machine = crashModel.createMachine(domain, name, options.cores);
     machines.push(machine);
-    lives.set(machine.info.id, machine);
+    machinesByWorker.set(machine.info.id, machine);
   }
 
   const isUp = (machine: crashModel.Machine) => machine.backAt === undefined;
@@ -79,10 +79,10 @@
     return jobOf(taskId).request.steps[Number(taskId.split('.')[2])]!;
   }
 
-  function crashOf(run: crashModel.RealRun): number | undefined {
-    const {crash} = jobOf(run.taskId).behaviour;
+  function crashAfterMsOf(attempt: crashModel.RealAttempt): number | undefined {
+    const {crash} = jobOf(attempt.taskId).behaviour;
     if (crash === undefined) return undefined;
-    const index = Number(run.taskId.split('.')[3]);
+    const index = Number(attempt.taskId.split('.')[3]);
     return index === crash.index ? crash.afterMs : undefined;
   }
 
@@ -101,18 +101,19 @@
   function createScheduler(): schedulerTypes.Scheduler {
     const created = schedulers.createScheduler({
       attemptBase: generation++ * ATTEMPTS_PER_GENERATION,
-      isAccounted: (worker) => !unaccounted.has(worker),
+      isAccounted: (worker) => !unreconciled.has(worker),
       onEvent: (event) => events.push(event),
     });
     for (const job of jobs) addTo(created, job);
     for (const progress of persisted.values()) {
-      for (const id of progress.workers) if (used.has(id)) unaccounted.add(id);
+      for (const id of progress.workers)
+        if (usedWorkers.has(id)) unreconciled.add(id);
     }
     created.workerAccounted();
-    for (const machine of machines) machine.heard = 0;
-    for (const [id, info] of used) {
+    for (const machine of machines) machine.receivedSequence = 0;
+    for (const [id, info] of usedWorkers) {
       created.putWorker({...info, draining: true});
-      if (lives.get(id)!.info.id !== id) tellCrash(created, id);
+      if (machinesByWorker.get(id)!.info.id !== id) reportCrash(created, id);
     }
     for (const machine of machines) {
       if (isUp(machine)) created.putWorker(machine.info);
@@ -120,17 +121,17 @@
     return created;
   }
 
-  function tellCrash(
+  function reportCrash(
     target: schedulerTypes.Scheduler,
     id: types.ids.WorkerId,
   ): void {
     if (target.book.workers.has(id)) target.workerGone(id, 'crashed', now);
-    forgotten.push(id);
-    if (unaccounted.delete(id)) target.workerAccounted();
+    removedWorkers.push(id);
+    if (unreconciled.delete(id)) target.workerAccounted();
   }
 
-  function account(id: types.ids.WorkerId): void {
-    if (unaccounted.delete(id)) scheduler?.workerAccounted();
+  function reconcile(id: types.ids.WorkerId): void {
+    if (unreconciled.delete(id)) scheduler?.workerAccounted();
   }
 
   /** Ends the runs of a gang whose member is gone or done. */
@@ -138,23 +139,29 @@
     if (!stepOf(taskId).gang) return;
     const prefix = taskId.slice(0, taskId.lastIndexOf('.') + 1);
     for (const machine of machines) {
-      for (const run of machine.runs.filter((one) =>
+      for (const attempt of machine.attempts.filter((one) =>
         one.taskId.startsWith(prefix),
       )) {
-        endRun(machine, run, how);
+        endAttempt(machine, attempt, how);
       }
     }
   }
 
-  function endRun(
+  function endAttempt(
     machine: crashModel.Machine,
-    run: crashModel.RealRun,
+    attempt: crashModel.RealAttempt,
     how: jobSteps.RunEnd,
   ): void {
-    machine.runs = machine.runs.filter((one) => one !== run);
-    const {taskId, attempt} = run;
+    machine.attempts = machine.attempts.filter((one) => one !== attempt);
+    const {taskId, number: attemptNumber} = attempt;
     const sequence = ++machine.sequence;
-    machine.ends.push({sequence, taskId, attempt, how, checkpoint: ''});
+    machine.ends.push({
+      sequence,
+      taskId,
+      attempt: attemptNumber,
+      how,
+      checkpoint: '',
+    });
   }
 
   function crash(
@@ -162,12 +169,12 @@
     culprit?: types.ids.TaskId,
   ): void {
     if (!isUp(machine)) return;
-    const tasks = machine.runs.map((run) => run.taskId);
+    const tasks = machine.attempts.map((attempt) => attempt.taskId);
     const worker = machine.info.id;
     crashes.push({at: now, worker, culprit, tasks});
     machine.backAt = types.clock.after(now, restartMs);
     machine.crashedAt = now;
-    machine.runs = [];
+    machine.attempts = [];
     machine.ends = [];
     for (const taskId of tasks) endGang(taskId, 'broken');
     if (scheduler?.book.workers.has(worker) !== true) return;
@@ -180,65 +187,75 @@
     const {name} = machine;
     machine.backAt = undefined;
     machine.sequence = 0;
-    machine.heard = 0;
-    const id = types.ids.brand<types.ids.WorkerId>(`${name}.${++machine.life}`);
+    machine.receivedSequence = 0;
+    const id = types.ids.brand<types.ids.WorkerId>(
+      `${name}.${++machine.incarnation}`,
+    );
     machine.info = {...machine.info, id};
-    lives.set(id, machine);
+    machinesByWorker.set(id, machine);
     if (scheduler === undefined) return;
-    tellCrash(scheduler, before);
+    reportCrash(scheduler, before);
     scheduler.putWorker(machine.info);
   }
 
   function work(machine: crashModel.Machine): void {
-    for (const run of [...machine.runs]) {
-      if (!machine.runs.includes(run)) continue;
-      const ranMs = now - run.startedAt;
-      const crashAfterMs = crashOf(run);
-      const {workMs} = jobOf(run.taskId).behaviour;
+    for (const attempt of [...machine.attempts]) {
+      if (!machine.attempts.includes(attempt)) continue;
+      const ranMs = now - attempt.startedAt;
+      const crashAfterMs = crashAfterMsOf(attempt);
+      const {workMs} = jobOf(attempt.taskId).behaviour;
       if (crashAfterMs !== undefined && ranMs >= crashAfterMs) {
-        crash(machine, run.taskId);
+        crash(machine, attempt.taskId);
         return;
       }
-      if (run.stopsAt !== undefined && now >= run.stopsAt) {
-        endRun(machine, run, 'stopped');
-        endGang(run.taskId, 'broken');
-      } else if (!stepOf(run.taskId).longRunning && ranMs >= workMs) {
-        endRun(machine, run, 'done');
-        endGang(run.taskId, 'done');
+      if (attempt.stopsAt !== undefined && now >= attempt.stopsAt) {
+        endAttempt(machine, attempt, 'stopped');
+        endGang(attempt.taskId, 'broken');
+      } else if (!stepOf(attempt.taskId).longRunning && ranMs >= workMs) {
+        endAttempt(machine, attempt, 'done');
+        endGang(attempt.taskId, 'done');
       }
     }
   }
 
   function start(
     target: schedulerTypes.Scheduler,
-    {attempt: run}: schedulerTypes.StartOrder,
+    {attempt}: schedulerTypes.StartOrder,
   ): void {
-    const machine = lives.get(run.workerId)!;
-    if (!isUp(machine) || machine.info.id !== run.workerId) {
-      target.startAnswered(run, {type: 'unknown'}, now);
+    const machine = machinesByWorker.get(attempt.workerId)!;
+    if (!isUp(machine) || machine.info.id !== attempt.workerId) {
+      target.startAnswered(attempt, {type: 'unknown'}, now);
       return;
     }
-    const {taskId, number: attempt, size, workerId: worker} = run;
-    used.set(worker, machine.info);
-    machine.runs.push({taskId, attempt, startedAt: now, size});
+    const {taskId, number: attemptNumber, size, workerId: worker} = attempt;
+    usedWorkers.set(worker, machine.info);
+    machine.attempts.push({
+      taskId,
+      number: attemptNumber,
+      startedAt: now,
+      size,
+    });
     const {capacity} = machine.info;
-    const exceeds = !types.resources.fits(crashModel.usedOf(machine), capacity);
-    starts.push({taskId, worker, at: now, exceeds});
-    target.startAnswered(run, {type: 'started'}, now);
+    const exceedsCapacity = !types.resources.fits(
+      crashModel.usedResources(machine),
+      capacity,
+    );
+    starts.push({taskId, worker, at: now, exceedsCapacity});
+    target.startAnswered(attempt, {type: 'started'}, now);
   }
 
   function stop(
     target: schedulerTypes.Scheduler,
-    run: activeJob.Attempt,
+    attempt: activeJob.Attempt,
   ): void {
-    const machine = lives.get(run.workerId);
+    const machine = machinesByWorker.get(attempt.workerId);
     if (machine === undefined || !isUp(machine)) return;
-    if (machine.info.id !== run.workerId) return;
-    const found = machine.runs.find(
-      (one) => one.taskId === run.taskId && one.attempt === run.number,
+    if (machine.info.id !== attempt.workerId) return;
+    const found = machine.attempts.find(
+      (one) => one.taskId === attempt.taskId && one.number === attempt.number,
     );
     if (found !== undefined) found.stopsAt = types.clock.after(now, STOP_MS);
-    target.stopAnswered(run, now);
+    target.stopAnswered(attempt, now);
   }
 
   function report(
@@ -247,40 +264,50 @@
   ): void {
     const {id} = machine.info;
     if (!target.book.workers.has(id)) target.putWorker(machine.info);
-    const percentOf = (run: crashModel.RealRun) =>
-      Math.floor((now - run.startedAt) / REPORT_EVERY_MS) % WHOLE;
+    const percentOf = (attempt: crashModel.RealAttempt) =>
+      Math.floor((now - attempt.startedAt) / REPORT_EVERY_MS) % FULL_PERCENT;
     target.report(
       {
         workerId: id,
         askedAt: now,
-        running: machine.runs.map((run) =>
-          schedulerWorlds.row(run.taskId, run.attempt, percentOf(run)),
+        running: machine.attempts.map((attempt) =>
+          schedulerWorlds.runningAttempt(
+            attempt.taskId,
+            attempt.number,
+            percentOf(attempt),
+          ),
+        ),
+        ends: machine.ends.filter(
+          (end) => end.sequence > machine.receivedSequence,
         ),
-        ends: machine.ends.filter((end) => end.sequence > machine.heard),
         complete: true,
       },
       now,
     );
-    machine.heard = machine.sequence;
+    machine.receivedSequence = machine.sequence;
     if (target.book.workers.get(id)?.usable === false) {
       target.putWorker(machine.info);
       target.setUsable(id, true, now);
     }
-    account(id);
+    reconcile(id);
   }
 
   function flush(target: schedulerTypes.Scheduler): void {
     const dirty = target.takeDirty();
-    const heard = new Map(machines.map((one) => [one, one.heard]));
+    const heard = new Map(machines.map((one) => [one, one.receivedSequence]));
     const dueAt = types.clock.after(now, STORE_MS);
-    writes.push({dirty, dueAt, heard, forgotten});
-    forgotten = [];
+    writes.push({dirty, dueAt, receivedSequences: heard, removedWorkers});
+    removedWorkers = [];
   }
 
   function confirmWrites(target: schedulerTypes.Scheduler): void {
     while (!storeDown && writes.length > 0 && writes[0]!.dueAt <= now) {
-      const {dirty, heard, forgotten: over} = writes.shift()!;
-      for (const id of over) used.delete(id);
+      const {
+        dirty,
+        receivedSequences: heard,
+        removedWorkers: removed,
+      } = writes.shift()!;
+      for (const id of removed) usedWorkers.delete(id);
       for (const {jobId, progress} of dirty) persisted.set(jobId, progress);
       target.stored(dirty);
       for (const [machine, upTo] of heard) {
@@ -289,7 +316,7 @@
     }
   }
 
-  function hold(target: schedulerTypes.Scheduler): void {
+  function runHolder(target: schedulerTypes.Scheduler): void {
     confirmWrites(target);
     if (now >= reportsAt) {
       reportsAt = types.clock.after(now, REPORT_EVERY_MS);
@@ -301,9 +328,9 @@
       if (isUp(machine) || now - crashedAt! < LEASE_MS) continue;
       if (!target.book.workers.has(info.id)) continue;
       target.leasePassed(info.id, now);
-      account(info.id);
+      reconcile(info.id);
     }
-    for (const run of target.takeStops()) stop(target, run);
+    for (const attempt of target.takeStops()) stop(target, attempt);
     const {starts: orders} = target.decide(now, 0 as types.clock.WallMs);
     flush(target);
     for (const order of orders) start(target, order);
@@ -319,7 +346,7 @@
       takesOverAt = undefined;
       scheduler = createScheduler();
     }
-    if (scheduler !== undefined) hold(scheduler);
+    if (scheduler !== undefined) runHolder(scheduler);
   }
 
   const stateOf = (id: types.ids.JobId): jobProgress.JobPhase =>
@@ -351,8 +378,8 @@
       return id;
     },
     stateOf,
-    stepsUntil(isDone: () => boolean, mostMs: number): void {
-      const until = types.clock.after(now, mostMs);
+    runUntil(isDone: () => boolean, maxMs: number): void {
+      const until = types.clock.after(now, maxMs);
       while (!isDone() && now < until) step();
     },
     run(spanMs: number): void {
@@ -371,7 +398,7 @@
     killHolder(): void {
       scheduler = undefined;
       writes = [];
-      forgotten = [];
+      removedWorkers = [];
       takesOverAt = types.clock.after(now, TAKEOVER_MS);
     },
     setStoreDown(down: boolean): void {
--- a/packages/gypsumwall-scheduling/src/__fixtures__/scheduler_world.ts
+++ b/packages/gypsumwall-scheduling/src/__fixtures__/scheduler_world.ts
@@ -48,7 +48,7 @@
   readonly scheduler: schedulerTypes.Scheduler;
   readonly events: schedulerTypes.SchedulerEvent[];
   /** Workers of an earlier scheduler that aren't accounted for. */
-  readonly unaccounted: Set<types.ids.WorkerId>;
+  readonly unreconciled: Set<types.ids.WorkerId>;
   now: types.clock.MonotonicMs;
   addWorker(name: string, cores: number, rack?: string): types.ids.WorkerId;
   submit(
@@ -60,7 +60,7 @@
   decide(): schedulerTypes.StartOrder[];
   /** Decides and answers every start. */
   startAll(): activeJob.Attempt[];
-  end(run: activeJob.Attempt, how: jobSteps.RunEnd): void;
+  end(attempt: activeJob.Attempt, how: jobSteps.RunEnd): void;
   /** Hands in a report that lists exactly these runs. */
   report(
     worker: types.ids.WorkerId,
@@ -71,23 +71,23 @@
 /** Creates a world at time 1,000,000 ms. */
 export function createSchedulerWorld(): SchedulerWorld {
   const events: schedulerTypes.SchedulerEvent[] = [];
-  const unaccounted = new Set<types.ids.WorkerId>();
+  const unreconciled = new Set<types.ids.WorkerId>();
   const scheduler = schedulers.createScheduler({
     attemptBase: 0,
-    isAccounted: (worker) => !unaccounted.has(worker),
+    isAccounted: (worker) => !unreconciled.has(worker),
     onEvent: (event) => events.push(event),
   });
   const wall = 0 as types.clock.WallMs;
   let sequence = 0;
 
-  function store(): void {
+  function confirmWrites(): void {
     scheduler.stored(scheduler.takeDirty());
   }
 
   const world: SchedulerWorld = {
     scheduler,
     events,
-    unaccounted,
+    unreconciled,
     now: 1_000_000 as types.clock.MonotonicMs,
     addWorker(name, cores, rack = 'r1') {
       const id = types.ids.brand<types.ids.WorkerId>(name);
@@ -126,20 +126,26 @@
     },
     decide() {
       const first = scheduler.decide(world.now, wall).starts;
-      store();
+      confirmWrites();
       return [...first, ...scheduler.decide(world.now, wall).starts];
     },
     startAll() {
       const orders = world.decide();
-      for (const {attempt: run} of orders) {
-        scheduler.startAnswered(run, {type: 'started'}, world.now);
+      for (const {attempt} of orders) {
+        scheduler.startAnswered(attempt, {type: 'started'}, world.now);
       }
       world.now = types.clock.after(world.now, 1);
       return orders.map((order) => order.attempt);
     },
-    end(run, how) {
-      const {taskId, number: attempt, workerId} = run;
-      const row = {sequence: ++sequence, taskId, attempt, how, checkpoint: ''};
+    end(attempt, how) {
+      const {taskId, number: attemptNumber, workerId} = attempt;
+      const row = {
+        sequence: ++sequence,
+        taskId,
+        attempt: attemptNumber,
+        how,
+        checkpoint: '',
+      };
       scheduler.report(
         {
           workerId,
@@ -150,7 +156,7 @@
         },
         world.now,
       );
-      store();
+      confirmWrites();
     },
     report(workerId, running) {
       scheduler.report(
@@ -163,10 +169,15 @@
 }
 
 /** How a worker lists a run. */
-export function row(
+export function runningAttempt(
   taskId: string,
-  attempt: number,
+  attemptNumber: number,
   percent = 10,
 ): schedulerTypes.RunningAttempt {
-  return {taskId: types.ids.brand(taskId), attempt, checkpoint: '', percent};
+  return {
+    taskId: types.ids.brand(taskId),
+    attempt: attemptNumber,
+    checkpoint: '',
+    percent,
+  };
 }
--- a/packages/gypsumwall-scheduling/src/__fixtures__/unreliable_world.ts
+++ b/packages/gypsumwall-scheduling/src/__fixtures__/unreliable_world.ts
@@ -16,44 +16,44 @@
 
 const WALL = 0 as types.clock.WallMs;
 /** Ends in one report; the worker keeps the others for the next one. */
-const MOST_ENDS = 3;
+const MAX_ENDS_PER_REPORT = 3;
 const ATTEMPTS_PER_GENERATION = 1_000;
 /**
  * Longer than the longest avoidance of a worker, and than it takes until tasks
  * that may crash their workers have been tried one after the other.
  */
 const SETTLE_PAUSE_MS = 1_000;
-const SETTLE_PAUSES = 16;
+const SETTLE_PAUSE_COUNT = 16;
 /** More than the pause between two looks for advice. */
 const SHORT_PAUSE_MS = 85;
 const QUIET_ROUNDS = 6;
-const MOST_ROUNDS = 400;
+const MAX_ROUNDS = 400;
 
-interface WorkerRun {
+interface RealAttempt {
   readonly taskId: types.ids.TaskId;
-  readonly attempt: number;
+  readonly number: number;
   /** A stop was accepted and isn't carried out yet. */
-  ending: boolean;
+  isStopping: boolean;
 }
 
 /** A worker as it is. */
 export interface RealWorker {
   readonly id: types.ids.WorkerId;
   info: workerRegistry.WorkerInfo;
-  alive: boolean;
+  isAlive: boolean;
   /** Calls don't get through. */
-  cut: boolean;
+  isCutOff: boolean;
   generation: number;
-  readonly runs: Map<string, WorkerRun>;
-  readonly barred: Set<string>;
+  readonly attempts: Map<string, RealAttempt>;
+  readonly rejectedKeys: Set<string>;
   ends: schedulerTypes.AttemptEnd[];
   sequence: number;
   /** The session's side. */
-  heardSequence: number;
+  receivedSequence: number;
   lastAskedAt: number;
-  reachable: boolean;
+  isReachable: boolean;
   /** Whether the scheduler has been shown `info`. */
-  listed: boolean;
+  isListed: boolean;
 }
 
 interface PendingStart {
@@ -77,7 +77,7 @@
 
 interface PendingWrite {
   readonly dirty: schedulerTypes.DirtyJob[];
-  readonly heard: ReadonlyMap<RealWorker, number>;
+  readonly receivedSequences: ReadonlyMap<RealWorker, number>;
 }
 
 interface SubmittedJob {
@@ -97,23 +97,24 @@
   | 'late'
   | schedulerTypes.RefusalReason;
 
-const keyOf = (taskId: string, attempt: number) => `${taskId}#${attempt}`;
+const keyOf = (taskId: string, attemptNumber: number) =>
+  `${taskId}#${attemptNumber}`;
 
 /** Creates a world at time 1,000,000 ms. */
 export function createUnreliableWorld() {
   let now = 1_000_000 as types.clock.MonotonicMs;
   let generation = 0;
   let scheduler: schedulerTypes.Scheduler;
-  const unaccounted = new Set<types.ids.WorkerId>();
+  const unreconciled = new Set<types.ids.WorkerId>();
   const workers: RealWorker[] = [];
   const jobs: SubmittedJob[] = [];
   const persisted = new Map<types.ids.JobId, jobProgress.JobProgress>();
   /** Workers that an adviser has turned down, by step. */
-  const turnedDown = new Set<string>();
+  const refusedByAdviser = new Set<string>();
   let starts: PendingStart[] = [];
-  let late: PendingStart[] = [];
+  let lateStarts: PendingStart[] = [];
   let stops: activeJob.Attempt[] = [];
-  let wishes: schedulerTypes.AdviceRequest[] = [];
+  let adviceRequests: schedulerTypes.AdviceRequest[] = [];
   let reports: PendingReport[] = [];
   let writes: PendingWrite[] = [];
 
@@ -121,7 +122,7 @@
     generation++;
     scheduler = schedulers.createScheduler({
       attemptBase: generation * ATTEMPTS_PER_GENERATION,
-      isAccounted: (worker) => !unaccounted.has(worker),
+      isAccounted: (worker) => !unreconciled.has(worker),
       onEvent: () => undefined,
     });
   }
@@ -149,24 +150,24 @@
         draining: false,
         ...info,
       },
-      alive: true,
-      cut: false,
+      isAlive: true,
+      isCutOff: false,
       generation: 0,
-      runs: new Map(),
-      barred: new Set(),
+      attempts: new Map(),
+      rejectedKeys: new Set(),
       ends: [],
       sequence: 0,
-      heardSequence: 0,
+      receivedSequence: 0,
       lastAskedAt: 0,
-      reachable: false,
-      listed: false,
+      isReachable: false,
+      isListed: false,
     };
     workers.push(worker);
-    list(worker);
+    listWorker(worker);
   }
 
-  function list(worker: RealWorker): void {
-    worker.listed = true;
+  function listWorker(worker: RealWorker): void {
+    worker.isListed = true;
     scheduler.putWorker(worker.info);
   }
 
@@ -186,11 +187,11 @@
       cancelled: false,
     };
     jobs.push(job);
-    takeUp(job, false);
+    addJob(job, false);
     return job.id;
   }
 
-  function takeUp(job: SubmittedJob, inherited: boolean): void {
+  function addJob(job: SubmittedJob, inherited: boolean): void {
     const progress = persisted.get(job.id) ?? jobProgress.NO_PROGRESS;
     if (job.cancelled || jobProgress.isOver(progress.phase)) return;
     const {id, request, policy, acceptedAt} = job;
@@ -203,10 +204,10 @@
 
   function flush(): void {
     const dirty = scheduler.takeDirty();
-    const heard = new Map(
-      workers.map((worker) => [worker, worker.heardSequence]),
+    const sequence = new Map(
+      workers.map((worker) => [worker, worker.receivedSequence]),
     );
-    writes.push({dirty, heard});
+    writes.push({dirty, receivedSequences: sequence});
   }
 
   function decide(): number {
@@ -215,7 +216,7 @@
       const worker = workers.find((one) => one.id === order.attempt.workerId)!;
       starts.push({order, worker, generation});
     }
-    wishes.push(...decisions.advice);
+    adviceRequests.push(...decisions.advice);
     stops.push(...scheduler.takeStops());
     flush();
     elapse(1);
@@ -223,115 +224,126 @@
   }
 
   /** The worker gets a start; what it answers. */
-  function receive(start: PendingStart): schedulerTypes.StartOutcome {
+  function receiveStart(start: PendingStart): schedulerTypes.StartOutcome {
     const {worker, order} = start;
-    const {taskId, number: attempt} = order.attempt;
-    if (!worker.alive || worker.cut) return {type: 'unknown'};
+    const {taskId, number: attemptNumber} = order.attempt;
+    if (!worker.isAlive || worker.isCutOff) return {type: 'unknown'};
     if (start.generation < worker.generation) return {type: 'unknown'};
     worker.generation = start.generation;
-    const key = keyOf(taskId, attempt);
-    if (worker.barred.has(key)) return {type: 'refused', reason: 'superseded'};
-    worker.runs.set(key, {taskId, attempt, ending: false});
+    const key = keyOf(taskId, attemptNumber);
+    if (worker.rejectedKeys.has(key))
+      return {type: 'refused', reason: 'superseded'};
+    worker.attempts.set(key, {
+      taskId,
+      number: attemptNumber,
+      isStopping: false,
+    });
     return {type: 'started'};
   }
 
   function answerStart(start: PendingStart, fate: StartFate): void {
     starts = starts.filter((one) => one !== start);
-    const {attempt: run} = start.order;
-    const tell = (outcome: schedulerTypes.StartOutcome) => {
+    const {attempt} = start.order;
+    const reportOutcome = (outcome: schedulerTypes.StartOutcome) => {
       if (start.generation === generation) {
         if (outcome.type === 'unknown') setReachable(start.worker, false);
-        scheduler.startAnswered(run, outcome, now);
+        scheduler.startAnswered(attempt, outcome, now);
       }
     };
     switch (fate) {
       case 'started':
-        tell(receive(start));
+        reportOutcome(receiveStart(start));
         return;
       case 'unanswered':
-        receive(start);
-        tell({type: 'unknown'});
+        receiveStart(start);
+        reportOutcome({type: 'unknown'});
         return;
       case 'late':
-        late.push(start);
-        tell({type: 'unknown'});
+        lateStarts.push(start);
+        reportOutcome({type: 'unknown'});
         return;
       case 'bad_ticket':
       case 'superseded':
       case 'no_room':
       case 'unhealthy':
       case 'other':
-        tell({type: 'refused', reason: fate});
+        reportOutcome({type: 'refused', reason: fate});
         return;
     }
   }
 
   function deliverLate(start: PendingStart): void {
-    late = late.filter((one) => one !== start);
-    receive(start);
+    lateStarts = lateStarts.filter((one) => one !== start);
+    receiveStart(start);
   }
 
-  function endRun(
+  function endAttempt(
     worker: RealWorker,
-    run: WorkerRun,
+    attempt: RealAttempt,
     how: jobSteps.RunEnd,
   ): void {
-    const {taskId, attempt} = run;
-    worker.runs.delete(keyOf(taskId, attempt));
-    worker.barred.add(keyOf(taskId, attempt));
+    const {taskId, number: attemptNumber} = attempt;
+    worker.attempts.delete(keyOf(taskId, attemptNumber));
+    worker.rejectedKeys.add(keyOf(taskId, attemptNumber));
     const sequence = ++worker.sequence;
-    worker.ends.push({sequence, taskId, attempt, how, checkpoint: ''});
+    worker.ends.push({
+      sequence,
+      taskId,
+      attempt: attemptNumber,
+      how,
+      checkpoint: '',
+    });
   }
 
   /** The worker gets a stop, and perhaps takes its time. */
   function answerStop(
-    run: activeJob.Attempt,
+    attempt: activeJob.Attempt,
     options: {readonly slow: boolean; readonly answered: boolean},
   ): void {
-    const worker = workers.find((one) => one.id === run.workerId)!;
-    if (!worker.alive || worker.cut) return;
+    const worker = workers.find((one) => one.id === attempt.workerId)!;
+    if (!worker.isAlive || worker.isCutOff) return;
     worker.generation = generation;
-    const key = keyOf(run.taskId, run.number);
-    worker.barred.add(key);
-    const found = worker.runs.get(key);
+    const key = keyOf(attempt.taskId, attempt.number);
+    worker.rejectedKeys.add(key);
+    const found = worker.attempts.get(key);
     if (found !== undefined) {
-      if (options.slow) found.ending = true;
-      else endRun(worker, found, 'stopped');
+      if (options.slow) found.isStopping = true;
+      else endAttempt(worker, found, 'stopped');
     }
     if (!options.answered) return;
-    stops = stops.filter((one) => one !== run);
-    scheduler.stopAnswered(run, now);
+    stops = stops.filter((one) => one !== attempt);
+    scheduler.stopAnswered(attempt, now);
   }
 
-  function contentOf(worker: RealWorker): ReportContent {
-    const ends = worker.ends.slice(0, MOST_ENDS);
+  function reportContentOf(worker: RealWorker): ReportContent {
+    const ends = worker.ends.slice(0, MAX_ENDS_PER_REPORT);
     const percent = Math.floor(now / 10) % 97;
-    const running = [...worker.runs.values()].map((run) =>
-      worlds.row(run.taskId, run.attempt, percent),
+    const running = [...worker.attempts.values()].map((attempt) =>
+      worlds.runningAttempt(attempt.taskId, attempt.number, percent),
     );
-    return {running, ends, complete: ends.length < MOST_ENDS};
+    return {running, ends, complete: ends.length < MAX_ENDS_PER_REPORT};
   }
 
-  function ask(worker: RealWorker, answeredNow: boolean): void {
-    if (!worker.alive || worker.cut) return;
+  function requestReport(worker: RealWorker, answeredNow: boolean): void {
+    if (!worker.isAlive || worker.isCutOff) return;
     worker.generation = generation;
-    const content = answeredNow ? contentOf(worker) : undefined;
+    const content = answeredNow ? reportContentOf(worker) : undefined;
     reports.push({worker, generation, askedAt: now, content});
   }
 
-  function deliver(report: PendingReport): void {
+  function deliverReport(report: PendingReport): void {
     reports = reports.filter((one) => one !== report);
     const {worker, askedAt} = report;
     if (report.generation !== generation || !isKnown(worker)) return;
-    if (worker.cut || !worker.alive) return;
+    if (worker.isCutOff || !worker.isAlive) return;
     if (askedAt < worker.lastAskedAt) return;
     worker.lastAskedAt = askedAt;
-    const content = report.content ?? contentOf(worker);
+    const content = report.content ?? reportContentOf(worker);
     const ends = content.ends.filter(
-      (end) => end.sequence > worker.heardSequence,
+      (end) => end.sequence > worker.receivedSequence,
     );
     for (const end of ends) {
-      worker.heardSequence = Math.max(worker.heardSequence, end.sequence);
+      worker.receivedSequence = Math.max(worker.receivedSequence, end.sequence);
     }
     const {running, complete} = content;
     scheduler.report(
@@ -339,17 +351,17 @@
       now,
     );
     setReachable(worker, true);
-    account(worker);
+    reconcile(worker);
   }
 
   function setReachable(worker: RealWorker, reachable: boolean): void {
-    if (worker.reachable === reachable) return;
-    worker.reachable = reachable;
+    if (worker.isReachable === reachable) return;
+    worker.isReachable = reachable;
     scheduler.setUsable(worker.id, reachable, now);
   }
 
-  function account(worker: RealWorker): void {
-    if (unaccounted.delete(worker.id)) scheduler.workerAccounted();
+  function reconcile(worker: RealWorker): void {
+    if (unreconciled.delete(worker.id)) scheduler.workerAccounted();
   }
 
   function confirmWrite(): void {
@@ -357,72 +369,73 @@
     if (write === undefined) return;
     for (const {jobId, progress} of write.dirty) persisted.set(jobId, progress);
     scheduler.stored(write.dirty);
-    for (const [worker, heard] of write.heard) {
-      worker.ends = worker.ends.filter((end) => end.sequence > heard);
+    for (const [worker, sequence] of write.receivedSequences) {
+      worker.ends = worker.ends.filter((end) => end.sequence > sequence);
     }
   }
 
   function answerAdvice(
-    wish: schedulerTypes.AdviceRequest,
+    request: schedulerTypes.AdviceRequest,
     answer: 'none' | ((worker: types.ids.WorkerId, nth: number) => boolean),
   ): void {
-    wishes = wishes.filter((one) => one !== wish);
-    const {stepRun} = wish;
+    adviceRequests = adviceRequests.filter((one) => one !== request);
+    const {stepRun} = request;
     const validMs = stepRun.job.policy.advice?.validMs ?? 0;
     const until = types.clock.after(now, validMs);
     if (answer === 'none') {
-      scheduler.adviceAnswered(wish, undefined, until);
+      scheduler.adviceAnswered(request, undefined, until);
       return;
     }
     const approved = new Map<types.ids.WorkerId, string>();
-    wish.workers.forEach((worker, nth) => {
+    request.workers.forEach((worker, nth) => {
       const key = `${stepRun.id}@${worker}`;
-      if (answer(worker, nth) && !turnedDown.has(key)) {
+      if (answer(worker, nth) && !refusedByAdviser.has(key)) {
         approved.set(worker, 'ticket');
-      } else turnedDown.add(key);
+      } else refusedByAdviser.add(key);
     });
-    scheduler.adviceAnswered(wish, approved, until);
+    scheduler.adviceAnswered(request, approved, until);
   }
 
-  function gone(worker: RealWorker): void {
-    worker.alive = false;
-    worker.runs.clear();
+  function removeWorker(worker: RealWorker): void {
+    worker.isAlive = false;
+    worker.attempts.clear();
     starts = starts.filter((one) => one.worker !== worker);
-    late = late.filter((one) => one.worker !== worker);
-    stops = stops.filter((run) => run.workerId !== worker.id);
+    lateStarts = lateStarts.filter((one) => one.worker !== worker);
+    stops = stops.filter((attempt) => attempt.workerId !== worker.id);
     if (isKnown(worker)) scheduler.workerGone(worker.id, 'crashed', now);
-    account(worker);
+    reconcile(worker);
   }
 
   /** The worker is cut off until every lease on it has passed. */
   function leasePassed(worker: RealWorker): void {
-    for (const run of [...worker.runs.values()]) endRun(worker, run, 'lapsed');
+    for (const attempt of [...worker.attempts.values()])
+      endAttempt(worker, attempt, 'lapsed');
     for (const start of starts.filter((one) => one.worker === worker)) {
       answerStart(start, 'late');
     }
-    late = late.filter((one) => one.worker !== worker);
+    lateStarts = lateStarts.filter((one) => one.worker !== worker);
     setReachable(worker, false);
     scheduler.leasePassed(worker.id, now);
-    account(worker);
+    reconcile(worker);
   }
 
   function takeOver(): void {
-    for (const start of starts) late.push(start);
+    for (const start of starts) lateStarts.push(start);
     starts = [];
     stops = [];
-    wishes = [];
+    adviceRequests = [];
     reports = [];
     writes = [];
     const used = workers.filter(isKnown);
     createScheduler();
     for (const worker of used) {
-      worker.heardSequence = 0;
+      worker.receivedSequence = 0;
       worker.lastAskedAt = 0;
-      worker.reachable = false;
-      worker.listed = false;
-      unaccounted.add(worker.id);
+      worker.isReachable = false;
+      worker.isListed = false;
+      unreconciled.add(worker.id);
     }
-    for (const job of jobs) takeUp(job, true);
+    for (const job of jobs) addJob(job, true);
     scheduler.workerAccounted();
     for (const worker of used) {
       scheduler.putWorker({...worker.info, draining: true});
@@ -432,46 +445,47 @@
   /** Gives every answer that is due; whether there was one. */
   function answerAll(): boolean {
     const due =
-      starts.length + stops.length + wishes.length + writes.length > 0;
+      starts.length + stops.length + adviceRequests.length + writes.length > 0;
     for (const worker of workers) {
-      if (!worker.alive) {
-        if (isKnown(worker)) gone(worker);
+      if (!worker.isAlive) {
+        if (isKnown(worker)) removeWorker(worker);
         continue;
       }
-      if (!worker.listed) list(worker);
-      if (worker.cut) leasePassed(worker);
+      if (!worker.isListed) listWorker(worker);
+      if (worker.isCutOff) leasePassed(worker);
     }
-    for (const start of late) deliverLate(start);
+    for (const start of lateStarts) deliverLate(start);
     for (const start of starts) answerStart(start, 'started');
-    for (const run of stops) answerStop(run, {slow: false, answered: true});
+    for (const attempt of stops)
+      answerStop(attempt, {slow: false, answered: true});
     stops = [];
-    for (const wish of wishes) answerAdvice(wish, () => true);
+    for (const request of adviceRequests) answerAdvice(request, () => true);
     elapse(1);
     for (const worker of workers) {
-      for (const run of [...worker.runs.values()]) {
-        if (run.ending) endRun(worker, run, 'stopped');
+      for (const attempt of [...worker.attempts.values()]) {
+        if (attempt.isStopping) endAttempt(worker, attempt, 'stopped');
       }
       // Until all ends are told.
       do {
-        ask(worker, true);
-        for (const report of reports) deliver(report);
+        requestReport(worker, true);
+        for (const report of reports) deliverReport(report);
         flush();
         while (writes.length > 0) confirmWrite();
-      } while (worker.alive && !worker.cut && worker.ends.length > 0);
+      } while (worker.isAlive && !worker.isCutOff && worker.ends.length > 0);
     }
     return due;
   }
 
   /** Lets all answers come and time pass until nothing more starts. */
   function settle(): void {
-    for (let pause = 0; pause < SETTLE_PAUSES; pause++) {
+    for (let pause = 0; pause < SETTLE_PAUSE_COUNT; pause++) {
       answerAll();
       decide();
       elapse(SETTLE_PAUSE_MS);
     }
     let quiet = 0;
     for (let round = 0; quiet < QUIET_ROUNDS; round++) {
-      assert.ok(round < MOST_ROUNDS, 'starts or stops never cease');
+      assert.ok(round < MAX_ROUNDS, 'starts or stops never cease');
       answerAll();
       elapse(SHORT_PAUSE_MS);
       const started = decide();
@@ -479,15 +493,15 @@
     }
   }
 
-  function usedOf(worker: RealWorker): types.resources.Resources {
+  function usedResources(worker: RealWorker): types.resources.Resources {
     let used = types.resources.NO_RESOURCES;
-    for (const run of worker.runs.values()) {
-      used = types.resources.add(used, sizeOf(run));
+    for (const attempt of worker.attempts.values()) {
+      used = types.resources.add(used, sizeOf(attempt));
     }
     return used;
   }
 
-  function sizeOf({taskId}: WorkerRun): types.resources.Resources {
+  function sizeOf({taskId}: RealAttempt): types.resources.Resources {
     const [jobId, , step] = taskId.split('.');
     const job = jobs.find((one) => one.id === jobId)!;
     const {size, usesSpareCpu} = job.request.steps[Number(step)]!;
@@ -502,7 +516,7 @@
       return now;
     },
     get late() {
-      return late;
+      return lateStarts;
     },
     get starts() {
       return starts;
@@ -511,7 +525,7 @@
       return stops;
     },
     get wishes() {
-      return wishes;
+      return adviceRequests;
     },
     get reports() {
       return reports;
@@ -521,11 +535,11 @@
     },
     workers,
     jobs,
-    turnedDown,
+    refusedByAdviser,
     pickOf,
     elapse,
     addWorker,
-    list,
+    listWorker,
     isKnown,
     submit,
     cancel(id: types.ids.JobId) {
@@ -535,30 +549,30 @@
     decide,
     answerStart,
     deliverLate,
-    endRun,
+    endAttempt,
     answerStop,
-    ask,
-    deliver,
+    requestReport,
+    deliverReport,
     confirmWrite,
     answerAdvice,
-    gone,
+    removeWorker,
     /** Calls to the worker fail until it is joined again. */
-    cutOff(worker: RealWorker) {
-      worker.cut = true;
+    disconnect(worker: RealWorker) {
+      worker.isCutOff = true;
       if (!isKnown(worker)) return;
       setReachable(worker, false);
       scheduler.outOfReach(worker.id);
     },
     /** Nobody is told. */
-    die(worker: RealWorker) {
-      worker.alive = false;
-      worker.runs.clear();
+    crashUnnoticed(worker: RealWorker) {
+      worker.isAlive = false;
+      worker.attempts.clear();
     },
     leasePassed,
     takeOver,
     answerAll,
     settle,
-    usedOf,
+    usedResources,
   };
 }
 
--- a/packages/gypsumwall-scheduling/src/__tests__/advice_turns.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/advice_order.test.ts
@@ -17,7 +17,7 @@
 // looks at steps whose calls are too large for the entries that are left.
 test('a step with room and a small call is asked about behind large calls', () => {
   const world = worlds.createSchedulerWorld();
-  const lanes = adviserPool.createAdviserPool<string>();
+  const pool = adviserPool.createAdviserPool<string>();
   for (let nth = 0; nth < 100; nth++) world.addWorker(`w${nth}`, 4);
   for (let nth = 0; nth < 60; nth++) {
     world.submit(`wide${nth}`, [worlds.step({taskCount: 40})], {
@@ -33,26 +33,26 @@
   for (let ms = 0; ms < 10_000 && askedAfterMs === undefined; ms += TICK_MS) {
     for (const call of open) if (call.at <= ms) call.answer();
     open = open.filter((call) => call.at > ms);
-    const capacity = lanes.capacity(ENTRIES);
+    const capacity = pool.capacity(ENTRIES);
     const {advice} = world.scheduler.decide(world.now, WALL, capacity);
     world.scheduler.stored(world.scheduler.takeDirty());
     world.now = types.clock.after(world.now, TICK_MS);
-    for (const wish of advice) {
-      if (wish.stepRun.job.id === 'narrow') askedAfterMs = ms;
-      const lane = lanes.take(ENTRIES, wish.callMs, wish.needed);
+    for (const request of advice) {
+      if (request.stepRun.job.id === 'narrow') askedAfterMs = ms;
+      const entry = pool.take(ENTRIES, request.callMs, request.needed);
       const never = 0 as types.clock.MonotonicMs;
-      if (lane === undefined) {
-        world.scheduler.adviceAnswered(wish, undefined, never);
+      if (entry === undefined) {
+        world.scheduler.adviceAnswered(request, undefined, never);
         continue;
       }
       const answer = () => {
-        lanes.finish(lane, wish.callMs);
+        pool.finish(entry, request.callMs);
         // The policy allows none of the workers.
-        world.scheduler.adviceAnswered(wish, new Map(), never);
+        world.scheduler.adviceAnswered(request, new Map(), never);
       };
-      open.push({at: ms + wish.callMs, answer});
+      open.push({at: ms + request.callMs, answer});
     }
-    if (lanes.capacity(ENTRIES).spare > 0) idle++;
+    if (pool.capacity(ENTRIES).spare > 0) idle++;
   }
   assert.ok(
     askedAfterMs !== undefined && askedAfterMs < worlds.POLICY.targetMs,
--- a/packages/gypsumwall-scheduling/src/__tests__/changing_capacity.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/changing_capacity.test.ts
@@ -22,7 +22,7 @@
   const shrunkAt = world.now;
   world.run(4_000);
   const over = world.starts.filter(
-    (one) => one.exceeds && one.at > shrunkAt,
+    (one) => one.exceedsCapacity && one.at > shrunkAt,
   ).length;
   assert.equal(over, 0, `${over} starts beyond the capacity`);
 });
@@ -46,13 +46,13 @@
     {workMs: 1_000},
   );
   world.run(1_000);
-  assert.equal(machine.runs.length, CORES);
+  assert.equal(machine.attempts.length, CORES);
   world.run(3_500);
   assert.equal(world.stateOf(first), 'completed');
-  assert.equal(machine.runs.length, CORES / 4);
+  assert.equal(machine.attempts.length, CORES / 4);
   world.setCapacity(machine, CORES);
-  world.stepsUntil(() => machine.runs.length === CORES, 500);
-  assert.equal(machine.runs.length, CORES);
+  world.runUntil(() => machine.attempts.length === CORES, 500);
+  assert.equal(machine.attempts.length, CORES);
   world.run(4_000);
   assert.equal(world.stateOf(second), 'completed');
 });
--- a/packages/gypsumwall-scheduling/src/__tests__/crashing_tasks.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/crashing_tasks.test.ts
@@ -71,7 +71,7 @@
     const culprit = world.submit('culprit', {}, behaviour);
     for (let nth = 0; nth < 6; nth++) {
       const before = world.crashes.length;
-      world.stepsUntil(() => world.crashes.length > before, 20_000);
+      world.runUntil(() => world.crashes.length > before, 20_000);
       world.killHolder();
     }
     world.run(30_000);
@@ -86,12 +86,12 @@
     const world = crashChecks.createWorld();
     const behaviour = {workMs: 5_000, crash: {index: 3, afterMs: 200}};
     const gang = world.submit('gang', {...fields, gang: true}, behaviour);
-    const lasting = crashChecks.submitLasting(world, 'lasting');
+    const longRunning = crashChecks.submitLongRunning(world, 'lasting');
     const shorts = runBesideShortJobs(world, 20_000);
     world.run(10_000);
     crashChecks.assertGivenUp(world, gang, 3);
     crashChecks.assertCompleted(world, shorts);
-    assert.equal(world.stateOf(lasting), 'running');
+    assert.equal(world.stateOf(longRunning), 'running');
   }
 });
 
@@ -103,7 +103,7 @@
     [11, 12],
   ] as const) {
     const world = crashChecks.createWorld({machinesPerDomain});
-    const lasting = crashChecks.submitLasting(world, 'lasting');
+    const longRunning = crashChecks.submitLongRunning(world, 'lasting');
     world.run(500);
     const culprits = Array.from({length: count}, (_none, nth) =>
       world.submit(`culprit${nth}`, {}, CRASH),
@@ -112,7 +112,7 @@
     world.run(10_000);
     for (const culprit of culprits) crashChecks.assertGivenUp(world, culprit);
     crashChecks.assertCompleted(world, shorts);
-    assert.equal(world.stateOf(lasting), 'running');
+    assert.equal(world.stateOf(longRunning), 'running');
   }
 });
 
@@ -122,29 +122,31 @@
   const world = crashChecks.createWorld();
   const long = world.submit('long', {taskCount: 24}, {workMs: 6_500});
   world.run(100);
-  const lasting = crashChecks.submitLasting(world, 'lasting');
+  const longRunning = crashChecks.submitLongRunning(world, 'lasting');
   for (let nth = 0; nth < 4; nth++) {
     world.run(4_500);
     world.cutPower('d0');
   }
   world.run(40_000);
-  assert.ok(crashChecks.mostCrashesUnder(world, long) >= 3);
+  assert.ok(crashChecks.maxCrashesUnder(world, long) >= 3);
   crashChecks.assertCompleted(world, [long]);
-  assert.equal(world.stateOf(lasting), 'running');
+  assert.equal(world.stateOf(longRunning), 'running');
   assert.ok(world.events.every((event) => event.type !== 'task_suspected'));
 });
 
 // Guards against old crashes that are held against a task for all its life.
 test('a lasting task is cleared once it has run long enough', () => {
   const world = crashChecks.createWorld();
-  const lasting = crashChecks.submitLasting(world, 'lasting');
+  const longRunning = crashChecks.submitLongRunning(world, 'lasting');
   for (let nth = 0; nth < 8; nth++) {
     world.run(16_000);
-    const used = world.machines.filter((machine) => machine.runs.length > 0);
+    const used = world.machines.filter(
+      (machine) => machine.attempts.length > 0,
+    );
     for (const machine of used) world.crash(machine);
   }
   world.run(5_000);
-  assert.equal(world.stateOf(lasting), 'running');
+  assert.equal(world.stateOf(longRunning), 'running');
   assert.ok(world.events.every((event) => event.type !== 'task_suspected'));
 });
 
@@ -155,7 +157,7 @@
   const suspect = world.submit('suspect', {}, {workMs: 8_000});
   for (let nth = 0; nth < 2; nth++) {
     world.run(300);
-    const host = world.machines.find((machine) => machine.runs.length > 0);
+    const host = world.machines.find((machine) => machine.attempts.length > 0);
     world.crash(host!);
     world.run(3_500);
   }
@@ -184,7 +186,7 @@
   // Its other tasks leave a worker on record in each place.
   const fields = {taskCount: 9, maxPerWorker: 1};
   const culprit = world.submit('culprit', fields, {...CRASH, workMs: 1_000});
-  world.stepsUntil(() => world.crashes.length === 2, 20_000);
+  world.runUntil(() => world.crashes.length === 2, 20_000);
   world.run(2_000);
   world.setStoreDown(true);
   const before = world.starts.length;
--- a/packages/gypsumwall-scheduling/src/__tests__/crashing_worlds.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/crashing_worlds.test.ts
@@ -75,8 +75,8 @@
   readonly lasting: types.ids.JobId[];
 }
 
-function act(world: World, event: DrawnEvent, drawn: Drawn): void {
-  const {culprits, sound, lasting} = drawn;
+function applyEvent(world: World, event: DrawnEvent, drawn: Drawn): void {
+  const {culprits, sound, lasting: longRunning} = drawn;
   const taskCount = 4;
   switch (event.type) {
     case 'culprit': {
@@ -94,8 +94,8 @@
       return;
     }
     case 'lasting':
-      lasting.push(
-        crashChecks.submitLasting(world, `lasting${lasting.length}`),
+      longRunning.push(
+        crashChecks.submitLongRunning(world, `lasting${longRunning.length}`),
       );
       return;
     case 'crash':
@@ -127,7 +127,7 @@
 ): void {
   for (const id of ids) {
     const state = world.stateOf(id);
-    if (state === 'failed' && crashChecks.mostCrashesUnder(world, id) >= 2)
+    if (state === 'failed' && crashChecks.maxCrashesUnder(world, id) >= 2)
       continue;
     assert.equal(state, expected, id);
   }
@@ -142,7 +142,7 @@
       (events) => {
         const world = crashChecks.createWorld();
         const drawn: Drawn = {culprits: [], sound: [], lasting: []};
-        for (const event of events) act(world, event, drawn);
+        for (const event of events) applyEvent(world, event, drawn);
         world.setStoreDown(false);
         for (const machine of world.machines) {
           world.setCapacity(machine, crashChecks.CELL.cores);
@@ -151,7 +151,10 @@
         for (const id of drawn.culprits) crashChecks.assertGivenUp(world, id);
         assertSound(world, drawn.sound, 'completed');
         assertSound(world, drawn.lasting, 'running');
-        assert.equal(world.starts.filter((one) => one.exceeds).length, 0);
+        assert.equal(
+          world.starts.filter((one) => one.exceedsCapacity).length,
+          0,
+        );
       },
     ),
     {numRuns: 60, seed: 1},
--- a/packages/gypsumwall-scheduling/src/__tests__/decisions.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/decisions.test.ts
@@ -16,7 +16,7 @@
     dueAt: at(10_000),
     worthlessAt: at(30_000),
     remainingMs: 1_000,
-    lasting: false,
+    isLongRunning: false,
     arrival: 0,
     ...fields,
   };
@@ -41,20 +41,24 @@
   assert.ok(jobOrder.compare(long, short, at(0)) < 0);
 });
 
-function gangRoom(name: string, rack: string, tasks: number): gangFit.GangRoom {
+function workerSlots(
+  name: string,
+  rack: string,
+  tasks: number,
+): gangFit.WorkerSlots {
   const info = {id: name, rack} as unknown as workerRegistry.WorkerInfo;
-  return {worker: {info} as workerRegistry.BookedWorker, tasks};
+  return {worker: {info} as workerRegistry.RegisteredWorker, tasks};
 }
 
 test('a gang that suffers from distance goes into one rack if one has room', () => {
-  const rooms = [
-    gangRoom('a', 'r1', 3),
-    gangRoom('b', 'r2', 2),
-    gangRoom('c', 'r2', 2),
+  const slots = [
+    workerSlots('a', 'r1', 3),
+    workerSlots('b', 'r2', 2),
+    workerSlots('c', 'r2', 2),
   ];
   const layout = {sameRack: true, spread: false};
   const racks = (count: number) =>
-    gangFit.fitGang(rooms, count, layout)?.map((one) => one.info.rack);
+    gangFit.fitGang(slots, count, layout)?.map((one) => one.info.rack);
   assert.deepEqual(racks(4), ['r2', 'r2', 'r2', 'r2']);
   assert.equal(racks(7)?.length, 7);
   assert.equal(racks(8), undefined);
@@ -63,56 +67,56 @@
 // Load: 1.2 calls a second of 0.74 s, 4.6 of 0.12 s and 34 of 0.01 s, more
 // than one instance's adviser lane has time for.
 test('a small call never waits behind large ones on all lanes', () => {
-  const lanes = adviserPool.createAdviserPool<string>();
+  const pool = adviserPool.createAdviserPool<string>();
   const entries = ['a', 'b', 'c', 'd'];
-  const large = [1, 2, 3].map(() => lanes.take(entries, 740, true));
+  const large = [1, 2, 3].map(() => pool.take(entries, 740, true));
   assert.deepEqual(large, ['a', 'b', undefined]);
-  assert.equal(lanes.take(entries, 10, true), 'c');
-  assert.equal(lanes.take(entries, 10, true), 'd');
+  assert.equal(pool.take(entries, 10, true), 'c');
+  assert.equal(pool.take(entries, 10, true), 'd');
 });
 
 test('a lane that is long enough takes no more', () => {
-  const lanes = adviserPool.createAdviserPool<string>();
-  assert.equal(lanes.take(['a'], 1_600, true), 'a');
-  assert.equal(lanes.take(['a'], 1_600, true), undefined);
-  lanes.finish('a', 1_600);
-  assert.equal(lanes.take(['a'], 1_600, true), 'a');
+  const pool = adviserPool.createAdviserPool<string>();
+  assert.equal(pool.take(['a'], 1_600, true), 'a');
+  assert.equal(pool.take(['a'], 1_600, true), undefined);
+  pool.finish('a', 1_600);
+  assert.equal(pool.take(['a'], 1_600, true), 'a');
 });
 
 // Guards against urgent calls that stand in line behind long ones.
 test('a call waits at the holder until a lane is nearly free', () => {
-  const lanes = adviserPool.createAdviserPool<string>();
-  assert.deepEqual(lanes.capacity(['a', 'b']), {
+  const pool = adviserPool.createAdviserPool<string>();
+  assert.deepEqual(pool.capacity(['a', 'b']), {
     needed: 2,
     large: 1,
     spare: 2,
   });
-  assert.equal(lanes.take(['a'], 740, true), 'a');
-  assert.equal(lanes.take(['a'], 10, true), undefined);
-  assert.deepEqual(lanes.capacity(['a', 'b']), {
+  assert.equal(pool.take(['a'], 740, true), 'a');
+  assert.equal(pool.take(['a'], 10, true), undefined);
+  assert.deepEqual(pool.capacity(['a', 'b']), {
     needed: 1,
     large: 0,
     spare: 1,
   });
-  lanes.finish('a', 740);
-  assert.equal(lanes.take(['a'], 10, true), 'a');
+  pool.finish('a', 740);
+  assert.equal(pool.take(['a'], 10, true), 'a');
 });
 
 test('a call that can wait goes only where nothing is in line', () => {
-  const lanes = adviserPool.createAdviserPool<string>();
-  assert.equal(lanes.take(['a'], 100, false), 'a');
-  assert.equal(lanes.take(['a'], 100, false), undefined);
-  assert.equal(lanes.take(['a'], 100, true), 'a');
+  const pool = adviserPool.createAdviserPool<string>();
+  assert.equal(pool.take(['a'], 100, false), 'a');
+  assert.equal(pool.take(['a'], 100, false), undefined);
+  assert.equal(pool.take(['a'], 100, true), 'a');
 });
 
 // Load: gangs that wait ask for more workers all the time. An urgent job that
 // comes then is late: its small call waits behind theirs on every lane.
 test('calls that can wait leave lanes empty for urgent ones', () => {
-  const lanes = adviserPool.createAdviserPool<string>();
+  const pool = adviserPool.createAdviserPool<string>();
   const entries = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'];
-  const taken = entries.map(() => lanes.take(entries, 200, false));
-  assert.deepEqual(taken.filter((lane) => lane !== undefined).length, 6);
-  assert.equal(lanes.take(entries, 10, true), 'g');
+  const taken = entries.map(() => pool.take(entries, 200, false));
+  assert.deepEqual(taken.filter((entry) => entry !== undefined).length, 6);
+  assert.equal(pool.take(entries, 10, true), 'g');
 });
 
 test('a task id is taken apart as it was put together', () => {
--- a/packages/gypsumwall-scheduling/src/__tests__/domain_affinity.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/domain_affinity.test.ts
@@ -11,7 +11,7 @@
 const {test} = nodeTest;
 
 /** Workers of two cores each, two to a failure domain. */
-function openWorld() {
+function createWorld() {
   const world = worlds.createSchedulerWorld();
   for (const name of ['a1', 'b1', 'c1', 'a2', 'b2', 'c2']) {
     const id = world.addWorker(name, 2);
@@ -20,18 +20,18 @@
     world.scheduler.putWorker({...info, domain});
   }
   const domainsOf = () =>
-    new Set(world.startAll().map((run) => run.workerId[0]));
+    new Set(world.startAll().map((attempt) => attempt.workerId[0]));
   return {world, domainsOf};
 }
 
 test('the tasks of a job keep to one failure domain', () => {
-  const {world, domainsOf} = openWorld();
+  const {world, domainsOf} = createWorld();
   world.submit('job', [worlds.step({taskCount: 4})]);
   assert.equal(domainsOf().size, 1);
 });
 
 test('a later step goes where the steps before it were', () => {
-  const {world} = openWorld();
+  const {world} = createWorld();
   world.submit('job', [
     worlds.step({taskCount: 2}),
     worlds.step({taskCount: 4, after: [0]}),
@@ -39,29 +39,29 @@
   const first = world.startAll();
   world.submit('other', [worlds.step({taskCount: 3})]);
   world.startAll();
-  for (const run of first) world.end(run, 'done');
+  for (const attempt of first) world.end(attempt, 'done');
   const second = world.startAll();
   assert.deepEqual(
-    new Set(second.map((run) => run.workerId[0])),
-    new Set(first.map((run) => run.workerId[0])),
+    new Set(second.map((attempt) => attempt.workerId[0])),
+    new Set(first.map((attempt) => attempt.workerId[0])),
   );
 });
 
 test('gangs keep to one failure domain too', () => {
-  const {world, domainsOf} = openWorld();
+  const {world, domainsOf} = createWorld();
   world.submit('job', [worlds.step({taskCount: 4, gang: true})]);
   assert.equal(domainsOf().size, 1);
 });
 
 test('what finds no room in its domain goes elsewhere at once', () => {
-  const {world} = openWorld();
+  const {world} = createWorld();
   world.submit('job', [worlds.step({taskCount: 10})]);
   assert.equal(world.startAll().length, 10);
 });
 
 // Each task of a service is of use by itself: a cut must not take most of them.
 test('tasks that last are not drawn together', () => {
-  const {world, domainsOf} = openWorld();
+  const {world, domainsOf} = createWorld();
   world.submit('job', [worlds.step({taskCount: 6, longRunning: true})]);
   assert.equal(domainsOf().size, 3);
 });
--- a/packages/gypsumwall-scheduling/src/__tests__/gang_reservation.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/gang_reservation.test.ts
@@ -19,18 +19,22 @@
 test('small tasks leave the room that a gang of higher rank waits for', () => {
   const world = worlds.createSchedulerWorld();
   for (let nth = 0; nth < 8; nth++) world.addWorker(`w${nth}`, 2);
-  const runs = fill(world, 16);
+  const attempts = fill(world, 16);
   world.submit('gang', [worlds.step({taskCount: 2, gang: true})]);
   world.submit('small', [worlds.step({taskCount: 20})], {policy: LATE_START});
   world.startAll();
-  const onFirst = runs.filter((run) => run.workerId === runs[0]!.workerId);
-  const other = runs.find((run) => run.workerId !== runs[0]!.workerId)!;
+  const onFirst = attempts.filter(
+    (attempt) => attempt.workerId === attempts[0]!.workerId,
+  );
+  const other = attempts.find(
+    (attempt) => attempt.workerId !== attempts[0]!.workerId,
+  )!;
   world.end(onFirst[0]!, 'done');
   assert.deepEqual(world.startAll(), [], 'its room is kept');
   world.end(other, 'done');
   const started = world.startAll();
   assert.deepEqual(
-    started.map((run) => run.taskId.split('.')[0]),
+    started.map((attempt) => attempt.taskId.split('.')[0]),
     ['gang', 'gang'],
   );
 });
@@ -38,11 +42,11 @@
 test('no room is kept for a gang that could not get all of it', () => {
   const world = worlds.createSchedulerWorld();
   for (let nth = 0; nth < 8; nth++) world.addWorker(`w${nth}`, 2);
-  const runs = fill(world, 16);
+  const attempts = fill(world, 16);
   world.submit('gang', [worlds.step({taskCount: 16, gang: true})]);
   world.submit('small', [worlds.step({taskCount: 20})], {policy: LATE_START});
   world.startAll();
-  world.end(runs[0]!, 'done');
+  world.end(attempts[0]!, 'done');
   const [next] = world.startAll();
   assert.equal(next?.taskId.split('.')[0], 'small');
 });
@@ -50,11 +54,11 @@
 test('more urgent work starts on workers that are held', () => {
   const world = worlds.createSchedulerWorld();
   for (let nth = 0; nth < 8; nth++) world.addWorker(`w${nth}`, 2);
-  const runs = fill(world, 16);
+  const attempts = fill(world, 16);
   world.submit('gang', [worlds.step({taskCount: 2, gang: true})]);
   world.submit('urgent', [worlds.step()], {policy: {priority: 0}});
   world.startAll();
-  world.end(runs[0]!, 'done');
+  world.end(attempts[0]!, 'done');
   const [next] = world.startAll();
   assert.equal(next?.taskId.split('.')[0], 'urgent');
 });
--- a/packages/gypsumwall-scheduling/src/__tests__/lasting_tasks.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/long_running_tasks.test.ts
@@ -7,18 +7,18 @@
 /** Far beyond any objective of the jobs here. */
 const LONG_MS = 60_000;
 
-const lasting = () => worlds.step({longRunning: true});
+const longRunningStep = () => worlds.step({longRunning: true});
 
 // Guards against a lasting task that is never started again while work that is
 // still on time keeps coming.
 test('a lasting task that failed goes before newer work of its priority', () => {
   const world = worlds.createSchedulerWorld();
   world.addWorker('w1', 1);
-  world.submit('watch', [lasting()]);
-  const [run] = world.startAll();
+  world.submit('watch', [longRunningStep()]);
+  const [attempt] = world.startAll();
   world.now = types.clock.after(world.now, LONG_MS);
   world.submit('newer', [worlds.step()]);
-  world.end(run!, 'failed');
+  world.end(attempt!, 'failed');
   assert.deepEqual(
     world.startAll().map(({taskId}) => taskId),
     ['watch.0.0.0'],
--- a/packages/gypsumwall-scheduling/src/__tests__/advice_names.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/plan_advice_calls.test.ts
@@ -8,7 +8,7 @@
 const WALL = 0 as types.clock.WallMs;
 const ADVICE = {callMs: 570, perWorkerMs: 8, validMs: 2_000};
 
-function wishesOf(
+function requestsOf(
   world: worlds.SchedulerWorld,
 ): schedulerTypes.AdviceRequest[] {
   return world.scheduler.decide(world.now, WALL).advice;
@@ -17,11 +17,13 @@
 /** Approves all that a call names. */
 function approve(
   world: worlds.SchedulerWorld,
-  wish: schedulerTypes.AdviceRequest,
+  request: schedulerTypes.AdviceRequest,
 ): void {
-  const approved = new Map(wish.workers.map((id) => [id, 'ticket'] as const));
+  const approved = new Map(
+    request.workers.map((id) => [id, 'ticket'] as const),
+  );
   const until = types.clock.after(world.now, ADVICE.validMs);
-  world.scheduler.adviceAnswered(wish, approved, until);
+  world.scheduler.adviceAnswered(request, approved, until);
 }
 
 // Load: 150 workers, the first 100 of them full. A caller's job waits while 50
@@ -38,10 +40,10 @@
       size: {cpuMillis: 4_000, memoryMb: 1, accelerators: 0},
     }),
   ]);
-  const busy = new Set(world.startAll().map((run) => run.workerId));
+  const busy = new Set(world.startAll().map((attempt) => attempt.workerId));
   assert.equal(busy.size, 100);
   world.submit('job', [worlds.step()], {policy: {advice: ADVICE}});
-  const named = wishesOf(world).flatMap((wish) => wish.workers);
+  const named = requestsOf(world).flatMap((request) => request.workers);
   assert.equal(named.length, 30);
   assert.ok(named.every((id) => !busy.has(id) && ids.includes(id)));
 });
@@ -53,12 +55,12 @@
   for (let nth = 0; nth < 120; nth++) world.addWorker(`w${nth}`, 1);
   const gang = worlds.step({taskCount: 15, gang: true});
   world.submit('job', [gang], {policy: {advice: ADVICE}});
-  const wishes = wishesOf(world);
-  const names = wishes.flatMap((wish) => wish.workers);
-  assert.equal(wishes.length, 3);
+  const requests = requestsOf(world);
+  const names = requests.flatMap((request) => request.workers);
+  assert.equal(requests.length, 3);
   assert.equal(new Set(names).size, names.length);
   assert.deepEqual(
-    wishes.map((wish) => wish.needed),
+    requests.map((request) => request.needed),
     [true, false, false],
   );
 });
@@ -69,18 +71,18 @@
   const world = worlds.createSchedulerWorld();
   const w1 = world.addWorker('w1', 2);
   world.submit('first', [worlds.step()]);
-  const [run] = world.startAll();
+  const [attempt] = world.startAll();
   const gang = worlds.step({taskCount: 2, gang: true});
   world.submit('gang', [gang], {policy: {advice: ADVICE}});
-  const [first] = wishesOf(world);
+  const [first] = requestsOf(world);
   approve(world, first!);
   world.now = types.clock.after(world.now, 1_000);
-  assert.deepEqual(wishesOf(world), [], 'its tickets still hold');
+  assert.deepEqual(requestsOf(world), [], 'its tickets still hold');
   world.now = types.clock.after(world.now, 300);
-  const [renewal] = wishesOf(world);
+  const [renewal] = requestsOf(world);
   assert.deepEqual(renewal?.workers, [w1]);
   assert.equal(renewal.needed, false);
-  world.end(run!, 'done');
+  world.end(attempt!, 'done');
   assert.equal(world.decide().length, 2, 'the old tickets are used meanwhile');
 });
 
@@ -95,7 +97,7 @@
   const ask = (needed: number) =>
     world.scheduler
       .decide(world.now, WALL, {needed, large: needed, spare: 0})
-      .advice.map((wish) => wish.stepRun.job.id);
+      .advice.map((request) => request.stepRun.job.id);
   assert.deepEqual(ask(0), []);
   assert.deepEqual(ask(1), ['urgent']);
   assert.deepEqual(ask(2), ['normal', 'batch']);
--- a/packages/gypsumwall-scheduling/src/__tests__/recorded_workers.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/recorded_workers.test.ts
@@ -15,7 +15,7 @@
   const world = worlds.createSchedulerWorld();
   const w1 = world.addWorker('w1', 4);
   world.submit('job', [worlds.step({taskCount: 2, longRunning: true})]);
-  const runs = world.startAll();
+  const attempts = world.startAll();
   world.scheduler.takeDirty();
   const info = world.scheduler.book.workers.get(w1)!.info;
   world.scheduler.putWorker({...info, draining: true});
@@ -23,8 +23,13 @@
   const recorded = () =>
     world.scheduler.takeDirty().flatMap((job) => job.progress.workers);
   const endOf = (nth: number) => {
-    const {taskId, number: attempt} = runs[nth]!;
-    const end = {sequence: nth + 1, taskId, attempt, how: 'stopped' as const};
+    const {taskId, number: attemptNumber} = attempts[nth]!;
+    const end = {
+      sequence: nth + 1,
+      taskId,
+      attempt: attemptNumber,
+      how: 'stopped' as const,
+    };
     const ends = [{...end, checkpoint: ''}];
     world.scheduler.report(
       {workerId: w1, askedAt: world.now, running: [], ends, complete: false},
@@ -58,7 +63,7 @@
   const world = worlds.createSchedulerWorld();
   const cut = types.ids.brand<types.ids.WorkerId>('cut');
   const w1 = world.addWorker('w1', 4);
-  world.unaccounted.add(cut);
+  world.unreconciled.add(cut);
   const on = (worker: types.ids.WorkerId) => ({
     inherited: true,
     progress: {...RUNNING, workers: [worker]},
@@ -67,9 +72,9 @@
   world.submit('perhaps', [worlds.step()], on(cut));
   world.submit('waiting', [worlds.step()], {inherited: true});
   world.scheduler.workerAccounted();
-  const started = () => world.startAll().map((run) => run.taskId);
+  const started = () => world.startAll().map((attempt) => attempt.taskId);
   assert.deepEqual(started().sort(), ['elsewhere.0.0.0', 'waiting.0.0.0']);
-  world.unaccounted.clear();
+  world.unreconciled.clear();
   world.scheduler.workerAccounted();
   assert.deepEqual(started(), ['perhaps.0.0.0']);
 });
--- a/packages/gypsumwall-scheduling/src/__tests__/scheduler.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/scheduler.test.ts
@@ -16,9 +16,9 @@
   const world = worlds.createSchedulerWorld();
   world.addWorker('w1', 3);
   world.submit('job', [worlds.step({taskCount: 10})]);
-  const runs = world.startAll();
-  assert.equal(runs.length, 3);
-  world.end(runs[0]!, 'done');
+  const attempts = world.startAll();
+  assert.equal(attempts.length, 3);
+  world.end(attempts[0]!, 'done');
   assert.equal(world.startAll().length, 1);
 });
 
@@ -67,10 +67,10 @@
     worlds.step({taskCount: 2}),
     worlds.step({after: [0]}),
   ]);
-  const runs = world.startAll();
-  world.end(runs[0]!, 'done');
+  const attempts = world.startAll();
+  world.end(attempts[0]!, 'done');
   assert.equal(world.startAll().length, 0);
-  world.end(runs[1]!, 'done');
+  world.end(attempts[1]!, 'done');
   const [last] = world.startAll();
   assert.equal(last?.taskId, 'job.0.1.0');
   world.end(last, 'done');
@@ -124,19 +124,19 @@
   const world = worlds.createSchedulerWorld();
   const w1 = world.addWorker('w1', 1);
   const job = world.submit('job', [worlds.step()], {policy: {maxFailures: 2}});
-  const [run] = world.startAll();
-  world.end(run!, 'failed');
+  const [attempt] = world.startAll();
+  world.end(attempt!, 'failed');
   const [second] = world.startAll();
   world.scheduler.report(
     {
       workerId: w1,
       askedAt: world.now,
-      running: [worlds.row(second!.taskId, second!.number)],
+      running: [worlds.runningAttempt(second!.taskId, second!.number)],
       ends: [
         {
           sequence: 1,
-          taskId: run!.taskId,
-          attempt: run!.number,
+          taskId: attempt!.taskId,
+          attempt: attempt!.number,
           how: 'failed',
           checkpoint: '',
         },
@@ -156,9 +156,9 @@
   world.submit('job', [worlds.step({taskCount: 3, gang: true})]);
   assert.equal(world.startAll().length, 0);
   world.addWorker('w2', 1);
-  const runs = world.startAll();
+  const attempts = world.startAll();
   assert.deepEqual(
-    runs.map((run) => run.number),
+    attempts.map((attempt) => attempt.number),
     [1, 1, 1],
   );
 });
@@ -167,14 +167,14 @@
   const world = worlds.createSchedulerWorld();
   world.addWorker('w1', 4);
   world.submit('job', [worlds.step({taskCount: 3, gang: true})]);
-  const runs = world.startAll();
-  world.end(runs[0]!, 'lapsed');
+  const attempts = world.startAll();
+  world.end(attempts[0]!, 'lapsed');
   assert.equal(world.scheduler.takeStops().length, 2);
   assert.equal(world.startAll().length, 0);
-  world.end(runs[1]!, 'stopped');
-  world.end(runs[2]!, 'stopped');
+  world.end(attempts[1]!, 'stopped');
+  world.end(attempts[2]!, 'stopped');
   assert.deepEqual(
-    world.startAll().map((run) => run.number),
+    world.startAll().map((attempt) => attempt.number),
     [2, 2, 2],
   );
 });
@@ -189,7 +189,10 @@
   const steps = [worlds.step(), worlds.step({taskCount: 2, after: [0]})];
   const progress = {...RUNNING, workers: [w1, w2]};
   world.submit('job', steps, {inherited: true, progress});
-  world.report(w2, [worlds.row('job.0.1.0', 1), worlds.row('job.0.1.1', 1)]);
+  world.report(w2, [
+    worlds.runningAttempt('job.0.1.0', 1),
+    worlds.runningAttempt('job.0.1.1', 1),
+  ]);
   assert.deepEqual(world.scheduler.takeStops(), []);
   world.scheduler.report(
     {
@@ -217,7 +220,7 @@
 test('a run that nobody wants is stopped and keeps its room until its end', () => {
   const world = worlds.createSchedulerWorld();
   const w1 = world.addWorker('w1', 1);
-  world.report(w1, [worlds.row('unknown.0.0.0', 1)]);
+  world.report(w1, [worlds.runningAttempt('unknown.0.0.0', 1)]);
   const [stray] = world.scheduler.takeStops();
   assert.equal(stray?.taskId, 'unknown.0.0.0');
   world.submit('job', [worlds.step()]);
@@ -243,10 +246,10 @@
   const world = worlds.createSchedulerWorld();
   world.addWorker('w1', 1);
   const job = world.submit('job', [worlds.step({taskCount: 2})]);
-  const [run] = world.startAll();
+  const [attempt] = world.startAll();
   world.scheduler.cancelJob(job);
-  assert.deepEqual(world.scheduler.takeStops(), [run]);
-  world.end(run!, 'stopped');
+  assert.deepEqual(world.scheduler.takeStops(), [attempt]);
+  world.end(attempt!, 'stopped');
   assert.equal(world.startAll().length, 0);
 });
 
@@ -259,12 +262,12 @@
   const gang = worlds.step({taskCount: 2, gang: true});
   world.submit('job', [gang], {policy: {advice}});
   const wall = 0 as types.clock.WallMs;
-  const [wish] = world.scheduler.decide(world.now, wall).advice;
-  assert.deepEqual(wish?.workers, [w1]);
+  const [request] = world.scheduler.decide(world.now, wall).advice;
+  assert.deepEqual(request?.workers, [w1]);
   const w2 = world.addWorker('w2', 1);
   const w3 = world.addWorker('w3', 1);
   const until = types.clock.after(world.now, advice.validMs);
-  world.scheduler.adviceAnswered(wish, new Map(), until);
+  world.scheduler.adviceAnswered(request, new Map(), until);
   world.now = types.clock.after(until, 1);
   const [next] = world.scheduler.decide(world.now, wall).advice;
   assert.deepEqual(next?.workers, [w2, w3]);
@@ -277,9 +280,9 @@
   const advice = {callMs: 10, perWorkerMs: 1, validMs: 1_000};
   world.submit('job', [worlds.step({taskCount: 2})], {policy: {advice}});
   const wall = 0 as types.clock.WallMs;
-  const [wish] = world.scheduler.decide(world.now, wall).advice;
+  const [request] = world.scheduler.decide(world.now, wall).advice;
   const until = types.clock.after(world.now, advice.validMs);
-  world.scheduler.adviceAnswered(wish!, new Map([[w2, 'ticket']]), until);
+  world.scheduler.adviceAnswered(request!, new Map([[w2, 'ticket']]), until);
   const orders = world.decide();
   assert.deepEqual(
     orders.map((order) => [order.attempt.workerId, order.ticket]),
@@ -296,12 +299,14 @@
   const fast = world.addWorker('fast', 1);
   const slow = world.addWorker('slow', 1);
   world.submit('gang', [worlds.step({gang: true, taskCount: 2})]);
-  const runs = world.startAll();
+  const attempts = world.startAll();
   const report = (worker: types.ids.WorkerId, percent: number) => {
-    const rows = runs.filter((run) => run.workerId === worker);
+    const rows = attempts.filter((attempt) => attempt.workerId === worker);
     world.report(
       worker,
-      rows.map((run) => worlds.row(run.taskId, run.number, percent)),
+      rows.map((attempt) =>
+        worlds.runningAttempt(attempt.taskId, attempt.number, percent),
+      ),
     );
   };
   report(fast, 100);
@@ -320,24 +325,26 @@
   const fast = world.addWorker('fast', 1);
   const hanging = world.addWorker('hanging', 1);
   world.submit('gang', [worlds.step({gang: true, taskCount: 2})]);
-  const runs = world.startAll();
+  const attempts = world.startAll();
   for (let seconds = 0; seconds < 4; seconds++) {
     for (const [worker, percent] of [
       [fast, 100],
       [hanging, 40],
     ] as const) {
-      const rows = runs.filter((run) => run.workerId === worker);
+      const rows = attempts.filter((attempt) => attempt.workerId === worker);
       world.report(
         worker,
-        rows.map((run) => worlds.row(run.taskId, run.number, percent)),
+        rows.map((attempt) =>
+          worlds.runningAttempt(attempt.taskId, attempt.number, percent),
+        ),
       );
     }
     world.now = types.clock.after(world.now, 1_000);
   }
   const stopped = world.scheduler.takeStops();
-  for (const run of stopped) world.end(run, 'stopped');
+  for (const attempt of stopped) world.end(attempt, 'stopped');
   stopped.push(...world.scheduler.takeStops());
-  const workers = stopped.map((run) => run.workerId);
+  const workers = stopped.map((attempt) => attempt.workerId);
   assert.deepEqual(new Set(workers), new Set([fast, hanging]));
 });
 
@@ -347,15 +354,17 @@
   const world = worlds.createSchedulerWorld();
   const w1 = world.addWorker('w1', 2);
   world.submit('job', [worlds.step({taskCount: 2})]);
-  const runs = world.startAll();
-  const rows = runs.map((run) => worlds.row(run.taskId, run.number, 0));
+  const attempts = world.startAll();
+  const rows = attempts.map((attempt) =>
+    worlds.runningAttempt(attempt.taskId, attempt.number, 0),
+  );
   world.now = types.clock.after(world.now, 1_900);
   world.report(w1, rows);
   assert.deepEqual(world.scheduler.takeStops(), []);
   world.now = types.clock.after(world.now, 200);
   world.report(w1, rows);
   assert.equal(world.scheduler.takeStops().length, 2);
-  for (const run of runs) world.end(run, 'stopped');
+  for (const attempt of attempts) world.end(attempt, 'stopped');
   assert.equal(world.startAll().length, 0);
   world.addWorker('w2', 2);
   assert.equal(world.startAll().length, 2);
--- a/packages/gypsumwall-scheduling/src/__tests__/scheduling_cycle.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/scheduling_cycle.test.ts
@@ -33,14 +33,14 @@
   const world = worlds.createSchedulerWorld();
   for (let nth = 0; nth < 20; nth++) world.addWorker(`w${nth}`, 4);
   for (let nth = 0; nth < 80; nth++) world.submit(`run${nth}`, [worlds.step()]);
-  const runs: activeJob.Attempt[] = [];
-  settle(world, runs);
-  assert.equal(runs.length, 80);
+  const attempts: activeJob.Attempt[] = [];
+  settle(world, attempts);
+  assert.equal(attempts.length, 80);
   for (let nth = 0; nth < BACKLOG; nth++) {
     world.submit(`wait${nth}`, [worlds.step()]);
   }
   const tries = countTries(world);
-  return {world, runs, tries};
+  return {world, attempts, tries};
 }
 
 // Guards against a holder that is kept from its calls by one long cycle.
@@ -56,12 +56,12 @@
 
 // Guards against cycles whose cost grows with all that waits.
 test('a step without room is tried again only when room is freed', () => {
-  const {world, runs, tries} = createBackloggedWorld();
+  const {world, attempts, tries} = createBackloggedWorld();
   do world.scheduler.decide(world.now, WALL);
   while (tries() > 0);
   assert.deepEqual(world.scheduler.decide(world.now, WALL).starts, []);
   assert.equal(tries(), 0);
-  world.end(runs[0]!, 'done');
+  world.end(attempts[0]!, 'done');
   assert.equal(world.decide().length, 1);
   assert.ok(tries() <= 4);
 });
@@ -115,10 +115,10 @@
   const {now} = world;
   let started = 0;
   for (let quiet = 0; quiet < 2;) {
-    const runs = world.startAll();
-    running.push(...runs);
-    started += runs.length;
-    quiet = runs.length === 0 ? quiet + 1 : 0;
+    const attempts = world.startAll();
+    running.push(...attempts);
+    started += attempts.length;
+    quiet = attempts.length === 0 ? quiet + 1 : 0;
     world.now = now;
   }
   return started;
@@ -136,7 +136,7 @@
         );
         const jobs: types.ids.JobId[] = [];
         let running: activeJob.Attempt[] = [];
-        let lives = WORKERS;
+        let incarnations = WORKERS;
         for (const action of actions) {
           switch (action.type) {
             case 'submit': {
@@ -151,11 +151,12 @@
               break;
             }
             case 'end': {
-              const run = running[action.pick % Math.max(1, running.length)];
-              if (run === undefined) break;
-              running = running.filter((one) => one !== run);
-              const stopped = run.phase === 'stopping';
-              world.end(run, stopped ? 'stopped' : action.how);
+              const attempt =
+                running[action.pick % Math.max(1, running.length)];
+              if (attempt === undefined) break;
+              running = running.filter((one) => one !== attempt);
+              const stopped = attempt.phase === 'stopping';
+              world.end(attempt, stopped ? 'stopped' : action.how);
               break;
             }
             case 'usable':
@@ -167,10 +168,12 @@
               break;
             case 'replace': {
               // Another life of the worker: all that ran there is gone.
-              const gone = workers[action.worker]!;
-              running = running.filter((run) => run.workerId !== gone);
-              world.scheduler.workerGone(gone, 'crashed', world.now);
-              workers[action.worker] = world.addWorker(`w${++lives}`, 4);
+              const removed = workers[action.worker]!;
+              running = running.filter(
+                (attempt) => attempt.workerId !== removed,
+              );
+              world.scheduler.workerGone(removed, 'crashed', world.now);
+              workers[action.worker] = world.addWorker(`w${++incarnations}`, 4);
               break;
             }
             case 'cancel': {
--- a/packages/gypsumwall-scheduling/src/__tests__/copies.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/speculative_copies.test.ts
@@ -11,51 +11,51 @@
 const {test} = nodeTest;
 
 /** One worker with a task on it that doesn't answer any more, and a free one. */
-function openWorld(speculative: boolean) {
+function createWorld(speculative: boolean) {
   const world = worlds.createSchedulerWorld();
   const w1 = world.addWorker('w1', 2);
   world.submit('job', [worlds.step({speculative})]);
-  const [run] = world.startAll();
+  const [attempt] = world.startAll();
   world.addWorker('w2', 4);
   world.now = types.clock.after(world.now, 500);
   world.scheduler.setUsable(w1, false, world.now);
   world.scheduler.outOfReach(w1);
-  return {world, run: run!};
+  return {world, attempt: attempt!};
 }
 
 // A failure domain is cut off for six seconds with a task of 1 s on one of its
 // workers. It may be running, so only a task that may be copied goes on.
 test('a task out of reach is copied where that is allowed, else not', () => {
-  assert.equal(openWorld(true).world.startAll().length, 1);
-  assert.equal(openWorld(false).world.startAll().length, 0);
+  assert.equal(createWorld(true).world.startAll().length, 1);
+  assert.equal(createWorld(false).world.startAll().length, 0);
 });
 
 test('the first run that is done counts, and the other is stopped', () => {
-  const {world, run} = openWorld(true);
+  const {world, attempt} = createWorld(true);
   const [copy] = world.startAll();
-  assert.equal(copy?.taskId, run.taskId);
+  assert.equal(copy?.taskId, attempt.taskId);
   assert.equal(copy.workerId, 'w2');
-  assert.ok(copy.number > run.number);
+  assert.ok(copy.number > attempt.number);
   world.end(copy, 'done');
-  assert.deepEqual(world.scheduler.takeStops(), [run]);
+  assert.deepEqual(world.scheduler.takeStops(), [attempt]);
   assert.equal(world.scheduler.counts().jobs, 0);
 });
 
 // Each failed look tells anew that the worker is out of reach.
 test('a task has one copy, however often its worker is found out of reach', () => {
-  const {world, run} = openWorld(true);
-  world.scheduler.outOfReach(run.workerId);
+  const {world, attempt} = createWorld(true);
+  world.scheduler.outOfReach(attempt.workerId);
   assert.equal(world.startAll().length, 1);
-  world.scheduler.outOfReach(run.workerId);
+  world.scheduler.outOfReach(attempt.workerId);
   assert.equal(world.startAll().length, 0);
 });
 
 // The first run ends in a failure while its copy runs: a third would be one
 // too many, and a success of the copy must end the job.
 test('a task whose first run fails waits for its copy', () => {
-  const {world, run} = openWorld(true);
+  const {world, attempt} = createWorld(true);
   const [copy] = world.startAll();
-  world.end(run, 'failed');
+  world.end(attempt, 'failed');
   assert.equal(world.startAll().length, 0);
   world.end(copy!, 'done');
   assert.equal(world.scheduler.counts().jobs, 0);
--- a/packages/gypsumwall-scheduling/src/__tests__/left_waiting.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/stuck_steps.test.ts
@@ -20,8 +20,8 @@
   const w2 = world.addWorker('w2', 1);
   world.submit('job', [worlds.step({taskCount: 2, gang: true})]);
   const first = world.startAll();
-  const lost = first.find((run) => run.workerId === w2)!;
-  const stopped = first.find((run) => run.workerId === w1)!;
+  const lost = first.find((attempt) => attempt.workerId === w2)!;
+  const stopped = first.find((attempt) => attempt.workerId === w1)!;
   world.scheduler.setUsable(w2, false, world.now);
   world.scheduler.leasePassed(w2, world.now);
   world.end(stopped, 'stopped');
@@ -43,16 +43,18 @@
   world.scheduler.setUsable(w3, false, world.now);
   world.submit('job', [worlds.step({taskCount: 2, gang: true})]);
   const first = world.startAll();
-  for (const run of first) world.end(run, 'broken');
+  for (const attempt of first) world.end(attempt, 'broken');
   world.scheduler.takeStops();
   const second = world.startAll();
   assert.equal(second.length, 2);
   // An answer that was under way when the first attempt ended.
-  const stale = first.find((run) => run.workerId === w1)!;
-  const rows = second.filter((run) => run.workerId === w1);
+  const stale = first.find((attempt) => attempt.workerId === w1)!;
+  const rows = second.filter((attempt) => attempt.workerId === w1);
   world.report(w1, [
-    worlds.row(stale.taskId, stale.number),
-    ...rows.map((run) => worlds.row(run.taskId, run.number)),
+    worlds.runningAttempt(stale.taskId, stale.number),
+    ...rows.map((attempt) =>
+      worlds.runningAttempt(attempt.taskId, attempt.number),
+    ),
   ]);
   const [unwanted, ...others] = world.scheduler.takeStops();
   assert.equal(unwanted?.number, stale.number);
@@ -71,8 +73,8 @@
   const gang = worlds.step({taskCount: 2, gang: true, after: [0]});
   const progress = {...jobProgress.NO_PROGRESS, phase: 'running'} as const;
   world.submit('job', [worlds.step(), gang], {inherited: true, progress});
-  world.report(w2!, [worlds.row('job.0.1.0', 1)]);
-  world.report(w3!, [worlds.row('job.0.1.1', 1)]);
+  world.report(w2!, [worlds.runningAttempt('job.0.1.0', 1)]);
+  world.report(w3!, [worlds.runningAttempt('job.0.1.1', 1)]);
   world.report(w1!, []);
   world.scheduler.leasePassed(w3!, world.now);
   const [member] = world.scheduler.takeStops();
@@ -95,9 +97,9 @@
   const progress = {...jobProgress.NO_PROGRESS, phase: 'running'} as const;
   const gang = worlds.step({taskCount: 3, gang: true});
   world.submit('job', [gang], {inherited: true, progress});
-  world.report(w1!, [worlds.row('job.0.0.0', 1)]);
-  world.report(w2!, [worlds.row('job.0.0.1', 1)]);
-  world.report(w3!, [worlds.row('job.0.0.2', 2)]);
+  world.report(w1!, [worlds.runningAttempt('job.0.0.0', 1)]);
+  world.report(w2!, [worlds.runningAttempt('job.0.0.1', 1)]);
+  world.report(w3!, [worlds.runningAttempt('job.0.0.2', 2)]);
   const [unwanted] = world.scheduler.takeStops();
   assert.equal(unwanted?.workerId, w3);
   world.scheduler.leasePassed(w1!, world.now);
@@ -127,9 +129,9 @@
   while (world.scheduler.decide(world.now, WALL).starts.length > 0);
   world.submit('small', [worlds.step()], {policy: LATE_START});
   const started: string[] = [];
-  for (const run of short) {
+  for (const attempt of short) {
     // Room is freed before each cycle.
-    world.end(run, 'done');
+    world.end(attempt, 'done');
     world.now = types.clock.after(world.now, 5);
     const {starts} = world.scheduler.decide(world.now, WALL);
     started.push(...starts.map((start) => start.attempt.taskId));
@@ -145,17 +147,17 @@
   const w1 = world.addWorker('w1', 1);
   world.addWorker('w2', 1);
   world.submit('job', [worlds.step({taskCount: 2, gang: true})]);
-  const runs = world.startAll();
-  const member = runs.find((run) => run.workerId === w1)!;
+  const attempts = world.startAll();
+  const member = attempts.find((attempt) => attempt.workerId === w1)!;
   world.end(
-    runs.find((run) => run.workerId !== w1)!,
+    attempts.find((attempt) => attempt.workerId !== w1)!,
     'lapsed',
   );
   assert.deepEqual(world.scheduler.takeStops(), [member]);
   world.scheduler.stopAnswered(member, world.now);
   const report = (spanMs: number) => {
     world.now = types.clock.after(world.now, spanMs);
-    world.report(w1, [worlds.row(member.taskId, member.number)]);
+    world.report(w1, [worlds.runningAttempt(member.taskId, member.number)]);
   };
   // A worker takes a while to save progress.
   report(900);
@@ -187,12 +189,12 @@
   const started: string[] = [];
   const until = types.clock.after(world.now, 3_000);
   while (world.now < until) {
-    const {starts, advice: wishes} = world.scheduler.decide(world.now, WALL);
-    started.push(...starts.map(({attempt: run}) => run.workerId));
-    for (const wish of wishes) {
-      const named = wish.workers.filter((id) => approved.has(id));
+    const {starts, advice: requests} = world.scheduler.decide(world.now, WALL);
+    started.push(...starts.map(({attempt}) => attempt.workerId));
+    for (const request of requests) {
+      const named = request.workers.filter((id) => approved.has(id));
       world.scheduler.adviceAnswered(
-        wish,
+        request,
         new Map(named.map((id) => [id, 'ticket'])),
         types.clock.after(world.now, advice.validMs),
       );
@@ -209,17 +211,17 @@
   const world = worlds.createSchedulerWorld();
   for (let nth = 0; nth < 8; nth++) world.addWorker(`w${nth}`, 2);
   world.submit('running', [worlds.step({taskCount: 16})], {policy: LATE_START});
-  const runs = world.startAll();
+  const attempts = world.startAll();
   world.submit('gang', [worlds.step({taskCount: 2, gang: true})]);
   world.startAll();
-  world.end(runs[0]!, 'done');
+  world.end(attempts[0]!, 'done');
   world.startAll();
   const advice = {callMs: 10, perWorkerMs: 1, validMs: 1_000};
   world.submit('urgent', [worlds.step()], {policy: {priority: 0, advice}});
   const capacity = {needed: 1, large: 1, spare: 0};
-  const {advice: wishes} = world.scheduler.decide(world.now, WALL, capacity);
+  const {advice: requests} = world.scheduler.decide(world.now, WALL, capacity);
   assert.deepEqual(
-    wishes.map((wish) => [wish.stepRun.id, wish.needed]),
+    requests.map((request) => [request.stepRun.id, request.needed]),
     [['urgent.0.0', true]],
   );
 });
--- a/packages/gypsumwall-scheduling/src/__tests__/task_isolation.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/task_isolation.test.ts
@@ -9,7 +9,7 @@
 import type * as jobRequest from '../job_request.js';
 
 const {test} = nodeTest;
-const TRIAL_MS = 3_000;
+const FIRST_ISOLATION_MS = 3_000;
 const SETTLED_MS = 2_000;
 
 /** The store knows already that tasks of the job may be on this worker. */
@@ -44,8 +44,8 @@
   world.now = types.clock.after(world.now, spanMs);
 }
 
-const workersOf = (runs: readonly activeJob.Attempt[]) =>
-  runs.map((run) => run.workerId).sort();
+const workersOf = (attempts: readonly activeJob.Attempt[]) =>
+  attempts.map((attempt) => attempt.workerId).sort();
 
 // Guards against a sound task that is given up for a newcomer's crash.
 test('nothing new starts beside a task on trial until it is over', () => {
@@ -55,7 +55,7 @@
   assert.equal(world.startAll().length, 1);
   world.submit('other', [worlds.step()]);
   assert.equal(world.startAll().length, 0);
-  elapse(world, TRIAL_MS - 100);
+  elapse(world, FIRST_ISOLATION_MS - 100);
   assert.equal(world.startAll().length, 0);
   elapse(world, 200);
   assert.equal(world.startAll().length, 1);
@@ -66,9 +66,9 @@
   const world = worlds.createSchedulerWorld();
   world.addWorker('w1', 4);
   submitSuspect(world, 'suspect', [0], 2);
-  const [run] = world.startAll();
+  const [attempt] = world.startAll();
   world.submit('other', [worlds.step()]);
-  world.end(run!, 'done');
+  world.end(attempt!, 'done');
   assert.equal(world.startAll().length, 1);
 });
 
@@ -93,13 +93,13 @@
   const policy = {priority: 0};
   world.submit('urgent', [worlds.step()], {policy, progress: RECORDED});
   submitSuspect(world, 'suspect', [0], 2);
-  const jobs = world.startAll().map((run) => run.owner?.stepRun.job.id);
+  const jobs = world.startAll().map((attempt) => attempt.owner?.stepRun.job.id);
   assert.deepEqual(jobs, ['urgent']);
 });
 
 // Guards against a task that hides behind losses of power.
 test('losses of a group count beside a single crash, and not by themselves', () => {
-  const isApart = (...kinds: crashRecords.CrashKind[]) => {
+  const startsIsolated = (...kinds: crashRecords.CrashKind[]) => {
     const world = worlds.createSchedulerWorld();
     world.addWorker('w1', 4);
     const workers = kinds.map((kind, nth) => [`old${nth}`, kind] as const);
@@ -107,13 +107,13 @@
     const occurrences = {'0': [{done: [], failures: {}, crashes}]};
     const progress = {...RECORDED, occurrences};
     world.submit('hit', [worlds.step()], {progress});
-    const [run] = world.startAll();
-    return run?.isolatedUntil !== undefined;
+    const [attempt] = world.startAll();
+    return attempt?.isolatedUntil !== undefined;
   };
-  assert.equal(isApart('group', 'group', 'group'), false);
-  assert.equal(isApart('single'), false);
-  assert.equal(isApart('group', 'single'), true);
-  assert.equal(isApart('single', 'single'), true);
+  assert.equal(startsIsolated('group', 'group', 'group'), false);
+  assert.equal(startsIsolated('single'), false);
+  assert.equal(startsIsolated('group', 'single'), true);
+  assert.equal(startsIsolated('single', 'single'), true);
 });
 
 // Guards against a trial that waits for ever in a cell whose workers always
@@ -131,10 +131,10 @@
   };
   for (let nth = 0; nth < 4; nth++) sendShort();
   const suspect = submitSuspect(world, 'suspect', [0], 2);
-  const isTried = () =>
-    running.some((run) => run.owner?.stepRun.job.id === suspect);
-  for (let nth = 0; nth < 60 && !isTried(); nth++) sendShort();
-  assert.ok(isTried());
+  const hasStarted = () =>
+    running.some((attempt) => attempt.owner?.stepRun.job.id === suspect);
+  for (let nth = 0; nth < 60 && !hasStarted(); nth++) sendShort();
+  assert.ok(hasStarted());
 });
 
 // Guards against tasks of which none can be told to be at fault, since they
@@ -187,7 +187,7 @@
   const world = worlds.createSchedulerWorld();
   const worker = world.addWorker('w1', 4);
   submitSuspect(world, 'suspect', [0], 2);
-  world.report(worker, [worlds.row('suspect.0.0.0', 7)]);
+  world.report(worker, [worlds.runningAttempt('suspect.0.0.0', 7)]);
   world.submit('other', [worlds.step()]);
   assert.equal(world.startAll().length, 0);
   world.scheduler.workerGone(worker, 'crashed', world.now);
@@ -206,12 +206,12 @@
   );
   for (const worker of workers) world.report(worker, []);
   submitSuspect(world, 'suspect', [0], 2);
-  const [run] = world.startAll();
-  const neighbour = workers.find((worker) => worker !== run!.workerId)!;
-  for (const lost of [run!.workerId, neighbour]) {
+  const [attempt] = world.startAll();
+  const neighbour = workers.find((worker) => worker !== attempt!.workerId)!;
+  for (const lost of [attempt!.workerId, neighbour]) {
     world.scheduler.setUsable(lost, false, world.now);
   }
-  world.scheduler.workerGone(run!.workerId, 'crashed', world.now);
+  world.scheduler.workerGone(attempt!.workerId, 'crashed', world.now);
   const givenUp = world.events.filter(
     (event) => event.type === 'task_given_up',
   );
@@ -224,9 +224,9 @@
     const world = worlds.createSchedulerWorld();
     for (const name of ['w1', 'w2']) world.addWorker(name, 4);
     submitSuspect(world, 'job', crashed, 1, {speculative: true});
-    const [run] = world.startAll();
-    world.scheduler.setUsable(run!.workerId, false, world.now);
-    world.scheduler.outOfReach(run!.workerId);
+    const [attempt] = world.startAll();
+    world.scheduler.setUsable(attempt!.workerId, false, world.now);
+    world.scheduler.outOfReach(attempt!.workerId);
     return world.startAll().length > 0;
   };
   assert.equal(startsAgain([]), true);
@@ -236,15 +236,15 @@
 // Guards against a task that outlives each of its trials and then crashes its
 // worker beside others.
 test('each trial after a crash takes longer', () => {
-  const trialMs = (crashCount: number) => {
+  const isolationMs = (crashCount: number) => {
     const world = worlds.createSchedulerWorld();
     world.addWorker('w1', 4);
     submitSuspect(world, 'suspect', [0], crashCount);
     const startedAt = world.now;
-    const [run] = world.startAll();
-    return run!.isolatedUntil! - startedAt;
+    const [attempt] = world.startAll();
+    return attempt!.isolatedUntil! - startedAt;
   };
-  assert.deepEqual([2, 3, 4].map(trialMs), [3_000, 6_000, 12_000]);
+  assert.deepEqual([2, 3, 4].map(isolationMs), [3_000, 6_000, 12_000]);
 });
 
 // Guards against a sound task that is given up for one chance crash.
--- a/packages/gypsumwall-scheduling/src/__tests__/wait_reporter.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/wait_reporter.test.ts
@@ -14,7 +14,7 @@
   );
 }
 
-function pass(world: worlds.SchedulerWorld, spanMs: number): void {
+function runFor(world: worlds.SchedulerWorld, spanMs: number): void {
   const until = types.clock.after(world.now, spanMs);
   while (world.now < until) {
     world.startAll();
@@ -26,14 +26,14 @@
 test('a step that waits is logged with what keeps it off each worker', () => {
   const world = worlds.createSchedulerWorld();
   world.addWorker('small', 1);
-  const away = world.addWorker('away', 8);
-  world.scheduler.setUsable(away, false, world.now);
+  const unreachable = world.addWorker('away', 8);
+  world.scheduler.setUsable(unreachable, false, world.now);
   world.submit('wide', [
     worlds.step({size: {cpuMillis: 4_000, memoryMb: 1, accelerators: 0}}),
   ]);
-  pass(world, 900);
+  runFor(world, 900);
   assert.deepEqual(waitsOf(world), []);
-  pass(world, 5_000);
+  runFor(world, 5_000);
   const waits = waitsOf(world);
   assert.ok(waits.length >= 2 && waits.length <= 3, `${waits.length} lines`);
   assert.equal(waits[0]!.step, 'wide.0.0');
@@ -45,7 +45,7 @@
 test('reports of waiting steps are bounded', () => {
   const world = worlds.createSchedulerWorld();
   for (let nth = 0; nth < 500; nth++) world.submit(`j${nth}`, [worlds.step()]);
-  pass(world, 10_000);
+  runFor(world, 10_000);
   const {length} = waitsOf(world);
   assert.ok(length >= 20 && length <= 80, `${length} lines`);
 });
@@ -56,9 +56,9 @@
   world.addWorker('one', 1);
   world.addWorker('two', 1);
   world.submit('gang', [worlds.step({taskCount: 2, gang: true})]);
-  const runs = world.startAll();
-  world.end(runs[0]!, 'broken');
-  pass(world, 3_000);
+  const attempts = world.startAll();
+  world.end(attempts[0]!, 'broken');
+  runFor(world, 3_000);
   const broken = world.events.filter(({type}) => type === 'gang_breaks');
   assert.equal(broken.length, 1);
 });
--- a/packages/gypsumwall-scheduling/src/__tests__/waiting_work.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/waiting_work.test.ts
@@ -159,8 +159,8 @@
   return schedulerWorlds.step({...fields, size, after});
 }
 
-function act(world: worlds.UnreliableWorld, action: Action): void {
-  const living = world.workers.filter((worker) => worker.alive);
+function applyAction(world: worlds.UnreliableWorld, action: Action): void {
+  const living = world.workers.filter((worker) => worker.isAlive);
   const workerOf = (pick: number) => world.pickOf(living, pick);
   switch (action.type) {
     case 'submit': {
@@ -193,32 +193,32 @@
       return;
     }
     case 'stop': {
-      const run = world.pickOf(world.stops, action.pick);
-      if (run !== undefined) world.answerStop(run, action);
+      const attempt = world.pickOf(world.stops, action.pick);
+      if (attempt !== undefined) world.answerStop(attempt, action);
       return;
     }
     case 'ask': {
       const worker = workerOf(action.worker);
-      if (worker !== undefined) world.ask(worker, action.now);
+      if (worker !== undefined) world.requestReport(worker, action.now);
       return;
     }
     case 'deliver': {
       const report = world.pickOf(world.reports, action.pick);
-      if (report !== undefined) world.deliver(report);
+      if (report !== undefined) world.deliverReport(report);
       return;
     }
     case 'write':
       world.confirmWrite();
       return;
     case 'advice': {
-      const wish = world.pickOf(world.wishes, action.pick);
-      if (wish === undefined) return;
+      const request = world.pickOf(world.wishes, action.pick);
+      if (request === undefined) return;
       const {answer} = action;
       if (answer === 'none') {
-        world.answerAdvice(wish, 'none');
+        world.answerAdvice(request, 'none');
         return;
       }
-      world.answerAdvice(wish, (_worker, nth) => {
+      world.answerAdvice(request, (_worker, nth) => {
         if (answer === 'all') return true;
         return answer !== 'nobody' && nth % 2 === (answer === 'odd' ? 1 : 0);
       });
@@ -227,24 +227,25 @@
     case 'end': {
       const worker = workerOf(action.worker);
       if (worker === undefined) return;
-      const run = world.pickOf([...worker.runs.values()], action.pick);
-      if (run === undefined) return;
-      if (action.how !== 'vanished') world.endRun(worker, run, action.how);
-      else worker.runs.delete(`${run.taskId}#${run.attempt}`);
+      const attempt = world.pickOf([...worker.attempts.values()], action.pick);
+      if (attempt === undefined) return;
+      if (action.how !== 'vanished')
+        world.endAttempt(worker, attempt, action.how);
+      else worker.attempts.delete(`${attempt.taskId}#${attempt.number}`);
       return;
     }
     case 'cut': {
       const worker = workerOf(action.worker);
       if (worker === undefined) return;
-      if (action.cut) world.cutOff(worker);
-      else worker.cut = false;
+      if (action.cut) world.disconnect(worker);
+      else worker.isCutOff = false;
       return;
     }
     case 'drain': {
       const worker = workerOf(action.worker);
       if (worker === undefined) return;
       worker.info = {...worker.info, draining: action.on};
-      world.list(worker);
+      world.listWorker(worker);
       return;
     }
     case 'evacuate': {
@@ -254,17 +255,17 @@
     }
     case 'leasePassed': {
       const worker = workerOf(action.worker);
-      if (worker?.cut === true) world.leasePassed(worker);
+      if (worker?.isCutOff === true) world.leasePassed(worker);
       return;
     }
     case 'gone': {
       const worker = workerOf(action.worker);
-      if (worker !== undefined) world.gone(worker);
+      if (worker !== undefined) world.removeWorker(worker);
       return;
     }
     case 'die': {
       const worker = workerOf(action.worker);
-      if (worker !== undefined) world.die(worker);
+      if (worker !== undefined) world.crashUnnoticed(worker);
       return;
     }
     case 'join':
@@ -288,7 +289,7 @@
       world.elapse(action.spanMs);
       return;
     case 'settle':
-      check(world);
+      settleAndCheck(world);
       return;
   }
 }
@@ -296,7 +297,7 @@
 function stepsOf(world: worlds.UnreliableWorld): activeJob.StepRun[] {
   const found: activeJob.StepRun[] = [];
   for (const job of world.scheduler.jobs.values()) {
-    assert.equal(job.heldBack, false, `${job.id} is held back`);
+    assert.equal(job.isAwaitingReconciliation, false, `${job.id} is held back`);
     for (const {steps} of job.open.values()) found.push(...steps);
   }
   return found;
@@ -304,38 +305,46 @@
 
 /** Each open task is in line or runs; a gang's are all the one or the other. */
 function checkTasks(stepRun: activeJob.StepRun): void {
-  const {id, request, state, waiting, attempts: runs, done} = stepRun;
+  const {id, request, state, waiting, attempts, doneIndexes: done} = stepRun;
   if (state !== 'open') return;
   const {gang, taskCount} = request;
-  for (const run of runs) {
-    assert.equal(run.phase, 'running', `a run of ${id}`);
-    assert.notEqual(run.confirmedAt, undefined);
+  for (const attempt of attempts) {
+    assert.equal(attempt.phase, 'running', `a run of ${id}`);
+    assert.notEqual(attempt.confirmedAt, undefined);
   }
   assert.equal(new Set(waiting).size, waiting.length);
   if (gang) {
-    const found = `${runs.size} run and ${waiting.length} wait`;
-    assert.equal(runs.size + waiting.length, taskCount, `${id}: ${found}`);
-    assert.ok(runs.size === 0 || waiting.length === 0, `${id}: ${found}`);
-    const attempts = new Set([...runs].map((run) => run.number));
-    assert.ok(attempts.size <= 1, `${id}: attempts ${[...attempts].join()}`);
+    const found = `${attempts.size} run and ${waiting.length} wait`;
+    assert.equal(attempts.size + waiting.length, taskCount, `${id}: ${found}`);
+    assert.ok(attempts.size === 0 || waiting.length === 0, `${id}: ${found}`);
+    const attemptNumbers = new Set(
+      [...attempts].map((attempt) => attempt.number),
+    );
+    assert.ok(
+      attemptNumbers.size <= 1,
+      `${id}: attempts ${[...attemptNumbers].join()}`,
+    );
     return;
   }
-  const running = new Set([...runs].map((run) => run.owner!.index));
+  const running = new Set([...attempts].map((attempt) => attempt.owner!.index));
   for (let index = 0; index < taskCount; index++) {
-    const held =
+    const isAccountedFor =
       done.has(index) || running.has(index) || waiting.includes(index);
-    assert.ok(held, `${id}.${index} neither waits nor runs nor is done`);
+    assert.ok(
+      isAccountedFor,
+      `${id}.${index} neither waits nor runs nor is done`,
+    );
   }
 }
 
 /** What the scheduler believes of the workers is what is so. */
 function checkWorkers(world: worlds.UnreliableWorld): void {
   for (const worker of world.workers) {
-    const booked = world.scheduler.book.workers.get(worker.id);
-    if (booked === undefined) continue;
-    const used = world.usedOf(worker);
+    const known = world.scheduler.book.workers.get(worker.id);
+    if (known === undefined) continue;
+    const used = world.usedResources(worker);
     const free = types.resources.subtract(worker.info.capacity, used);
-    assert.deepEqual(booked.free, free, worker.id);
+    assert.deepEqual(known.free, free, worker.id);
     assert.ok(types.resources.fits(types.resources.NO_RESOURCES, free));
   }
 }
@@ -343,14 +352,15 @@
 /** The next task of a step, or its whole gang, has room on these workers. */
 function fitsOn(
   stepRun: activeJob.StepRun,
-  workers: readonly workerRegistry.BookedWorker[],
+  workers: readonly workerRegistry.RegisteredWorker[],
 ): boolean {
   const {gang, taskCount, size, usesSpareCpu, maxPerWorker} = stepRun.request;
   const needed = usesSpareCpu ? {...size, cpuMillis: 0} : size;
   let found = 0;
   for (const {info, free} of workers) {
     let here = 0;
-    for (const run of stepRun.attempts) if (run.workerId === info.id) here++;
+    for (const attempt of stepRun.attempts)
+      if (attempt.workerId === info.id) here++;
     let left = free;
     while (types.resources.fits(needed, left) && found < taskCount) {
       if (here++ >= (maxPerWorker ?? Infinity)) break;
@@ -361,9 +371,9 @@
   return found >= (gang ? taskCount : 1);
 }
 
-function isOpenTo(
+function isAvailableTo(
   stepRun: activeJob.StepRun,
-  worker: workerRegistry.BookedWorker,
+  worker: workerRegistry.RegisteredWorker,
 ): boolean {
   const {info, usable} = worker;
   const {request, job, advice} = stepRun;
@@ -377,10 +387,10 @@
 
 /** No step waits for which there is room that isn't kept for another. */
 function checkWaiting(world: worlds.UnreliableWorld): void {
-  const {book} = world.scheduler;
-  const health = workerHealth.createWorkerHealth(() => book.workers.size);
-  const hold = gangReservation.createGangReservation({
-    book,
+  const {book: registry} = world.scheduler;
+  const health = workerHealth.createWorkerHealth(() => registry.workers.size);
+  const reservation = gangReservation.createGangReservation({
+    registry,
     health,
     now: world.now,
   });
@@ -394,11 +404,13 @@
     ),
   );
   for (const stepRun of waiting) {
-    const open = [...book.workers.values()].filter(
-      (worker) => !hold.isHeld(worker.info.id) && isOpenTo(stepRun, worker),
+    const open = [...registry.workers.values()].filter(
+      (worker) =>
+        !reservation.isReserved(worker.info.id) &&
+        isAvailableTo(stepRun, worker),
     );
     assert.equal(fitsOn(stepRun, open), false, `${stepRun.id} has room`);
-    if (stepRun.request.gang) hold.holdFor(stepRun);
+    if (stepRun.request.gang) reservation.reserveFor(stepRun);
   }
 }
 
@@ -406,7 +418,7 @@
 function checkCopies(world: worlds.UnreliableWorld): void {
   const seen = new Set<string>();
   for (const worker of world.workers) {
-    for (const {taskId} of worker.runs.values()) {
+    for (const {taskId} of worker.attempts.values()) {
       const [jobId, , step] = taskId.split('.');
       const job = world.jobs.find((one) => one.id === jobId)!;
       if (job.request.steps[Number(step)]!.speculative) continue;
@@ -416,7 +428,7 @@
   }
 }
 
-function check(world: worlds.UnreliableWorld): void {
+function settleAndCheck(world: worlds.UnreliableWorld): void {
   world.settle();
   for (const stepRun of stepsOf(world)) checkTasks(stepRun);
   checkWorkers(world);
@@ -441,10 +453,10 @@
           });
         }
         for (const action of actions) {
-          act(world, action);
+          applyAction(world, action);
           checkCopies(world);
         }
-        check(world);
+        settleAndCheck(world);
       },
     ),
     {numRuns: NUM_RUNS},
--- a/packages/gypsumwall-scheduling/src/__tests__/worker_health.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/worker_health.test.ts
@@ -12,20 +12,20 @@
 // sites have it. Such a worker is always free and draws in task after task.
 test('a worker that fails the tasks of two jobs is left alone', () => {
   const health = workerHealth.createWorkerHealth(() => 33);
-  health.noteFailed(worker('w1'), job('a'), at(0));
+  health.recordFailure(worker('w1'), job('a'), at(0));
   assert.equal(health.trustOf(worker('w1'), at(1)), 'doubtful');
-  health.noteFailed(worker('w1'), job('b'), at(1));
+  health.recordFailure(worker('w1'), job('b'), at(1));
   assert.equal(health.trustOf(worker('w1'), at(2)), 'avoided');
   assert.equal(health.trustOf(worker('w1'), at(2_000)), 'doubtful');
-  health.noteDone(worker('w1'), job('c'));
+  health.recordSuccess(worker('w1'), job('c'));
   assert.equal(health.trustOf(worker('w1'), at(2_001)), 'sound');
 });
 
 // Load: 1 to 5% of jobs can never be done and fail wherever they run.
 test('a job that fails on two workers condemns neither', () => {
   const health = workerHealth.createWorkerHealth(() => 33);
-  health.noteFailed(worker('w1'), job('bad'), at(0));
-  health.noteFailed(worker('w2'), job('bad'), at(1));
+  health.recordFailure(worker('w1'), job('bad'), at(0));
+  health.recordFailure(worker('w2'), job('bad'), at(1));
   assert.equal(health.trustOf(worker('w1'), at(2)), 'sound');
   assert.equal(health.trustOf(worker('w2'), at(2)), 'sound');
 });
@@ -33,7 +33,7 @@
 test('most workers are never avoided at once', () => {
   const health = workerHealth.createWorkerHealth(() => 6);
   for (let nth = 0; nth < 6; nth++)
-    health.noteStalled(worker(`w${nth}`), at(0));
+    health.recordStall(worker(`w${nth}`), at(0));
   const avoided = [0, 1, 2, 3, 4, 5].filter(
     (nth) => health.trustOf(worker(`w${nth}`), at(1)) === 'avoided',
   );
--- a/packages/gypsumwall-scheduling/src/active_job.ts
+++ b/packages/gypsumwall-scheduling/src/active_job.ts
@@ -60,7 +60,7 @@
   /** Indexes that have neither run nor end; a gang's are all or none. */
   waiting: number[];
   readonly attempts: Set<Attempt>;
-  readonly done: Set<number>;
+  readonly doneIndexes: Set<number>;
   /** Attempts that failed, by index; a gang's under 0. */
   readonly failures: Map<number, Set<number>>;
   /** Workers that have crashed under a task, by index; also in a gang. */
@@ -71,7 +71,7 @@
   /** Highest attempt used, by index; a gang's under 0. */
   readonly highestAttempts: Map<number, number>;
   /** Saved progress to go on from, by index; a gang's under 0. */
-  readonly saved: Map<number, string>;
+  readonly checkpoints: Map<number, string>;
   readonly advice: stepAdvice.StepAdvice;
   /** Its place in the order of work at the last cycle. */
   rank?: jobOrder.RankedClaimant;
@@ -80,23 +80,23 @@
    * approvals, recorded workers. Otherwise it is tried again only once a worker
    * that it may use has more room.
    */
-  changed: boolean;
+  hasChanged: boolean;
   /** Starts that were refused since a worker took one. */
   refusals: number;
   /** Nothing of it starts before, since starts were refused. */
-  refusedUntil?: types.clock.MonotonicMs;
+  backoffUntil?: types.clock.MonotonicMs;
   /**
    * Since when it was to be tried and had no turn, or was placed where its job
    * isn't recorded yet.
    */
-  leftOutSince?: types.clock.MonotonicMs;
+  skippedSince?: types.clock.MonotonicMs;
 }
 
 /** One time that a job's steps run. */
 export interface Occurrence {
   readonly number: number;
   /** From when its objective counts: acceptance, or its time in a schedule. */
-  readonly countsFrom: types.clock.MonotonicMs;
+  readonly objectiveStartsAt: types.clock.MonotonicMs;
   readonly steps: StepRun[];
 }
 
@@ -111,7 +111,7 @@
    * An earlier scheduler may have runs of it on workers that aren't accounted
    * for; nothing of it starts until they are.
    */
-  heldBack: boolean;
+  isAwaitingReconciliation: boolean;
   phase: jobProgress.JobPhase;
   /**
    * Workers that its tasks may be on, as the store knows them. A task starts
@@ -125,20 +125,20 @@
    * Workers that had crashed when this scheduler came, with tasks of the job on
    * them perhaps; until it is known which tasks are elsewhere.
    */
-  readonly unheardCrashes: Set<types.ids.WorkerId>;
+  readonly unresolvedCrashes: Set<types.ids.WorkerId>;
   /** Crashes that aren't stored yet, and the progress that is to store them. */
   unstoredCrashes?: 'new' | jobProgress.JobProgress;
   /** The failure domain that its tasks keep to while it has room. */
-  home?: types.ids.FailureDomain;
+  homeDomain?: types.ids.FailureDomain;
   readonly open: Map<number, Occurrence>;
-  readonly finished: Set<number>;
+  readonly finishedOccurrences: Set<number>;
 }
 
 /** Key under which a gang's counts are kept. */
 export const GANG_KEY = 0;
 
 /** Where a step keeps the counts of one of its tasks. */
-export function countKey(stepRun: StepRun, index: number): number {
+export function counterKey(stepRun: StepRun, index: number): number {
   return stepRun.request.gang ? GANG_KEY : index;
 }
 
@@ -146,9 +146,9 @@
 export function createOccurrence(
   job: ActiveJob,
   number: number,
-  countsFrom: types.clock.MonotonicMs,
+  objectiveStartsAt: types.clock.MonotonicMs,
 ): Occurrence {
-  const occurrence: Occurrence = {number, countsFrom, steps: []};
+  const occurrence: Occurrence = {number, objectiveStartsAt, steps: []};
   job.request.steps.forEach((request, step) => {
     occurrence.steps.push({
       id: taskId.stepRunId(job.id, number, step),
@@ -159,13 +159,13 @@
       state: 'closed',
       waiting: [],
       attempts: new Set(),
-      done: new Set(),
+      doneIndexes: new Set(),
       failures: new Map(),
       crashes: new Map(),
       highestAttempts: new Map(),
-      saved: new Map(),
+      checkpoints: new Map(),
       advice: stepAdvice.createStepAdvice(),
-      changed: true,
+      hasChanged: true,
       refusals: 0,
     });
   });
@@ -184,10 +184,10 @@
   const lateUntil = objective * jobOrder.LATE_FACTOR;
   return {
     priority: job.policy.priority,
-    dueAt: types.clock.after(occurrence.countsFrom, objective),
-    worthlessAt: types.clock.after(occurrence.countsFrom, lateUntil),
+    dueAt: types.clock.after(occurrence.objectiveStartsAt, objective),
+    worthlessAt: types.clock.after(occurrence.objectiveStartsAt, lateUntil),
     remainingMs: remainingMs(stepRun),
-    lasting: stepRun.request.longRunning,
+    isLongRunning: stepRun.request.longRunning,
     arrival: job.arrival,
   };
 }
@@ -203,9 +203,9 @@
 }
 
 /** Has all steps of a job tried again. */
-export function noteChanged(job: ActiveJob): void {
+export function markChanged(job: ActiveJob): void {
   for (const {steps} of job.open.values()) {
-    for (const stepRun of steps) stepRun.changed = true;
+    for (const stepRun of steps) stepRun.hasChanged = true;
   }
 }
 
@@ -215,7 +215,7 @@
   policy: jobRequest.QueuePolicy,
 ): void {
   job.policy = policy;
-  noteChanged(job);
+  markChanged(job);
   for (const {steps} of job.open.values()) {
     for (const stepRun of steps) stepRun.rank = undefined;
   }
@@ -230,19 +230,20 @@
     occurrences[number] = occurrence.steps.map(stepProgressOf);
   }
   const workers = [...job.workers.keys()];
-  return {phase, workers, occurrences, finished: [...job.finished]};
+  return {phase, workers, occurrences, finished: [...job.finishedOccurrences]};
 }
 
 function stepProgressOf(stepRun: StepRun): jobProgress.StepProgress {
   const failures: Record<string, number[]> = {};
-  for (const [index, attempts] of stepRun.failures) {
-    failures[index] = [...attempts];
+  for (const [index, failedAttempts] of stepRun.failures) {
+    failures[index] = [...failedAttempts];
   }
   if (stepRun.state === 'done') return {done: 'all', failures};
-  const done = [...stepRun.done];
+  const done = [...stepRun.doneIndexes];
   const crashes: Record<string, Record<string, crashRecords.CrashKind>> = {};
   for (const [index, workers] of stepRun.crashes) {
-    if (!stepRun.done.has(index)) crashes[index] = Object.fromEntries(workers);
+    if (!stepRun.doneIndexes.has(index))
+      crashes[index] = Object.fromEntries(workers);
   }
   if (Object.keys(crashes).length === 0) return {done, failures};
   return {done, failures, crashes};
--- a/packages/gypsumwall-scheduling/src/adviser_pool.ts
+++ b/packages/gypsumwall-scheduling/src/adviser_pool.ts
@@ -8,26 +8,26 @@
  */
 
 /** Calls above this many milliseconds are large. */
-const LARGE_CALL_MS = 250;
+const LARGE_CALL_THRESHOLD_MS = 250;
 /**
  * Share of the entries that large calls keep to. Of 246 workers' wide gangs
  * 0.953 are on time with it and 0.866 with half; urgent jobs the same (virtual
  * cell, five seeds).
  */
-const LARGE_SHARE = 0.6;
+const LARGE_CALL_ENTRY_SHARE = 0.6;
 /**
  * Calls that can wait leave this share of the lanes empty, for the small calls
  * of urgent jobs: otherwise those of gangs in line take every lane that comes
  * free. No gain is measured: urgent jobs are as often on time without it, 0.984
  * for 0.982 (virtual cell, five seeds), where gangs seldom wait for long.
  */
-const KEPT_EMPTY_SHARE = 0.25;
+const IDLE_ENTRY_SHARE = 0.25;
 /**
  * Calls beyond this wait at the holder, which picks the most urgent one once an
  * entry is free. In line at the adviser they would be handled in the order in
  * which they came, however late their jobs are by then; milliseconds.
  */
-const LONGEST_LINE_MS = 100;
+const MAX_QUEUE_MS = 100;
 
 /** How many calls can be made now. */
 export interface AdviceCapacity {
@@ -41,7 +41,7 @@
 
 /** Whether a call that takes so long keeps to its share of the entries. */
 export function isLarge(callMs: number): boolean {
-  return callMs > LARGE_CALL_MS;
+  return callMs > LARGE_CALL_THRESHOLD_MS;
 }
 
 /** The entries that may call the adviser, and what each has in line. */
@@ -64,47 +64,55 @@
 
 /** Creates lanes with nothing in line. */
 export function createAdviserPool<Entry extends string>(): AdviserPool<Entry> {
-  const inLineMs = new Map<Entry, number>();
-  const lineOf = (entry: Entry) => inLineMs.get(entry) ?? 0;
+  const queuedMsByEntry = new Map<Entry, number>();
+  const queuedMsOf = (entry: Entry) => queuedMsByEntry.get(entry) ?? 0;
 
-  const emptyLanes = (entries: readonly Entry[]) =>
-    entries.filter((entry) => lineOf(entry) === 0).length;
+  const idleEntries = (entries: readonly Entry[]) =>
+    entries.filter((entry) => queuedMsOf(entry) === 0).length;
 
   /** The entries that large calls keep to. */
-  function forLarge(entries: readonly Entry[]): Entry[] {
-    const count = Math.max(1, Math.round(entries.length * LARGE_SHARE));
+  function entriesForLarge(entries: readonly Entry[]): Entry[] {
+    const count = Math.max(
+      1,
+      Math.round(entries.length * LARGE_CALL_ENTRY_SHARE),
+    );
     return [...entries].sort().slice(0, count);
   }
 
-  const isOpen = (entry: Entry) => lineOf(entry) <= LONGEST_LINE_MS;
+  const acceptsCalls = (entry: Entry) => queuedMsOf(entry) <= MAX_QUEUE_MS;
 
   return {
     take(entries, callMs, needed) {
       const ordered = [...entries].sort();
-      const open = isLarge(callMs) ? forLarge(entries) : ordered;
-      let best: Entry | undefined;
-      for (const entry of open) {
-        if (best === undefined || lineOf(entry) < lineOf(best)) best = entry;
+      const eligible = isLarge(callMs) ? entriesForLarge(entries) : ordered;
+      let shortest: Entry | undefined;
+      for (const entry of eligible) {
+        if (shortest === undefined || queuedMsOf(entry) < queuedMsOf(shortest))
+          shortest = entry;
       }
-      const longest = needed ? LONGEST_LINE_MS : 0;
-      if (best === undefined || lineOf(best) > longest) return undefined;
-      if (!needed && emptyLanes(ordered) <= ordered.length * KEPT_EMPTY_SHARE) {
+      const maxQueuedMs = needed ? MAX_QUEUE_MS : 0;
+      if (shortest === undefined || queuedMsOf(shortest) > maxQueuedMs)
+        return undefined;
+      if (
+        !needed &&
+        idleEntries(ordered) <= ordered.length * IDLE_ENTRY_SHARE
+      ) {
         return undefined;
       }
-      inLineMs.set(best, lineOf(best) + callMs);
-      return best;
+      queuedMsByEntry.set(shortest, queuedMsOf(shortest) + callMs);
+      return shortest;
     },
-    lineMs: lineOf,
+    lineMs: queuedMsOf,
     capacity(entries) {
-      const kept = Math.floor(entries.length * KEPT_EMPTY_SHARE);
+      const keptIdle = Math.floor(entries.length * IDLE_ENTRY_SHARE);
       return {
-        needed: entries.filter(isOpen).length,
-        large: forLarge(entries).filter(isOpen).length,
-        spare: Math.max(0, emptyLanes(entries) - kept),
+        needed: entries.filter(acceptsCalls).length,
+        large: entriesForLarge(entries).filter(acceptsCalls).length,
+        spare: Math.max(0, idleEntries(entries) - keptIdle),
       };
     },
     finish(entry, callMs) {
-      inLineMs.set(entry, Math.max(0, lineOf(entry) - callMs));
+      queuedMsByEntry.set(entry, Math.max(0, queuedMsOf(entry) - callMs));
     },
   };
 }
--- a/packages/gypsumwall-scheduling/src/attempt_table.ts
+++ b/packages/gypsumwall-scheduling/src/attempt_table.ts
@@ -5,51 +5,52 @@
 
 /** The runs of a cell. Room is booked by whoever adds, and given back here. */
 export interface AttemptTable {
-  add(run: activeJob.Attempt): void;
+  add(attempt: activeJob.Attempt): void;
   find(
     taskId: types.ids.TaskId,
-    attempt: number,
+    attemptNumber: number,
     worker: types.ids.WorkerId,
   ): activeJob.Attempt | undefined;
   ofWorker(worker: types.ids.WorkerId): ReadonlySet<activeJob.Attempt>;
   /** Forgets a run and gives its room back. */
-  remove(run: activeJob.Attempt): void;
-  has(run: activeJob.Attempt): boolean;
+  remove(attempt: activeJob.Attempt): void;
+  has(attempt: activeJob.Attempt): boolean;
   size(): number;
 }
 
-const NO_RUNS: ReadonlySet<activeJob.Attempt> = new Set();
+const NO_ATTEMPTS: ReadonlySet<activeJob.Attempt> = new Set();
 
 /** Creates an empty table over the given books. */
 export function createAttemptTable(
-  book: workerRegistry.WorkerRegistry,
+  registry: workerRegistry.WorkerRegistry,
 ): AttemptTable {
   const byKey = new Map<string, activeJob.Attempt>();
   const byWorker = new Map<types.ids.WorkerId, Set<activeJob.Attempt>>();
-  const keyOf = (taskId: string, attempt: number, worker: string) =>
-    `${taskId}#${attempt}@${worker}`;
-  const keyOfRun = (run: activeJob.Attempt) =>
-    keyOf(run.taskId, run.number, run.workerId);
+  const keyOf = (taskId: string, attemptNumber: number, worker: string) =>
+    `${taskId}#${attemptNumber}@${worker}`;
+  const keyOfAttempt = (attempt: activeJob.Attempt) =>
+    keyOf(attempt.taskId, attempt.number, attempt.workerId);
 
   return {
-    add(run) {
-      byKey.set(keyOfRun(run), run);
-      const runs = byWorker.get(run.workerId) ?? new Set<activeJob.Attempt>();
-      byWorker.set(run.workerId, runs.add(run));
-      run.owner?.stepRun.attempts.add(run);
+    add(attempt) {
+      byKey.set(keyOfAttempt(attempt), attempt);
+      const attempts =
+        byWorker.get(attempt.workerId) ?? new Set<activeJob.Attempt>();
+      byWorker.set(attempt.workerId, attempts.add(attempt));
+      attempt.owner?.stepRun.attempts.add(attempt);
     },
-    find: (taskId, attempt, worker) =>
-      byKey.get(keyOf(taskId, attempt, worker)),
-    ofWorker: (worker) => byWorker.get(worker) ?? NO_RUNS,
-    remove(run) {
-      if (!byKey.delete(keyOfRun(run))) return;
-      const runs = byWorker.get(run.workerId);
-      runs?.delete(run);
-      if (runs?.size === 0) byWorker.delete(run.workerId);
-      run.owner?.stepRun.attempts.delete(run);
-      book.release(run.workerId, run.stepRunId, run.size);
+    find: (taskId, attemptNumber, worker) =>
+      byKey.get(keyOf(taskId, attemptNumber, worker)),
+    ofWorker: (worker) => byWorker.get(worker) ?? NO_ATTEMPTS,
+    remove(attempt) {
+      if (!byKey.delete(keyOfAttempt(attempt))) return;
+      const attempts = byWorker.get(attempt.workerId);
+      attempts?.delete(attempt);
+      if (attempts?.size === 0) byWorker.delete(attempt.workerId);
+      attempt.owner?.stepRun.attempts.delete(attempt);
+      registry.release(attempt.workerId, attempt.stepRunId, attempt.size);
     },
-    has: (run) => byKey.get(keyOfRun(run)) === run,
+    has: (attempt) => byKey.get(keyOfAttempt(attempt)) === attempt,
     size: () => byKey.size,
   };
 }
--- a/packages/gypsumwall-scheduling/src/choose_worker.ts
+++ b/packages/gypsumwall-scheduling/src/choose_worker.ts
@@ -9,11 +9,11 @@
 
 /** What a choice looks at beside the books. */
 export interface ChoiceContext {
-  readonly book: workerRegistry.WorkerRegistry;
+  readonly registry: workerRegistry.WorkerRegistry;
   readonly health: workerHealth.WorkerHealth;
   readonly now: types.clock.MonotonicMs;
   /** Whether a worker's room is kept for work of higher rank. */
-  readonly isHeld?: (worker: types.ids.WorkerId) => boolean;
+  readonly isReserved?: (worker: types.ids.WorkerId) => boolean;
   /** Workers that are kept for tasks which may crash them. */
   readonly isolation?: taskIsolation.TaskIsolation;
   /** A worker has crashed under the task that is placed. */
@@ -21,9 +21,9 @@
 }
 
 /** Whether a step's tasks may run on a worker at all, room left aside. */
-export function mayRunOn(
+export function isEligible(
   stepRun: activeJob.StepRun,
-  worker: workerRegistry.BookedWorker,
+  worker: workerRegistry.RegisteredWorker,
 ): boolean {
   const {info} = worker;
   const {request} = stepRun;
@@ -33,7 +33,7 @@
 }
 
 /** What a task takes from a worker's books. */
-export function bookedSize(
+export function reservedSize(
   stepRun: activeJob.StepRun,
 ): types.resources.Resources {
   const {size, usesSpareCpu} = stepRun.request;
@@ -45,33 +45,33 @@
  * is looked at first: in a full cell that leaves few workers, and the other
  * questions cost more.
  */
-export function candidates(
+export function findCandidates(
   stepRun: activeJob.StepRun,
   context: ChoiceContext,
-): workerRegistry.BookedWorker[] {
-  const size = bookedSize(stepRun);
+): workerRegistry.RegisteredWorker[] {
+  const size = reservedSize(stepRun);
   const {advice, job} = stepRun;
-  const advised = job.policy.advice !== undefined;
-  const found: workerRegistry.BookedWorker[] = [];
+  const needsAdvice = job.policy.advice !== undefined;
+  const found: workerRegistry.RegisteredWorker[] = [];
   for (const worker of approvedWorkers(stepRun, context)) {
     const {id} = worker.info;
     if (!types.resources.fits(size, worker.free)) continue;
-    if (context.isHeld?.(id) === true) continue;
-    const ticket = advised && stepAdvice.ticketFor(advice, id, context.now);
-    if (advised && ticket === undefined) continue;
-    if (isOpen(stepRun, worker, context)) found.push(worker);
+    if (context.isReserved?.(id) === true) continue;
+    const ticket = needsAdvice && stepAdvice.ticketFor(advice, id, context.now);
+    if (needsAdvice && ticket === undefined) continue;
+    if (isAvailable(stepRun, worker, context)) found.push(worker);
   }
   return found;
 }
 
 /** The workers that may run the step once they have room. */
-export function mayEverRun(
+export function findAvailableWorkers(
   stepRun: activeJob.StepRun,
   context: ChoiceContext,
-): workerRegistry.BookedWorker[] {
-  const found: workerRegistry.BookedWorker[] = [];
+): workerRegistry.RegisteredWorker[] {
+  const found: workerRegistry.RegisteredWorker[] = [];
   for (const worker of approvedWorkers(stepRun, context)) {
-    if (isOpen(stepRun, worker, context)) found.push(worker);
+    if (isAvailable(stepRun, worker, context)) found.push(worker);
   }
   return found;
 }
@@ -79,36 +79,36 @@
 /** Approved by the adviser, where there is one; tickets may have ended. */
 function* approvedWorkers(
   {advice, job}: activeJob.StepRun,
-  {book}: ChoiceContext,
-): Iterable<workerRegistry.BookedWorker> {
+  {registry}: ChoiceContext,
+): Iterable<workerRegistry.RegisteredWorker> {
   if (job.policy.advice === undefined) {
-    yield* book.workers.values();
+    yield* registry.workers.values();
     return;
   }
   for (const id of advice.approvals.keys()) {
-    const worker = book.workers.get(id);
+    const worker = registry.workers.get(id);
     if (worker !== undefined) yield worker;
   }
 }
 
-function isOpen(
+function isAvailable(
   stepRun: activeJob.StepRun,
-  worker: workerRegistry.BookedWorker,
+  worker: workerRegistry.RegisteredWorker,
   {health, now, isolation}: ChoiceContext,
 ): boolean {
   if (!worker.usable || worker.info.draining) return false;
   if (isolation?.isClosedTo(stepRun, worker.info.id) === true) return false;
-  if (!mayRunOn(stepRun, worker)) return false;
+  if (!isEligible(stepRun, worker)) return false;
   return health.trustOf(worker.info.id, now) !== 'avoided';
 }
 
 /** How many more tasks of the step the worker may take. */
-export function roomFor(
+export function remainingSlots(
   stepRun: activeJob.StepRun,
-  worker: workerRegistry.BookedWorker,
+  worker: workerRegistry.RegisteredWorker,
 ): number {
-  const most = stepRun.request.maxPerWorker ?? Infinity;
-  return most - (worker.perStep.get(stepRun.id) ?? 0);
+  const limit = stepRun.request.maxPerWorker ?? Infinity;
+  return limit - (worker.tasksByStep.get(stepRun.id) ?? 0);
 }
 
 /**
@@ -118,7 +118,7 @@
  */
 export function isTrusted(
   stepRun: activeJob.StepRun,
-  worker: workerRegistry.BookedWorker,
+  worker: workerRegistry.RegisteredWorker,
   context: ChoiceContext,
 ): boolean {
   const {id} = worker.info;
@@ -134,15 +134,15 @@
  */
 export function chooseWorker(
   stepRun: activeJob.StepRun,
-  among: readonly workerRegistry.BookedWorker[],
+  candidates: readonly workerRegistry.RegisteredWorker[],
   context: ChoiceContext,
-): workerRegistry.BookedWorker | undefined {
-  const size = bookedSize(stepRun);
-  let best: workerRegistry.BookedWorker | undefined;
+): workerRegistry.RegisteredWorker | undefined {
+  const size = reservedSize(stepRun);
+  let best: workerRegistry.RegisteredWorker | undefined;
   let bestCost = Infinity;
-  for (const worker of among) {
+  for (const worker of candidates) {
     if (!types.resources.fits(size, worker.free)) continue;
-    if (roomFor(stepRun, worker) < 1) continue;
+    if (remainingSlots(stepRun, worker) < 1) continue;
     const cost = costOf(stepRun, worker, context);
     if (cost >= bestCost) continue;
     best = worker;
@@ -152,28 +152,31 @@
 }
 
 /** Larger than any difference in free processors, in thousandths of a core. */
-const DOUBTFUL_COST = 1e9;
-const FAR_COST = 1e8;
-const AWAY_COST = 1e7;
+const UNTRUSTED_COST = 1e9;
+const OTHER_RACK_COST = 1e8;
+const OTHER_DOMAIN_COST = 1e7;
 /** A crash under two tasks that may be at fault tells little about either. */
 const SUSPECTS_TOGETHER_COST = 1e6;
 
 function costOf(
   stepRun: activeJob.StepRun,
-  worker: workerRegistry.BookedWorker,
+  worker: workerRegistry.RegisteredWorker,
   context: ChoiceContext,
 ): number {
   const {preferredRack} = stepRun.request;
-  const far = preferredRack !== undefined && preferredRack !== worker.info.rack;
+  const isFar =
+    preferredRack !== undefined && preferredRack !== worker.info.rack;
   const trusted = isTrusted(stepRun, worker, context);
   const {isSuspected = false, isolation} = context;
-  const together =
+  const isTogether =
     isSuspected && isolation?.hostsSuspect(stepRun, worker.info.id) === true;
   return (
-    (trusted ? 0 : DOUBTFUL_COST) +
-    (far ? FAR_COST : 0) +
-    (together ? SUSPECTS_TOGETHER_COST : 0) +
-    (domainAffinity.isAway(stepRun, worker) ? AWAY_COST : 0) +
+    (trusted ? 0 : UNTRUSTED_COST) +
+    (isFar ? OTHER_RACK_COST : 0) +
+    (isTogether ? SUSPECTS_TOGETHER_COST : 0) +
+    (domainAffinity.isOutsideHomeDomain(stepRun, worker)
+      ? OTHER_DOMAIN_COST
+      : 0) +
     worker.free.cpuMillis
   );
 }
--- a/packages/gypsumwall-scheduling/src/crash_reader.ts
+++ b/packages/gypsumwall-scheduling/src/crash_attribution.ts
@@ -12,49 +12,51 @@
 import * as workerLosses from './worker_losses.js';
 
 /** What a reader works on. */
-export interface CrashReaderParts {
+export interface CrashAttributionParts {
   readonly losses: workerLosses.WorkerLosses;
   readonly jobRegistry: jobRegistrys.JobRegistry;
   readonly onEvent: (event: schedulerTypes.SchedulerEvent) => void;
 }
 
 /** Reads crashes. */
-export interface CrashReader {
+export interface CrashAttribution {
   /** A worker has crashed with these runs. */
-  noteCrash(
+  recordCrash(
     worker: types.ids.WorkerId,
-    runs: readonly activeJob.Attempt[],
+    attempts: readonly activeJob.Attempt[],
     now: types.clock.MonotonicMs,
   ): void;
   /**
    * Runs ended with a lease, and nobody knows yet whether their worker has
    * crashed or is cut off. Their tasks start again meanwhile.
    */
-  noteSilent(
+  recordSilence(
     worker: types.ids.WorkerId,
-    runs: readonly activeJob.Attempt[],
+    attempts: readonly activeJob.Attempt[],
     now: types.clock.MonotonicMs,
   ): void;
   /** The worker was cut off: it answers, and is the one it was. */
-  noteAnswered(worker: types.ids.WorkerId): void;
+  onWorkerAnswered(worker: types.ids.WorkerId): void;
   /**
    * All workers of a job that an earlier scheduler left are accounted for. A
    * task that isn't found on them may have been on one that has crashed.
    */
-  noteAccounted(job: activeJob.ActiveJob): void;
+  onJobReconciled(job: activeJob.ActiveJob): void;
 }
 
-interface Unproven {
-  readonly runs: readonly activeJob.Attempt[];
+interface UnprovenCrash {
+  readonly attempts: readonly activeJob.Attempt[];
   readonly forgetAt: types.clock.MonotonicMs;
 }
 
 /** Creates the reader of a scheduler. */
-export function createCrashReader(parts: CrashReaderParts): CrashReader {
+export function createCrashAttribution(
+  parts: CrashAttributionParts,
+): CrashAttribution {
   const {losses, jobRegistry, onEvent} = parts;
-  const unproven = new Map<types.ids.WorkerId, Unproven>();
+  const unprovenCrashes = new Map<types.ids.WorkerId, UnprovenCrash>();
 
-  function record(
+  function recordForTask(
     stepRun: activeJob.StepRun,
     index: number,
     worker: types.ids.WorkerId,
@@ -62,7 +64,7 @@
   ): boolean {
     const {job} = stepRun;
     if (jobProgress.isOver(job.phase) || stepRun.state === 'done') return false;
-    if (stepRun.done.has(index)) return false;
+    if (stepRun.doneIndexes.has(index)) return false;
     if (!crashRecords.recordCrash(stepRun, index, worker, kind)) return false;
     jobRegistry.dirty.add(job);
     const crashes = crashRecords.crashCount(stepRun, index);
@@ -74,7 +76,7 @@
   }
 
   /** A task has one run at a time, so it was on one of the workers at most. */
-  function recordOne(
+  function recordFirstUnknown(
     stepRun: activeJob.StepRun,
     index: number,
     workers: readonly types.ids.WorkerId[],
@@ -82,7 +84,7 @@
     const known = stepRun.crashes.get(index);
     const worker = workers.find((id) => known?.has(id) !== true);
     if (worker === undefined) return;
-    if (!record(stepRun, index, worker, 'single')) return;
+    if (!recordForTask(stepRun, index, worker, 'single')) return;
     const reason = crashRecords.giveUpReason(stepRun, index, undefined);
     if (reason !== undefined) giveUp({stepRun, index}, reason);
   }
@@ -115,45 +117,53 @@
   }
 
   return {
-    noteCrash(worker, lost, now) {
-      const runs = [...lost, ...(unproven.get(worker)?.runs ?? [])];
-      unproven.delete(worker);
+    recordCrash(worker, lost, now) {
+      const attempts = [
+        ...lost,
+        ...(unprovenCrashes.get(worker)?.attempts ?? []),
+      ];
+      unprovenCrashes.delete(worker);
       const kind = losses.isGroupLoss(worker) ? 'group' : 'single';
       onEvent({
         type: 'worker_crashed',
         worker,
-        runs: runs.length,
-        isolated: runs.filter((run) => run.isolatedUntil !== undefined).length,
+        runs: attempts.length,
+        isolated: attempts.filter(
+          (attempt) => attempt.isolatedUntil !== undefined,
+        ).length,
         kind,
         accompanied: losses.isAccompanied(worker),
       });
-      for (const run of runs) {
-        if (run.owner === undefined) continue;
-        const {stepRun, index} = run.owner;
-        if (!record(stepRun, index, worker, kind)) continue;
-        const ranMs = isolatedMs(run, now);
+      for (const attempt of attempts) {
+        if (attempt.owner === undefined) continue;
+        const {stepRun, index} = attempt.owner;
+        if (!recordForTask(stepRun, index, worker, kind)) continue;
+        const ranMs = isolatedMs(attempt, now);
         const reason = crashRecords.giveUpReason(stepRun, index, ranMs);
-        if (reason !== undefined) giveUp(run.owner, reason);
+        if (reason !== undefined) giveUp(attempt.owner, reason);
       }
     },
-    noteSilent(worker, runs, now) {
-      for (const [id, {forgetAt}] of unproven) {
-        if (forgetAt <= now) unproven.delete(id);
+    recordSilence(worker, attempts, now) {
+      for (const [id, {forgetAt}] of unprovenCrashes) {
+        if (forgetAt <= now) unprovenCrashes.delete(id);
       }
-      if (runs.length === 0) return;
+      if (attempts.length === 0) return;
       const forgetAt = types.clock.after(now, workerLosses.LATE_PROOF_MS);
-      const before = unproven.get(worker)?.runs ?? [];
-      unproven.set(worker, {runs: [...before, ...runs], forgetAt});
+      const before = unprovenCrashes.get(worker)?.attempts ?? [];
+      unprovenCrashes.set(worker, {
+        attempts: [...before, ...attempts],
+        forgetAt,
+      });
     },
-    noteAnswered: (worker) => void unproven.delete(worker),
-    noteAccounted(job) {
-      const crashed = [...job.unheardCrashes];
-      job.unheardCrashes.clear();
+    onWorkerAnswered: (worker) => void unprovenCrashes.delete(worker),
+    onJobReconciled(job) {
+      const crashed = [...job.unresolvedCrashes];
+      job.unresolvedCrashes.clear();
       if (crashed.length === 0) return;
       for (const {steps} of job.open.values()) {
         for (const stepRun of steps) {
           for (const index of missingIndexes(stepRun)) {
-            recordOne(stepRun, index, crashed);
+            recordFirstUnknown(stepRun, index, crashed);
           }
         }
       }
@@ -164,7 +174,7 @@
 /** Tasks of an open step that neither run nor are done. */
 function missingIndexes(stepRun: activeJob.StepRun): number[] {
   if (stepRun.state !== 'open') return [];
-  const found = new Set(stepRun.done);
+  const found = new Set(stepRun.doneIndexes);
   for (const {owner} of stepRun.attempts) {
     if (owner !== undefined) found.add(owner.index);
   }
--- a/packages/gypsumwall-scheduling/src/crash_records.ts
+++ b/packages/gypsumwall-scheduling/src/crash_records.ts
@@ -22,26 +22,26 @@
 export type Crashes = ReadonlyMap<types.ids.WorkerId, CrashKind>;
 
 /** From so many crashes on a task starts apart from other jobs. */
-const ISOLATED_FROM = 2;
+const MIN_CRASHES_TO_ISOLATE = 2;
 /**
  * The task's fault, if the last of so many crashes came promptly while it was
  * apart. A later one may be a chance, so it takes another.
  */
-const CONCLUSIVE_FROM = 3;
-const PROMPT_MS = 1_000;
+const MIN_CONCLUSIVE_CRASHES = 3;
+const PROMPT_CRASH_MS = 1_000;
 /**
  * The task's fault however they came, if enough of them were single. A task
  * that outlives each of its trials would otherwise be started without end.
  */
-const MOST_CRASHES = 5;
+const MAX_CRASHES = 5;
 /** The first trial; each further one takes twice as long; milliseconds. */
-const FIRST_TRIAL_MS = 3_000;
+const FIRST_ISOLATION_MS = 3_000;
 /**
  * A task that has run for so long is cleared. It is as long as the trial after
  * the last crash that leaves a task in doubt; milliseconds.
  */
 export const SURVIVAL_MS =
-  FIRST_TRIAL_MS * 2 ** (MOST_CRASHES - 1 - ISOLATED_FROM);
+  FIRST_ISOLATION_MS * 2 ** (MAX_CRASHES - 1 - MIN_CRASHES_TO_ISOLATE);
 
 /**
  * How many workers have crashed under a task since it was last cleared. Losses
@@ -80,13 +80,16 @@
   stepRun: activeJob.StepRun,
   index: number,
 ): boolean {
-  return crashCount(stepRun, index) >= ISOLATED_FROM;
+  return crashCount(stepRun, index) >= MIN_CRASHES_TO_ISOLATE;
 }
 
 /** How long a task stays apart from others once it has started. */
-export function trialMs(stepRun: activeJob.StepRun, index: number): number {
-  const further = crashCount(stepRun, index) - ISOLATED_FROM;
-  return Math.min(SURVIVAL_MS, FIRST_TRIAL_MS * 2 ** Math.max(0, further));
+export function isolationPeriodMs(
+  stepRun: activeJob.StepRun,
+  index: number,
+): number {
+  const further = crashCount(stepRun, index) - MIN_CRASHES_TO_ISOLATE;
+  return Math.min(SURVIVAL_MS, FIRST_ISOLATION_MS * 2 ** Math.max(0, further));
 }
 
 /** Why a task is given up. */
@@ -107,10 +110,11 @@
 ): GiveUpReason | undefined {
   const count = crashCount(stepRun, index);
   if (isolatedMs !== undefined) {
-    const needed = CONCLUSIVE_FROM + (isolatedMs <= PROMPT_MS ? 0 : 1);
+    const needed =
+      MIN_CONCLUSIVE_CRASHES + (isolatedMs <= PROMPT_CRASH_MS ? 0 : 1);
     if (count >= needed) return 'crashed_in_isolation';
   }
-  if (count < MOST_CRASHES) return undefined;
+  if (count < MAX_CRASHES) return undefined;
   const single = countSingle(stepRun.crashes.get(index) ?? new Map());
-  return single >= CONCLUSIVE_FROM ? 'too_many_crashes' : undefined;
+  return single >= MIN_CONCLUSIVE_CRASHES ? 'too_many_crashes' : undefined;
 }
--- a/packages/gypsumwall-scheduling/src/domain_affinity.ts
+++ b/packages/gypsumwall-scheduling/src/domain_affinity.ts
@@ -13,31 +13,31 @@
 import type * as workerRegistry from './worker_registry.js';
 
 /** Gives a job that has none the domain with the most free room. */
-export function settle(
+export function assignHomeDomain(
   {job, request}: activeJob.StepRun,
-  among: readonly workerRegistry.BookedWorker[],
+  candidates: readonly workerRegistry.RegisteredWorker[],
 ): void {
-  if (job.home !== undefined || request.longRunning) return;
+  if (job.homeDomain !== undefined || request.longRunning) return;
   const free = new Map<types.ids.FailureDomain, number>();
-  for (const worker of among) {
+  for (const worker of candidates) {
     const {domain} = worker.info;
     const before = free.get(domain) ?? 0;
     free.set(domain, before + worker.free.cpuMillis);
   }
-  let most = -1;
+  let mostCpuMillis = -1;
   for (const [domain, cpuMillis] of free) {
-    if (cpuMillis <= most) continue;
-    job.home = domain;
-    most = cpuMillis;
+    if (cpuMillis <= mostCpuMillis) continue;
+    job.homeDomain = domain;
+    mostCpuMillis = cpuMillis;
   }
 }
 
 /** Whether a worker lies outside the domain that the job keeps to. */
-export function isAway(
+export function isOutsideHomeDomain(
   {job, request}: activeJob.StepRun,
-  worker: workerRegistry.BookedWorker,
+  worker: workerRegistry.RegisteredWorker,
 ): boolean {
   // Tasks that last are of use one by one.
-  if (job.home === undefined || request.longRunning) return false;
-  return worker.info.domain !== job.home;
+  if (job.homeDomain === undefined || request.longRunning) return false;
+  return worker.info.domain !== job.homeDomain;
 }
--- a/packages/gypsumwall-scheduling/src/gang_fit.ts
+++ b/packages/gypsumwall-scheduling/src/gang_fit.ts
@@ -6,8 +6,8 @@
 import type * as workerRegistry from './worker_registry.js';
 
 /** A worker that may run the tasks, and how many it has room for. */
-export interface GangRoom {
-  readonly worker: workerRegistry.BookedWorker;
+export interface WorkerSlots {
+  readonly worker: workerRegistry.RegisteredWorker;
   readonly tasks: number;
 }
 
@@ -17,13 +17,13 @@
   room: types.resources.Resources,
 ): number {
   return Math.min(
-    share(room.cpuMillis, size.cpuMillis),
-    share(room.memoryMb, size.memoryMb),
-    share(room.accelerators, size.accelerators),
+    fittingCount(room.cpuMillis, size.cpuMillis),
+    fittingCount(room.memoryMb, size.memoryMb),
+    fittingCount(room.accelerators, size.accelerators),
   );
 }
 
-function share(room: number, need: number): number {
+function fittingCount(room: number, need: number): number {
   if (need === 0) return room < 0 ? 0 : Infinity;
   return Math.max(0, Math.floor(room / need));
 }
@@ -41,37 +41,40 @@
  * workers and leaves the others whole.
  */
 export function fitGang(
-  rooms: readonly GangRoom[],
+  slots: readonly WorkerSlots[],
   taskCount: number,
   {sameRack, spread}: GangLayout,
-): workerRegistry.BookedWorker[] | undefined {
-  const fill = spread ? fillEvenly : fillLargestFirst;
-  if (!sameRack) return fill(rooms, taskCount);
-  const racks = new Map<string, GangRoom[]>();
-  for (const room of rooms) {
+): workerRegistry.RegisteredWorker[] | undefined {
+  const place = spread ? fillEvenly : fillLargestFirst;
+  if (!sameRack) return place(slots, taskCount);
+  const racks = new Map<string, WorkerSlots[]>();
+  for (const room of slots) {
     const rack = room.worker.info.rack;
     racks.set(rack, [...(racks.get(rack) ?? []), room]);
   }
   for (const inRack of racks.values()) {
-    const workers = fill(inRack, taskCount);
+    const workers = place(inRack, taskCount);
     if (workers !== undefined) return workers;
   }
-  return fill(rooms, taskCount);
+  return place(slots, taskCount);
 }
 
-function hasRoom(rooms: readonly GangRoom[], taskCount: number): boolean {
-  return rooms.reduce((sum, room) => sum + room.tasks, 0) >= taskCount;
+function hasSlotsFor(
+  slots: readonly WorkerSlots[],
+  taskCount: number,
+): boolean {
+  return slots.reduce((sum, room) => sum + room.tasks, 0) >= taskCount;
 }
 
 /** One task for each worker, round after round. */
 function fillEvenly(
-  rooms: readonly GangRoom[],
+  slots: readonly WorkerSlots[],
   taskCount: number,
-): workerRegistry.BookedWorker[] | undefined {
-  if (!hasRoom(rooms, taskCount)) return undefined;
-  const workers: workerRegistry.BookedWorker[] = [];
+): workerRegistry.RegisteredWorker[] | undefined {
+  if (!hasSlotsFor(slots, taskCount)) return undefined;
+  const workers: workerRegistry.RegisteredWorker[] = [];
   for (let round = 0; workers.length < taskCount; round++) {
-    for (const {worker, tasks} of rooms) {
+    for (const {worker, tasks} of slots) {
       if (tasks > round && workers.length < taskCount) workers.push(worker);
     }
   }
@@ -79,12 +82,12 @@
 }
 
 function fillLargestFirst(
-  rooms: readonly GangRoom[],
+  slots: readonly WorkerSlots[],
   taskCount: number,
-): workerRegistry.BookedWorker[] | undefined {
-  if (!hasRoom(rooms, taskCount)) return undefined;
-  const workers: workerRegistry.BookedWorker[] = [];
-  const largestFirst = [...rooms].sort((a, b) => b.tasks - a.tasks);
+): workerRegistry.RegisteredWorker[] | undefined {
+  if (!hasSlotsFor(slots, taskCount)) return undefined;
+  const workers: workerRegistry.RegisteredWorker[] = [];
+  const largestFirst = [...slots].sort((a, b) => b.tasks - a.tasks);
   for (const room of largestFirst) {
     const count = Math.min(room.tasks, taskCount - workers.length);
     for (let nth = 0; nth < count; nth++) workers.push(room.worker);
--- a/packages/gypsumwall-scheduling/src/gang_reservation.ts
+++ b/packages/gypsumwall-scheduling/src/gang_reservation.ts
@@ -21,41 +21,41 @@
  * Never hold more than this share of the workers: what they could run
  * meanwhile is lost.
  */
-const MOST_HELD_SHARE = 0.25;
+const MAX_RESERVED_SHARE = 0.25;
 /** Looking for a gang's room takes a while, and there is little to hold. */
-const MOST_LOOKS = 4;
+const MAX_GANGS_TRIED = 4;
 /** More urgent work may still start on held workers; room for that. */
 const SPARE_FACTOR = 1.25;
 
 /** The room that one pass keeps. */
 export interface GangReservation {
-  isHeld(worker: types.ids.WorkerId): boolean;
+  isReserved(worker: types.ids.WorkerId): boolean;
   /** Workers whose room is kept, and the gang that it is kept for. */
-  readonly held: ReadonlyMap<types.ids.WorkerId, activeJob.StepRun>;
+  readonly reservations: ReadonlyMap<types.ids.WorkerId, activeJob.StepRun>;
   /** Holds workers for a gang that found no room now. */
-  holdFor(stepRun: activeJob.StepRun): void;
+  reserveFor(stepRun: activeJob.StepRun): void;
 }
 
 /** Creates the holds of one pass, with nothing held. */
 export function createGangReservation(
   context: chooseWorker.ChoiceContext,
 ): GangReservation {
-  const held = new Map<types.ids.WorkerId, activeJob.StepRun>();
-  const most = context.book.workers.size * MOST_HELD_SHARE;
-  let looks = 0;
+  const reservations = new Map<types.ids.WorkerId, activeJob.StepRun>();
+  const maxReserved = context.registry.workers.size * MAX_RESERVED_SHARE;
+  let gangsTried = 0;
 
   return {
-    isHeld: (worker) => held.has(worker),
-    held,
-    holdFor(stepRun) {
-      if (looks++ >= MOST_LOOKS) return;
-      const size = chooseWorker.bookedSize(stepRun);
+    isReserved: (worker) => reservations.has(worker),
+    reservations,
+    reserveFor(stepRun) {
+      if (gangsTried++ >= MAX_GANGS_TRIED) return;
+      const size = chooseWorker.reservedSize(stepRun);
       let missing = stepRun.request.taskCount * SPARE_FACTOR;
       const chosen: types.ids.WorkerId[] = [];
-      for (const worker of nearestFirst(stepRun, context)) {
+      for (const worker of mostFreeFirst(stepRun, context)) {
         if (missing <= 0) break;
         const {id, capacity} = worker.info;
-        if (held.has(id)) continue;
+        if (reservations.has(id)) continue;
         chosen.push(id);
         missing -= Math.min(
           gangFit.tasksThatFit(size, capacity),
@@ -63,18 +63,19 @@
         );
       }
       // Part of the room would be held in vain.
-      if (missing > 0 || held.size + chosen.length > most) return;
-      for (const id of chosen) held.set(id, stepRun);
+      if (missing > 0 || reservations.size + chosen.length > maxReserved)
+        return;
+      for (const id of chosen) reservations.set(id, stepRun);
     },
   };
 }
 
 /** Workers that may run the step, those with the most free room first. */
-function nearestFirst(
+function mostFreeFirst(
   stepRun: activeJob.StepRun,
   context: chooseWorker.ChoiceContext,
-): workerRegistry.BookedWorker[] {
+): workerRegistry.RegisteredWorker[] {
   return chooseWorker
-    .mayEverRun(stepRun, context)
+    .findAvailableWorkers(stepRun, context)
     .sort((a, b) => b.free.cpuMillis - a.free.cpuMillis);
 }
--- a/packages/gypsumwall-scheduling/src/job_order.ts
+++ b/packages/gypsumwall-scheduling/src/job_order.ts
@@ -19,7 +19,7 @@
    * Whether the work lasts until it is cancelled. It is of use whenever it
    * runs, so it is never late.
    */
-  readonly lasting: boolean;
+  readonly isLongRunning: boolean;
   /** Rises with each job; settles ties first come, first served. */
   readonly arrival: number;
 }
@@ -35,7 +35,7 @@
   claimant: Claimant,
   now: types.clock.MonotonicMs,
 ): 0 | 1 | 2 {
-  if (claimant.lasting) return 0;
+  if (claimant.isLongRunning) return 0;
   const endsAt = now + claimant.remainingMs;
   if (endsAt <= claimant.dueAt) return 0;
   return endsAt <= claimant.worthlessAt ? 1 : 2;
--- a/packages/gypsumwall-scheduling/src/job_registry.ts
+++ b/packages/gypsumwall-scheduling/src/job_registry.ts
@@ -20,7 +20,7 @@
 
 /** What a job book works on. */
 export interface JobRegistryParts {
-  readonly runs: attemptTable.AttemptTable;
+  readonly attempts: attemptTable.AttemptTable;
   readonly health: workerHealth.WorkerHealth;
   /** Whether a worker drains or is gone for good. */
   readonly isLeaving: (worker: types.ids.WorkerId) => boolean;
@@ -31,14 +31,14 @@
 export interface JobRegistry {
   readonly jobs: ReadonlyMap<types.ids.JobId, activeJob.ActiveJob>;
   /** Steps with tasks that wait. */
-  readonly waiting: ReadonlySet<activeJob.StepRun>;
+  readonly waitingSteps: ReadonlySet<activeJob.StepRun>;
   /** Jobs whose steps or occurrences may have come due. */
-  readonly scheduled: Set<activeJob.ActiveJob>;
+  readonly jobsToOpen: Set<activeJob.ActiveJob>;
   /** Jobs whose progress has to be stored. */
   readonly dirty: Set<activeJob.ActiveJob>;
   add(job: activeJob.ActiveJob): void;
   /** Opens what is due. */
-  moveOn(
+  openDue(
     job: activeJob.ActiveJob,
     now: types.clock.MonotonicMs,
     wall: types.clock.WallMs,
@@ -53,17 +53,21 @@
    * callers, however long ago its workers were recorded or orders were sent:
    * in a full cell, or at workers that answer no orders, that is seconds.
    */
-  noteBegun(job: activeJob.ActiveJob): void;
+  markRunning(job: activeJob.ActiveJob): void;
   /** Has a run stopped; it keeps its room until its end is known. */
-  stop(run: activeJob.Attempt): void;
+  stop(attempt: activeJob.Attempt): void;
   /** Has a run stopped whose stop was answered and that is still there. */
-  stopAgain(run: activeJob.Attempt): void;
+  retryStop(attempt: activeJob.Attempt): void;
   /**
    * Puts a task whose attempt has ended back into line, with its gang if it has
    * one.
    */
-  requeue(stepRun: activeJob.StepRun, index: number, attempt: number): void;
-  dropRun(run: activeJob.Attempt): void;
+  requeue(
+    stepRun: activeJob.StepRun,
+    index: number,
+    attemptNumber: number,
+  ): void;
+  dropAttempt(attempt: activeJob.Attempt): void;
   /**
    * A run is over. A worker that is about to leave and has none of the job's
    * runs any more is taken off the job's record. A successor holds a job back
@@ -71,20 +75,20 @@
    * nobody: tasks that were moved off in good time stood still for 35 s.
    * Nothing starts on a leaving worker, so it isn't put on the record again.
    */
-  noteLeft(run: activeJob.Attempt): void;
+  removeLeavingWorker(attempt: activeJob.Attempt): void;
   /**
    * Puts a second run of a task into line beside one that may take long, where
    * its caller allows copies. The first that is done counts, and the other is
    * stopped.
    */
-  startCopy(run: activeJob.Attempt): void;
+  queueCopy(attempt: activeJob.Attempt): void;
   /** Notes whether the step has tasks that wait. */
-  noteWaiting(stepRun: activeJob.StepRun): void;
+  updateWaiting(stepRun: activeJob.StepRun): void;
   /** A task, or its gang, runs already. */
-  takeOutOfLine(stepRun: activeJob.StepRun, index: number): void;
+  dequeue(stepRun: activeJob.StepRun, index: number): void;
   breakPartialGangs(job: activeJob.ActiveJob): void;
   /** The task of a job that isn't over, if its step is known. */
-  stepRunOf(taskId: types.ids.TaskId): TaskOwner | undefined;
+  findTask(taskId: types.ids.TaskId): TaskOwner | undefined;
   /** Runs to be stopped, handed over once. */
   takeStops(): activeJob.Attempt[];
 }
@@ -92,36 +96,37 @@
 /** Creates an empty book. */
 export function createJobRegistry(parts: JobRegistryParts): JobRegistry {
   const jobs = new Map<types.ids.JobId, activeJob.ActiveJob>();
-  const waiting = new Set<activeJob.StepRun>();
-  const scheduled = new Set<activeJob.ActiveJob>();
+  const waitingSteps = new Set<activeJob.StepRun>();
+  const jobsToOpen = new Set<activeJob.ActiveJob>();
   const dirty = new Set<activeJob.ActiveJob>();
   let stops: activeJob.Attempt[] = [];
 
-  function stop(run: activeJob.Attempt): void {
-    if (run.phase === 'stopping') return;
-    run.phase = 'stopping';
-    run.confirmedAt = undefined;
-    stops.push(run);
+  function stop(attempt: activeJob.Attempt): void {
+    if (attempt.phase === 'stopping') return;
+    attempt.phase = 'stopping';
+    attempt.confirmedAt = undefined;
+    stops.push(attempt);
   }
 
-  function stopAgain(run: activeJob.Attempt): void {
-    run.confirmedAt = undefined;
-    stops.push(run);
+  function retryStop(attempt: activeJob.Attempt): void {
+    attempt.confirmedAt = undefined;
+    stops.push(attempt);
   }
 
-  function noteWaiting(stepRun: activeJob.StepRun): void {
+  function updateWaiting(stepRun: activeJob.StepRun): void {
     const over = jobProgress.isOver(stepRun.job.phase);
-    stepRun.changed = true;
-    if (stepRun.waiting.length > 0 && !over) waiting.add(stepRun);
-    else waiting.delete(stepRun);
+    stepRun.hasChanged = true;
+    if (stepRun.waiting.length > 0 && !over) waitingSteps.add(stepRun);
+    else waitingSteps.delete(stepRun);
   }
 
-  function moveOn(
+  function openDue(
     job: activeJob.ActiveJob,
     now: types.clock.MonotonicMs,
     wall: types.clock.WallMs,
   ): void {
-    for (const opened of jobSteps.openDue(job, now, wall)) noteWaiting(opened);
+    for (const opened of jobSteps.openDue(job, now, wall))
+      updateWaiting(opened);
   }
 
   function finishJob(
@@ -131,12 +136,12 @@
     job.phase = phase;
     dirty.add(job);
     jobs.delete(job.id);
-    scheduled.delete(job);
+    jobsToOpen.delete(job);
     parts.health.forgetJob(job.id);
     for (const occurrence of job.open.values()) {
       for (const stepRun of occurrence.steps) {
-        waiting.delete(stepRun);
-        for (const run of stepRun.attempts) stop(run);
+        waitingSteps.delete(stepRun);
+        for (const attempt of stepRun.attempts) stop(attempt);
       }
     }
     parts.onEvent({
@@ -150,7 +155,7 @@
 
   /** Breaks a gang up: without one member the others can't work. */
   function breakGang(stepRun: activeJob.StepRun): void {
-    for (const run of stepRun.attempts) stop(run);
+    for (const attempt of stepRun.attempts) stop(attempt);
   }
 
   /** A gang that was found in part has lost members with their workers. */
@@ -165,53 +170,52 @@
   }
 
   /** Whether the end of an attempt leaves a gang without a member. */
-  function losesMember(stepRun: activeJob.StepRun, attempt: number): boolean {
-    const {
-      request,
-      state,
-      highestAttempts: attempts,
-      job,
-      attempts: runs,
-    } = stepRun;
+  function losesMember(
+    stepRun: activeJob.StepRun,
+    attemptNumber: number,
+  ): boolean {
+    const {request, state, highestAttempts, job, attempts} = stepRun;
     // Members of one that is done end by themselves.
     if (!request.gang || state === 'done') return false;
-    const latest = attempts.get(activeJob.GANG_KEY) ?? 0;
-    if (attempt >= latest) return true;
+    const latest = highestAttempts.get(activeJob.GANG_KEY) ?? 0;
+    if (attemptNumber >= latest) return true;
     // Members of the latest attempt may not all have been found yet.
-    if (job.heldBack) return false;
-    const members = [...runs].filter((run) => run.phase !== 'stopping');
+    if (job.isAwaitingReconciliation) return false;
+    const members = [...attempts].filter(
+      (attempt) => attempt.phase !== 'stopping',
+    );
     return members.length < request.taskCount;
   }
 
   function requeue(
     stepRun: activeJob.StepRun,
     index: number,
-    attempt: number,
+    attemptNumber: number,
   ): void {
-    if (losesMember(stepRun, attempt)) breakGang(stepRun);
+    if (losesMember(stepRun, attemptNumber)) breakGang(stepRun);
     jobSteps.requeue(stepRun, index);
-    noteWaiting(stepRun);
+    updateWaiting(stepRun);
   }
 
-  function noteLeft({owner, workerId}: activeJob.Attempt): void {
+  function removeLeavingWorker({owner, workerId}: activeJob.Attempt): void {
     const job = owner?.stepRun.job;
     if (job === undefined || jobProgress.isOver(job.phase)) return;
     if (!parts.isLeaving(workerId)) return;
-    for (const run of parts.runs.ofWorker(workerId)) {
-      if (run.owner?.stepRun.job === job) return;
+    for (const attempt of parts.attempts.ofWorker(workerId)) {
+      if (attempt.owner?.stepRun.job === job) return;
     }
     if (job.workers.delete(workerId)) dirty.add(job);
   }
 
   /** A run is over without a word on how: its task waits again. */
-  function dropRun(run: activeJob.Attempt): void {
-    const {owner, number: attempt} = run;
-    parts.runs.remove(run);
-    noteLeft(run);
-    if (owner !== undefined) requeue(owner.stepRun, owner.index, attempt);
+  function dropAttempt(attempt: activeJob.Attempt): void {
+    const {owner, number: attemptNumber} = attempt;
+    parts.attempts.remove(attempt);
+    removeLeavingWorker(attempt);
+    if (owner !== undefined) requeue(owner.stepRun, owner.index, attemptNumber);
   }
 
-  function startCopy({phase, owner}: activeJob.Attempt): void {
+  function queueCopy({phase, owner}: activeJob.Attempt): void {
     if (phase === 'stopping' || owner === undefined) return;
     const {stepRun, index} = owner;
     const {speculative, gang, longRunning} = stepRun.request;
@@ -220,15 +224,15 @@
     if (stepRun.crashes.has(index)) return;
     if (stepRun.state !== 'open') return;
     if (jobProgress.isOver(stepRun.job.phase)) return;
-    const runsOfTask = [...stepRun.attempts].filter(
-      (run) => run.owner?.index === index,
+    const attemptsOfTask = [...stepRun.attempts].filter(
+      (attempt) => attempt.owner?.index === index,
     );
-    if (runsOfTask.length > 1 || stepRun.waiting.includes(index)) return;
+    if (attemptsOfTask.length > 1 || stepRun.waiting.includes(index)) return;
     stepRun.waiting.push(index);
-    noteWaiting(stepRun);
+    updateWaiting(stepRun);
   }
 
-  function stepRunOf(taskId: types.ids.TaskId): TaskOwner | undefined {
+  function findTask(taskId: types.ids.TaskId): TaskOwner | undefined {
     const place = taskIds.placeOf(taskId);
     if (place === undefined) return undefined;
     const occurrence = jobs.get(place.jobId)?.open.get(place.occurrence);
@@ -237,39 +241,39 @@
     return {stepRun, index: place.index};
   }
 
-  function takeOutOfLine(stepRun: activeJob.StepRun, index: number): void {
+  function dequeue(stepRun: activeJob.StepRun, index: number): void {
     stepRun.waiting = stepRun.request.gang
       ? []
       : stepRun.waiting.filter((waitingIndex) => waitingIndex !== index);
-    noteWaiting(stepRun);
+    updateWaiting(stepRun);
   }
 
   return {
     jobs,
-    waiting,
-    scheduled,
+    waitingSteps,
+    jobsToOpen,
     dirty,
     add(job) {
       jobs.set(job.id, job);
-      scheduled.add(job);
+      jobsToOpen.add(job);
     },
-    moveOn,
-    noteBegun(job) {
+    openDue,
+    markRunning(job) {
       if (job.phase !== 'queued') return;
       job.phase = 'running';
       dirty.add(job);
     },
     finishJob,
     stop,
-    stopAgain,
+    retryStop,
     requeue,
-    dropRun,
-    noteLeft,
-    startCopy,
-    noteWaiting,
-    takeOutOfLine,
+    dropAttempt,
+    removeLeavingWorker,
+    queueCopy,
+    updateWaiting,
+    dequeue,
     breakPartialGangs,
-    stepRunOf,
+    findTask,
     takeStops() {
       const taken = stops;
       stops = [];
--- a/packages/gypsumwall-scheduling/src/job_steps.ts
+++ b/packages/gypsumwall-scheduling/src/job_steps.ts
@@ -39,12 +39,12 @@
   const job: activeJob.ActiveJob = {
     ...rest,
     phase: progress.phase,
-    heldBack: inherited && progress.workers.length > 0,
+    isAwaitingReconciliation: inherited && progress.workers.length > 0,
     workers: new Map(progress.workers.map((id) => [id, 'recorded'])),
     failedOn: new Set(),
-    unheardCrashes: new Set(),
+    unresolvedCrashes: new Set(),
     open: new Map(),
-    finished: new Set(progress.finished),
+    finishedOccurrences: new Set(progress.finished),
   };
   for (const [number, steps] of Object.entries(progress.occurrences)) {
     const occurrence = activeJob.createOccurrence(
@@ -53,20 +53,20 @@
       start.acceptedAt,
     );
     job.open.set(occurrence.number, occurrence);
-    steps.forEach((step, index) => restore(occurrence.steps[index], step));
+    steps.forEach((step, index) => restoreStep(occurrence.steps[index], step));
   }
   return job;
 }
 
-function restore(
+function restoreStep(
   stepRun: activeJob.StepRun | undefined,
   progress: jobProgress.StepProgress,
 ): void {
   if (stepRun === undefined) return;
   if (progress.done === 'all') stepRun.state = 'done';
-  else for (const index of progress.done) stepRun.done.add(index);
-  for (const [index, attempts] of Object.entries(progress.failures)) {
-    stepRun.failures.set(Number(index), new Set(attempts));
+  else for (const index of progress.done) stepRun.doneIndexes.add(index);
+  for (const [index, failedAttempts] of Object.entries(progress.failures)) {
+    stepRun.failures.set(Number(index), new Set(failedAttempts));
   }
   for (const [index, workers] of Object.entries(progress.crashes ?? {})) {
     const crashes = Object.entries(workers).map(
@@ -85,20 +85,25 @@
   const schedule = job.request.schedule;
   const total = schedule?.occurrences ?? 1;
   for (let number = 0; number < total; number++) {
-    if (job.finished.has(number) || job.open.has(number)) continue;
-    const lateMs =
-      schedule === undefined ? 0 : lateness(schedule, number, wall);
-    if (lateMs < 0) break;
-    const countsFrom =
-      schedule === undefined ? job.acceptedAt : types.clock.after(now, -lateMs);
-    job.open.set(number, activeJob.createOccurrence(job, number, countsFrom));
+    if (job.finishedOccurrences.has(number) || job.open.has(number)) continue;
+    const latenessMs =
+      schedule === undefined ? 0 : latenessMsOf(schedule, number, wall);
+    if (latenessMs < 0) break;
+    const objectiveStartsAt =
+      schedule === undefined
+        ? job.acceptedAt
+        : types.clock.after(now, -latenessMs);
+    job.open.set(
+      number,
+      activeJob.createOccurrence(job, number, objectiveStartsAt),
+    );
   }
   const opened: activeJob.StepRun[] = [];
   for (const occurrence of job.open.values()) openSteps(occurrence, opened);
   return opened;
 }
 
-function lateness(
+function latenessMsOf(
   schedule: jobRequest.Schedule,
   number: number,
   wall: types.clock.WallMs,
@@ -117,21 +122,22 @@
     );
     if (!ready) continue;
     stepRun.state = 'open';
-    stepRun.waiting = openIndexes(stepRun);
+    stepRun.waiting = startableIndexes(stepRun);
     opened.push(stepRun);
   }
 }
 
 /** Indexes without end or run; a gang waits for the last of its runs. */
-function openIndexes(stepRun: activeJob.StepRun): number[] {
+function startableIndexes(stepRun: activeJob.StepRun): number[] {
   const {gang, taskCount} = stepRun.request;
   if (gang && stepRun.attempts.size > 0) return [];
   const running = new Set<number | undefined>();
-  for (const run of stepRun.attempts) running.add(run.owner?.index);
+  for (const attempt of stepRun.attempts) running.add(attempt.owner?.index);
   const indexes: number[] = [];
   // Taken from the end: the first index goes first.
   for (let index = taskCount - 1; index >= 0; index--) {
-    if (!stepRun.done.has(index) && !running.has(index)) indexes.push(index);
+    if (!stepRun.doneIndexes.has(index) && !running.has(index))
+      indexes.push(index);
   }
   return indexes;
 }
@@ -143,9 +149,9 @@
     stepRun.waiting = [];
     stepRun.state = 'done';
   } else {
-    stepRun.done.add(index);
+    stepRun.doneIndexes.add(index);
     stepRun.waiting = stepRun.waiting.filter((waiting) => waiting !== index);
-    if (stepRun.done.size < stepRun.request.taskCount) return;
+    if (stepRun.doneIndexes.size < stepRun.request.taskCount) return;
     stepRun.state = 'done';
   }
   finishOccurrence(stepRun.occurrence, stepRun.job);
@@ -157,9 +163,12 @@
 ): void {
   if (!occurrence.steps.every((step) => step.state === 'done')) return;
   job.open.delete(occurrence.number);
-  job.finished.add(occurrence.number);
+  job.finishedOccurrences.add(occurrence.number);
   const total = job.request.schedule?.occurrences ?? 1;
-  if (job.finished.size === total && !jobProgress.isOver(job.phase)) {
+  if (
+    job.finishedOccurrences.size === total &&
+    !jobProgress.isOver(job.phase)
+  ) {
     job.phase = 'completed';
   }
 }
@@ -168,14 +177,14 @@
  * Counts a failed attempt once, however often the worker repeats it; true if
  * the task has used up its attempts.
  */
-export function countFailure(
+export function recordFailure(
   stepRun: activeJob.StepRun,
   index: number,
-  attempt: number,
+  attemptNumber: number,
 ): boolean {
-  const key = activeJob.countKey(stepRun, index);
+  const key = activeJob.counterKey(stepRun, index);
   const failed = stepRun.failures.get(key) ?? new Set<number>();
-  stepRun.failures.set(key, failed.add(attempt));
+  stepRun.failures.set(key, failed.add(attemptNumber));
   if (stepRun.request.longRunning) return false;
   return failed.size >= stepRun.job.policy.maxFailures;
 }
@@ -185,10 +194,11 @@
   if (stepRun.state !== 'open' || jobProgress.isOver(stepRun.job.phase)) return;
   if (stepRun.request.gang) {
     if (stepRun.attempts.size > 0 || stepRun.waiting.length > 0) return;
-    stepRun.waiting = openIndexes(stepRun);
+    stepRun.waiting = startableIndexes(stepRun);
     return;
   }
-  if (stepRun.done.has(index) || stepRun.waiting.includes(index)) return;
-  for (const run of stepRun.attempts) if (run.owner?.index === index) return;
+  if (stepRun.doneIndexes.has(index) || stepRun.waiting.includes(index)) return;
+  for (const attempt of stepRun.attempts)
+    if (attempt.owner?.index === index) return;
   stepRun.waiting.push(index);
 }
--- a/packages/gypsumwall-scheduling/src/place_isolated.ts
+++ b/packages/gypsumwall-scheduling/src/place_isolated.ts
@@ -15,16 +15,16 @@
 
 /** The tasks that wait, by whether they have to be apart. */
 export function splitWaiting(stepRun: activeJob.StepRun): {
-  readonly apart: number[];
+  readonly isolated: number[];
   readonly others: number[];
 } {
-  const apart: number[] = [];
+  const isolated: number[] = [];
   const others: number[] = [];
   for (const index of stepRun.waiting) {
-    const isApart = crashRecords.needsIsolation(stepRun, index);
-    (isApart ? apart : others).push(index);
+    const needsIsolation = crashRecords.needsIsolation(stepRun, index);
+    (needsIsolation ? isolated : others).push(index);
   }
-  return {apart, others};
+  return {isolated, others};
 }
 
 /**
@@ -36,17 +36,17 @@
   indexes: readonly number[],
   context: chooseWorker.ChoiceContext,
 ): placements.Placement[] {
-  const {isolation, book, now} = context;
+  const {isolation, registry, now} = context;
   if (isolation === undefined) return [];
-  const quiet = chooseWorker
-    .candidates(stepRun, context)
-    .filter((worker) => isolation.isQuiet(stepRun, worker, now));
+  const suitable = chooseWorker
+    .findCandidates(stepRun, context)
+    .filter((worker) => isolation.canStartIsolated(stepRun, worker, now));
   const placed: placements.Placement[] = [];
   for (const index of indexes) {
-    const worker = chooseQuiet(stepRun, quiet, context);
+    const worker = chooseIsolationWorker(stepRun, suitable, context);
     if (worker === undefined) break;
-    isolation.notePlaced(stepRun, index, worker.info.id, now);
-    placed.push(placements.take(stepRun, index, worker, book));
+    isolation.onPlaced(stepRun, index, worker.info.id, now);
+    placed.push(placements.reserve(stepRun, index, worker, registry));
   }
   const missing = indexes.length - placed.length;
   if (missing > 0) isolation.reserveFor(stepRun, missing, context);
@@ -54,18 +54,18 @@
 }
 
 /** Where the job's own tasks are, then an empty worker, then any other. */
-function chooseQuiet(
+function chooseIsolationWorker(
   stepRun: activeJob.StepRun,
-  quiet: readonly workerRegistry.BookedWorker[],
+  quiet: readonly workerRegistry.RegisteredWorker[],
   context: chooseWorker.ChoiceContext,
-): workerRegistry.BookedWorker | undefined {
+): workerRegistry.RegisteredWorker | undefined {
   const {isolation} = context;
-  const own = quiet.filter(
-    ({info}) => isolation?.isKeptFor(stepRun, info.id) === true,
+  const ownWorkers = quiet.filter(
+    ({info}) => isolation?.isReservedFor(stepRun, info.id) === true,
   );
-  const empty = quiet.filter(({perStep}) => perStep.size === 0);
-  for (const among of [own, empty, quiet]) {
-    const worker = chooseWorker.chooseWorker(stepRun, among, context);
+  const idle = quiet.filter(({tasksByStep}) => tasksByStep.size === 0);
+  for (const candidates of [ownWorkers, idle, quiet]) {
+    const worker = chooseWorker.chooseWorker(stepRun, candidates, context);
     if (worker !== undefined) return worker;
   }
   return undefined;
--- a/packages/gypsumwall-scheduling/src/place_step.ts
+++ b/packages/gypsumwall-scheduling/src/place_step.ts
@@ -10,7 +10,7 @@
 /** Whether the store knows that tasks of the job may be on the worker. */
 export function isRecorded(
   stepRun: activeJob.StepRun,
-  worker: workerRegistry.BookedWorker,
+  worker: workerRegistry.RegisteredWorker,
 ): boolean {
   return stepRun.job.workers.get(worker.info.id) === 'recorded';
 }
@@ -23,31 +23,32 @@
   if (!placeIsolated.waitsForIsolation(stepRun)) {
     return placeTogether(stepRun, context);
   }
-  if (stepRun.request.gang) return placeGangApart(stepRun, context);
-  const {apart, others} = placeIsolated.splitWaiting(stepRun);
+  if (stepRun.request.gang) return placeIsolatedGang(stepRun, context);
+  const {isolated, others} = placeIsolated.splitWaiting(stepRun);
   stepRun.waiting = others;
   const first = placeTogether(stepRun, context);
-  const placed = placeIsolated.placeIsolated(stepRun, apart, context);
-  stepRun.waiting.push(...apart.slice(placed.length));
+  const placed = placeIsolated.placeIsolated(stepRun, isolated, context);
+  stepRun.waiting.push(...isolated.slice(placed.length));
   return [...first, ...placed];
 }
 
 /** A gang of which some members have to be apart from other jobs. */
-function placeGangApart(
+function placeIsolatedGang(
   stepRun: activeJob.StepRun,
   context: chooseWorker.ChoiceContext,
 ): placements.Placement[] {
-  const {apart, others} = placeIsolated.splitWaiting(stepRun);
-  const first = placeIsolated.placeIsolated(stepRun, apart, context);
-  if (first.length === apart.length) {
-    const among = chooseWorker.candidates(stepRun, context);
-    const rest = placeGang(stepRun, among, context, others);
+  const {isolated, others} = placeIsolated.splitWaiting(stepRun);
+  const first = placeIsolated.placeIsolated(stepRun, isolated, context);
+  if (first.length === isolated.length) {
+    const candidates = chooseWorker.findCandidates(stepRun, context);
+    const rest = placeGang(stepRun, candidates, context, others);
     if (rest.length === others.length) {
       stepRun.waiting = [];
       return [...first, ...rest];
     }
   }
-  for (const placement of first) placements.unbook(placement, context.book);
+  for (const placement of first)
+    placements.release(placement, context.registry);
   return [];
 }
 
@@ -55,27 +56,27 @@
   stepRun: activeJob.StepRun,
   context: chooseWorker.ChoiceContext,
 ): placements.Placement[] {
-  const among = chooseWorker.candidates(stepRun, context);
-  domainAffinity.settle(stepRun, among);
+  const candidates = chooseWorker.findCandidates(stepRun, context);
+  domainAffinity.assignHomeDomain(stepRun, candidates);
   // Recorded workers first: what starts there needs no word from the store.
   // Suspects would gather on them.
   const isSuspected = stepRun.crashes.size > 0;
-  const recorded = among.filter(
+  const recorded = candidates.filter(
     (worker) =>
       !isSuspected &&
       isRecorded(stepRun, worker) &&
-      !domainAffinity.isAway(stepRun, worker) &&
+      !domainAffinity.isOutsideHomeDomain(stepRun, worker) &&
       chooseWorker.isTrusted(stepRun, worker, context),
   );
   const place = stepRun.request.gang ? placeWholeGang : placeTasks;
   const first = recorded.length > 0 ? place(stepRun, recorded, context) : [];
   if (stepRun.waiting.length === 0) return first;
-  return [...first, ...place(stepRun, among, context)];
+  return [...first, ...place(stepRun, candidates, context)];
 }
 
 function placeTasks(
   stepRun: activeJob.StepRun,
-  among: readonly workerRegistry.BookedWorker[],
+  candidates: readonly workerRegistry.RegisteredWorker[],
   context: chooseWorker.ChoiceContext,
 ): placements.Placement[] {
   const placed: placements.Placement[] = [];
@@ -83,21 +84,21 @@
     const index = stepRun.waiting.at(-1)!;
     const isSuspected = stepRun.crashes.has(index);
     const choice = isSuspected ? {...context, isSuspected} : context;
-    const worker = chooseWorker.chooseWorker(stepRun, among, choice);
+    const worker = chooseWorker.chooseWorker(stepRun, candidates, choice);
     if (worker === undefined) break;
     stepRun.waiting.pop();
-    placed.push(placements.take(stepRun, index, worker, context.book));
-    noteSuspect(stepRun, index, worker, context);
+    placed.push(placements.reserve(stepRun, index, worker, context.registry));
+    markSuspect(stepRun, index, worker, context);
   }
   return placed;
 }
 
 function placeWholeGang(
   stepRun: activeJob.StepRun,
-  among: readonly workerRegistry.BookedWorker[],
+  candidates: readonly workerRegistry.RegisteredWorker[],
   context: chooseWorker.ChoiceContext,
 ): placements.Placement[] {
-  const placed = placeGang(stepRun, among, context, stepRun.waiting);
+  const placed = placeGang(stepRun, candidates, context, stepRun.waiting);
   if (placed.length > 0) stepRun.waiting = [];
   return placed;
 }
@@ -105,50 +106,53 @@
 /** Places all of the members or none. */
 function placeGang(
   stepRun: activeJob.StepRun,
-  among: readonly workerRegistry.BookedWorker[],
+  candidates: readonly workerRegistry.RegisteredWorker[],
   context: chooseWorker.ChoiceContext,
   indexes: readonly number[],
 ): placements.Placement[] {
-  const size = chooseWorker.bookedSize(stepRun);
+  const size = chooseWorker.reservedSize(stepRun);
   const {sameRack} = stepRun.request;
   const count = indexes.length;
   let total = 0;
-  const rooms = among.map((worker) => {
+  const slots = candidates.map((worker) => {
     const fitting = gangFit.tasksThatFit(size, worker.free);
-    const tasks = Math.min(fitting, chooseWorker.roomFor(stepRun, worker));
+    const tasks = Math.min(
+      fitting,
+      chooseWorker.remainingSlots(stepRun, worker),
+    );
     total += tasks;
     return {worker, tasks};
   });
   if (total < count) return [];
-  const trusted = rooms.filter(({worker}) =>
+  const trusted = slots.filter(({worker}) =>
     chooseWorker.isTrusted(stepRun, worker, context),
   );
-  const atHome = trusted.filter(
-    ({worker}) => !domainAffinity.isAway(stepRun, worker),
+  const inHomeDomain = trusted.filter(
+    ({worker}) => !domainAffinity.isOutsideHomeDomain(stepRun, worker),
   );
   const isSuspected = stepRun.crashes.size > 0;
   const layout = {sameRack, spread: isSuspected};
-  const choices = [atHome, trusted, rooms];
+  const choices = [inHomeDomain, trusted, slots];
   if (isSuspected) {
-    const isUnshared = ({worker}: gangFit.GangRoom) =>
+    const isFreeOfOtherSuspects = ({worker}: gangFit.WorkerSlots) =>
       !hostsSuspect(stepRun, worker, context);
-    choices.unshift(atHome.filter(isUnshared));
+    choices.unshift(inHomeDomain.filter(isFreeOfOtherSuspects));
   }
   const workers = firstFit(choices, count, layout);
   if (workers === undefined) return [];
   return indexes.map((index, nth) => {
     const worker = workers[nth]!;
-    noteSuspect(stepRun, index, worker, context);
-    return placements.take(stepRun, index, worker, context.book);
+    markSuspect(stepRun, index, worker, context);
+    return placements.reserve(stepRun, index, worker, context.registry);
   });
 }
 
 /** Workers for the gang among the first rooms that hold it. */
 function firstFit(
-  choices: readonly (readonly gangFit.GangRoom[])[],
+  choices: readonly (readonly gangFit.WorkerSlots[])[],
   count: number,
   layout: gangFit.GangLayout,
-): workerRegistry.BookedWorker[] | undefined {
+): workerRegistry.RegisteredWorker[] | undefined {
   for (const rooms of choices) {
     const workers = gangFit.fitGang(rooms, count, layout);
     if (workers !== undefined) return workers;
@@ -158,19 +162,19 @@
 
 function hostsSuspect(
   stepRun: activeJob.StepRun,
-  {info}: workerRegistry.BookedWorker,
+  {info}: workerRegistry.RegisteredWorker,
   {isolation}: chooseWorker.ChoiceContext,
 ): boolean {
   return isolation?.hostsSuspect(stepRun, info.id) === true;
 }
 
 /** Others that may crash their workers are kept off from now on. */
-function noteSuspect(
+function markSuspect(
   stepRun: activeJob.StepRun,
   index: number,
-  {info}: workerRegistry.BookedWorker,
+  {info}: workerRegistry.RegisteredWorker,
   {isolation, now}: chooseWorker.ChoiceContext,
 ): void {
   if (!stepRun.crashes.has(index)) return;
-  isolation?.notePlaced(stepRun, index, info.id, now);
+  isolation?.onPlaced(stepRun, index, info.id, now);
 }
--- a/packages/gypsumwall-scheduling/src/placements.ts
+++ b/packages/gypsumwall-scheduling/src/placements.ts
@@ -7,33 +7,37 @@
 export interface Placement {
   readonly stepRun: activeJob.StepRun;
   readonly index: number;
-  readonly worker: workerRegistry.BookedWorker;
+  readonly worker: workerRegistry.RegisteredWorker;
 }
 
 /** Books room for a task that is in line no more. */
-export function take(
+export function reserve(
   stepRun: activeJob.StepRun,
   index: number,
-  worker: workerRegistry.BookedWorker,
-  book: workerRegistry.WorkerRegistry,
+  worker: workerRegistry.RegisteredWorker,
+  registry: workerRegistry.WorkerRegistry,
 ): Placement {
-  book.book(worker.info.id, stepRun.id, chooseWorker.bookedSize(stepRun));
+  registry.book(worker.info.id, stepRun.id, chooseWorker.reservedSize(stepRun));
   return {stepRun, index, worker};
 }
 
 /** Gives the room back. */
-export function unbook(
+export function release(
   {stepRun, worker}: Placement,
-  book: workerRegistry.WorkerRegistry,
+  registry: workerRegistry.WorkerRegistry,
 ): void {
-  book.release(worker.info.id, stepRun.id, chooseWorker.bookedSize(stepRun));
+  registry.release(
+    worker.info.id,
+    stepRun.id,
+    chooseWorker.reservedSize(stepRun),
+  );
 }
 
 /** Gives the room back, and puts the task back into line. */
-export function takeBack(
+export function revert(
   placement: Placement,
-  book: workerRegistry.WorkerRegistry,
+  registry: workerRegistry.WorkerRegistry,
 ): void {
-  unbook(placement, book);
+  release(placement, registry);
   placement.stepRun.waiting.push(placement.index);
 }
--- a/packages/gypsumwall-scheduling/src/advice_names.ts
+++ b/packages/gypsumwall-scheduling/src/plan_advice_calls.ts
@@ -19,16 +19,16 @@
 import type * as workerRegistry from './worker_registry.js';
 
 /** The adviser takes no more names than this in one call. */
-const MOST_NAMED = 100;
+const MAX_NAMED_WORKERS = 100;
 /**
  * The fewest names of a call, if there are as many workers: the objective of a
  * job counts the time of a call with this many, so fewer gain nothing.
  */
-export const FEWEST_NAMED = 30;
+export const MIN_NAMED_WORKERS = 30;
 /** Calls on one step that are open at once. */
-const MOST_OPEN_CALLS = 3;
+const MAX_OPEN_CALLS = 3;
 /** Names of a call from which on another one beside it is quicker. */
-const SPLIT_ABOVE = 40;
+const MAX_UNSPLIT_NAMES = 40;
 /** The strictest adviser known approves 35% of the workers. */
 const APPROVED_SHARE = 0.33;
 /** Room that is free now may be taken when the answer comes. */
@@ -37,7 +37,7 @@
 /** The calls of a step. */
 export interface AdviceCalls {
   /** The names of each call to be made now, most useful first; often none. */
-  readonly named: types.ids.WorkerId[][];
+  readonly workersByCall: types.ids.WorkerId[][];
   /**
    * Whether nothing of the step can start on the tickets it has, while there is
    * room on workers that may be approved.
@@ -45,57 +45,60 @@
   readonly needed: boolean;
 }
 
-const NO_CALLS: AdviceCalls = {named: [], needed: false};
+const NO_CALLS: AdviceCalls = {workersByCall: [], needed: false};
 
 /** What the names are chosen by. */
-export interface NamesContext {
-  readonly book: workerRegistry.WorkerRegistry;
+export interface AdviceContext {
+  readonly registry: workerRegistry.WorkerRegistry;
   readonly now: types.clock.MonotonicMs;
   /** Whether the step could start on a worker, approval and room aside. */
-  readonly mayUse: (
+  readonly canUse: (
     stepRun: activeJob.StepRun,
     worker: types.ids.WorkerId,
   ) => boolean;
 }
 
 /** The calls to be made now for a step that waits. */
-export function callsFor(
+export function planAdviceCalls(
   stepRun: activeJob.StepRun,
-  context: NamesContext,
+  context: AdviceContext,
 ): AdviceCalls {
   const policy = stepRun.job.policy.advice;
   if (policy === undefined) return NO_CALLS;
-  const callsLeft = MOST_OPEN_CALLS - stepRun.advice.openCalls;
+  const callsLeft = MAX_OPEN_CALLS - stepRun.advice.openCalls;
   if (callsLeft <= 0) return NO_CALLS;
-  const rows = rowsOf(stepRun, context);
-  const names = namesFor(stepRun, policy, rows, context.now);
+  const candidates = findCandidates(stepRun, context);
+  const names = chooseNames(stepRun, policy, candidates, context.now);
   if (names.length === 0) return NO_CALLS;
-  const calls = Math.min(callsLeft, Math.ceil(names.length / SPLIT_ABOVE));
-  const perCall = Math.min(MOST_NAMED, Math.ceil(names.length / calls));
-  const split: types.ids.WorkerId[][] = [];
+  const calls = Math.min(
+    callsLeft,
+    Math.ceil(names.length / MAX_UNSPLIT_NAMES),
+  );
+  const perCall = Math.min(MAX_NAMED_WORKERS, Math.ceil(names.length / calls));
+  const workersByCall: types.ids.WorkerId[][] = [];
   for (let call = 0; call < calls; call++) {
-    split.push(names.slice(call * perCall, (call + 1) * perCall));
+    workersByCall.push(names.slice(call * perCall, (call + 1) * perCall));
   }
   return {
-    named: split.filter((one) => one.length > 0),
-    needed: isNeeded(stepRun, rows, context.now),
+    workersByCall: workersByCall.filter((one) => one.length > 0),
+    needed: isNeeded(stepRun, candidates, context.now),
   };
 }
 
 function isNeeded(
   {advice, request}: activeJob.StepRun,
-  rows: readonly Row[],
+  candidates: readonly Candidate[],
   now: types.clock.MonotonicMs,
 ): boolean {
   if (advice.openCalls > 0) return false;
-  const fewest = request.gang ? request.taskCount : 1;
+  const minTasks = request.gang ? request.taskCount : 1;
   let ready = 0;
   let all = 0;
-  for (const {id, tasks} of rows) {
+  for (const {id, tasks} of candidates) {
     all += tasks;
     if (stepAdvice.ticketFor(advice, id, now) !== undefined) ready += tasks;
   }
-  return ready < fewest && all >= fewest;
+  return ready < minTasks && all >= minTasks;
 }
 
 /**
@@ -104,82 +107,88 @@
  * those that end before are renewed, so that a gang which waits for room has
  * tickets without a gap.
  */
-function namesFor(
+function chooseNames(
   stepRun: activeJob.StepRun,
   policy: jobRequest.AdvicePolicy,
-  known: readonly Row[],
+  allCandidates: readonly Candidate[],
   now: types.clock.MonotonicMs,
 ): types.ids.WorkerId[] {
-  const renewalMs = policy.callMs + policy.perWorkerMs * FEWEST_NAMED;
+  const renewalMs = policy.callMs + policy.perWorkerMs * MIN_NAMED_WORKERS;
   const freshUntil = types.clock.after(now, renewalMs);
-  const {approvals, asked} = stepRun.advice;
+  const {approvals, pendingWorkers} = stepRun.advice;
   const wanted = stepRun.waiting.length * SPARE_FACTOR;
-  const rows: Row[] = [];
+  const candidates: Candidate[] = [];
   let covered = 0;
-  for (const row of known) {
-    const approval = approvals.get(row.id);
-    if (asked.has(row.id)) covered += row.tasks * APPROVED_SHARE;
-    else if (approval === undefined) rows.push(row);
-    else if (approval.validUntil >= freshUntil) covered += row.tasks;
-    else rows.push({...row, approved: true});
+  for (const candidate of allCandidates) {
+    const approval = approvals.get(candidate.id);
+    if (pendingWorkers.has(candidate.id))
+      covered += candidate.tasks * APPROVED_SHARE;
+    else if (approval === undefined) candidates.push(candidate);
+    else if (approval.validUntil >= freshUntil) covered += candidate.tasks;
+    else candidates.push({...candidate, isApproved: true});
   }
-  rows.sort(compareRows);
+  candidates.sort(compareCandidates);
   const names: types.ids.WorkerId[] = [];
-  for (const row of rows) {
-    if (covered >= wanted && !isShort(names, stepRun)) break;
-    if (names.length >= MOST_NAMED * MOST_OPEN_CALLS) break;
-    names.push(row.id);
-    covered += row.tasks * (row.approved ? 1 : APPROVED_SHARE);
+  for (const candidate of candidates) {
+    if (covered >= wanted && !isBelowMinimum(names, stepRun)) break;
+    if (names.length >= MAX_NAMED_WORKERS * MAX_OPEN_CALLS) break;
+    names.push(candidate.id);
+    covered += candidate.tasks * (candidate.isApproved ? 1 : APPROVED_SHARE);
   }
   return names;
 }
 
 /** Whether a first call would name fewer workers than come at no cost. */
-function isShort(
+function isBelowMinimum(
   names: readonly types.ids.WorkerId[],
   {advice}: activeJob.StepRun,
 ): boolean {
-  const first = advice.openCalls === 0 && advice.approvals.size === 0;
-  return first && names.length < FEWEST_NAMED;
+  const isFirstCall = advice.openCalls === 0 && advice.approvals.size === 0;
+  return isFirstCall && names.length < MIN_NAMED_WORKERS;
 }
 
-interface Row {
+interface Candidate {
   readonly id: types.ids.WorkerId;
   /** Whether the adviser has approved it before. */
-  readonly approved: boolean;
+  readonly isApproved: boolean;
   /** Tasks of the step that have room now. */
   readonly tasks: number;
   /** Free processors, in thousandths of a core. */
-  readonly free: number;
+  readonly freeCpuMillis: number;
 }
 
-function rowsOf(
+function findCandidates(
   stepRun: activeJob.StepRun,
-  {book, mayUse}: NamesContext,
-): Row[] {
-  const size = chooseWorker.bookedSize(stepRun);
-  const rows: Row[] = [];
-  for (const worker of book.workers.values()) {
+  {registry, canUse}: AdviceContext,
+): Candidate[] {
+  const size = chooseWorker.reservedSize(stepRun);
+  const candidates: Candidate[] = [];
+  for (const worker of registry.workers.values()) {
     const {id} = worker.info;
     if (!worker.usable || worker.info.draining) continue;
     // A refusal doesn't change.
     if (stepRun.advice.refused.has(id)) continue;
-    if (!chooseWorker.mayRunOn(stepRun, worker)) continue;
+    if (!chooseWorker.isEligible(stepRun, worker)) continue;
     const fitting = Math.min(
       gangFit.tasksThatFit(size, worker.free),
-      chooseWorker.roomFor(stepRun, worker),
+      chooseWorker.remainingSlots(stepRun, worker),
       stepRun.waiting.length,
     );
-    const tasks = mayUse(stepRun, id) ? Math.max(0, fitting) : 0;
-    rows.push({id, approved: false, tasks, free: worker.free.cpuMillis});
+    const tasks = canUse(stepRun, id) ? Math.max(0, fitting) : 0;
+    candidates.push({
+      id,
+      isApproved: false,
+      tasks,
+      freeCpuMillis: worker.free.cpuMillis,
+    });
   }
-  return rows;
+  return candidates;
 }
 
-function compareRows(a: Row, b: Row): number {
+function compareCandidates(a: Candidate, b: Candidate): number {
   return (
-    Number(b.approved) - Number(a.approved) ||
+    Number(b.isApproved) - Number(a.isApproved) ||
     b.tasks - a.tasks ||
-    b.free - a.free
+    b.freeCpuMillis - a.freeCpuMillis
   );
 }
--- a/packages/gypsumwall-scheduling/src/refusal_backoff.ts
+++ b/packages/gypsumwall-scheduling/src/refusal_backoff.ts
@@ -9,12 +9,12 @@
 import type * as schedulerTypes from './scheduler_types.js';
 
 /** Refusals that are followed by another start at once. */
-const FREE_REFUSALS = 4;
+const REFUSALS_WITHOUT_PAUSE = 4;
 const FIRST_PAUSE_MS = 25;
-const LONGEST_PAUSE_MS = 5_000;
+const MAX_PAUSE_MS = 5_000;
 
 /** Notes that a start of the step was refused. */
-export function noteRefused(
+export function recordRefusal(
   stepRun: activeJob.StepRun,
   reason: schedulerTypes.RefusalReason,
   now: types.clock.MonotonicMs,
@@ -30,23 +30,23 @@
       break;
   }
   stepRun.refusals++;
-  const beyond = stepRun.refusals - FREE_REFUSALS;
-  if (beyond <= 0) return;
-  const pauseMs = FIRST_PAUSE_MS * 2 ** (beyond - 1);
-  const spanMs = Math.min(LONGEST_PAUSE_MS, pauseMs);
-  stepRun.refusedUntil = types.clock.after(now, spanMs);
+  const refusalsBeyond = stepRun.refusals - REFUSALS_WITHOUT_PAUSE;
+  if (refusalsBeyond <= 0) return;
+  const pauseMs = FIRST_PAUSE_MS * 2 ** (refusalsBeyond - 1);
+  const cappedMs = Math.min(MAX_PAUSE_MS, pauseMs);
+  stepRun.backoffUntil = types.clock.after(now, cappedMs);
 }
 
 /** Notes that a worker took a start of the step. */
-export function noteTaken(stepRun: activeJob.StepRun): void {
+export function resetRefusals(stepRun: activeJob.StepRun): void {
   stepRun.refusals = 0;
-  stepRun.refusedUntil = undefined;
+  stepRun.backoffUntil = undefined;
 }
 
 /** Whether starts of the step pause. */
-export function pauses(
-  {refusedUntil}: activeJob.StepRun,
+export function isPaused(
+  {backoffUntil}: activeJob.StepRun,
   now: types.clock.MonotonicMs,
 ): boolean {
-  return refusedUntil !== undefined && now < refusedUntil;
+  return backoffUntil !== undefined && now < backoffUntil;
 }
