--- a/packages/gypsumwall-scheduling/src/report_reader.ts
+++ b/packages/gypsumwall-scheduling/src/report_reader.ts
@@ -20,12 +20,12 @@
  * included. Without another stop a member of a gang that runs on would keep its
  * gang from ever starting again.
  */
-const STOP_AGAIN_AFTER_MS = 4_000;
+const STOP_RETRY_AFTER_MS = 4_000;
 
 /** What a reader works on. */
 export interface ReportReaderParts {
-  readonly book: workerRegistry.WorkerRegistry;
-  readonly runs: attemptTable.AttemptTable;
+  readonly registry: workerRegistry.WorkerRegistry;
+  readonly attempts: attemptTable.AttemptTable;
   readonly health: workerHealth.WorkerHealth;
   readonly jobRegistry: jobRegistrys.JobRegistry;
   readonly onEvent: (event: schedulerTypes.SchedulerEvent) => void;
@@ -39,17 +39,17 @@
 
 /** Creates the reader of a scheduler. */
 export function createReportReader(parts: ReportReaderParts): ReportReader {
-  const {book, runs, health, jobRegistry} = parts;
+  const {registry, attempts, health, jobRegistry} = parts;
 
   function applyEnd(
     workerId: types.ids.WorkerId,
     row: schedulerTypes.AttemptEnd,
     now: types.clock.MonotonicMs,
   ): void {
-    const run = runs.find(row.taskId, row.attempt, workerId);
-    if (run !== undefined) {
-      runs.remove(run);
-      jobRegistry.noteLeft(run);
+    const attempt = attempts.find(row.taskId, row.attempt, workerId);
+    if (attempt !== undefined) {
+      attempts.remove(attempt);
+      jobRegistry.removeLeavingWorker(attempt);
     }
     parts.onEvent({
       type: 'run_ended',
@@ -58,11 +58,11 @@
       worker: workerId,
       how: row.how,
     });
-    const owner = run?.owner ?? jobRegistry.stepRunOf(row.taskId);
+    const owner = attempt?.owner ?? jobRegistry.findTask(row.taskId);
     if (owner === undefined) return;
     const {stepRun, index} = owner;
-    jobRegistry.noteBegun(stepRun.job);
-    keepCheckpoint(stepRun, index, row.checkpoint);
+    jobRegistry.markRunning(stepRun.job);
+    saveCheckpoint(stepRun, index, row.checkpoint);
     switch (row.how) {
       case 'done':
         applyDone(stepRun, index, row.attempt, workerId);
@@ -74,7 +74,7 @@
       case 'lapsed':
       case 'broken':
       case 'alone':
-        if (run !== undefined) {
+        if (attempt !== undefined) {
           jobRegistry.requeue(stepRun, index, row.attempt);
         }
         return;
@@ -84,79 +84,83 @@
   function applyDone(
     stepRun: activeJob.StepRun,
     index: number,
-    attempt: number,
+    attemptNumber: number,
     workerId: types.ids.WorkerId,
   ): void {
     const {job} = stepRun;
-    health.noteDone(workerId, job.id);
+    health.recordSuccess(workerId, job.id);
     if (stepRun.request.longRunning) {
-      jobRegistry.requeue(stepRun, index, attempt);
+      jobRegistry.requeue(stepRun, index, attemptNumber);
       return;
     }
-    if (stepRun.state === 'done' || stepRun.done.has(index)) return;
+    if (stepRun.state === 'done' || stepRun.doneIndexes.has(index)) return;
     jobSteps.markDone(stepRun, index);
-    jobRegistry.noteWaiting(stepRun);
-    for (const run of stepRun.attempts) {
+    jobRegistry.updateWaiting(stepRun);
+    for (const attempt of stepRun.attempts) {
       // Members of a gang end together by themselves; copies don't.
-      if (!stepRun.request.gang && run.owner?.index === index)
-        jobRegistry.stop(run);
+      if (!stepRun.request.gang && attempt.owner?.index === index)
+        jobRegistry.stop(attempt);
     }
     jobRegistry.dirty.add(job);
     if (job.phase === 'completed') jobRegistry.finishJob(job, 'completed');
-    else jobRegistry.scheduled.add(job);
+    else jobRegistry.jobsToOpen.add(job);
   }
 
   function applyFailed(
     stepRun: activeJob.StepRun,
     index: number,
-    attempt: number,
+    attemptNumber: number,
     workerId: types.ids.WorkerId,
     now: types.clock.MonotonicMs,
   ): void {
     const {job} = stepRun;
-    health.noteFailed(workerId, job.id, now);
+    health.recordFailure(workerId, job.id, now);
     job.failedOn.add(workerId);
     if (stepRun.state === 'done' || jobProgress.isOver(job.phase)) return;
-    const spent = jobSteps.countFailure(stepRun, index, attempt);
+    const isExhausted = jobSteps.recordFailure(stepRun, index, attemptNumber);
     jobRegistry.dirty.add(job);
-    if (spent) jobRegistry.finishJob(job, 'failed');
-    else jobRegistry.requeue(stepRun, index, attempt);
+    if (isExhausted) jobRegistry.finishJob(job, 'failed');
+    else jobRegistry.requeue(stepRun, index, attemptNumber);
   }
 
-  function keepCheckpoint(
+  function saveCheckpoint(
     stepRun: activeJob.StepRun,
     index: number,
     checkpoint: string,
   ): void {
     if (checkpoint === '') return;
-    stepRun.saved.set(activeJob.countKey(stepRun, index), checkpoint);
+    stepRun.checkpoints.set(activeJob.counterKey(stepRun, index), checkpoint);
   }
 
-  function applyRow(
+  function applyRunning(
     workerId: types.ids.WorkerId,
     row: schedulerTypes.RunningAttempt,
     now: types.clock.MonotonicMs,
   ): void {
-    const run = runs.find(row.taskId, row.attempt, workerId);
-    if (run === undefined) {
-      adopt(workerId, row, now);
+    const attempt = attempts.find(row.taskId, row.attempt, workerId);
+    if (attempt === undefined) {
+      adoptAttempt(workerId, row, now);
       return;
     }
-    if (isStopOverdue(run, now)) jobRegistry.stopAgain(run);
-    if (run.percent !== row.percent) {
-      run.percent = row.percent;
-      run.percentChangedAt = now;
+    if (isStopOverdue(attempt, now)) jobRegistry.retryStop(attempt);
+    if (attempt.percent !== row.percent) {
+      attempt.percent = row.percent;
+      attempt.percentChangedAt = now;
     }
-    run.startedAt ??= now;
-    if (run.owner !== undefined) {
-      jobRegistry.noteBegun(run.owner.stepRun.job);
-      keepCheckpoint(run.owner.stepRun, run.owner.index, row.checkpoint);
-      clearSurvivor(run.owner, now - run.startedAt);
+    attempt.startedAt ??= now;
+    if (attempt.owner !== undefined) {
+      jobRegistry.markRunning(attempt.owner.stepRun.job);
+      saveCheckpoint(
+        attempt.owner.stepRun,
+        attempt.owner.index,
+        row.checkpoint,
+      );
+      clearCrashes(attempt.owner, now - attempt.startedAt);
     }
   }
 
   /** A task that has run this long crashes no worker; old crashes don't count. */
-  function clearSurvivor(
+  function clearCrashes(
     {stepRun, index}: jobRegistrys.TaskOwner,
     ranMs: number,
   ): void {
@@ -169,27 +173,27 @@
     now: types.clock.MonotonicMs,
   ): boolean {
     if (phase !== 'stopping' || confirmedAt === undefined) return false;
-    return now - confirmedAt > STOP_AGAIN_AFTER_MS;
+    return now - confirmedAt > STOP_RETRY_AFTER_MS;
   }
 
   /**
    * Takes over a run that an earlier scheduler started. What is no task of
    * ours any more is stopped, and takes room until its end is told.
    */
-  function adopt(
+  function adoptAttempt(
     workerId: types.ids.WorkerId,
     row: schedulerTypes.RunningAttempt,
     now: types.clock.MonotonicMs,
   ): void {
-    const owner = jobRegistry.stepRunOf(row.taskId);
+    const owner = jobRegistry.findTask(row.taskId);
     const wanted = owner !== undefined && isWanted(owner, row.attempt);
-    const worker = book.workers.get(workerId);
+    const worker = registry.workers.get(workerId);
     const size =
       owner === undefined
         ? (worker?.info.capacity ?? types.resources.NO_RESOURCES)
-        : chooseWorker.bookedSize(owner.stepRun);
+        : chooseWorker.reservedSize(owner.stepRun);
     const stepRunId = owner?.stepRun.id ?? 'stray';
-    const run: activeJob.Attempt = {
+    const attempt: activeJob.Attempt = {
       taskId: row.taskId,
       number: row.attempt,
       workerId,
@@ -202,17 +206,17 @@
       percent: row.percent,
       percentChangedAt: now,
     };
-    runs.add(run);
-    book.book(workerId, stepRunId, size);
+    attempts.add(attempt);
+    registry.book(workerId, stepRunId, size);
     if (owner === undefined) {
-      jobRegistry.stop(run);
+      jobRegistry.stop(attempt);
       return;
     }
-    jobRegistry.noteBegun(owner.stepRun.job);
-    noteAttempt(owner.stepRun, owner.index, row.attempt);
-    keepCheckpoint(owner.stepRun, owner.index, row.checkpoint);
-    if (wanted) jobRegistry.takeOutOfLine(owner.stepRun, owner.index);
-    else jobRegistry.stop(run);
+    jobRegistry.markRunning(owner.stepRun.job);
+    recordAttemptNumber(owner.stepRun, owner.index, row.attempt);
+    saveCheckpoint(owner.stepRun, owner.index, row.checkpoint);
+    if (wanted) jobRegistry.dequeue(owner.stepRun, owner.index);
+    else jobRegistry.stop(attempt);
   }
 
   /**
@@ -220,44 +224,50 @@
    * is no reason against it: the steps before it were done when it started,
    * and their last ends may not have been heard here yet.
    */
-  function isWanted(owner: jobRegistrys.TaskOwner, attempt: number): boolean {
+  function isWanted(
+    owner: jobRegistrys.TaskOwner,
+    attemptNumber: number,
+  ): boolean {
     const {stepRun, index} = owner;
-    if (stepRun.state === 'done' || stepRun.done.has(index)) return false;
+    if (stepRun.state === 'done' || stepRun.doneIndexes.has(index))
+      return false;
     const {gang} = stepRun.request;
-    for (const run of stepRun.attempts) {
-      if (gang ? run.number !== attempt : run.owner?.index === index) {
+    for (const attempt of stepRun.attempts) {
+      if (
+        gang ? attempt.number !== attemptNumber : attempt.owner?.index === index
+      ) {
         return false;
       }
     }
     return true;
   }
 
-  function noteAttempt(
+  function recordAttemptNumber(
     stepRun: activeJob.StepRun,
     index: number,
-    attempt: number,
+    attemptNumber: number,
   ): void {
-    const key = activeJob.countKey(stepRun, index);
+    const key = activeJob.counterKey(stepRun, index);
     const highest = stepRun.highestAttempts.get(key) ?? 0;
-    stepRun.highestAttempts.set(key, Math.max(highest, attempt));
+    stepRun.highestAttempts.set(key, Math.max(highest, attemptNumber));
   }
 
   function findVanished(report: schedulerTypes.WorkerReport): void {
     const listed = new Set(
       report.running.map((row) => `${row.taskId}#${row.attempt}`),
     );
-    for (const run of [...runs.ofWorker(report.workerId)]) {
-      if (listed.has(`${run.taskId}#${run.number}`)) continue;
-      const confirmed = run.confirmedAt;
+    for (const attempt of [...attempts.ofWorker(report.workerId)]) {
+      if (listed.has(`${attempt.taskId}#${attempt.number}`)) continue;
+      const confirmed = attempt.confirmedAt;
       if (confirmed === undefined || confirmed >= report.askedAt) continue;
       parts.onEvent({
         type: 'run_ended',
-        run: run.taskId,
-        attempt: run.number,
-        worker: run.workerId,
+        run: attempt.taskId,
+        attempt: attempt.number,
+        worker: attempt.workerId,
         how: 'vanished',
       });
-      jobRegistry.dropRun(run);
+      jobRegistry.dropAttempt(attempt);
     }
   }
 
@@ -265,23 +275,23 @@
     workerId: types.ids.WorkerId,
     now: types.clock.MonotonicMs,
   ): void {
-    const stall = stallDetector.findStall(runs.ofWorker(workerId), now);
+    const stall = stallDetector.findStall(attempts.ofWorker(workerId), now);
     if (stall === undefined) return;
     parts.onEvent({
       type: 'worker_stalled',
       worker: workerId,
-      runs: stall.runs.length,
-      percent: stall.runs[0]?.percent ?? 0,
-      step: stall.runs[0]?.stepRunId ?? '',
+      runs: stall.attempts.length,
+      percent: stall.attempts[0]?.percent ?? 0,
+      step: stall.attempts[0]?.stepRunId ?? '',
       blamed: stall.blamesWorker,
     });
-    if (stall.blamesWorker) health.noteStalled(workerId, now);
-    for (const run of stall.runs) jobRegistry.stop(run);
+    if (stall.blamesWorker) health.recordStall(workerId, now);
+    for (const attempt of stall.attempts) jobRegistry.stop(attempt);
   }
 
   return (report, now) => {
     for (const end of report.ends) applyEnd(report.workerId, end, now);
-    for (const row of report.running) applyRow(report.workerId, row, now);
+    for (const row of report.running) applyRunning(report.workerId, row, now);
     if (report.complete) findVanished(report);
     handleStall(report.workerId, now);
   };
--- a/packages/gypsumwall-scheduling/src/scheduler.ts
+++ b/packages/gypsumwall-scheduling/src/scheduler.ts
@@ -6,12 +6,12 @@
 import * as types from '@gypsumwall/types';
 import * as activeJob from './active_job.js';
 import type * as adviserPool from './adviser_pool.js';
-import * as adviceWishes from './advice_wishes.js';
-import * as crashReader from './crash_reader.js';
+import * as takeAdviceRequests from './take_advice_requests.js';
+import * as crashAttribution from './crash_attribution.js';
 import * as jobOrder from './job_order.js';
 import * as jobRegistrys from './job_registry.js';
 import * as jobSteps from './job_steps.js';
-import * as lostRuns from './lost_runs.js';
+import * as lostAttempts from './lost_attempts.js';
 import * as placeIsolated from './place_isolated.js';
 import type * as placements from './placements.js';
 import * as refusalBackoff from './refusal_backoff.js';
@@ -40,41 +40,45 @@
   options: schedulerTypes.SchedulerOptions,
 ): schedulerTypes.Scheduler {
   const {onEvent} = options;
-  const book = workerRegistry.createWorkerRegistry();
-  const runs = attemptTable.createAttemptTable(book);
-  const health = workerHealth.createWorkerHealth(() => book.workers.size);
+  const registry = workerRegistry.createWorkerRegistry();
+  const attempts = attemptTable.createAttemptTable(registry);
+  const health = workerHealth.createWorkerHealth(() => registry.workers.size);
   const jobRegistry = jobRegistrys.createJobRegistry({
-    runs,
+    attempts,
     health,
-    isLeaving: (id) => book.workers.get(id)?.info.draining ?? true,
+    isLeaving: (id) => registry.workers.get(id)?.info.draining ?? true,
     onEvent,
   });
-  const {jobs, waiting, scheduled, dirty} = jobRegistry;
+  const {jobs, waitingSteps, jobsToOpen, dirty} = jobRegistry;
   const readReport = reportReader.createReportReader({
-    book,
-    runs,
+    registry,
+    attempts,
     health,
     jobRegistry,
     onEvent,
   });
   const losses = workerLosses.createWorkerLosses();
-  const crashes = crashReader.createCrashReader({losses, jobRegistry, onEvent});
-  const lost = lostRuns.createLostRuns({
-    runs,
+  const crashes = crashAttribution.createCrashAttribution({
+    losses,
+    jobRegistry,
+    onEvent,
+  });
+  const lossHandler = lostAttempts.createLostAttempts({
+    attempts,
     jobRegistry,
     losses,
     crashes,
     onEvent,
   });
   const isolation = taskIsolation.createTaskIsolation({
-    book,
-    runs,
+    registry,
+    attempts,
     isWaiting: (id) => waitsForIsolation(id),
   });
   const order = waitingOrder.createWaitingOrder();
   const waits = waitReporter.createWaitReporter(onEvent);
   let arrivals = 0;
-  let held: schedulingCycle.CycleResult['held'] = new Map();
+  let reservations: schedulingCycle.CycleResult['reservations'] = new Map();
 
   function waitsForIsolation(id: types.ids.JobId): boolean {
     for (const {steps} of jobs.get(id)?.open.values() ?? []) {
@@ -84,20 +88,20 @@
   }
 
   /** Without this the same order would go to the same worker at once. */
-  function learnFromRefusal(
-    run: activeJob.Attempt,
+  function applyRefusal(
+    attempt: activeJob.Attempt,
     reason: schedulerTypes.RefusalReason,
     now: types.clock.MonotonicMs,
   ): void {
     switch (reason) {
       case 'bad_ticket':
-        if (run.owner === undefined) return;
-        run.owner.stepRun.advice.approvals.delete(run.workerId);
+        if (attempt.owner === undefined) return;
+        attempt.owner.stepRun.advice.approvals.delete(attempt.workerId);
         return;
       case 'no_room':
       case 'unhealthy':
       case 'other':
-        health.noteStalled(run.workerId, now);
+        health.recordStall(attempt.workerId, now);
         return;
       case 'superseded':
         // The next attempt has a higher number.
@@ -109,56 +113,59 @@
     placement: placements.Placement,
     now: types.clock.MonotonicMs,
   ): schedulerTypes.StartOrder {
-    const started = startOrders.startOrder(placement, now);
-    runs.add(started.attempt);
-    isolation.noteOrdered(started.attempt, now);
-    return started;
+    const startOrder = startOrders.createStartOrder(placement, now);
+    attempts.add(startOrder.attempt);
+    isolation.onStartOrdered(startOrder.attempt, now);
+    return startOrder;
   }
 
   function runCycle(
     now: types.clock.MonotonicMs,
     callsLeft: number,
   ): schedulingCycle.CycleResult {
-    const {steps, gangFellBehind} = order.sorted(waiting, now);
-    if (gangFellBehind) for (const id of held.keys()) book.noteFreed(id);
-    for (const id of health.takeRestored(now)) book.noteFreed(id);
-    for (const id of isolation.takeReopened(now)) book.noteFreed(id);
-    const freed = book.takeFreed();
-    const context = {book, health, now, freed, isolation};
-    const startable = steps.filter((stepRun) => !stepRun.job.heldBack);
+    const {steps, gangFellBehind} = order.sorted(waitingSteps, now);
+    if (gangFellBehind)
+      for (const id of reservations.keys()) registry.markFreed(id);
+    for (const id of health.takeRestored(now)) registry.markFreed(id);
+    for (const id of isolation.releaseExpired(now)) registry.markFreed(id);
+    const freed = registry.takeFreed();
+    const context = {registry, health, now, freed, isolation};
+    const startable = steps.filter(
+      (stepRun) => !stepRun.job.isAwaitingReconciliation,
+    );
     const cycle = schedulingCycle.runCycle(startable, context);
-    for (const [id, gang] of held) {
-      if (cycle.held.get(id) !== gang) book.noteFreed(id);
+    for (const [id, gang] of reservations) {
+      if (cycle.reservations.get(id) !== gang) registry.markFreed(id);
     }
-    held = cycle.held;
-    for (const {stepRun} of cycle.placed) waits.notePlaced(stepRun);
-    const isHeld = (id: types.ids.WorkerId) => held.has(id);
-    const waitingSteps = {ordered: steps, jobs: jobs.values()};
-    const reasons = {book, health, now, isHeld, isolation, callsLeft};
-    waits.sweep(waitingSteps, reasons);
+    reservations = cycle.reservations;
+    for (const {stepRun} of cycle.placed) waits.onPlaced(stepRun);
+    const isReserved = (id: types.ids.WorkerId) => reservations.has(id);
+    const sweptSteps = {ordered: steps, jobs: jobs.values()};
+    const reasons = {registry, health, now, isReserved, isolation, callsLeft};
+    waits.sweep(sweptSteps, reasons);
     return cycle;
   }
 
   /** Calls for the most urgent steps, while there are entries to make them. */
-  function takeWishes(
-    unadvised: readonly activeJob.StepRun[],
+  function requestAdvice(
+    awaitingAdvice: readonly activeJob.StepRun[],
     now: types.clock.MonotonicMs,
     capacity: adviserPool.AdviceCapacity,
   ): schedulerTypes.AdviceRequest[] {
-    return adviceWishes.takeWishes(unadvised, capacity, {
-      book,
+    return takeAdviceRequests.takeAdviceRequests(awaitingAdvice, capacity, {
+      registry,
       now,
-      mayUse(stepRun, id) {
+      canUse(stepRun, id) {
         if (health.trustOf(id, now) === 'avoided') return false;
-        if (!mayHost(stepRun, id, now)) return false;
-        const gang = held.get(id);
-        return gang === undefined || !goesBefore(gang, stepRun);
+        if (!canHost(stepRun, id, now)) return false;
+        const gang = reservations.get(id);
+        return gang === undefined || !outranks(gang, stepRun);
       },
     });
   }
 
   /** Whether a worker isn't kept from what waits of a step. */
-  function mayHost(
+  function canHost(
     stepRun: activeJob.StepRun,
     id: types.ids.WorkerId,
     now: types.clock.MonotonicMs,
@@ -166,11 +173,11 @@
     if (isolation.isClosedTo(stepRun, id)) return false;
     if (!placeIsolated.waitsForIsolation(stepRun)) return true;
     if (placeIsolated.splitWaiting(stepRun).others.length > 0) return true;
-    return isolation.mayHost(stepRun, id, now);
+    return isolation.canSoonStartIsolated(stepRun, id, now);
   }
 
   /** Whether a step outranked another at the last cycle. */
-  function goesBefore(
+  function outranks(
     {rank}: activeJob.StepRun,
     other: activeJob.StepRun,
   ): boolean {
@@ -179,8 +186,10 @@
   }
 
   /** Has the workers recorded that tasks are about to be handed to. */
-  function recordWorkers(unrecorded: readonly placements.Placement[]): void {
-    for (const {stepRun, worker} of unrecorded) {
+  function recordWorkers(
+    awaitingCommit: readonly placements.Placement[],
+  ): void {
+    for (const {stepRun, worker} of awaitingCommit) {
       const {job} = stepRun;
       if (job.workers.has(worker.info.id)) continue;
       job.workers.set(worker.info.id, 'recording');
@@ -189,12 +198,12 @@
   }
 
   return {
-    book,
+    book: registry,
     jobs,
     addJob(start, now, wall) {
       const job = jobSteps.createJob({...start, arrival: arrivals++});
       jobRegistry.add(job);
-      jobRegistry.moveOn(job, now, wall);
+      jobRegistry.openDue(job, now, wall);
     },
     hasJob: (id) => jobs.has(id),
     updatePolicies(policyOf) {
@@ -206,108 +215,110 @@
       const job = jobs.get(id);
       if (job !== undefined) jobRegistry.finishJob(job, 'cancelled');
     },
-    putWorker: (info) => void book.put(info),
+    putWorker: (info) => void registry.put(info),
     workerGone(id, cause, now) {
-      if (cause === 'crashed') lost.noteUnheard(id);
-      book.remove(id);
-      lost.dropRuns(id, cause, now);
-      losses.noteGone(id);
+      if (cause === 'crashed') lossHandler.recordUnresolvedCrash(id);
+      registry.remove(id);
+      lossHandler.endAttempts(id, cause, now);
+      losses.recordRemoval(id);
       health.forgetWorker(id);
     },
-    leasePassed: (id, now) => lost.dropRuns(id, 'silent', now),
+    leasePassed: (id, now) => lossHandler.endAttempts(id, 'silent', now),
     setUsable(id, usable, now) {
-      if (!usable) lost.noteUnanswered(id, now);
-      book.setUsable(id, usable);
+      if (!usable) lossHandler.onWorkerUnanswered(id, now);
+      registry.setUsable(id, usable);
     },
     outOfReach(id) {
-      for (const run of runs.ofWorker(id)) jobRegistry.startCopy(run);
+      for (const attempt of attempts.ofWorker(id))
+        jobRegistry.queueCopy(attempt);
     },
-    isIdle: (id) => runs.ofWorker(id).size === 0,
+    isIdle: (id) => attempts.ofWorker(id).size === 0,
     runsLasting(id) {
-      for (const {owner} of runs.ofWorker(id)) {
+      for (const {owner} of attempts.ofWorker(id)) {
         if (owner?.stepRun.request.longRunning === true) return true;
       }
       return false;
     },
     evacuate(id) {
-      for (const run of runs.ofWorker(id)) jobRegistry.stop(run);
+      for (const attempt of attempts.ofWorker(id)) jobRegistry.stop(attempt);
     },
     workerAccounted() {
       for (const job of jobs.values()) {
-        if (!job.heldBack) continue;
+        if (!job.isAwaitingReconciliation) continue;
         if (![...job.workers.keys()].every(options.isAccounted)) continue;
-        job.heldBack = false;
-        crashes.noteAccounted(job);
-        activeJob.noteChanged(job);
+        job.isAwaitingReconciliation = false;
+        crashes.onJobReconciled(job);
+        activeJob.markChanged(job);
         jobRegistry.breakPartialGangs(job);
       }
     },
     decide(now, wall, capacity = UNLIMITED_ADVICE) {
-      for (const job of scheduled) {
-        jobRegistry.moveOn(job, now, wall);
+      for (const job of jobsToOpen) {
+        jobRegistry.openDue(job, now, wall);
         const total = job.request.schedule?.occurrences ?? 1;
         // Only jobs with times to come are looked at again.
-        if (job.finished.size + job.open.size >= total) scheduled.delete(job);
+        if (job.finishedOccurrences.size + job.open.size >= total)
+          jobsToOpen.delete(job);
       }
       const cycle = runCycle(now, capacity.needed);
       recordWorkers(cycle.awaitingCommit);
       startOrders.numberAttempts(cycle.placed, options.attemptBase);
       const starts = cycle.placed.map((placed) => orderStart(placed, now));
-      for (const {stepRun} of cycle.placed) jobRegistry.noteWaiting(stepRun);
-      const advice = takeWishes(cycle.awaitingAdvice, now, capacity);
+      for (const {stepRun} of cycle.placed) jobRegistry.updateWaiting(stepRun);
+      const advice = requestAdvice(cycle.awaitingAdvice, now, capacity);
       return {starts, advice};
     },
-    startAnswered(run, outcome, now) {
-      if (!runs.has(run)) return;
+    startAnswered(attempt, outcome, now) {
+      if (!attempts.has(attempt)) return;
       switch (outcome.type) {
         case 'started':
-          if (run.phase === 'starting') {
-            run.phase = 'running';
-            run.confirmedAt = now;
-            run.startedAt ??= now;
-            run.percentChangedAt = now;
-            isolation.noteStarted(run, now);
+          if (attempt.phase === 'starting') {
+            attempt.phase = 'running';
+            attempt.confirmedAt = now;
+            attempt.startedAt ??= now;
+            attempt.percentChangedAt = now;
+            isolation.onStarted(attempt, now);
           }
-          if (run.owner !== undefined) {
-            refusalBackoff.noteTaken(run.owner.stepRun);
-            jobRegistry.noteBegun(run.owner.stepRun.job);
+          if (attempt.owner !== undefined) {
+            refusalBackoff.resetRefusals(attempt.owner.stepRun);
+            jobRegistry.markRunning(attempt.owner.stepRun.job);
           }
           return;
         case 'unknown':
           // Only an answered stop tells whether it runs or ever will.
-          jobRegistry.stop(run);
+          jobRegistry.stop(attempt);
           return;
         case 'refused':
           options.onEvent({
             type: 'run_ended',
-            run: run.taskId,
-            attempt: run.number,
-            worker: run.workerId,
+            run: attempt.taskId,
+            attempt: attempt.number,
+            worker: attempt.workerId,
             how: 'refused',
             reason: outcome.reason,
           });
-          learnFromRefusal(run, outcome.reason, now);
-          if (run.owner !== undefined) {
-            const {stepRun} = run.owner;
-            refusalBackoff.noteRefused(stepRun, outcome.reason, now);
+          applyRefusal(attempt, outcome.reason, now);
+          if (attempt.owner !== undefined) {
+            const {stepRun} = attempt.owner;
+            refusalBackoff.recordRefusal(stepRun, outcome.reason, now);
           }
-          jobRegistry.dropRun(run);
+          jobRegistry.dropAttempt(attempt);
           return;
       }
     },
-    stopAnswered(run, now) {
-      run.confirmedAt = now;
+    stopAnswered(attempt, now) {
+      attempt.confirmedAt = now;
     },
     report(report, now) {
-      const info = book.workers.get(report.workerId)?.info;
-      if (info !== undefined) losses.noteAnswered(info, now);
-      crashes.noteAnswered(report.workerId);
+      const info = registry.workers.get(report.workerId)?.info;
+      if (info !== undefined) losses.recordAnswer(info, now);
+      crashes.onWorkerAnswered(report.workerId);
       readReport(report, now);
-      isolation.noteFound(report.workerId, now);
+      isolation.onAttemptsFound(report.workerId, now);
     },
     adviceAnswered({stepRun, workers}, approved, validUntil) {
-      if (approved !== undefined) stepRun.changed = true;
-      stepAdvice.noteAnswer(stepRun.advice, workers, approved, validUntil);
+      if (approved !== undefined) stepRun.hasChanged = true;
+      stepAdvice.recordAnswer(stepRun.advice, workers, approved, validUntil);
     },
     takeStops: () => jobRegistry.takeStops(),
     takeDirty() {
@@ -322,7 +333,7 @@
     stored(stored) {
       for (const {jobId, progress} of stored) {
         const job = jobs.get(jobId);
-        if (job !== undefined) activeJob.noteChanged(job);
+        if (job !== undefined) activeJob.markChanged(job);
         if (job?.unstoredCrashes === progress) job.unstoredCrashes = undefined;
         for (const id of progress.workers) {
           // One that was taken off the record since must not come back on it.
@@ -332,8 +343,8 @@
     },
     counts: () => ({
       jobs: jobs.size,
-      runs: runs.size(),
-      waitingSteps: waiting.size,
+      runs: attempts.size(),
+      waitingSteps: waitingSteps.size,
     }),
   };
 }
--- a/packages/gypsumwall-scheduling/src/scheduler_types.ts
+++ b/packages/gypsumwall-scheduling/src/scheduler_types.ts
@@ -139,11 +139,11 @@
     capacity?: adviserPool.AdviceCapacity,
   ): Decisions;
   startAnswered(
-    run: activeJob.Attempt,
+    attempt: activeJob.Attempt,
     outcome: StartOutcome,
     now: types.clock.MonotonicMs,
   ): void;
-  stopAnswered(run: activeJob.Attempt, now: types.clock.MonotonicMs): void;
+  stopAnswered(attempt: activeJob.Attempt, now: types.clock.MonotonicMs): void;
   report(report: WorkerReport, now: types.clock.MonotonicMs): void;
   adviceAnswered(
     wish: AdviceRequest,
--- a/packages/gypsumwall-scheduling/src/scheduling_cycle.ts
+++ b/packages/gypsumwall-scheduling/src/scheduling_cycle.ts
@@ -27,7 +27,7 @@
  * more urgent steps that are tried in vain at each cycle would keep all others
  * from ever being tried.
  */
-const MAX_LEFT_OUT_STEPS = 10;
+const MAX_SKIPPED_STEPS = 10;
 
 /** What a cycle looks at. */
 export interface CycleContext extends chooseWorker.ChoiceContext {
@@ -49,7 +49,7 @@
    */
   readonly awaitingCommit: placements.Placement[];
   /** Workers whose room is kept, and the gang that it is kept for. */
-  readonly held: ReadonlyMap<types.ids.WorkerId, activeJob.StepRun>;
+  readonly reservations: ReadonlyMap<types.ids.WorkerId, activeJob.StepRun>;
 }
 
 /** Runs a cycle over steps that wait and may start, most urgent first. */
@@ -57,71 +57,72 @@
   ordered: readonly activeJob.StepRun[],
   context: CycleContext,
 ): CycleResult {
-  const hold = gangReservation.createGangReservation(context);
-  const {held} = hold;
+  const reservation = gangReservation.createGangReservation(context);
+  const {reservations} = reservation;
   const result: CycleResult = {
     placed: [],
     awaitingAdvice: [],
     awaitingCommit: [],
-    held,
+    reservations,
   };
-  const isHeld = (id: types.ids.WorkerId) => hold.isHeld(id);
-  const choice = {...context, isHeld};
-  const leftOut = longestLeftOut(ordered);
-  let turns = MAX_TRIED_STEPS - leftOut.size;
+  const isReserved = (id: types.ids.WorkerId) => reservation.isReserved(id);
+  const choice = {...context, isReserved};
+  const skipped = longestSkipped(ordered);
+  let triesLeft = MAX_TRIED_STEPS - skipped.size;
   for (const stepRun of ordered) {
-    const due =
-      stepRun.changed ||
-      hasNewRoom(stepRun, context) ||
+    const isDue =
+      stepRun.hasChanged ||
+      hasFreedCapacity(stepRun, context) ||
       // Workers become quiet with time.
       placeIsolated.waitsForIsolation(stepRun);
-    const pauses = refusalBackoff.pauses(stepRun, context.now);
-    const tries = due && !pauses && (leftOut.has(stepRun) || turns-- > 0);
-    stepRun.changed = due && !tries;
-    const found = tries ? placeStep.placeStep(stepRun, choice) : [];
-    if (isWaitingGang(stepRun) && !pauses) hold.holdFor(stepRun);
-    const advised = stepRun.job.policy.advice !== undefined;
-    if (advised && stepRun.waiting.length > 0)
+    const isPaused = refusalBackoff.isPaused(stepRun, context.now);
+    const isTried =
+      isDue && !isPaused && (skipped.has(stepRun) || triesLeft-- > 0);
+    stepRun.hasChanged = isDue && !isTried;
+    const found = isTried ? placeStep.placeStep(stepRun, choice) : [];
+    if (isWaitingGang(stepRun) && !isPaused) reservation.reserveFor(stepRun);
+    const needsAdvice = stepRun.job.policy.advice !== undefined;
+    if (needsAdvice && stepRun.waiting.length > 0)
       result.awaitingAdvice.push(stepRun);
-    const ready = readyOf(stepRun, found);
-    result.placed.push(...ready);
+    const committed = committedOf(stepRun, found);
+    result.placed.push(...committed);
     // Uncommitted placements are made anew at the next cycle.
-    const isLeftOut = stepRun.changed && !pauses;
-    if (isLeftOut || ready.length < found.length) {
-      stepRun.leftOutSince ??= context.now;
-    } else stepRun.leftOutSince = undefined;
+    const isSkipped = stepRun.hasChanged && !isPaused;
+    if (isSkipped || committed.length < found.length) {
+      stepRun.skippedSince ??= context.now;
+    } else stepRun.skippedSince = undefined;
     // Uncommitted placements keep their room until the end of the cycle, so
     // that no later step takes it.
-    if (ready.length === found.length) continue;
-    const early = new Set(ready);
+    if (committed.length === found.length) continue;
+    const early = new Set(committed);
     result.awaitingCommit.push(...found.filter((one) => !early.has(one)));
   }
   for (const placement of result.awaitingCommit) {
-    placements.takeBack(placement, context.book);
+    placements.revert(placement, context.registry);
   }
   return result;
 }
 
 /** The steps that had no turn for longest; most urgent first among equals. */
-function longestLeftOut(
+function longestSkipped(
   ordered: readonly activeJob.StepRun[],
 ): ReadonlySet<activeJob.StepRun> {
-  const leftOut = ordered.filter((one) => one.leftOutSince !== undefined);
-  leftOut.sort((a, b) => a.leftOutSince! - b.leftOutSince!);
-  return new Set(leftOut.slice(0, MAX_LEFT_OUT_STEPS));
+  const skipped = ordered.filter((one) => one.skippedSince !== undefined);
+  skipped.sort((a, b) => a.skippedSince! - b.skippedSince!);
+  return new Set(skipped.slice(0, MAX_SKIPPED_STEPS));
 }
 
 /** Whether a worker that the step may use has got more room. */
-function hasNewRoom(
+function hasFreedCapacity(
   stepRun: activeJob.StepRun,
-  {freed, book}: CycleContext,
+  {freed, registry}: CycleContext,
 ): boolean {
   const {advice, job} = stepRun;
-  const advised = job.policy.advice !== undefined;
-  const size = chooseWorker.bookedSize(stepRun);
+  const needsAdvice = job.policy.advice !== undefined;
+  const size = chooseWorker.reservedSize(stepRun);
   for (const id of freed) {
-    if (advised && !advice.approvals.has(id)) continue;
-    const worker = book.workers.get(id);
+    if (needsAdvice && !advice.approvals.has(id)) continue;
+    const worker = registry.workers.get(id);
     if (worker !== undefined && types.resources.fits(size, worker.free)) {
       return true;
     }
@@ -134,15 +135,15 @@
 }
 
 /** Those that may start now; of a gang all or none. */
-function readyOf(
+function committedOf(
   stepRun: activeJob.StepRun,
   found: placements.Placement[],
 ): placements.Placement[] {
-  const ready = found.filter(
+  const committed = found.filter(
     (one) => placeStep.isRecorded(stepRun, one.worker) && isCrashStored(one),
   );
-  const whole = ready.length === found.length;
-  return stepRun.request.gang && !whole ? [] : ready;
+  const whole = committed.length === found.length;
+  return stepRun.request.gang && !whole ? [] : committed;
 }
 
 /**
--- a/packages/gypsumwall-scheduling/src/stall_detector.ts
+++ b/packages/gypsumwall-scheduling/src/stall_detector.ts
@@ -14,7 +14,7 @@
 
 /** What stands still on one worker. */
 export interface Stall {
-  readonly runs: activeJob.Attempt[];
+  readonly attempts: activeJob.Attempt[];
   /**
    * Whether the worker is to blame. Members of a gang stand still all
    * together, wherever the one at fault is, so they accuse nobody.
@@ -35,19 +35,19 @@
 
 /** The stalled runs of a worker, if nothing on it moves; else undefined. */
 export function findStall(
-  runs: ReadonlySet<activeJob.Attempt>,
+  attempts: ReadonlySet<activeJob.Attempt>,
   now: types.clock.MonotonicMs,
 ): Stall | undefined {
   const stalled: activeJob.Attempt[] = [];
-  for (const run of runs) {
-    if (run.owner?.stepRun.request.longRunning === true) continue;
-    if (run.phase !== 'running' || waitsForGang(run)) continue;
-    if (now - run.percentChangedAt < STALLED_AFTER_MS) return undefined;
-    stalled.push(run);
+  for (const attempt of attempts) {
+    if (attempt.owner?.stepRun.request.longRunning === true) continue;
+    if (attempt.phase !== 'running' || waitsForGang(attempt)) continue;
+    if (now - attempt.percentChangedAt < STALLED_AFTER_MS) return undefined;
+    stalled.push(attempt);
   }
   if (stalled.length === 0) return undefined;
   const blamesWorker = stalled.some(
-    (run) => run.owner?.stepRun.request.gang === false,
+    (attempt) => attempt.owner?.stepRun.request.gang === false,
   );
-  return {runs: stalled, blamesWorker};
+  return {attempts: stalled, blamesWorker};
 }
--- a/packages/gypsumwall-scheduling/src/start_orders.ts
+++ b/packages/gypsumwall-scheduling/src/start_orders.ts
@@ -16,7 +16,7 @@
   for (const {stepRun, index} of placed) {
     if (stepRun.request.gang && gangs.has(stepRun)) continue;
     gangs.add(stepRun);
-    const key = activeJob.countKey(stepRun, index);
+    const key = activeJob.counterKey(stepRun, index);
     const highest = stepRun.highestAttempts.get(key) ?? 0;
     const next = Math.max(attemptBase, highest) + 1;
     stepRun.highestAttempts.set(key, next);
@@ -24,26 +24,26 @@
 }
 
 /** The order of a task whose attempt has its number. */
-export function startOrder(
+export function createStartOrder(
   {stepRun, index, worker}: placements.Placement,
   now: types.clock.MonotonicMs,
 ): schedulerTypes.StartOrder {
-  const key = activeJob.countKey(stepRun, index);
-  const run: activeJob.Attempt = {
+  const key = activeJob.counterKey(stepRun, index);
+  const attempt: activeJob.Attempt = {
     taskId: taskIds.taskId(stepRun.id, index),
     number: stepRun.highestAttempts.get(key)!,
     workerId: worker.info.id,
     owner: {stepRun, index},
-    size: chooseWorker.bookedSize(stepRun),
+    size: chooseWorker.reservedSize(stepRun),
     stepRunId: stepRun.id,
     phase: 'starting',
     percent: 0,
     percentChangedAt: now,
   };
   return {
-    attempt: run,
+    attempt,
     payload: stepRun.job.request.payload,
-    checkpoint: stepRun.saved.get(key),
+    checkpoint: stepRun.checkpoints.get(key),
     ticket: stepAdvice.ticketFor(stepRun.advice, worker.info.id, now),
   };
 }
--- a/packages/gypsumwall-scheduling/src/step_advice.ts
+++ b/packages/gypsumwall-scheduling/src/step_advice.ts
@@ -16,23 +16,23 @@
   /** Workers that were named and not approved; that doesn't change. */
   readonly refused: Set<types.ids.WorkerId>;
   /** Workers named in calls that aren't answered yet. */
-  readonly asked: Set<types.ids.WorkerId>;
+  readonly pendingWorkers: Set<types.ids.WorkerId>;
   openCalls: number;
   /** When it is looked again whether to ask for more. */
-  nextLookAt: types.clock.MonotonicMs;
+  nextCheckAt: types.clock.MonotonicMs;
 }
 
 /** Approvals that end sooner than this are not used: the start takes time. */
-const TICKET_MARGIN_MS = 60;
+const MIN_TICKET_REMAINING_MS = 60;
 
 /** The advice on a step of which nobody was asked yet. */
 export function createStepAdvice(): StepAdvice {
   return {
     approvals: new Map(),
     refused: new Set(),
-    asked: new Set(),
+    pendingWorkers: new Set(),
     openCalls: 0,
-    nextLookAt: 0 as types.clock.MonotonicMs,
+    nextCheckAt: 0 as types.clock.MonotonicMs,
   };
 }
 
@@ -44,28 +44,31 @@
 ): string | undefined {
   const approval = advice.approvals.get(worker);
   if (approval === undefined) return undefined;
-  const usableUntil = types.clock.after(approval.validUntil, -TICKET_MARGIN_MS);
+  const usableUntil = types.clock.after(
+    approval.validUntil,
+    -MIN_TICKET_REMAINING_MS,
+  );
   return now < usableUntil ? approval.ticket : undefined;
 }
 
 /** Notes that a call which names these workers is on its way. */
-export function noteAsked(
+export function recordCall(
   advice: StepAdvice,
   workers: readonly types.ids.WorkerId[],
 ): void {
   advice.openCalls++;
-  for (const worker of workers) advice.asked.add(worker);
+  for (const worker of workers) advice.pendingWorkers.add(worker);
 }
 
 /** Notes the answer to a call; undefined approvals: there was none. */
-export function noteAnswer(
+export function recordAnswer(
   advice: StepAdvice,
   workers: readonly types.ids.WorkerId[],
   approved: ReadonlyMap<types.ids.WorkerId, string> | undefined,
   validUntil: types.clock.MonotonicMs,
 ): void {
   advice.openCalls--;
-  for (const worker of workers) advice.asked.delete(worker);
+  for (const worker of workers) advice.pendingWorkers.delete(worker);
   if (approved === undefined) return;
   for (const worker of workers) {
     const ticket = approved.get(worker);
--- a/packages/gypsumwall-scheduling/src/advice_wishes.ts
+++ b/packages/gypsumwall-scheduling/src/take_advice_requests.ts
@@ -6,7 +6,7 @@
  */
 import * as types from '@gypsumwall/types';
 import type * as activeJob from './active_job.js';
-import * as adviceNames from './advice_names.js';
+import * as planAdviceCalls from './plan_advice_calls.js';
 import * as adviserPool from './adviser_pool.js';
 import * as chooseWorker from './choose_worker.js';
 import * as gangFit from './gang_fit.js';
@@ -15,64 +15,64 @@
 import type * as workerRegistry from './worker_registry.js';
 
 /** Least span between two considered at one step; milliseconds. */
-const RECHECK_PAUSE_MS = 80;
+const RECHECK_INTERVAL_MS = 80;
 /** Considering a step goes over all workers: a cycle has time for a few. */
 const MAX_CONSIDERED_STEPS = 20;
 
-interface Wanted {
+interface PlannedCall {
   readonly stepRun: activeJob.StepRun;
   readonly named: types.ids.WorkerId[];
 }
 
 /** The calls to be made for steps that wait, given most urgent first. */
-export function takeWishes(
+export function takeAdviceRequests(
   steps: readonly activeJob.StepRun[],
   capacity: adviserPool.AdviceCapacity,
-  context: adviceNames.NamesContext,
+  context: planAdviceCalls.AdviceContext,
 ): schedulerTypes.AdviceRequest[] {
   const {now} = context;
-  const wishes: schedulerTypes.AdviceRequest[] = [];
-  const withoutRoom: activeJob.StepRun[] = [];
-  const canWait: Wanted[] = [];
-  let roomy: workerRegistry.BookedWorker[] | undefined;
+  const requests: schedulerTypes.AdviceRequest[] = [];
+  const withoutCapacity: activeJob.StepRun[] = [];
+  const deferrable: PlannedCall[] = [];
+  let withCapacity: workerRegistry.RegisteredWorker[] | undefined;
   let {needed, large, spare} = capacity;
   let considered = 0;
 
-  function take({stepRun, named}: Wanted, isNeeded: boolean): void {
+  function addRequest({stepRun, named}: PlannedCall, isNeeded: boolean): void {
     const callMs = callMsOf(stepRun, named);
     const isLarge = adviserPool.isLarge(callMs);
     if ((isNeeded ? needed : spare) <= 0 || (isLarge && large <= 0)) return;
     if (isNeeded) needed--;
     else spare--;
     if (isLarge) large--;
-    stepAdvice.noteAsked(stepRun.advice, named);
-    wishes.push({stepRun, workers: named, callMs, needed: isNeeded});
+    stepAdvice.recordCall(stepRun.advice, named);
+    requests.push({stepRun, workers: named, callMs, needed: isNeeded});
   }
 
-  function consider(stepRun: activeJob.StepRun): void {
+  function considerStep(stepRun: activeJob.StepRun): void {
     considered++;
-    const calls = adviceNames.callsFor(stepRun, context);
-    calls.named.forEach((named, nth) => {
+    const calls = planAdviceCalls.planAdviceCalls(stepRun, context);
+    calls.workersByCall.forEach((named, nth) => {
       const isNeeded = calls.needed && nth === 0;
-      if (isNeeded) take({stepRun, named}, true);
-      else canWait.push({stepRun, named});
+      if (isNeeded) addRequest({stepRun, named}, true);
+      else deferrable.push({stepRun, named});
     });
   }
 
   for (const stepRun of steps) {
     if (needed <= 0 || considered >= MAX_CONSIDERED_STEPS) break;
     if (!isDue(stepRun, large, now)) continue;
-    stepRun.advice.nextLookAt = types.clock.after(now, RECHECK_PAUSE_MS);
-    roomy ??= roomyWorkers(context);
-    if (hasRoom(stepRun, roomy, context)) consider(stepRun);
-    else withoutRoom.push(stepRun);
+    stepRun.advice.nextCheckAt = types.clock.after(now, RECHECK_INTERVAL_MS);
+    withCapacity ??= workersWithCapacity(context);
+    if (hasCapacity(stepRun, withCapacity, context)) considerStep(stepRun);
+    else withoutCapacity.push(stepRun);
   }
-  for (const stepRun of withoutRoom) {
+  for (const stepRun of withoutCapacity) {
     if (spare <= 0 || considered >= MAX_CONSIDERED_STEPS) break;
-    consider(stepRun);
+    considerStep(stepRun);
   }
-  for (const wanted of canWait) take(wanted, false);
-  return wishes;
+  for (const wanted of deferrable) addRequest(wanted, false);
+  return requests;
 }
 
 function isDue(
@@ -81,10 +81,10 @@
   now: types.clock.MonotonicMs,
 ): boolean {
   const policy = job.policy.advice;
-  if (policy === undefined || now < advice.nextLookAt) return false;
-  const fewestMs =
-    policy.callMs + policy.perWorkerMs * adviceNames.FEWEST_NAMED;
-  return large > 0 || !adviserPool.isLarge(fewestMs);
+  if (policy === undefined || now < advice.nextCheckAt) return false;
+  const minCallMs =
+    policy.callMs + policy.perWorkerMs * planAdviceCalls.MIN_NAMED_WORKERS;
+  return large > 0 || !adviserPool.isLarge(minCallMs);
 }
 
 function callMsOf(
@@ -95,33 +95,33 @@
   return policy.callMs + policy.perWorkerMs * named.length;
 }
 
-function roomyWorkers({
-  book,
-}: adviceNames.NamesContext): workerRegistry.BookedWorker[] {
-  const roomy: workerRegistry.BookedWorker[] = [];
-  for (const worker of book.workers.values()) {
+function workersWithCapacity({
+  registry,
+}: planAdviceCalls.AdviceContext): workerRegistry.RegisteredWorker[] {
+  const withCapacity: workerRegistry.RegisteredWorker[] = [];
+  for (const worker of registry.workers.values()) {
     const {free, info, usable} = worker;
     if (!usable || info.draining) continue;
-    if (free.cpuMillis >= 0 && free.memoryMb > 0) roomy.push(worker);
+    if (free.cpuMillis >= 0 && free.memoryMb > 0) withCapacity.push(worker);
   }
-  return roomy;
+  return withCapacity;
 }
 
 /** Whether a task, or the whole gang, fits on workers that may be approved. */
-function hasRoom(
+function hasCapacity(
   stepRun: activeJob.StepRun,
-  roomy: readonly workerRegistry.BookedWorker[],
-  {mayUse}: adviceNames.NamesContext,
+  withCapacity: readonly workerRegistry.RegisteredWorker[],
+  {canUse}: planAdviceCalls.AdviceContext,
 ): boolean {
   const {advice, request, waiting} = stepRun;
-  const size = chooseWorker.bookedSize(stepRun);
+  const size = chooseWorker.reservedSize(stepRun);
   let missing = request.gang ? waiting.length : 1;
-  for (const worker of roomy) {
+  for (const worker of withCapacity) {
     const {id} = worker.info;
     if (!types.resources.fits(size, worker.free)) continue;
-    if (advice.refused.has(id) || !mayUse(stepRun, id)) continue;
-    if (!chooseWorker.mayRunOn(stepRun, worker)) continue;
-    const left = chooseWorker.roomFor(stepRun, worker);
+    if (advice.refused.has(id) || !canUse(stepRun, id)) continue;
+    if (!chooseWorker.isEligible(stepRun, worker)) continue;
+    const left = chooseWorker.remainingSlots(stepRun, worker);
     const fitting = gangFit.tasksThatFit(size, worker.free);
     missing -= Math.max(0, Math.min(fitting, left));
     if (missing <= 0) return true;
--- a/packages/gypsumwall-scheduling/src/task_isolation.ts
+++ b/packages/gypsumwall-scheduling/src/task_isolation.ts
@@ -13,15 +13,15 @@
 import type * as workerRegistry from './worker_registry.js';
 
 /** What has run for so long beside a task doesn't crash its worker first. */
-const SETTLED_MS = 2_000;
+const MIN_SETTLED_MS = 2_000;
 /** Time for the order of a start and its answer; milliseconds. */
 const ORDER_SLACK_MS = 1_000;
 /** A worker is emptied for a task for so long at most; milliseconds. */
-const RESERVED_MS = 10_000;
+const MAX_RESERVATION_MS = 10_000;
 /** Share of the workers that are emptied at once at most. */
-const MOST_RESERVED_SHARE = 0.25;
+const MAX_RESERVED_SHARE = 0.25;
 
-interface Keep {
+interface IsolationHold {
   readonly type: 'reserved' | 'trial';
   readonly jobId: types.ids.JobId;
   readonly until: types.clock.MonotonicMs;
@@ -30,36 +30,45 @@
 /** Workers kept apart. */
 export interface TaskIsolation {
   /** Whether a worker is kept for tasks of the step's job. */
-  isKeptFor(stepRun: activeJob.StepRun, worker: types.ids.WorkerId): boolean;
+  isReservedFor(
+    stepRun: activeJob.StepRun,
+    worker: types.ids.WorkerId,
+  ): boolean;
   /** Whether a worker is kept for tasks of another job. */
   isClosedTo(stepRun: activeJob.StepRun, worker: types.ids.WorkerId): boolean;
   /** Whether a task that has to be apart may start there now. */
-  isQuiet(
+  canStartIsolated(
     stepRun: activeJob.StepRun,
-    worker: workerRegistry.BookedWorker,
+    worker: workerRegistry.RegisteredWorker,
     now: types.clock.MonotonicMs,
   ): boolean;
   /** Whether a task of another job that may crash the worker is there. */
   hostsSuspect(stepRun: activeJob.StepRun, worker: types.ids.WorkerId): boolean;
   /** Whether a task that has to be apart could start there soon. */
-  mayHost(
+  canSoonStartIsolated(
     stepRun: activeJob.StepRun,
     worker: types.ids.WorkerId,
     now: types.clock.MonotonicMs,
   ): boolean;
   /** A task under which workers have crashed is placed on a worker. */
-  notePlaced(
+  onPlaced(
     stepRun: activeJob.StepRun,
     index: number,
     worker: types.ids.WorkerId,
     now: types.clock.MonotonicMs,
   ): void;
   /** A start is sent: its task is on trial, if it has to be. */
-  noteOrdered(run: activeJob.Attempt, now: types.clock.MonotonicMs): void;
+  onStartOrdered(
+    attempt: activeJob.Attempt,
+    now: types.clock.MonotonicMs,
+  ): void;
   /** The start was taken: the trial counts from now. */
-  noteStarted(run: activeJob.Attempt, now: types.clock.MonotonicMs): void;
+  onStarted(attempt: activeJob.Attempt, now: types.clock.MonotonicMs): void;
   /** Runs of a worker were found: those that are apart are on trial from now. */
-  noteFound(worker: types.ids.WorkerId, now: types.clock.MonotonicMs): void;
+  onAttemptsFound(
+    worker: types.ids.WorkerId,
+    now: types.clock.MonotonicMs,
+  ): void;
   /** Closes workers to others, so that the step's tasks find one quiet soon. */
   reserveFor(
     stepRun: activeJob.StepRun,
@@ -67,26 +76,26 @@
     context: chooseWorker.ChoiceContext,
   ): void;
   /** Opens workers that needn't be kept any more, once before each cycle. */
-  takeReopened(now: types.clock.MonotonicMs): types.ids.WorkerId[];
+  releaseExpired(now: types.clock.MonotonicMs): types.ids.WorkerId[];
 }
 
 /** What the isolation works on. */
 export interface TaskIsolationParts {
-  readonly book: workerRegistry.WorkerRegistry;
-  readonly runs: attemptTable.AttemptTable;
+  readonly registry: workerRegistry.WorkerRegistry;
+  readonly attempts: attemptTable.AttemptTable;
   /** Whether a task of the job that has to be apart waits. */
   readonly isWaiting: (job: types.ids.JobId) => boolean;
 }
 
 /** Creates an isolation that keeps no worker. */
 export function createTaskIsolation(parts: TaskIsolationParts): TaskIsolation {
-  const {book, runs} = parts;
-  const kept = new Map<types.ids.WorkerId, Keep>();
+  const {registry, attempts} = parts;
+  const holds = new Map<types.ids.WorkerId, IsolationHold>();
   /** Tasks that may crash workers, placed in this cycle. */
-  let placed = new Map<types.ids.WorkerId, Set<types.ids.JobId>>();
+  let placedSuspects = new Map<types.ids.WorkerId, Set<types.ids.JobId>>();
 
-  const isKeptFor = (stepRun: activeJob.StepRun, id: types.ids.WorkerId) =>
-    kept.get(id)?.jobId === stepRun.job.id;
+  const isReservedFor = (stepRun: activeJob.StepRun, id: types.ids.WorkerId) =>
+    holds.get(id)?.jobId === stepRun.job.id;
 
   function isSettled(
     {owner, startedAt}: activeJob.Attempt,
@@ -97,30 +106,35 @@
     const isSuspected = crashRecords.crashCount(stepRun, index) > 0;
     // A suspect must have run for as long as a trial of its own takes.
     const neededMs = isSuspected
-      ? crashRecords.trialMs(stepRun, index)
-      : SETTLED_MS;
+      ? crashRecords.isolationPeriodMs(stepRun, index)
+      : MIN_SETTLED_MS;
     return now - startedAt >= neededMs;
   }
 
   /** Whether something was placed there that is no run yet. */
-  function hasNewcomers(worker: workerRegistry.BookedWorker): boolean {
+  function hasUnstartedPlacements(
+    worker: workerRegistry.RegisteredWorker,
+  ): boolean {
     let booked = 0;
-    for (const count of worker.perStep.values()) booked += count;
-    return booked > runs.ofWorker(worker.info.id).size;
+    for (const count of worker.tasksByStep.values()) booked += count;
+    return booked > attempts.ofWorker(worker.info.id).size;
   }
 
-  function isQuiet(
+  function canStartIsolated(
     stepRun: activeJob.StepRun,
-    worker: workerRegistry.BookedWorker,
+    worker: workerRegistry.RegisteredWorker,
     now: types.clock.MonotonicMs,
   ): boolean {
     const {id} = worker.info;
-    if (!isKeptFor(stepRun, id) && (kept.has(id) || hasNewcomers(worker))) {
+    if (
+      !isReservedFor(stepRun, id) &&
+      (holds.has(id) || hasUnstartedPlacements(worker))
+    ) {
       return false;
     }
-    for (const run of runs.ofWorker(id)) {
-      if (run.owner?.stepRun.job === stepRun.job) continue;
-      if (!isSettled(run, now)) return false;
+    for (const attempt of attempts.ofWorker(id)) {
+      if (attempt.owner?.stepRun.job === stepRun.job) continue;
+      if (!isSettled(attempt, now)) return false;
     }
     return true;
   }
@@ -130,8 +144,9 @@
     id: types.ids.WorkerId,
   ): boolean {
     const {job} = stepRun;
-    for (const jobId of placed.get(id) ?? []) if (jobId !== job.id) return true;
-    for (const {owner} of runs.ofWorker(id)) {
+    for (const jobId of placedSuspects.get(id) ?? [])
+      if (jobId !== job.id) return true;
+    for (const {owner} of attempts.ofWorker(id)) {
       if (owner === undefined || owner.stepRun.job === job) continue;
       if (crashRecords.crashCount(owner.stepRun, owner.index) > 0) return true;
     }
@@ -139,135 +154,145 @@
   }
 
   /** Whether all that runs beside it is of the same job. */
-  function isAmongOwn({owner, workerId}: activeJob.Attempt): boolean {
-    for (const other of runs.ofWorker(workerId)) {
+  function sharesOnlyWithOwnJob({owner, workerId}: activeJob.Attempt): boolean {
+    for (const other of attempts.ofWorker(workerId)) {
       if (other.owner?.stepRun.job !== owner?.stepRun.job) return false;
     }
     return true;
   }
 
-  function isOnTrial(id: types.ids.WorkerId, {jobId}: Keep): boolean {
-    for (const {owner, isolatedUntil} of runs.ofWorker(id)) {
+  function hasIsolatedAttempt(
+    id: types.ids.WorkerId,
+    {jobId}: IsolationHold,
+  ): boolean {
+    for (const {owner, isolatedUntil} of attempts.ofWorker(id)) {
       if (isolatedUntil === undefined) continue;
       if (owner?.stepRun.job.id === jobId) return true;
     }
     return false;
   }
 
-  function isOver(
+  function isExpired(
     id: types.ids.WorkerId,
-    keep: Keep,
+    hold: IsolationHold,
     now: types.clock.MonotonicMs,
   ): boolean {
-    if (keep.until <= now) return true;
-    switch (keep.type) {
+    if (hold.until <= now) return true;
+    switch (hold.type) {
       case 'reserved':
-        return !parts.isWaiting(keep.jobId);
+        return !parts.isWaiting(hold.jobId);
       case 'trial':
-        return !isOnTrial(id, keep);
+        return !hasIsolatedAttempt(id, hold);
     }
   }
 
-  function startTrial(
-    run: activeJob.Attempt,
+  function startIsolationPeriod(
+    attempt: activeJob.Attempt,
     slackMs: number,
     now: types.clock.MonotonicMs,
   ): void {
-    const {owner, workerId} = run;
+    const {owner, workerId} = attempt;
     if (owner === undefined) return;
     const {stepRun, index} = owner;
-    const spanMs = crashRecords.trialMs(stepRun, index) + slackMs;
+    const spanMs = crashRecords.isolationPeriodMs(stepRun, index) + slackMs;
     const until = types.clock.after(now, spanMs);
-    run.isolatedUntil = until;
-    kept.set(workerId, {type: 'trial', jobId: stepRun.job.id, until});
+    attempt.isolatedUntil = until;
+    holds.set(workerId, {type: 'trial', jobId: stepRun.job.id, until});
   }
 
   /** The fewer runs, the less is lost with the worker. */
-  function emptiestFirst(
-    a: workerRegistry.BookedWorker,
-    b: workerRegistry.BookedWorker,
+  function compareByLoad(
+    a: workerRegistry.RegisteredWorker,
+    b: workerRegistry.RegisteredWorker,
   ): number {
     return (
-      runs.ofWorker(a.info.id).size - runs.ofWorker(b.info.id).size ||
+      attempts.ofWorker(a.info.id).size - attempts.ofWorker(b.info.id).size ||
       b.free.cpuMillis - a.free.cpuMillis
     );
   }
 
   return {
-    isKeptFor,
-    isClosedTo: (stepRun, id) => kept.has(id) && !isKeptFor(stepRun, id),
-    isQuiet,
+    isReservedFor,
+    isClosedTo: (stepRun, id) => holds.has(id) && !isReservedFor(stepRun, id),
+    canStartIsolated,
     hostsSuspect,
-    mayHost(stepRun, id, now) {
-      const hasOwn = [...kept.values()].some(
+    canSoonStartIsolated(stepRun, id, now) {
+      const hasOwn = [...holds.values()].some(
         ({jobId}) => jobId === stepRun.job.id,
       );
-      if (hasOwn) return isKeptFor(stepRun, id);
-      const worker = book.workers.get(id);
-      return worker !== undefined && isQuiet(stepRun, worker, now);
+      if (hasOwn) return isReservedFor(stepRun, id);
+      const worker = registry.workers.get(id);
+      return worker !== undefined && canStartIsolated(stepRun, worker, now);
     },
-    notePlaced(stepRun, index, id, now) {
+    onPlaced(stepRun, index, id, now) {
       const {id: jobId} = stepRun.job;
-      const jobs = placed.get(id) ?? new Set<types.ids.JobId>();
-      placed.set(id, jobs.add(jobId));
+      const jobs = placedSuspects.get(id) ?? new Set<types.ids.JobId>();
+      placedSuspects.set(id, jobs.add(jobId));
       if (!crashRecords.needsIsolation(stepRun, index)) return;
       // Its start may have to wait for the store; it is no trial until then.
-      if (kept.get(id)?.type === 'trial') return;
-      const until = types.clock.after(now, RESERVED_MS);
-      kept.set(id, {type: 'reserved', jobId, until});
+      if (holds.get(id)?.type === 'trial') return;
+      const until = types.clock.after(now, MAX_RESERVATION_MS);
+      holds.set(id, {type: 'reserved', jobId, until});
     },
-    noteOrdered(run, now) {
-      const {owner} = run;
+    onStartOrdered(attempt, now) {
+      const {owner} = attempt;
       if (owner === undefined) return;
       if (!crashRecords.needsIsolation(owner.stepRun, owner.index)) return;
-      startTrial(run, ORDER_SLACK_MS, now);
+      startIsolationPeriod(attempt, ORDER_SLACK_MS, now);
     },
-    noteStarted(run, now) {
-      if (run.isolatedUntil !== undefined) startTrial(run, 0, now);
+    onStarted(attempt, now) {
+      if (attempt.isolatedUntil !== undefined)
+        startIsolationPeriod(attempt, 0, now);
     },
-    noteFound(worker, now) {
-      if (kept.has(worker)) return;
-      for (const run of runs.ofWorker(worker)) {
-        const {owner, isolatedUntil} = run;
+    onAttemptsFound(worker, now) {
+      if (holds.has(worker)) return;
+      for (const attempt of attempts.ofWorker(worker)) {
+        const {owner, isolatedUntil} = attempt;
         if (owner === undefined || isolatedUntil !== undefined) continue;
         if (!crashRecords.needsIsolation(owner.stepRun, owner.index)) continue;
-        if (isAmongOwn(run)) startTrial(run, 0, now);
+        if (sharesOnlyWithOwnJob(attempt))
+          startIsolationPeriod(attempt, 0, now);
       }
     },
     reserveFor(stepRun, taskCount, context) {
       const {id: jobId} = stepRun.job;
-      const size = chooseWorker.bookedSize(stepRun);
-      const reserved = [...kept].filter(([, keep]) => keep.type === 'reserved');
-      const most = Math.max(1, book.workers.size * MOST_RESERVED_SHARE);
-      let left = most - reserved.length;
+      const size = chooseWorker.reservedSize(stepRun);
+      const reserved = [...holds].filter(
+        ([, hold]) => hold.type === 'reserved',
+      );
+      const maxReserved = Math.max(
+        1,
+        registry.workers.size * MAX_RESERVED_SHARE,
+      );
+      let reservable = maxReserved - reserved.length;
       let missing = taskCount;
-      for (const [id, keep] of reserved) {
-        const capacity = book.workers.get(id)?.info.capacity;
-        if (keep.jobId !== jobId || capacity === undefined) continue;
+      for (const [id, hold] of reserved) {
+        const capacity = registry.workers.get(id)?.info.capacity;
+        if (hold.jobId !== jobId || capacity === undefined) continue;
         missing -= gangFit.tasksThatFit(size, capacity);
       }
-      const among = chooseWorker
-        .mayEverRun(stepRun, context)
+      const candidates = chooseWorker
+        .findAvailableWorkers(stepRun, context)
         .filter(
-          ({info}) => !kept.has(info.id) && !hostsSuspect(stepRun, info.id),
+          ({info}) => !holds.has(info.id) && !hostsSuspect(stepRun, info.id),
         )
-        .sort(emptiestFirst);
-      const until = types.clock.after(context.now, RESERVED_MS);
-      for (const {info} of among) {
-        if (missing <= 0 || left < 1) return;
+        .sort(compareByLoad);
+      const until = types.clock.after(context.now, MAX_RESERVATION_MS);
+      for (const {info} of candidates) {
+        if (missing <= 0 || reservable < 1) return;
         const fitting = gangFit.tasksThatFit(size, info.capacity);
         if (fitting < 1) continue;
-        kept.set(info.id, {type: 'reserved', jobId, until});
+        holds.set(info.id, {type: 'reserved', jobId, until});
         missing -= fitting;
-        left--;
+        reservable--;
       }
     },
-    takeReopened(now) {
-      placed = new Map();
+    releaseExpired(now) {
+      placedSuspects = new Map();
       const reopened: types.ids.WorkerId[] = [];
-      for (const [id, keep] of kept) {
-        if (!isOver(id, keep, now)) continue;
-        kept.delete(id);
+      for (const [id, hold] of holds) {
+        if (!isExpired(id, hold, now)) continue;
+        holds.delete(id);
         reopened.push(id);
       }
       return reopened;
--- a/packages/gypsumwall-scheduling/src/wait_reasons.ts
+++ b/packages/gypsumwall-scheduling/src/wait_reasons.ts
@@ -37,7 +37,7 @@
   context: chooseWorker.ChoiceContext,
 ): WaitReasons {
   const counts: WaitReasons = {};
-  for (const worker of context.book.workers.values()) {
+  for (const worker of context.registry.workers.values()) {
     const reason = reasonOf(stepRun, worker, context);
     counts[reason] = (counts[reason] ?? 0) + 1;
   }
@@ -46,36 +46,36 @@
 
 function reasonOf(
   stepRun: activeJob.StepRun,
-  worker: workerRegistry.BookedWorker,
+  worker: workerRegistry.RegisteredWorker,
   context: chooseWorker.ChoiceContext,
 ): WaitReason {
   const {id, draining} = worker.info;
   const {advice, job} = stepRun;
-  const advised = job.policy.advice !== undefined;
+  const needsAdvice = job.policy.advice !== undefined;
   if (!worker.usable) return 'unusable';
   if (draining) return 'draining';
-  if (!chooseWorker.mayRunOn(stepRun, worker)) return 'other_kind';
-  if (advised && advice.refused.has(id)) return 'refused';
-  if (chooseWorker.roomFor(stepRun, worker) < 1) return 'at_limit';
-  const size = chooseWorker.bookedSize(stepRun);
+  if (!chooseWorker.isEligible(stepRun, worker)) return 'other_kind';
+  if (needsAdvice && advice.refused.has(id)) return 'refused';
+  if (chooseWorker.remainingSlots(stepRun, worker) < 1) return 'at_limit';
+  const size = chooseWorker.reservedSize(stepRun);
   if (!types.resources.fits(size, worker.free)) return 'no_room';
   const trust = context.health.trustOf(id, context.now);
   if (trust === 'avoided') return 'avoided';
-  if (context.isHeld?.(id) === true) return 'reserved';
-  if (isKeptApart(stepRun, worker, context)) return 'isolated';
-  if (advised && !advice.approvals.has(id)) return 'not_asked';
+  if (context.isReserved?.(id) === true) return 'reserved';
+  if (isClosedByIsolation(stepRun, worker, context)) return 'isolated';
+  if (needsAdvice && !advice.approvals.has(id)) return 'not_asked';
   const ticket = stepAdvice.ticketFor(advice, id, context.now);
-  if (advised && ticket === undefined) return 'ticket_over';
+  if (needsAdvice && ticket === undefined) return 'ticket_over';
   return job.workers.get(id) === 'recorded' ? 'open' : 'not_recorded';
 }
 
-function isKeptApart(
+function isClosedByIsolation(
   stepRun: activeJob.StepRun,
-  worker: workerRegistry.BookedWorker,
+  worker: workerRegistry.RegisteredWorker,
   {isolation, now}: chooseWorker.ChoiceContext,
 ): boolean {
   if (isolation === undefined) return false;
   if (isolation.isClosedTo(stepRun, worker.info.id)) return true;
   if (!placeIsolated.waitsForIsolation(stepRun)) return false;
-  return !isolation.isQuiet(stepRun, worker, now);
+  return !isolation.canStartIsolated(stepRun, worker, now);
 }
--- a/packages/gypsumwall-scheduling/src/wait_reporter.ts
+++ b/packages/gypsumwall-scheduling/src/wait_reporter.ts
@@ -13,8 +13,8 @@
 /** Least span between two reports of one step. */
 const REPEAT_AFTER_MS = 2_000;
 /** Pause between two sweeps over the waiting steps. */
-const SWEEP_PAUSE_MS = 500;
-const MOST_REPORTS_IN_SWEEP = 4;
+const SWEEP_INTERVAL_MS = 500;
+const MAX_REPORTS_PER_SWEEP = 4;
 
 /** What a sweep takes into account. */
 export interface WaitContext extends chooseWorker.ChoiceContext {
@@ -33,12 +33,12 @@
 /** Reports on the waiting steps of a scheduler. */
 export interface WaitReporter {
   /** Something of the step starts: its wait begins anew. */
-  notePlaced(stepRun: activeJob.StepRun): void;
+  onPlaced(stepRun: activeJob.StepRun): void;
   /** Sweeps over the steps if it is time. */
   sweep(steps: WaitingSteps, context: WaitContext): void;
 }
 
-interface Wait {
+interface WaitRecord {
   readonly since: types.clock.MonotonicMs;
   /** Place in the order of work. */
   rank: number;
@@ -49,10 +49,10 @@
 export function createWaitReporter(
   onEvent: (event: schedulerTypes.SchedulerEvent) => void,
 ): WaitReporter {
-  let waits = new Map<activeJob.StepRun, Wait>();
+  let waits = new Map<activeJob.StepRun, WaitRecord>();
   let nextSweepAt = 0 as types.clock.MonotonicMs;
 
-  function isDue(wait: Wait, now: types.clock.MonotonicMs): boolean {
+  function isDue(wait: WaitRecord, now: types.clock.MonotonicMs): boolean {
     if (now - wait.since < REPORT_AFTER_MS) return false;
     const {reportedAt} = wait;
     return reportedAt === undefined || now - reportedAt >= REPEAT_AFTER_MS;
@@ -60,13 +60,13 @@
 
   function report(
     stepRun: activeJob.StepRun,
-    wait: Wait,
+    wait: WaitRecord,
     context: WaitContext,
   ): void {
     wait.reportedAt = context.now;
     const waitedMs = Math.round(context.now - wait.since);
-    if (isBreaking(stepRun)) {
-      onEvent(breakingEvent(stepRun, waitedMs));
+    if (isGangStopping(stepRun)) {
+      onEvent(gangStoppingEvent(stepRun, waitedMs));
       return;
     }
     const reasons = waitReasons.countReasons(stepRun, context);
@@ -78,7 +78,7 @@
       ofTasks: stepRun.request.taskCount,
       waitedMs,
       rank: wait.rank,
-      heldBack: stepRun.job.heldBack,
+      heldBack: stepRun.job.isAwaitingReconciliation,
       openCalls: stepRun.advice.openCalls,
       callsLeft: context.callsLeft,
       workers: Object.entries(reasons)
@@ -88,22 +88,23 @@
   }
 
   return {
-    notePlaced: (stepRun) => void waits.delete(stepRun),
+    onPlaced: (stepRun) => void waits.delete(stepRun),
     sweep({ordered, jobs}, context) {
       const {now} = context;
       if (now < nextSweepAt) return;
-      nextSweepAt = types.clock.after(now, SWEEP_PAUSE_MS);
-      const before = waits;
+      nextSweepAt = types.clock.after(now, SWEEP_INTERVAL_MS);
+      const previous = waits;
       waits = new Map();
-      [...ordered, ...breakingGangs(jobs)].forEach((stepRun, rank) => {
-        const wait = before.get(stepRun) ?? {since: now, rank};
+      [...ordered, ...stoppingGangs(jobs)].forEach((stepRun, rank) => {
+        const wait = previous.get(stepRun) ?? {since: now, rank};
         wait.rank = rank;
         waits.set(stepRun, wait);
       });
       const due = [...waits].filter(([, wait]) => isDue(wait, now));
-      const lastTold = ({since, reportedAt}: Wait) => reportedAt ?? since;
-      due.sort(([, a], [, b]) => lastTold(a) - lastTold(b));
-      for (const [stepRun, wait] of due.slice(0, MOST_REPORTS_IN_SWEEP)) {
+      const lastReportedAt = ({since, reportedAt}: WaitRecord) =>
+        reportedAt ?? since;
+      due.sort(([, a], [, b]) => lastReportedAt(a) - lastReportedAt(b));
+      for (const [stepRun, wait] of due.slice(0, MAX_REPORTS_PER_SWEEP)) {
         report(stepRun, wait, context);
       }
     },
@@ -111,36 +112,38 @@
 }
 
 /** Whether a gang waits until the last of its members has ended. */
-function isBreaking({
+function isGangStopping({
   request,
   state,
-  attempts: runs,
+  attempts,
 }: activeJob.StepRun): boolean {
   if (!request.gang || state !== 'open') return false;
-  for (const run of runs) if (run.phase === 'stopping') return true;
+  for (const attempt of attempts) if (attempt.phase === 'stopping') return true;
   return false;
 }
 
-function* breakingGangs(
+function* stoppingGangs(
   jobs: Iterable<activeJob.ActiveJob>,
 ): Iterable<activeJob.StepRun> {
   for (const job of jobs) {
-    for (const {steps} of job.open.values()) yield* steps.filter(isBreaking);
+    for (const {steps} of job.open.values())
+      yield* steps.filter(isGangStopping);
   }
 }
 
-function breakingEvent(
+function gangStoppingEvent(
   stepRun: activeJob.StepRun,
   waitedMs: number,
 ): schedulerTypes.SchedulerEvent {
-  const runs = [...stepRun.attempts];
+  const attempts = [...stepRun.attempts];
   return {
     type: 'gang_breaks',
     step: stepRun.id,
     ofTasks: stepRun.request.taskCount,
-    runs: runs.length,
-    unconfirmed: runs.filter((run) => run.confirmedAt === undefined).length,
-    worker: runs[0]?.workerId,
+    runs: attempts.length,
+    unconfirmed: attempts.filter((attempt) => attempt.confirmedAt === undefined)
+      .length,
+    worker: attempts[0]?.workerId,
     waitedMs,
   };
 }
--- a/packages/gypsumwall-scheduling/src/waiting_order.ts
+++ b/packages/gypsumwall-scheduling/src/waiting_order.ts
@@ -37,16 +37,17 @@
       for (const stepRun of waiting)
         if (!known.has(stepRun)) kept.push(stepRun);
       let gangFellBehind = false;
-      const rows = kept.map((stepRun) => {
+      const ranked = kept.map((stepRun) => {
         const before = stepRun.rank;
         const rank = rankOf(stepRun, now);
-        const moved = before !== undefined && before.lateness !== rank.lateness;
-        if (moved && stepRun.request.gang) gangFellBehind = true;
+        const changedLateness =
+          before !== undefined && before.lateness !== rank.lateness;
+        if (changedLateness && stepRun.request.gang) gangFellBehind = true;
         stepRun.rank = rank;
         return {...rank, stepRun};
       });
-      rows.sort(jobOrder.compareRanked);
-      steps = rows.map((row) => row.stepRun);
+      ranked.sort(jobOrder.compareRanked);
+      steps = ranked.map((one) => one.stepRun);
       known = new Set(steps);
       return {steps, gangFellBehind};
     },
--- a/packages/gypsumwall-scheduling/src/worker_losses.ts
+++ b/packages/gypsumwall-scheduling/src/worker_losses.ts
@@ -10,19 +10,19 @@
  * whose connections are reset at once, one that falls silent after the longest
  * timeout of a look; milliseconds.
  */
-const TOGETHER_MS = 1_500;
+const GROUP_LOSS_WINDOW_MS = 1_500;
 /** Resets reach the holder together; milliseconds. */
-const SAME_MOMENT_MS = 250;
+const SIMULTANEOUS_LOSS_WINDOW_MS = 250;
 /** Share of a rack or failure domain whose loss has a cause outside of it. */
-const WHOLE_GROUP_SHARE = 0.75;
+const GROUP_LOSS_SHARE = 0.75;
 /** Share of all workers whose loss at one moment has a cause outside of them. */
-const WAVE_SHARE = 0.2;
+const CELL_LOSS_SHARE = 0.2;
 /** Fewer are lost together by chance. */
-const FEWEST_TOGETHER = 3;
+const MIN_LOST_TOGETHER = 3;
 /** A loss is remembered for so long, in case it proves a crash; milliseconds. */
 export const LATE_PROOF_MS = 60_000;
 
-interface Stay {
+interface Incarnation {
   readonly info: workerRegistry.WorkerInfo;
   readonly upAt: types.clock.MonotonicMs;
   loss?: Loss;
@@ -40,7 +40,7 @@
 /** The losses of a cell. */
 export interface WorkerLosses {
   /** A stay of a worker answers, for the first time or again. */
-  noteAnswered(
+  recordAnswer(
     info: workerRegistry.WorkerInfo,
     now: types.clock.MonotonicMs,
   ): void;
@@ -48,13 +48,13 @@
    * A worker has stopped answering; the first moment counts. `isExplained`
    * tells whether a task that may crash workers ran there apart from others.
    */
-  noteLost(
+  recordLoss(
     id: types.ids.WorkerId,
     isExplained: boolean,
     now: types.clock.MonotonicMs,
   ): void;
   /** The stay is over; if it was lost, that is remembered for a while. */
-  noteGone(id: types.ids.WorkerId): void;
+  recordRemoval(id: types.ids.WorkerId): void;
   lostAt(id: types.ids.WorkerId): types.clock.MonotonicMs | undefined;
   /** Whether most of its rack or failure domain went down with it. */
   isGroupLoss(id: types.ids.WorkerId): boolean;
@@ -67,11 +67,11 @@
 
 /** Creates a record without losses. */
 export function createWorkerLosses(): WorkerLosses {
-  const stays = new Map<types.ids.WorkerId, Stay>();
+  const incarnations = new Map<types.ids.WorkerId, Incarnation>();
 
   function prune(now: types.clock.MonotonicMs): void {
-    for (const [id, {loss}] of stays) {
-      if (loss !== undefined && loss.forgetAt <= now) stays.delete(id);
+    for (const [id, {loss}] of incarnations) {
+      if (loss !== undefined && loss.forgetAt <= now) incarnations.delete(id);
     }
   }
 
@@ -84,7 +84,7 @@
   ): {readonly up: number; readonly lost: number} {
     let up = 0;
     let lost = 0;
-    for (const [other, {info, upAt, loss}] of stays) {
+    for (const [other, {info, upAt, loss}] of incarnations) {
       if (upAt > at || !isMember(info)) continue;
       if (loss !== undefined && loss.at < at - withinMs) continue;
       up++;
@@ -100,52 +100,58 @@
     share: number,
     isMember: Membership,
   ): boolean {
-    const at = stays.get(id)?.loss?.at;
+    const at = incarnations.get(id)?.loss?.at;
     if (at === undefined) return false;
     const {up, lost} = countAround(id, at, withinMs, isMember);
-    return lost >= FEWEST_TOGETHER && lost >= up * share;
+    return lost >= MIN_LOST_TOGETHER && lost >= up * share;
   }
 
   return {
-    noteAnswered(info, now) {
-      const stay = stays.get(info.id);
-      if (stay === undefined) stays.set(info.id, {info, upAt: now});
-      else stay.loss = undefined;
+    recordAnswer(info, now) {
+      const incarnation = incarnations.get(info.id);
+      if (incarnation === undefined)
+        incarnations.set(info.id, {info, upAt: now});
+      else incarnation.loss = undefined;
     },
-    noteLost(id, isExplained, now) {
+    recordLoss(id, isExplained, now) {
       prune(now);
-      const stay = stays.get(id);
-      if (stay === undefined || stay.loss !== undefined) return;
+      const incarnation = incarnations.get(id);
+      if (incarnation === undefined || incarnation.loss !== undefined) return;
       const forgetAt = types.clock.after(now, LATE_PROOF_MS);
-      stay.loss = {at: now, isExplained, forgetAt};
+      incarnation.loss = {at: now, isExplained, forgetAt};
     },
-    noteGone(id) {
-      if (stays.get(id)?.loss === undefined) stays.delete(id);
+    recordRemoval(id) {
+      if (incarnations.get(id)?.loss === undefined) incarnations.delete(id);
     },
-    lostAt: (id) => stays.get(id)?.loss?.at,
+    lostAt: (id) => incarnations.get(id)?.loss?.at,
     isGroupLoss(id) {
-      const info = stays.get(id)?.info;
+      const info = incarnations.get(id)?.info;
       if (info === undefined) return false;
       const {domain, rack, pool} = info;
       const isLost = (isMember: Membership) =>
-        isShareLost(id, TOGETHER_MS, WHOLE_GROUP_SHARE, isMember);
+        isShareLost(id, GROUP_LOSS_WINDOW_MS, GROUP_LOSS_SHARE, isMember);
       return (
         isLost((other) => other.domain === domain && other.pool === pool) ||
         isLost((other) => other.domain === domain && other.rack === rack)
       );
     },
     isAccompanied(id) {
-      const stay = stays.get(id);
-      if (stay?.loss === undefined) return false;
-      const {domain} = stay.info;
+      const incarnation = incarnations.get(id);
+      if (incarnation?.loss === undefined) return false;
+      const {domain} = incarnation.info;
       const near = countAround(
         id,
-        stay.loss.at,
-        SAME_MOMENT_MS,
+        incarnation.loss.at,
+        SIMULTANEOUS_LOSS_WINDOW_MS,
         (info) => info.domain === domain,
       );
       if (near.lost > 1) return true;
-      return isShareLost(id, SAME_MOMENT_MS, WAVE_SHARE, () => true);
+      return isShareLost(
+        id,
+        SIMULTANEOUS_LOSS_WINDOW_MS,
+        CELL_LOSS_SHARE,
+        () => true,
+      );
     },
   };
 }
--- a/packages/gypsumwall-scheduling/src/worker_registry.ts
+++ b/packages/gypsumwall-scheduling/src/worker_registry.ts
@@ -21,21 +21,21 @@
 }
 
 /** A worker and what is booked on it. */
-export interface BookedWorker {
+export interface RegisteredWorker {
   info: WorkerInfo;
   /** Room left; negative where the capacity has shrunk below what runs. */
   free: types.resources.Resources;
   /** Whether it has answered under our fencing token, and lately. */
   usable: boolean;
   /** Tasks of each step that are booked here, by step run id. */
-  readonly perStep: Map<string, number>;
+  readonly tasksByStep: Map<string, number>;
 }
 
 /** The workers of a cell. */
 export interface WorkerRegistry {
-  readonly workers: ReadonlyMap<types.ids.WorkerId, BookedWorker>;
+  readonly workers: ReadonlyMap<types.ids.WorkerId, RegisteredWorker>;
   /** Adds a worker or takes over what the list says of it now. */
-  put(info: WorkerInfo): BookedWorker;
+  put(info: WorkerInfo): RegisteredWorker;
   remove(id: types.ids.WorkerId): void;
   book(
     id: types.ids.WorkerId,
@@ -50,17 +50,17 @@
   /** Whether new tasks may be placed there. */
   setUsable(id: types.ids.WorkerId, usable: boolean): void;
   /** A worker can take work that it couldn't take before. */
-  noteFreed(id: types.ids.WorkerId): void;
+  markFreed(id: types.ids.WorkerId): void;
   /** Workers that were freed since the last call. */
   takeFreed(): ReadonlySet<types.ids.WorkerId>;
 }
 
 /** Creates an empty book. */
 export function createWorkerRegistry(): WorkerRegistry {
-  const workers = new Map<types.ids.WorkerId, BookedWorker>();
+  const workers = new Map<types.ids.WorkerId, RegisteredWorker>();
   let freed = new Set<types.ids.WorkerId>();
 
-  function move(
+  function adjust(
     id: types.ids.WorkerId,
     stepRun: string,
     size: types.resources.Resources,
@@ -74,9 +74,9 @@
       memoryMb: worker.free.memoryMb - sign * size.memoryMb,
       accelerators: worker.free.accelerators - sign * size.accelerators,
     };
-    const count = (worker.perStep.get(stepRun) ?? 0) + sign;
-    if (count > 0) worker.perStep.set(stepRun, count);
-    else worker.perStep.delete(stepRun);
+    const count = (worker.tasksByStep.get(stepRun) ?? 0) + sign;
+    if (count > 0) worker.tasksByStep.set(stepRun, count);
+    else worker.tasksByStep.delete(stepRun);
   }
 
   return {
@@ -93,19 +93,19 @@
         known.free = types.resources.subtract(info.capacity, booked);
         return known;
       }
-      const worker: BookedWorker = {
+      const worker: RegisteredWorker = {
         info,
         free: info.capacity,
         usable: false,
-        perStep: new Map(),
+        tasksByStep: new Map(),
       };
       workers.set(info.id, worker);
       return worker;
     },
     remove: (id) => void workers.delete(id),
-    book: (id, stepRun, size) => move(id, stepRun, size, 1),
+    book: (id, stepRun, size) => adjust(id, stepRun, size, 1),
     release(id, stepRun, size) {
-      move(id, stepRun, size, -1);
+      adjust(id, stepRun, size, -1);
       freed.add(id);
     },
     setUsable(id, usable) {
@@ -113,7 +113,7 @@
       if (worker !== undefined) worker.usable = usable;
       freed.add(id);
     },
-    noteFreed: (id) => void freed.add(id),
+    markFreed: (id) => void freed.add(id),
     takeFreed() {
       const taken = freed;
       freed = new Set();
