--- a/packages/gypsumwall-scheduling/src/__tests__/worker_health.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/worker_health.test.ts
@@ -18,7 +18,7 @@
   assert.equal(health.trustOf(worker('w1'), at(2)), 'avoided');
   assert.equal(health.trustOf(worker('w1'), at(2_000)), 'doubtful');
   health.recordSuccess(worker('w1'), job('c'));
-  assert.equal(health.trustOf(worker('w1'), at(2_001)), 'sound');
+  assert.equal(health.trustOf(worker('w1'), at(2_001)), 'healthy');
 });
 
 // Load: 1 to 5% of jobs can never be done and fail wherever they run.
@@ -26,8 +26,8 @@
   const health = workerHealth.createWorkerHealth(() => 33);
   health.recordFailure(worker('w1'), job('bad'), at(0));
   health.recordFailure(worker('w2'), job('bad'), at(1));
-  assert.equal(health.trustOf(worker('w1'), at(2)), 'sound');
-  assert.equal(health.trustOf(worker('w2'), at(2)), 'sound');
+  assert.equal(health.trustOf(worker('w1'), at(2)), 'healthy');
+  assert.equal(health.trustOf(worker('w2'), at(2)), 'healthy');
 });
 
 test('most workers are never avoided at once', () => {
--- a/packages/gypsumwall-scheduling/src/active_job.ts
+++ b/packages/gypsumwall-scheduling/src/active_job.ts
@@ -1,6 +1,6 @@
 /**
- * The jobs that a scheduler works on: plain records of their occurrences,
- * steps and runs, and the few questions that are asked of them everywhere.
+ * State of the jobs of a scheduler: their occurrences, steps and attempts, with
+ * helpers that several modules use.
  */
 import * as types from '@gypsumwall/types';
 import type * as crashRecords from './crash_records.js';
@@ -10,97 +10,112 @@
 import * as taskId from './task_id.js';
 import * as jobOrder from './job_order.js';
 
-/** Where a run stands between its order and its end. */
+/** State of an attempt between its start order and its end. */
 export type AttemptPhase =
-  /** The order is on its way. */
+  /** The start order is not answered yet. */
   | 'starting'
   | 'running'
   /**
-   * To be stopped: nobody wants it any more, or its order wasn't answered and
-   * it may come up at any time. It keeps its room until its end is known.
+   * The attempt is to be stopped because it is not needed any more, or because
+   * its start order was not answered and it may still start at any time. Its
+   * capacity stays reserved until its end is known.
    */
   | 'stopping';
 
-/** One run of a task on a worker. */
+/** One execution of a task on a worker. */
 export interface Attempt {
   readonly taskId: types.ids.TaskId;
   readonly number: number;
   readonly workerId: types.ids.WorkerId;
-  /** Whose task it is; absent for a run that nothing here asked for. */
+  /**
+   * The task; absent for an attempt that no job of this scheduler asked for.
+   */
   readonly owner?: {readonly stepRun: StepRun; readonly index: number};
-  /** What is booked for it on the worker, and under which step. */
+  /** Resources reserved for it on the worker, under this id of a step run. */
   readonly size: types.resources.Resources;
   readonly stepRunId: string;
   phase: AttemptPhase;
   /**
-   * When the worker had answered the start or the stop. A report asked for
-   * later that doesn't name the run proves that it isn't there and never will
-   * be. Absent before; a late order may still bring it up.
+   * When the worker answered the start or the stop. A report requested after
+   * that moment which does not list the attempt proves that it does not run and
+   * never will. Absent until then: a delayed order may still start it.
    */
   confirmedAt?: types.clock.MonotonicMs;
-  /** When it was known to run for the first time. */
+  /** When it was first known to run. */
   startedAt?: types.clock.MonotonicMs;
-  /** Until then it runs apart from other jobs: it may crash its worker. */
+  /** End of its isolation from other jobs; set if it may crash its worker. */
   isolatedUntil?: types.clock.MonotonicMs;
-  /** Progress as last reported, 0 to 100. */
+  /** Last reported progress, 0 to 100. */
   percent: number;
   percentChangedAt: types.clock.MonotonicMs;
 }
 
-/** One step of one occurrence. */
+/** One step of one occurrence of a job. */
 export interface StepRun {
-  /** As `taskId.stepRunId` makes it. */
+  /** Id as created by `taskId.stepRunId`. */
   readonly id: string;
   readonly job: ActiveJob;
   readonly occurrence: Occurrence;
   readonly number: number;
   readonly request: jobRequest.StepRequest;
-  /** `closed` until the steps before it are done. */
+  /** `closed` until the steps that it depends on are done. */
   state: 'closed' | 'open' | 'done';
-  /** Indexes that have neither run nor end; a gang's are all or none. */
+  /**
+   * Indexes of tasks that are queued: no attempt runs and they are not done.
+   * Either all members of a gang are queued or none is.
+   */
   waiting: number[];
   readonly attempts: Set<Attempt>;
   readonly doneIndexes: Set<number>;
-  /** Attempts that failed, by index; a gang's under 0. */
+  /** Numbers of failed attempts by task index; under `GANG_KEY` for a gang. */
   readonly failures: Map<number, Set<number>>;
-  /** Workers that have crashed under a task, by index; also in a gang. */
+  /**
+   * Workers that crashed while they ran a task, by task index, also for a gang.
+   */
   readonly crashes: Map<
     number,
     Map<types.ids.WorkerId, crashRecords.CrashKind>
   >;
-  /** Highest attempt used, by index; a gang's under 0. */
+  /**
+   * Highest attempt number used, by task index; under `GANG_KEY` for a gang.
+   */
   readonly highestAttempts: Map<number, number>;
-  /** Saved progress to go on from, by index; a gang's under 0. */
+  /**
+   * Saved progress that the next attempt resumes from, by task index; under
+   * `GANG_KEY` for a gang.
+   */
   readonly checkpoints: Map<number, string>;
   readonly advice: stepAdvice.StepAdvice;
-  /** Its place in the order of work at the last cycle. */
+  /** Its rank in the last scheduling cycle. */
   rank?: jobOrder.RankedClaimant;
   /**
-   * Whether something of its own has changed since it was last tried: tasks,
-   * approvals, recorded workers. Otherwise it is tried again only once a worker
-   * that it may use has more room.
+   * Whether its tasks, approvals or recorded workers have changed since it was
+   * last tried. Otherwise it is tried again only when a worker that it may use
+   * has more free capacity.
    */
   hasChanged: boolean;
-  /** Starts that were refused since a worker took one. */
+  /** Number of starts refused since a worker last accepted one. */
   refusals: number;
-  /** Nothing of it starts before, since starts were refused. */
+  /** No task of it starts before this moment, because starts were refused. */
   backoffUntil?: types.clock.MonotonicMs;
   /**
-   * Since when it was to be tried and had no turn, or was placed where its job
-   * isn't recorded yet.
+   * Since when it was due but not tried, or was placed only on workers that are
+   * not recorded for its job yet.
    */
   skippedSince?: types.clock.MonotonicMs;
 }
 
-/** One time that a job's steps run. */
+/** One execution of all steps of a job. */
 export interface Occurrence {
   readonly number: number;
-  /** From when its objective counts: acceptance, or its time in a schedule. */
+  /**
+   * Start of its target duration: acceptance of the job, or the scheduled time.
+   */
   readonly objectiveStartsAt: types.clock.MonotonicMs;
   readonly steps: StepRun[];
 }
 
-/** A job with work left. */
+/** A job that is not over. */
 export interface ActiveJob {
   readonly id: types.ids.JobId;
   readonly request: jobRequest.JobRequest;
@@ -108,41 +123,50 @@
   readonly arrival: number;
   readonly acceptedAt: types.clock.MonotonicMs;
   /**
-   * An earlier scheduler may have runs of it on workers that aren't accounted
-   * for; nothing of it starts until they are.
+   * Whether an earlier scheduler may have started attempts of the job on
+   * workers that are not reconciled yet. No task of the job starts until they
+   * are.
    */
   isAwaitingReconciliation: boolean;
   phase: jobProgress.JobPhase;
   /**
-   * Workers that its tasks may be on, as the store knows them. A task starts
-   * only on a worker that is recorded, so that a successor knows which jobs
-   * have to wait for a worker out of reach.
+   * Workers on which its tasks may run, with the state of the record in the
+   * store. A task starts only on a recorded worker, so that a successor knows
+   * which jobs have to wait for an unreachable worker.
    */
   readonly workers: Map<types.ids.WorkerId, 'recording' | 'recorded'>;
-  /** Workers on which a task of it has failed: tried again elsewhere first. */
+  /**
+   * Workers on which a task of the job has failed. Other workers are tried
+   * first.
+   */
   readonly failedOn: Set<types.ids.WorkerId>;
   /**
-   * Workers that had crashed when this scheduler came, with tasks of the job on
-   * them perhaps; until it is known which tasks are elsewhere.
+   * Workers that crashed before this scheduler took over and may have run tasks
+   * of the job. Cleared once it is known which tasks run on other workers.
    */
   readonly unresolvedCrashes: Set<types.ids.WorkerId>;
-  /** Crashes that aren't stored yet, and the progress that is to store them. */
+  /**
+   * Whether it has crashes that are not stored yet: `new`, or the progress
+   * whose commit stores them.
+   */
   unstoredCrashes?: 'new' | jobProgress.JobProgress;
-  /** The failure domain that its tasks keep to while it has room. */
+  /** The failure domain in which its tasks are placed while it has capacity. */
   homeDomain?: types.ids.FailureDomain;
   readonly open: Map<number, Occurrence>;
   readonly finishedOccurrences: Set<number>;
 }
 
-/** Key under which a gang's counts are kept. */
+/**
+ * Key for the counters of a gang, which has one attempt for all its members.
+ */
 export const GANG_KEY = 0;
 
-/** Where a step keeps the counts of one of its tasks. */
+/** Key under which a step keeps the counters of one of its tasks. */
 export function counterKey(stepRun: StepRun, index: number): number {
   return stepRun.request.gang ? GANG_KEY : index;
 }
 
-/** Makes an occurrence with all its steps closed. */
+/** Creates an occurrence with all steps closed. */
 export function createOccurrence(
   job: ActiveJob,
   number: number,
@@ -172,12 +196,12 @@
   return occurrence;
 }
 
-/** How long a job should take from its acceptance, in milliseconds. */
+/** Target duration of a job from its acceptance, in milliseconds. */
 export function objectiveMs({request, policy}: ActiveJob): number {
   return jobRequest.chainMs(request) * policy.slackFactor + policy.targetMs;
 }
 
-/** The step's place in the order of work. */
+/** Returns what decides the rank of a step among the waiting ones. */
 export function claimantOf(stepRun: StepRun): jobOrder.Claimant {
   const {job, occurrence} = stepRun;
   const objective = objectiveMs(job);
@@ -192,7 +216,10 @@
   };
 }
 
-/** Expected length of the chain from this step on, in milliseconds. */
+/**
+ * Expected duration of this step and the later ones of its chain, in
+ * milliseconds.
+ */
 function remainingMs(stepRun: StepRun): number {
   const steps = stepRun.job.request.steps;
   const chain = steps
@@ -202,14 +229,14 @@
   return chain + stepRun.request.expectedMs;
 }
 
-/** Has all steps of a job tried again. */
+/** Marks all steps of a job to be tried in the next cycle. */
 export function markChanged(job: ActiveJob): void {
   for (const {steps} of job.open.values()) {
     for (const stepRun of steps) stepRun.hasChanged = true;
   }
 }
 
-/** Takes over what the operator has set for the job's queue since. */
+/** Applies the current queue settings of the operator to a job. */
 export function setPolicy(
   job: ActiveJob,
   policy: jobRequest.QueuePolicy,
@@ -221,7 +248,10 @@
   }
 }
 
-/** The job's progress in the form that is stored; short once it is over. */
+/**
+ * Returns the progress of a job as it is stored; only the phase once it is
+ * over.
+ */
 export function progressOf(job: ActiveJob): jobProgress.JobProgress {
   const {phase} = job;
   if (jobProgress.isOver(phase)) return {...jobProgress.NO_PROGRESS, phase};
--- a/packages/gypsumwall-scheduling/src/adviser_pool.ts
+++ b/packages/gypsumwall-scheduling/src/adviser_pool.ts
@@ -1,54 +1,57 @@
 /**
- * Spreads calls to the adviser over the entries. The adviser handles one call
- * at a time for each calling instance and a call takes up to 0.8 s, so calls
- * of one entry alone take longer than there is time: at 1.2 large calls, 4.6
- * middle and 34 small ones a second they add up to 1.8 s of calls a second.
- * Large calls keep to the first three fifths of the entries, so that a small
- * call of an urgent job never waits behind one on all of them.
+ * Distributes calls to the adviser over the entries. The adviser handles one
+ * call at a time for each calling instance and a call takes up to 0.8 s. One
+ * entry alone cannot make all calls: 1.2 large, 4.6 medium and 34 small ones a
+ * second add up to 1.8 s of calls each second. Large calls use only the first
+ * three fifths of the entries, so that a small call of an urgent job does not
+ * wait behind large ones on every entry.
  */
 
-/** Calls above this many milliseconds are large. */
+/** Calls that take longer than this are large. */
 const LARGE_CALL_THRESHOLD_MS = 250;
 /**
- * Share of the entries that large calls keep to. Of 246 workers' wide gangs
- * 0.953 are on time with it and 0.866 with half; urgent jobs the same (virtual
- * cell, five seeds).
+ * Share of the entries that make large calls. With 246 workers, 0.953 of the
+ * wide gangs are on time with this share and 0.866 with half; urgent jobs are
+ * the same (virtual cell, five seeds).
  */
 const LARGE_CALL_ENTRY_SHARE = 0.6;
 /**
- * Calls that can wait leave this share of the lanes empty, for the small calls
- * of urgent jobs: otherwise those of gangs in line take every lane that comes
- * free. No gain is measured: urgent jobs are as often on time without it, 0.984
- * for 0.982 (virtual cell, five seeds), where gangs seldom wait for long.
+ * Share of the entries that deferrable calls leave idle, for the small calls of
+ * urgent jobs. Otherwise the calls of queued gangs would use every entry that
+ * becomes free. No gain is measured: urgent jobs are as often on time without
+ * it, 0.984 compared with 0.982 (virtual cell, five seeds), where gangs seldom
+ * wait for long.
  */
 const IDLE_ENTRY_SHARE = 0.25;
 /**
- * Calls beyond this wait at the holder, which picks the most urgent one once an
- * entry is free. In line at the adviser they would be handled in the order in
- * which they came, however late their jobs are by then; milliseconds.
+ * Maximum duration of the calls queued at one entry. Further calls wait at the
+ * holder, which picks the most urgent one once an entry is free; the adviser
+ * would handle them in order of arrival, however late their jobs are by then;
+ * milliseconds.
  */
 const MAX_QUEUE_MS = 100;
 
-/** How many calls can be made now. */
+/** Number of calls that can be made now. */
 export interface AdviceCapacity {
-  /** Calls without whose answer nothing of their step can start. */
+  /** Calls without whose answer no task of their step can start. */
   readonly needed: number;
-  /** Large calls among them. */
+  /** Of these, large calls. */
   readonly large: number;
-  /** Calls that can wait. */
+  /** Deferrable calls. */
   readonly spare: number;
 }
 
-/** Whether a call that takes so long keeps to its share of the entries. */
+/** Whether a call of this duration is large. */
 export function isLarge(callMs: number): boolean {
   return callMs > LARGE_CALL_THRESHOLD_MS;
 }
 
-/** The entries that may call the adviser, and what each has in line. */
+/** The entries that call the adviser and the calls queued at each. */
 export interface AdviserPool<Entry extends string> {
   /**
-   * Takes the shortest line; undefined if all are long enough. A call that can
-   * wait takes an empty lane while enough others are.
+   * Assigns a call to the entry with the shortest queue and returns the entry,
+   * or undefined if all queues are too long. A deferrable call takes an idle
+   * entry while enough others are idle.
    */
   take(
     entries: readonly Entry[],
@@ -56,13 +59,13 @@
     needed: boolean,
   ): Entry | undefined;
   finish(entry: Entry, callMs: number): void;
-  /** How many calls the entries would take now. */
+  /** Returns how many calls the entries can take now. */
   capacity(entries: readonly Entry[]): AdviceCapacity;
-  /** Milliseconds of calls that an entry has in line. */
+  /** Returns the duration of the calls queued at an entry, in milliseconds. */
   lineMs(entry: Entry): number;
 }
 
-/** Creates lanes with nothing in line. */
+/** Creates a pool without queued calls. */
 export function createAdviserPool<Entry extends string>(): AdviserPool<Entry> {
   const queuedMsByEntry = new Map<Entry, number>();
   const queuedMsOf = (entry: Entry) => queuedMsByEntry.get(entry) ?? 0;
@@ -70,7 +73,7 @@
   const idleEntries = (entries: readonly Entry[]) =>
     entries.filter((entry) => queuedMsOf(entry) === 0).length;
 
-  /** The entries that large calls keep to. */
+  /** The entries that make large calls. */
   function entriesForLarge(entries: readonly Entry[]): Entry[] {
     const count = Math.max(
       1,
--- a/packages/gypsumwall-scheduling/src/attempt_table.ts
+++ b/packages/gypsumwall-scheduling/src/attempt_table.ts
@@ -1,9 +1,12 @@
-/** Every run that may be on a worker, by its id and by worker. */
+/** Every attempt that may run on a worker, by id and by worker. */
 import type * as types from '@gypsumwall/types';
 import type * as activeJob from './active_job.js';
 import type * as workerRegistry from './worker_registry.js';
 
-/** The runs of a cell. Room is booked by whoever adds, and given back here. */
+/**
+ * The attempts of a cell. The caller of `add` reserves the capacity; `remove`
+ * releases it.
+ */
 export interface AttemptTable {
   add(attempt: activeJob.Attempt): void;
   find(
@@ -12,7 +15,7 @@
     worker: types.ids.WorkerId,
   ): activeJob.Attempt | undefined;
   ofWorker(worker: types.ids.WorkerId): ReadonlySet<activeJob.Attempt>;
-  /** Forgets a run and gives its room back. */
+  /** Removes an attempt and releases its capacity. */
   remove(attempt: activeJob.Attempt): void;
   has(attempt: activeJob.Attempt): boolean;
   size(): number;
@@ -20,7 +23,7 @@
 
 const NO_ATTEMPTS: ReadonlySet<activeJob.Attempt> = new Set();
 
-/** Creates an empty table over the given books. */
+/** Creates an empty table for the workers of a registry. */
 export function createAttemptTable(
   registry: workerRegistry.WorkerRegistry,
 ): AttemptTable {
--- a/packages/gypsumwall-scheduling/src/choose_worker.ts
+++ b/packages/gypsumwall-scheduling/src/choose_worker.ts
@@ -1,4 +1,4 @@
-/** Chooses the worker for one task among those that may run it. */
+/** Chooses the worker for one task among the eligible ones. */
 import * as types from '@gypsumwall/types';
 import type * as activeJob from './active_job.js';
 import * as domainAffinity from './domain_affinity.js';
@@ -7,20 +7,23 @@
 import type * as workerRegistry from './worker_registry.js';
 import type * as workerHealth from './worker_health.js';
 
-/** What a choice looks at beside the books. */
+/** Input of a choice. */
 export interface ChoiceContext {
   readonly registry: workerRegistry.WorkerRegistry;
   readonly health: workerHealth.WorkerHealth;
   readonly now: types.clock.MonotonicMs;
-  /** Whether a worker's room is kept for work of higher rank. */
+  /** Whether a worker is reserved for work of higher rank. */
   readonly isReserved?: (worker: types.ids.WorkerId) => boolean;
-  /** Workers that are kept for tasks which may crash them. */
+  /** Workers reserved for tasks that may crash them. */
   readonly isolation?: taskIsolation.TaskIsolation;
-  /** A worker has crashed under the task that is placed. */
+  /** Whether a worker has crashed while it ran the task. */
   readonly isSuspected?: boolean;
 }
 
-/** Whether a step's tasks may run on a worker at all, room left aside. */
+/**
+ * Whether a worker is in the pool of a step and has its required label,
+ * regardless of free capacity.
+ */
 export function isEligible(
   stepRun: activeJob.StepRun,
   worker: workerRegistry.RegisteredWorker,
@@ -32,7 +35,7 @@
   return label === undefined || info.labels.includes(label);
 }
 
-/** What a task takes from a worker's books. */
+/** Resources reserved on the worker for a task of a step. */
 export function reservedSize(
   stepRun: activeJob.StepRun,
 ): types.resources.Resources {
@@ -41,9 +44,9 @@
 }
 
 /**
- * The workers that have room for a task of the step and may run it now. Room
- * is looked at first: in a full cell that leaves few workers, and the other
- * questions cost more.
+ * Finds the workers that have capacity for a task of the step and may run it
+ * now. Capacity is checked first: in a full cell it leaves few workers, and the
+ * other checks are more expensive.
  */
 export function findCandidates(
   stepRun: activeJob.StepRun,
@@ -64,7 +67,7 @@
   return found;
 }
 
-/** The workers that may run the step once they have room. */
+/** Finds the workers that may run the step once they have free capacity. */
 export function findAvailableWorkers(
   stepRun: activeJob.StepRun,
   context: ChoiceContext,
@@ -76,7 +79,10 @@
   return found;
 }
 
-/** Approved by the adviser, where there is one; tickets may have ended. */
+/**
+ * The workers approved by the adviser, also with expired tickets; all workers
+ * if the queue has no adviser.
+ */
 function* approvedWorkers(
   {advice, job}: activeJob.StepRun,
   {registry}: ChoiceContext,
@@ -102,7 +108,9 @@
   return health.trustOf(worker.info.id, now) !== 'avoided';
 }
 
-/** How many more tasks of the step the worker may take. */
+/**
+ * How many more tasks of the step a worker may run under its limit per worker.
+ */
 export function remainingSlots(
   stepRun: activeJob.StepRun,
   worker: workerRegistry.RegisteredWorker,
@@ -112,9 +120,9 @@
 }
 
 /**
- * Whether nothing speaks against a worker for this step. A task that failed is
- * tried elsewhere first: on a worker that fails all it starts, every further
- * try would use up one of the few that a job has.
+ * Whether a worker is healthy and no task of the job has failed on it. A failed
+ * task is tried on other workers first: on a worker that fails all its tasks,
+ * every further attempt would use up one of the few that a job has.
  */
 export function isTrusted(
   stepRun: activeJob.StepRun,
@@ -123,14 +131,14 @@
 ): boolean {
   const {id} = worker.info;
   if (stepRun.job.failedOn.has(id)) return false;
-  return context.health.trustOf(id, context.now) === 'sound';
+  return context.health.trustOf(id, context.now) === 'healthy';
 }
 
 /**
- * The best of the given workers with room for a task: sound before doubtful,
- * near the data before far, in the job's failure domain before others, then
- * the one that the task fills most, which keeps other workers whole for large
- * tasks.
+ * Chooses the best of the given workers with capacity for a task: trusted ones
+ * first, then the rack near the data, then the failure domain of the job, and
+ * then the worker with the least free processors, which leaves other workers
+ * free for large tasks.
  */
 export function chooseWorker(
   stepRun: activeJob.StepRun,
@@ -151,11 +159,17 @@
   return best;
 }
 
-/** Larger than any difference in free processors, in thousandths of a core. */
+/**
+ * Costs of the criteria, each larger than those below it and than any
+ * difference in free processors, in thousandths of a core.
+ */
 const UNTRUSTED_COST = 1e9;
 const OTHER_RACK_COST = 1e8;
 const OTHER_DOMAIN_COST = 1e7;
-/** A crash under two tasks that may be at fault tells little about either. */
+/**
+ * A crash of a worker with two suspected tasks tells little about either of
+ * them.
+ */
 const SUSPECTS_TOGETHER_COST = 1e6;
 
 function costOf(
--- a/packages/gypsumwall-scheduling/src/crash_attribution.ts
+++ b/packages/gypsumwall-scheduling/src/crash_attribution.ts
@@ -1,6 +1,6 @@
 /**
- * Reads crashes of workers into the records of the tasks that ran there, and
- * gives up those whose fault they are.
+ * Attributes worker crashes to the tasks that ran there and gives up the tasks
+ * that caused them.
  */
 import * as types from '@gypsumwall/types';
 import type * as activeJob from './active_job.js';
@@ -11,35 +11,37 @@
 import * as taskIds from './task_id.js';
 import * as workerLosses from './worker_losses.js';
 
-/** What a reader works on. */
+/** Dependencies of the crash attribution. */
 export interface CrashAttributionParts {
   readonly losses: workerLosses.WorkerLosses;
   readonly jobRegistry: jobRegistrys.JobRegistry;
   readonly onEvent: (event: schedulerTypes.SchedulerEvent) => void;
 }
 
-/** Reads crashes. */
+/** Attributes worker crashes to tasks. */
 export interface CrashAttribution {
-  /** A worker has crashed with these runs. */
+  /** Records that a worker crashed with these attempts. */
   recordCrash(
     worker: types.ids.WorkerId,
     attempts: readonly activeJob.Attempt[],
     now: types.clock.MonotonicMs,
   ): void;
   /**
-   * Runs ended with a lease, and nobody knows yet whether their worker has
-   * crashed or is cut off. Their tasks start again meanwhile.
+   * Records attempts that ended with the lease of their worker, while it is not
+   * known yet whether the worker has crashed or is cut off. Their tasks are
+   * started again meanwhile.
    */
   recordSilence(
     worker: types.ids.WorkerId,
     attempts: readonly activeJob.Attempt[],
     now: types.clock.MonotonicMs,
   ): void;
-  /** The worker was cut off: it answers, and is the one it was. */
+  /** Called when a worker answers: its incarnation has not crashed. */
   onWorkerAnswered(worker: types.ids.WorkerId): void;
   /**
-   * All workers of a job that an earlier scheduler left are accounted for. A
-   * task that isn't found on them may have been on one that has crashed.
+   * Called when all workers recorded for a job of an earlier scheduler are
+   * reconciled. A task that was not found on them may have run on a crashed
+   * worker.
    */
   onJobReconciled(job: activeJob.ActiveJob): void;
 }
@@ -49,7 +51,7 @@
   readonly forgetAt: types.clock.MonotonicMs;
 }
 
-/** Creates the reader of a scheduler. */
+/** Creates the crash attribution of a scheduler. */
 export function createCrashAttribution(
   parts: CrashAttributionParts,
 ): CrashAttribution {
@@ -75,7 +77,10 @@
     return true;
   }
 
-  /** A task has one run at a time, so it was on one of the workers at most. */
+  /**
+   * Records a crash for one of these workers only: a task has one attempt at a
+   * time, so it ran on one of them at most.
+   */
   function recordFirstUnknown(
     stepRun: activeJob.StepRun,
     index: number,
@@ -104,7 +109,10 @@
     jobRegistry.finishJob(stepRun.job, 'failed');
   }
 
-  /** How long a run was apart from other jobs when its worker crashed. */
+  /**
+   * How long an attempt ran isolated from other jobs before its worker crashed;
+   * undefined if the crash is not its own.
+   */
   function isolatedMs(
     {isolatedUntil, startedAt, workerId}: activeJob.Attempt,
     now: types.clock.MonotonicMs,
@@ -171,7 +179,7 @@
   };
 }
 
-/** Tasks of an open step that neither run nor are done. */
+/** Indexes of tasks of an open step that neither run nor are done. */
 function missingIndexes(stepRun: activeJob.StepRun): number[] {
   if (stepRun.state !== 'open') return [];
   const found = new Set(stepRun.doneIndexes);
--- a/packages/gypsumwall-scheduling/src/crash_records.ts
+++ b/packages/gypsumwall-scheduling/src/crash_records.ts
@@ -1,52 +1,56 @@
 /**
- * Which workers have crashed under each task. Crashes are recorded by the
- * worker's stay, not counted, so that two holders that hear of the same crash
- * record it once.
+ * Records which workers crashed while they ran a task. A crash is recorded by
+ * the worker's incarnation rather than counted, so that two holders that learn
+ * of the same crash record it once.
  *
- * A crash takes along all that runs on its worker, and one of it may be at
- * fault. So a crash alone proves nothing: a task under which workers have
- * crashed is started apart from other jobs, and a crash there is its own. One
- * that takes part in too many crashes is at fault all the same.
+ * A crash ends all attempts on its worker, any of which may have caused it, so
+ * a single crash proves nothing. A task with several crashes is therefore
+ * isolated from other jobs, where a crash is its own fault. A task that is
+ * involved in too many crashes is given up in any case.
  */
 import type * as types from '@gypsumwall/types';
 import type * as activeJob from './active_job.js';
 
-/** What may have caused a worker's crash. */
+/** Possible cause of a crash. */
 export type CrashKind =
-  /** Something that ran there. */
+  /** Something that ran on the worker. */
   | 'single'
-  /** Most of its rack or failure domain went down with it. */
+  /** An external cause: most of its rack or failure domain was lost with it. */
   | 'group';
 
-/** Crashes under one task, by the worker's stay. */
+/** Crashes of one task, by worker incarnation. */
 export type Crashes = ReadonlyMap<types.ids.WorkerId, CrashKind>;
 
-/** From so many crashes on a task starts apart from other jobs. */
+/** Number of crashes from which a task starts isolated from other jobs. */
 const MIN_CRASHES_TO_ISOLATE = 2;
 /**
- * The task's fault, if the last of so many crashes came promptly while it was
- * apart. A later one may be a chance, so it takes another.
+ * Number of crashes from which the task is at fault if the last one came
+ * promptly while it was isolated. A later crash may be a coincidence, so it
+ * takes one more.
  */
 const MIN_CONCLUSIVE_CRASHES = 3;
+/** A crash within this time after the start is prompt; milliseconds. */
 const PROMPT_CRASH_MS = 1_000;
 /**
- * The task's fault however they came, if enough of them were single. A task
- * that outlives each of its trials would otherwise be started without end.
+ * Number of crashes from which the task is at fault in any case, if enough of
+ * them were single. Otherwise a task that outlives each of its isolation
+ * periods would be restarted forever.
  */
 const MAX_CRASHES = 5;
-/** The first trial; each further one takes twice as long; milliseconds. */
+/** First isolation period; it doubles with each further crash; milliseconds. */
 const FIRST_ISOLATION_MS = 3_000;
 /**
- * A task that has run for so long is cleared. It is as long as the trial after
- * the last crash that leaves a task in doubt; milliseconds.
+ * The crashes of a task that has run this long are cleared. Equals the
+ * isolation period after the last crash that does not decide whether the task
+ * is at fault; milliseconds.
  */
 export const SURVIVAL_MS =
   FIRST_ISOLATION_MS * 2 ** (MAX_CRASHES - 1 - MIN_CRASHES_TO_ISOLATE);
 
 /**
- * How many workers have crashed under a task since it was last cleared. Losses
- * of a whole group say nothing by themselves. Beside a single crash they count:
- * the task may have crashed its worker just as the power failed.
+ * Number of crashes of a task since it was last cleared. Group losses do not
+ * count by themselves. They count beside a single crash: the task may have
+ * crashed its worker just as the power failed.
  */
 export function crashCount(stepRun: activeJob.StepRun, index: number): number {
   const crashes = stepRun.crashes.get(index);
@@ -60,7 +64,7 @@
   return count;
 }
 
-/** Records a crash; false if it was recorded before. */
+/** Records a crash; returns false if it was recorded before. */
 export function recordCrash(
   stepRun: activeJob.StepRun,
   index: number,
@@ -75,7 +79,7 @@
   return true;
 }
 
-/** Whether a task may only start apart from other jobs. */
+/** Whether a task may start only isolated from other jobs. */
 export function needsIsolation(
   stepRun: activeJob.StepRun,
   index: number,
@@ -83,7 +87,7 @@
   return crashCount(stepRun, index) >= MIN_CRASHES_TO_ISOLATE;
 }
 
-/** How long a task stays apart from others once it has started. */
+/** How long a task is isolated once it has started; milliseconds. */
 export function isolationPeriodMs(
   stepRun: activeJob.StepRun,
   index: number,
@@ -92,16 +96,17 @@
   return Math.min(SURVIVAL_MS, FIRST_ISOLATION_MS * 2 ** Math.max(0, further));
 }
 
-/** Why a task is given up. */
+/** Reason for giving up a task. */
 export type GiveUpReason =
-  /** Its worker crashed while it ran apart from other jobs. */
+  /** Its worker crashed while the task was isolated from other jobs. */
   | 'crashed_in_isolation'
-  /** More workers have crashed under it than a sound task meets. */
+  /** More workers crashed while they ran it than a healthy task would see. */
   | 'too_many_crashes';
 
 /**
- * Whether a task is to be given up after the crash recorded last. `isolatedMs`
- * is how long it had run apart from other jobs by then; absent if it didn't.
+ * Returns why a task is to be given up after the last recorded crash, if it is.
+ * `isolatedMs` is how long it had run isolated before that crash; absent if it
+ * was not isolated.
  */
 export function giveUpReason(
   stepRun: activeJob.StepRun,
--- a/packages/gypsumwall-scheduling/src/gang_fit.ts
+++ b/packages/gypsumwall-scheduling/src/gang_fit.ts
@@ -1,17 +1,17 @@
 /**
- * Finds workers for all tasks of a gang at once, in one rack where its tasks
- * run slower when they are spread.
+ * Finds workers for all tasks of a gang at once, in one rack if its tasks run
+ * slower when they are spread.
  */
 import type * as types from '@gypsumwall/types';
 import type * as workerRegistry from './worker_registry.js';
 
-/** A worker that may run the tasks, and how many it has room for. */
+/** A worker that may run tasks of the gang, and how many fit on it. */
 export interface WorkerSlots {
   readonly worker: workerRegistry.RegisteredWorker;
   readonly tasks: number;
 }
 
-/** How many tasks of a size fit into some room. */
+/** Returns how many tasks of a size fit into the free resources. */
 export function tasksThatFit(
   size: types.resources.Resources,
   room: types.resources.Resources,
@@ -28,17 +28,20 @@
   return Math.max(0, Math.floor(room / need));
 }
 
-/** How a gang's tasks are laid out. */
+/** How the tasks of a gang are distributed. */
 export interface GangLayout {
   readonly sameRack: boolean;
-  /** Few on each worker, so that its crash tells more of which is at fault. */
+  /**
+   * Whether each worker gets few tasks, so that its crash gives more evidence
+   * of which task is at fault.
+   */
   readonly spread: boolean;
 }
 
 /**
- * One worker for each task, or undefined while there is no room for all.
- * Workers that take the most tasks come first, so that a gang sits on few
- * workers and leaves the others whole.
+ * Returns one worker for each task, or undefined if they do not all fit.
+ * Workers that fit the most tasks come first, so that a gang uses few workers
+ * and leaves the others free.
  */
 export function fitGang(
   slots: readonly WorkerSlots[],
@@ -66,7 +69,7 @@
   return slots.reduce((sum, room) => sum + room.tasks, 0) >= taskCount;
 }
 
-/** One task for each worker, round after round. */
+/** Distributes one task to each worker in turn. */
 function fillEvenly(
   slots: readonly WorkerSlots[],
   taskCount: number,
--- a/packages/gypsumwall-scheduling/src/gang_reservation.ts
+++ b/packages/gypsumwall-scheduling/src/gang_reservation.ts
@@ -1,15 +1,16 @@
 /**
- * Keeps room for gangs that wait. A gang needs all its room at one moment;
- * small tasks need little and take each bit that is freed, so in a full cell a
- * wide gang would wait until the small work has ended. The workers that are
- * nearest to having the gang's room take nothing of lower rank meanwhile, and
- * empty within the length of a small task.
+ * Reserves workers for waiting gangs. A gang needs all its capacity at the same
+ * moment; small tasks need little and use every bit that becomes free, so in a
+ * full cell a wide gang would wait until the small work has ended. The workers
+ * that are closest to having the capacity for the gang accept no task of lower
+ * rank meanwhile, and become free within the duration of a small task.
  *
- * Pattern: a full cell of mixed widths in which a twentieth of the tasks fail,
- * so that gangs come back. Of 246 workers' wide gangs 0.953 were on time with
- * it and 0.884 without; at a fifth more load (0.924, 0.925) and with 82 workers
- * (0.918, 0.930) it made no difference beyond that between seeds; nor did it for
- * other kinds (virtual cell, five seeds, nothing else changed).
+ * Pattern: a full cell of mixed widths in which one in twenty tasks fails, so
+ * that gangs are queued again. With 246 workers, 0.953 of the wide gangs were
+ * on time with reservations and 0.884 without; at a fifth more load (0.924,
+ * 0.925) and with 82 workers (0.918, 0.930) the difference was not larger than
+ * that between seeds, and neither was it for other kinds of work (virtual cell,
+ * five seeds, nothing else changed).
  */
 import type * as types from '@gypsumwall/types';
 import type * as activeJob from './active_job.js';
@@ -18,25 +19,31 @@
 import type * as workerRegistry from './worker_registry.js';
 
 /**
- * Never hold more than this share of the workers: what they could run
+ * Maximum share of the workers that are reserved: the work that they could run
  * meanwhile is lost.
  */
 const MAX_RESERVED_SHARE = 0.25;
-/** Looking for a gang's room takes a while, and there is little to hold. */
+/**
+ * Maximum number of gangs for which a cycle tries to reserve workers: the
+ * search is expensive and few workers can be reserved.
+ */
 const MAX_GANGS_TRIED = 4;
-/** More urgent work may still start on held workers; room for that. */
+/**
+ * Reserves this multiple of the needed capacity, because more urgent work may
+ * still start on reserved workers.
+ */
 const SPARE_FACTOR = 1.25;
 
-/** The room that one pass keeps. */
+/** The reservations of one scheduling cycle. */
 export interface GangReservation {
   isReserved(worker: types.ids.WorkerId): boolean;
-  /** Workers whose room is kept, and the gang that it is kept for. */
+  /** Reserved workers and the gang for which each is reserved. */
   readonly reservations: ReadonlyMap<types.ids.WorkerId, activeJob.StepRun>;
-  /** Holds workers for a gang that found no room now. */
+  /** Reserves workers for a gang that does not fit now. */
   reserveFor(stepRun: activeJob.StepRun): void;
 }
 
-/** Creates the holds of one pass, with nothing held. */
+/** Creates the reservations of one cycle, without reserved workers. */
 export function createGangReservation(
   context: chooseWorker.ChoiceContext,
 ): GangReservation {
@@ -62,7 +69,7 @@
           stepRun.request.maxPerWorker ?? Infinity,
         );
       }
-      // Part of the room would be held in vain.
+      // Reserving only a part of the capacity would be useless.
       if (missing > 0 || reservations.size + chosen.length > maxReserved)
         return;
       for (const id of chosen) reservations.set(id, stepRun);
@@ -70,7 +77,10 @@
   };
 }
 
-/** Workers that may run the step, those with the most free room first. */
+/**
+ * Returns the workers that may run the step, those with the most free
+ * processors first.
+ */
 function mostFreeFirst(
   stepRun: activeJob.StepRun,
   context: chooseWorker.ChoiceContext,
--- a/packages/gypsumwall-scheduling/src/job_order.ts
+++ b/packages/gypsumwall-scheduling/src/job_order.ts
@@ -1,36 +1,39 @@
 /**
- * The order in which steps get room. Work that can still be on time goes
- * before work that is late, and late work before work so late that its caller
- * has no use for it; within each, by the queue's priority and then by the
- * latest moment at which it must start.
+ * The order in which steps get capacity. Work that can still be on time ranks
+ * before late work, and late work before work that is so late that its caller
+ * has no use for it; within each class the priority of the queue decides, then
+ * the latest start that meets the objective.
  */
 import type * as types from '@gypsumwall/types';
 
-/** What the order looks at. */
+/** The properties of waiting work that decide its rank. */
 export interface Claimant {
   readonly priority: number;
   /** When the job should be done. */
   readonly dueAt: types.clock.MonotonicMs;
-  /** When its caller has no use for it any more. */
+  /** When the result is of no more use to the caller. */
   readonly worthlessAt: types.clock.MonotonicMs;
-  /** Expected length of the work that is left, in milliseconds. */
+  /** Expected duration of the remaining work, in milliseconds. */
   readonly remainingMs: number;
   /**
-   * Whether the work lasts until it is cancelled. It is of use whenever it
-   * runs, so it is never late.
+   * Whether the work runs until it is cancelled. It is useful whenever it runs,
+   * so it is never late.
    */
   readonly isLongRunning: boolean;
-  /** Rises with each job; settles ties first come, first served. */
+  /** Increases with each job; breaks ties in order of arrival. */
   readonly arrival: number;
 }
 
 /**
- * A late job keeps some worth up to this many times its objective; this is
- * how the users value it.
+ * A late job keeps some value for the users up to this multiple of its
+ * objective; the users have defined this value.
  */
 export const LATE_FACTOR = 3;
 
-/** 0 may be on time, 1 is late, 2 is of no more use. */
+/**
+ * Returns 0 if the work may be on time, 1 if it is late, 2 if it is of no more
+ * use.
+ */
 export function lateness(
   claimant: Claimant,
   now: types.clock.MonotonicMs,
@@ -41,13 +44,13 @@
   return endsAt <= claimant.worthlessAt ? 1 : 2;
 }
 
-/** A claimant and how late it is now. */
+/** A claimant with its current lateness. */
 export interface RankedClaimant {
   readonly claimant: Claimant;
   readonly lateness: 0 | 1 | 2;
 }
 
-/** Compares two claimants: negative when the left one goes first. */
+/** Compares two ranked claimants: negative if the left one ranks first. */
 export function compareRanked(
   left: RankedClaimant,
   right: RankedClaimant,
@@ -62,7 +65,7 @@
   );
 }
 
-/** Compares two claimants as they stand now. */
+/** Compares two claimants by their current lateness. */
 export function compare(
   left: Claimant,
   right: Claimant,
--- a/packages/gypsumwall-scheduling/src/job_progress.ts
+++ b/packages/gypsumwall-scheduling/src/job_progress.ts
@@ -1,17 +1,17 @@
 /**
- * What must survive the process that schedules a job: which tasks are done,
- * how often each has failed, and what the job has come to. Everything else is
- * read back from the workers.
+ * The progress of a job that has to outlive the process that schedules it:
+ * which tasks are done, which attempts have failed, and the phase of the job.
+ * Everything else is read from the workers again.
  */
 
 import type * as types from '@gypsumwall/types';
 import type * as crashRecords from './crash_records.js';
 
-/** What a job has come to. */
+/** Phase of a job. */
 export type JobPhase =
-  /** Accepted; no task has been handed to a worker. */
+  /** Accepted; no task was sent to a worker. */
   | 'queued'
-  /** A task may have been handed to a worker. */
+  /** A task may have been sent to a worker. */
   | 'running'
   | 'completed'
   | 'failed'
@@ -22,28 +22,29 @@
   /** Indexes of tasks that are done, ascending; `all` when none is left. */
   readonly done: 'all' | readonly number[];
   /**
-   * Attempts that failed, by task index; a gang's under 0. They are named and
-   * not counted, since a worker repeats an end until it is acknowledged: a
-   * scheduler that takes over would count it twice and give up a sound job.
+   * Numbers of the failed attempts by task index; under 0 for a gang. The
+   * attempts are listed, not counted, because a worker repeats an end until it
+   * is acknowledged: a scheduler that takes over would count it twice and give
+   * up a healthy job.
    */
   readonly failures: Readonly<Record<string, readonly number[]>>;
-  /** Crashes by task index, then by worker; absent for none. */
+  /** Crashes by task index and worker; absent if there are none. */
   readonly crashes?: Readonly<
     Record<string, Readonly<Record<string, crashRecords.CrashKind>>>
   >;
 }
 
-/** Progress of a job; occurrences by number. */
+/** Progress of a job, with its occurrences by number. */
 export interface JobProgress {
   readonly phase: JobPhase;
-  /** Workers that its tasks may have been handed to. */
+  /** Workers to which its tasks may have been sent. */
   readonly workers: readonly types.ids.WorkerId[];
   readonly occurrences: Readonly<Record<string, readonly StepProgress[]>>;
-  /** Numbers of occurrences that are done as a whole. */
+  /** Numbers of the occurrences that are done as a whole. */
   readonly finished: readonly number[];
 }
 
-/** The progress of a job of which nothing has started. */
+/** The progress of a job that has not started. */
 export const NO_PROGRESS: JobProgress = {
   phase: 'queued',
   workers: [],
@@ -51,7 +52,7 @@
   finished: [],
 };
 
-/** Whether nothing of the job will ever start again. */
+/** Whether no task of the job will ever start again. */
 export function isOver(phase: JobPhase): boolean {
   switch (phase) {
     case 'queued':
--- a/packages/gypsumwall-scheduling/src/job_registry.ts
+++ b/packages/gypsumwall-scheduling/src/job_registry.ts
@@ -1,7 +1,7 @@
 /**
- * The jobs of a scheduler, the steps that wait, the runs to be stopped and the
- * jobs to be stored: every change of a job goes through here, so that none of
- * these lists misses it.
+ * The jobs of a scheduler, its waiting steps, the attempts to stop and the jobs
+ * to store. Every change of a job goes through this module, so that all these
+ * lists stay up to date.
  */
 import * as types from '@gypsumwall/types';
 import * as activeJob from './active_job.js';
@@ -12,55 +12,62 @@
 import * as taskIds from './task_id.js';
 import type * as workerHealth from './worker_health.js';
 
-/** A task, as its step and index. */
+/** A task, identified by its step run and index. */
 export interface TaskOwner {
   readonly stepRun: activeJob.StepRun;
   readonly index: number;
 }
 
-/** What a job book works on. */
+/** Dependencies of a job registry. */
 export interface JobRegistryParts {
   readonly attempts: attemptTable.AttemptTable;
   readonly health: workerHealth.WorkerHealth;
-  /** Whether a worker drains or is gone for good. */
+  /** Whether a worker drains or was removed. */
   readonly isLeaving: (worker: types.ids.WorkerId) => boolean;
   readonly onEvent: (event: schedulerTypes.SchedulerEvent) => void;
 }
 
-/** Jobs and what is to be done about them. */
+/** The jobs of a scheduler and what is due for them. */
 export interface JobRegistry {
   readonly jobs: ReadonlyMap<types.ids.JobId, activeJob.ActiveJob>;
-  /** Steps with tasks that wait. */
+  /** Steps with queued tasks. */
   readonly waitingSteps: ReadonlySet<activeJob.StepRun>;
-  /** Jobs whose steps or occurrences may have come due. */
+  /** Jobs with steps or occurrences that may be due to open. */
   readonly jobsToOpen: Set<activeJob.ActiveJob>;
   /** Jobs whose progress has to be stored. */
   readonly dirty: Set<activeJob.ActiveJob>;
   add(job: activeJob.ActiveJob): void;
-  /** Opens what is due. */
+  /** Opens the steps and occurrences of a job that are due. */
   openDue(
     job: activeJob.ActiveJob,
     now: types.clock.MonotonicMs,
     wall: types.clock.WallMs,
   ): void;
-  /** Ends a job: what still runs of it is stopped. */
+  /** Ends a job and stops its remaining attempts. */
   finishJob(
     job: activeJob.ActiveJob,
     phase: 'completed' | 'failed' | 'cancelled',
   ): void;
   /**
-   * A worker has taken a task. Until then a job counts as waiting for its
-   * callers, however long ago its workers were recorded or orders were sent:
-   * in a full cell, or at workers that answer no orders, that is seconds.
+   * Marks a job as running once a worker has accepted a task of it. Until then
+   * callers see it as queued, even if workers were recorded or orders sent long
+   * ago: in a full cell, or with workers that do not answer orders, that takes
+   * seconds.
    */
   markRunning(job: activeJob.ActiveJob): void;
-  /** Has a run stopped; it keeps its room until its end is known. */
+  /**
+   * Requests the stop of an attempt. Its capacity stays reserved until its end
+   * is known.
+   */
   stop(attempt: activeJob.Attempt): void;
-  /** Has a run stopped whose stop was answered and that is still there. */
+  /**
+   * Requests another stop of an attempt that still runs although its stop was
+   * answered.
+   */
   retryStop(attempt: activeJob.Attempt): void;
   /**
-   * Puts a task whose attempt has ended back into line, with its gang if it has
-   * one.
+   * Queues a task again after the end of its attempt; a gang is queued as a
+   * whole.
    */
   requeue(
     stepRun: activeJob.StepRun,
@@ -69,31 +76,34 @@
   ): void;
   dropAttempt(attempt: activeJob.Attempt): void;
   /**
-   * A run is over. A worker that is about to leave and has none of the job's
-   * runs any more is taken off the job's record. A successor holds a job back
-   * until each recorded worker is accounted for, and one that has left answers
-   * nobody: tasks that were moved off in good time stood still for 35 s.
-   * Nothing starts on a leaving worker, so it isn't put on the record again.
+   * Called when an attempt has ended. If its worker is about to leave and has
+   * no other attempt of the job, removes the worker from the workers recorded
+   * for the job. A successor does not start tasks of a job until each recorded
+   * worker is reconciled, and a worker that has left does not answer: tasks
+   * that were moved to other workers in good time did not run for 35 s. Nothing
+   * starts on a leaving worker, so it is not recorded again.
    */
   removeLeavingWorker(attempt: activeJob.Attempt): void;
   /**
-   * Puts a second run of a task into line beside one that may take long, where
-   * its caller allows copies. The first that is done counts, and the other is
-   * stopped.
+   * Queues a second attempt of a task whose first one may take long, if its
+   * step allows copies. The first attempt that is done counts and the other one
+   * is stopped.
    */
   queueCopy(attempt: activeJob.Attempt): void;
-  /** Notes whether the step has tasks that wait. */
+  /** Updates whether the step has queued tasks. */
   updateWaiting(stepRun: activeJob.StepRun): void;
-  /** A task, or its gang, runs already. */
+  /** Removes a task that already runs, or its gang, from the queue. */
   dequeue(stepRun: activeJob.StepRun, index: number): void;
   breakPartialGangs(job: activeJob.ActiveJob): void;
-  /** The task of a job that isn't over, if its step is known. */
+  /**
+   * Returns the task with this id if its job is not over and its step is known.
+   */
   findTask(taskId: types.ids.TaskId): TaskOwner | undefined;
-  /** Runs to be stopped, handed over once. */
+  /** Returns the attempts to stop since the last call. */
   takeStops(): activeJob.Attempt[];
 }
 
-/** Creates an empty book. */
+/** Creates a registry without jobs. */
 export function createJobRegistry(parts: JobRegistryParts): JobRegistry {
   const jobs = new Map<types.ids.JobId, activeJob.ActiveJob>();
   const waitingSteps = new Set<activeJob.StepRun>();
@@ -153,12 +163,15 @@
     });
   }
 
-  /** Breaks a gang up: without one member the others can't work. */
+  /** Stops all members of a gang: they cannot work without the missing one. */
   function breakGang(stepRun: activeJob.StepRun): void {
     for (const attempt of stepRun.attempts) stop(attempt);
   }
 
-  /** A gang that was found in part has lost members with their workers. */
+  /**
+   * Stops gangs of which only some members were found: the others were lost
+   * with their workers.
+   */
   function breakPartialGangs(job: activeJob.ActiveJob): void {
     for (const occurrence of job.open.values()) {
       for (const stepRun of occurrence.steps) {
@@ -169,17 +182,17 @@
     }
   }
 
-  /** Whether the end of an attempt leaves a gang without a member. */
+  /** Whether a gang misses a member after the end of this attempt. */
   function losesMember(
     stepRun: activeJob.StepRun,
     attemptNumber: number,
   ): boolean {
     const {request, state, highestAttempts, job, attempts} = stepRun;
-    // Members of one that is done end by themselves.
+    // Members of a gang that is done end by themselves.
     if (!request.gang || state === 'done') return false;
     const latest = highestAttempts.get(activeJob.GANG_KEY) ?? 0;
     if (attemptNumber >= latest) return true;
-    // Members of the latest attempt may not all have been found yet.
+    // Some members of the latest attempt may not be found yet.
     if (job.isAwaitingReconciliation) return false;
     const members = [...attempts].filter(
       (attempt) => attempt.phase !== 'stopping',
@@ -207,7 +220,7 @@
     if (job.workers.delete(workerId)) dirty.add(job);
   }
 
-  /** A run is over without a word on how: its task waits again. */
+  /** Queues the task of an attempt whose outcome is not known. */
   function dropAttempt(attempt: activeJob.Attempt): void {
     const {owner, number: attemptNumber} = attempt;
     parts.attempts.remove(attempt);
@@ -220,7 +233,7 @@
     const {stepRun, index} = owner;
     const {speculative, gang, longRunning} = stepRun.request;
     if (!speculative || gang || longRunning) return;
-    // A copy of a task that crashes its workers would crash another one.
+    // A copy of a task that crashes its workers would crash another worker.
     if (stepRun.crashes.has(index)) return;
     if (stepRun.state !== 'open') return;
     if (jobProgress.isOver(stepRun.job.phase)) return;
--- a/packages/gypsumwall-scheduling/src/job_request.ts
+++ b/packages/gypsumwall-scheduling/src/job_request.ts
@@ -1,82 +1,91 @@
-/** A job of several steps, as its caller handed it in, and its queue's policy. */
+/** The request of a job with several steps and the policy of its queue. */
 import type * as types from '@gypsumwall/types';
 
-/** One step: alike tasks that may start once the steps before it are done. */
+/** One step: similar tasks that may start once the steps before it are done. */
 export interface StepRequest {
   readonly taskCount: number;
-  /** What each task needs of a worker. */
+  /** Resources that each task needs. */
   readonly size: types.resources.Resources;
-  /** Rough run time of a task, in milliseconds; often far off. */
+  /** Estimated run time of a task, in milliseconds; often far off. */
   readonly expectedMs: number;
-  /** Numbers of the steps whose tasks must all be done before. */
+  /** Numbers of the steps that must be done before this one starts. */
   readonly after: readonly number[];
-  /** Whether a stopped task can go on from where it was. */
+  /** Whether a stopped task can resume from its saved progress. */
   readonly savesProgress: boolean;
-  /** All tasks run together or none does. */
+  /** Whether the tasks run only all together. */
   readonly gang: boolean;
   /** Whether the tasks run slower when they are spread over racks. */
   readonly sameRack: boolean;
-  /** A label that the worker must carry. */
+  /** A label that the worker must have. */
   readonly requiredLabel?: string;
-  /** The rack near the data; tasks run slower on any other. */
+  /** The rack near the data; tasks run slower on any other rack. */
   readonly preferredRack?: string;
-  /** At most this many tasks of the step on one worker. */
+  /** Maximum number of tasks of the step on one worker. */
   readonly maxPerWorker?: number;
-  /** Whether copies of a task may run side by side. */
+  /** Whether copies of a task may run concurrently. */
   readonly speculative: boolean;
-  /** Runs until the job is cancelled and is restarted however it ends. */
+  /**
+   * Whether the tasks run until the job is cancelled and are restarted however
+   * they end.
+   */
   readonly longRunning: boolean;
-  /** What the tasks run; tasks of one image behave alike. */
+  /** The image that the tasks run; tasks with the same image behave alike. */
   readonly image?: string;
-  /** Bound of a serving task's tail latency, in milliseconds. */
+  /** Target for the tail latency of a serving task, in milliseconds. */
   readonly tailTargetMs?: number;
-  /** Whether the processors are taken only from what others leave over. */
+  /** Whether the tasks use only processor time that other tasks leave over. */
   readonly usesSpareCpu: boolean;
-  /** How many tasks of a long-running step may be away at our hands. */
+  /**
+   * Maximum number of tasks of a long-running step that the system may have
+   * stopped at the same time.
+   */
   readonly maxUnavailable?: number;
 }
 
-/** When a job's steps run more than once. */
+/** Schedule of a job whose steps run more than once. */
 export interface Schedule {
   readonly occurrences: number;
   readonly firstAt: types.clock.WallMs;
   readonly intervalMs: number;
 }
 
-/** A job as it was handed in. */
+/** A job as it was submitted. */
 export interface JobRequest {
-  /** Opaque to the scheduler; handed to the workers. */
+  /** Passed to the workers; opaque to the scheduler. */
   readonly payload: string;
   readonly steps: readonly StepRequest[];
   readonly schedule?: Schedule;
 }
 
-/** A queue whose steps may run only where an adviser approves. */
+/** Adviser policy of a queue whose steps may run only on approved workers. */
 export interface AdvicePolicy {
-  /** Time of one call, and in addition for each worker named; milliseconds. */
+  /**
+   * Duration of a call, and additional duration for each worker named;
+   * milliseconds.
+   */
   readonly callMs: number;
   readonly perWorkerMs: number;
-  /** How long an approval holds, in milliseconds. */
+  /** Validity of an approval, in milliseconds. */
   readonly validMs: number;
 }
 
-/** What the operator has set for a queue. */
+/** Settings of the operator for a queue. */
 export interface QueuePolicy {
   readonly queue: string;
-  /** The pool of workers that the queue's tasks run on. */
+  /** Worker pool on which the tasks of the queue run. */
   readonly pool: string;
-  /** 0 is the most urgent. */
+  /** Priority; 0 is the most urgent. */
   readonly priority: number;
-  /** A task that has failed this often is given up. */
+  /** A task is given up after this many failed attempts. */
   readonly maxFailures: number;
-  /** A job should be done in this many times its own length of work ... */
+  /** Target duration of a job: this multiple of its expected duration ... */
   readonly slackFactor: number;
-  /** ... and this many milliseconds more. */
+  /** ... plus this many milliseconds. */
   readonly targetMs: number;
   readonly advice?: AdvicePolicy;
 }
 
-/** The longest chain of expected run times through the steps; milliseconds. */
+/** Expected duration of the longest chain of steps, in milliseconds. */
 export function chainMs(request: JobRequest): number {
   const ends: number[] = [];
   request.steps.forEach((step, index) => {
@@ -86,10 +95,10 @@
   return Math.max(0, ...ends);
 }
 
-/** What is wrong with a request, in words, or undefined. */
+/** Returns a description of what is wrong with a request, or undefined. */
 export function faultOf(request: JobRequest): string | undefined {
   if (request.steps.length === 0)
-    return 'steps = []: a job has a step at least';
+    return 'steps = []: a job needs at least one step';
   for (const [index, step] of request.steps.entries()) {
     const fault = faultOfStep(step, index);
     if (fault !== undefined) return `step ${index}: ${fault}`;
--- a/packages/gypsumwall-scheduling/src/job_steps.ts
+++ b/packages/gypsumwall-scheduling/src/job_steps.ts
@@ -1,39 +1,39 @@
 /**
- * Moves a job along: which steps are open, which tasks wait, what an end of a
- * run means for the task, the step, the occurrence and the job.
+ * Advances a job: opens its steps, queues its tasks, and applies the end of an
+ * attempt to the task, the step, the occurrence and the job.
  */
 import * as types from '@gypsumwall/types';
 import * as activeJob from './active_job.js';
 import * as jobProgress from './job_progress.js';
 import type * as jobRequest from './job_request.js';
 
-/** How a worker says that a run has ended. */
+/** How an attempt has ended, as reported by the worker. */
 export type RunEnd =
   | 'done'
-  /** Through its own fault or the worker's. */
+  /** It failed, through its own fault or that of the worker. */
   | 'failed'
-  /** On our order. */
+  /** It was stopped by an order of the scheduler. */
   | 'stopped'
-  /** Its lease ran out, or its worker went away. */
+  /** Its lease expired, or its worker left. */
   | 'lapsed'
-  /** Another member of its gang ended. */
+  /** Another member of its gang had ended. */
   | 'broken'
-  /** The other members of its gang didn't come. */
+  /** The other members of its gang did not start. */
   | 'alone';
 
-/** What is known of a job when it is taken up. */
+/** What is known of a job when it is added to a scheduler. */
 export interface JobStart {
   readonly id: types.ids.JobId;
   readonly request: jobRequest.JobRequest;
   readonly policy: jobRequest.QueuePolicy;
   readonly arrival: number;
   readonly acceptedAt: types.clock.MonotonicMs;
-  /** Whether an earlier scheduler may have runs of it. */
+  /** Whether an earlier scheduler may have started attempts of it. */
   readonly inherited: boolean;
   readonly progress: jobProgress.JobProgress;
 }
 
-/** Makes the record of a job from what was stored of it. */
+/** Creates the state of a job from its request and its stored progress. */
 export function createJob(start: JobStart): activeJob.ActiveJob {
   const {progress, inherited, ...rest} = start;
   const job: activeJob.ActiveJob = {
@@ -76,7 +76,10 @@
   }
 }
 
-/** Opens occurrences that are due and steps whose turn has come. */
+/**
+ * Opens the occurrences that are due and the steps whose predecessors are done;
+ * returns these steps.
+ */
 export function openDue(
   job: activeJob.ActiveJob,
   now: types.clock.MonotonicMs,
@@ -127,14 +130,17 @@
   }
 }
 
-/** Indexes without end or run; a gang waits for the last of its runs. */
+/**
+ * Indexes of tasks that are not done and have no attempt; none for a gang while
+ * an attempt of a member is left.
+ */
 function startableIndexes(stepRun: activeJob.StepRun): number[] {
   const {gang, taskCount} = stepRun.request;
   if (gang && stepRun.attempts.size > 0) return [];
   const running = new Set<number | undefined>();
   for (const attempt of stepRun.attempts) running.add(attempt.owner?.index);
   const indexes: number[] = [];
-  // Taken from the end: the first index goes first.
+  // Tasks are taken from the end of the list, so the first index starts first.
   for (let index = taskCount - 1; index >= 0; index--) {
     if (!stepRun.doneIndexes.has(index) && !running.has(index))
       indexes.push(index);
@@ -142,7 +148,7 @@
   return indexes;
 }
 
-/** Notes that a task, or a gang as a whole, is done. */
+/** Marks a task, or a gang as a whole, as done. */
 export function markDone(stepRun: activeJob.StepRun, index: number): void {
   if (stepRun.state === 'done') return;
   if (stepRun.request.gang) {
@@ -174,8 +180,8 @@
 }
 
 /**
- * Counts a failed attempt once, however often the worker repeats it; true if
- * the task has used up its attempts.
+ * Records a failed attempt once, however often the worker reports it; returns
+ * whether the task has used up its attempts.
  */
 export function recordFailure(
   stepRun: activeJob.StepRun,
@@ -189,7 +195,7 @@
   return failed.size >= stepRun.job.policy.maxFailures;
 }
 
-/** Puts a task, or a gang once all its runs have ended, back into line. */
+/** Queues a task again, or a gang once all its attempts have ended. */
 export function requeue(stepRun: activeJob.StepRun, index: number): void {
   if (stepRun.state !== 'open' || jobProgress.isOver(stepRun.job.phase)) return;
   if (stepRun.request.gang) {
--- a/packages/gypsumwall-scheduling/src/lost_attempts.ts
+++ b/packages/gypsumwall-scheduling/src/lost_attempts.ts
@@ -1,4 +1,7 @@
-/** Ends what ran on workers that are lost, and notes what their loss tells. */
+/**
+ * Ends the attempts of lost workers and records what the loss shows about their
+ * tasks.
+ */
 import type * as types from '@gypsumwall/types';
 import type * as crashAttribution from './crash_attribution.js';
 import type * as jobRegistrys from './job_registry.js';
@@ -6,7 +9,7 @@
 import type * as schedulerTypes from './scheduler_types.js';
 import type * as workerLosses from './worker_losses.js';
 
-/** What it works on. */
+/** Dependencies of the handler of lost workers. */
 export interface LostAttemptsParts {
   readonly attempts: attemptTable.AttemptTable;
   readonly jobRegistry: jobRegistrys.JobRegistry;
@@ -15,24 +18,27 @@
   readonly onEvent: (event: schedulerTypes.SchedulerEvent) => void;
 }
 
-/** Deals with lost workers. */
+/** Handles lost workers. */
 export interface LostAttempts {
-  /** A worker has stopped answering. */
+  /** Called when a worker has stopped answering. */
   onWorkerUnanswered(
     id: types.ids.WorkerId,
     now: types.clock.MonotonicMs,
   ): void;
-  /** Ends all runs of a worker that was lost. */
+  /** Ends all attempts of a lost worker. */
   endAttempts(
     id: types.ids.WorkerId,
     cause: schedulerTypes.WorkerLoss,
     now: types.clock.MonotonicMs,
   ): void;
-  /** A worker of an earlier scheduler has crashed: what ran there isn't known. */
+  /**
+   * Records that a worker of an earlier scheduler has crashed, with tasks that
+   * are not known yet.
+   */
   recordUnresolvedCrash(id: types.ids.WorkerId): void;
 }
 
-/** Creates it for a scheduler. */
+/** Creates the handler of a scheduler. */
 export function createLostAttempts(parts: LostAttemptsParts): LostAttempts {
   const {attempts, jobRegistry, losses, crashes} = parts;
 
--- a/packages/gypsumwall-scheduling/src/place_isolated.ts
+++ b/packages/gypsumwall-scheduling/src/place_isolated.ts
@@ -1,11 +1,11 @@
-/** Places tasks that may crash their workers, apart from other jobs. */
+/** Places tasks that may crash their workers, isolated from other jobs. */
 import type * as activeJob from './active_job.js';
 import * as chooseWorker from './choose_worker.js';
 import * as crashRecords from './crash_records.js';
 import * as placements from './placements.js';
 import type * as workerRegistry from './worker_registry.js';
 
-/** Whether tasks of a step wait that have to be apart. */
+/** Whether a queued task of a step needs isolation. */
 export function waitsForIsolation(stepRun: activeJob.StepRun): boolean {
   if (stepRun.crashes.size === 0) return false;
   return stepRun.waiting.some((index) =>
@@ -13,7 +13,7 @@
   );
 }
 
-/** The tasks that wait, by whether they have to be apart. */
+/** Splits the queued tasks by whether they need isolation. */
 export function splitWaiting(stepRun: activeJob.StepRun): {
   readonly isolated: number[];
   readonly others: number[];
@@ -28,8 +28,8 @@
 }
 
 /**
- * Places as many of the tasks as there are quiet workers for, the first ones
- * first. For the others workers are emptied.
+ * Places as many of the tasks, in their order, as there are suitable workers.
+ * For the remaining ones workers are reserved.
  */
 export function placeIsolated(
   stepRun: activeJob.StepRun,
@@ -53,7 +53,10 @@
   return placed;
 }
 
-/** Where the job's own tasks are, then an empty worker, then any other. */
+/**
+ * Chooses a worker reserved for the job first, then an idle worker, then any
+ * other.
+ */
 function chooseIsolationWorker(
   stepRun: activeJob.StepRun,
   quiet: readonly workerRegistry.RegisteredWorker[],
--- a/packages/gypsumwall-scheduling/src/place_step.ts
+++ b/packages/gypsumwall-scheduling/src/place_step.ts
@@ -1,4 +1,4 @@
-/** Finds workers for the tasks of one step that wait. */
+/** Places the queued tasks of one step on workers. */
 import type * as activeJob from './active_job.js';
 import * as chooseWorker from './choose_worker.js';
 import * as domainAffinity from './domain_affinity.js';
@@ -7,7 +7,9 @@
 import * as placements from './placements.js';
 import type * as workerRegistry from './worker_registry.js';
 
-/** Whether the store knows that tasks of the job may be on the worker. */
+/**
+ * Whether the store has recorded that tasks of the job may run on the worker.
+ */
 export function isRecorded(
   stepRun: activeJob.StepRun,
   worker: workerRegistry.RegisteredWorker,
@@ -15,7 +17,7 @@
   return stepRun.job.workers.get(worker.info.id) === 'recorded';
 }
 
-/** Places as much of a step as has room now; of a gang all or none. */
+/** Places as many queued tasks of a step as fit now; all or none of a gang. */
 export function placeStep(
   stepRun: activeJob.StepRun,
   context: chooseWorker.ChoiceContext,
@@ -32,7 +34,7 @@
   return [...first, ...placed];
 }
 
-/** A gang of which some members have to be apart from other jobs. */
+/** Places a gang with members that need isolation. */
 function placeIsolatedGang(
   stepRun: activeJob.StepRun,
   context: chooseWorker.ChoiceContext,
@@ -58,8 +60,8 @@
 ): placements.Placement[] {
   const candidates = chooseWorker.findCandidates(stepRun, context);
   domainAffinity.assignHomeDomain(stepRun, candidates);
-  // Recorded workers first: what starts there needs no word from the store.
-  // Suspects would gather on them.
+  // Recorded workers first: tasks start there without waiting for the store.
+  // Suspected tasks are excluded, because they would gather on these workers.
   const isSuspected = stepRun.crashes.size > 0;
   const recorded = candidates.filter(
     (worker) =>
@@ -103,7 +105,7 @@
   return placed;
 }
 
-/** Places all of the members or none. */
+/** Places all of these members or none. */
 function placeGang(
   stepRun: activeJob.StepRun,
   candidates: readonly workerRegistry.RegisteredWorker[],
@@ -147,7 +149,9 @@
   });
 }
 
-/** Workers for the gang among the first rooms that hold it. */
+/**
+ * Returns workers for the gang from the first list of candidates that fits it.
+ */
 function firstFit(
   choices: readonly (readonly gangFit.WorkerSlots[])[],
   count: number,
@@ -168,7 +172,10 @@
   return isolation?.hostsSuspect(stepRun, info.id) === true;
 }
 
-/** Others that may crash their workers are kept off from now on. */
+/**
+ * Registers the placement of a suspected task, so that suspected tasks of other
+ * jobs avoid the worker from now on.
+ */
 function markSuspect(
   stepRun: activeJob.StepRun,
   index: number,
--- a/packages/gypsumwall-scheduling/src/placements.ts
+++ b/packages/gypsumwall-scheduling/src/placements.ts
@@ -1,16 +1,16 @@
-/** Tasks with the workers that they get in a cycle, and their bookings. */
+/** Placements of tasks on workers in a cycle, and their reservations. */
 import type * as activeJob from './active_job.js';
 import * as chooseWorker from './choose_worker.js';
 import type * as workerRegistry from './worker_registry.js';
 
-/** A task and the worker it gets. */
+/** A task and the worker chosen for it. */
 export interface Placement {
   readonly stepRun: activeJob.StepRun;
   readonly index: number;
   readonly worker: workerRegistry.RegisteredWorker;
 }
 
-/** Books room for a task that is in line no more. */
+/** Reserves capacity for a task that was removed from the queue. */
 export function reserve(
   stepRun: activeJob.StepRun,
   index: number,
@@ -21,7 +21,7 @@
   return {stepRun, index, worker};
 }
 
-/** Gives the room back. */
+/** Releases the capacity. */
 export function release(
   {stepRun, worker}: Placement,
   registry: workerRegistry.WorkerRegistry,
@@ -33,7 +33,7 @@
   );
 }
 
-/** Gives the room back, and puts the task back into line. */
+/** Releases the capacity and queues the task again. */
 export function revert(
   placement: Placement,
   registry: workerRegistry.WorkerRegistry,
--- a/packages/gypsumwall-scheduling/src/plan_advice_calls.ts
+++ b/packages/gypsumwall-scheduling/src/plan_advice_calls.ts
@@ -1,14 +1,15 @@
 /**
- * Chooses the workers that the adviser is asked about. A call takes a bounded
- * number of names and a while for each, so the names are those on which the
- * step could start soonest, and what doesn't fit into one quick call is split
- * over several that run side by side.
+ * Plans the calls to the adviser for one step. A call may name a limited number
+ * of workers and takes longer with each, so it names the workers on which the
+ * step could start soonest, and names that do not fit into one quick call are
+ * split over several concurrent calls.
  *
  * Pattern: many more workers than one call may name, and wide gangs. Naming
- * workers in the order of the books sent every step to the same hundred while
- * the others stood idle: of 246 workers under 88% load, 0.62 of the wide gangs
- * ended on time (one seed); with names by room 0.91 did, and with calls side by
- * side and renewed tickets all (five seeds; virtual cell, no failing tasks).
+ * workers in the order of the registry directed every step to the same hundred
+ * workers while the others were idle: with 246 workers under 88% load, 0.62 of
+ * the wide gangs ended on time (one seed). With names chosen by free capacity
+ * 0.91 did, and with concurrent calls and renewed tickets all did (five seeds;
+ * virtual cell, no failing tasks).
  */
 import * as types from '@gypsumwall/types';
 import type * as activeJob from './active_job.js';
@@ -18,47 +19,57 @@
 import * as stepAdvice from './step_advice.js';
 import type * as workerRegistry from './worker_registry.js';
 
-/** The adviser takes no more names than this in one call. */
+/** Maximum number of workers that the adviser accepts in one call. */
 const MAX_NAMED_WORKERS = 100;
 /**
- * The fewest names of a call, if there are as many workers: the objective of a
- * job counts the time of a call with this many, so fewer gain nothing.
+ * Minimum number of workers named in a call, if there are as many: the
+ * objective of a job includes the time of a call with this many, so fewer gain
+ * nothing.
  */
 export const MIN_NAMED_WORKERS = 30;
-/** Calls on one step that are open at once. */
+/** Maximum number of open calls for one step. */
 const MAX_OPEN_CALLS = 3;
-/** Names of a call from which on another one beside it is quicker. */
+/** Number of names above which a second concurrent call is quicker. */
 const MAX_UNSPLIT_NAMES = 40;
-/** The strictest adviser known approves 35% of the workers. */
+/**
+ * Expected share of approvals; the strictest known adviser approves 35% of the
+ * workers.
+ */
 const APPROVED_SHARE = 0.33;
-/** Room that is free now may be taken when the answer comes. */
+/**
+ * Names cover this multiple of the needed capacity: capacity that is free now
+ * may be used when the answer arrives.
+ */
 const SPARE_FACTOR = 2;
 
-/** The calls of a step. */
+/** The planned calls for a step. */
 export interface AdviceCalls {
-  /** The names of each call to be made now, most useful first; often none. */
+  /** Workers named in each call to make now, most useful first; often none. */
   readonly workersByCall: types.ids.WorkerId[][];
   /**
-   * Whether nothing of the step can start on the tickets it has, while there is
-   * room on workers that may be approved.
+   * Whether no task of the step can start with its current tickets although
+   * there is free capacity on workers that may be approved.
    */
   readonly needed: boolean;
 }
 
 const NO_CALLS: AdviceCalls = {workersByCall: [], needed: false};
 
-/** What the names are chosen by. */
+/** Input of the planning. */
 export interface AdviceContext {
   readonly registry: workerRegistry.WorkerRegistry;
   readonly now: types.clock.MonotonicMs;
-  /** Whether the step could start on a worker, approval and room aside. */
+  /**
+   * Whether the step could start on a worker, regardless of approval and free
+   * capacity.
+   */
   readonly canUse: (
     stepRun: activeJob.StepRun,
     worker: types.ids.WorkerId,
   ) => boolean;
 }
 
-/** The calls to be made now for a step that waits. */
+/** Plans the calls to make now for a waiting step. */
 export function planAdviceCalls(
   stepRun: activeJob.StepRun,
   context: AdviceContext,
@@ -102,10 +113,10 @@
 }
 
 /**
- * Those worth asking about, best first, and no more than the step needs room.
- * Approvals that still hold when an answer could come aren't asked for again;
- * those that end before are renewed, so that a gang which waits for room has
- * tickets without a gap.
+ * Chooses the workers worth asking about, best first, with no more capacity
+ * than the step needs. Workers whose approval is still valid when an answer
+ * could arrive are left out; approvals that end before are renewed, so that a
+ * gang that waits for capacity always has valid tickets.
  */
 function chooseNames(
   stepRun: activeJob.StepRun,
@@ -138,7 +149,9 @@
   return names;
 }
 
-/** Whether a first call would name fewer workers than come at no cost. */
+/**
+ * Whether a first call would name fewer workers than the objective allows for.
+ */
 function isBelowMinimum(
   names: readonly types.ids.WorkerId[],
   {advice}: activeJob.StepRun,
@@ -151,7 +164,7 @@
   readonly id: types.ids.WorkerId;
   /** Whether the adviser has approved it before. */
   readonly isApproved: boolean;
-  /** Tasks of the step that have room now. */
+  /** Number of tasks of the step that fit now. */
   readonly tasks: number;
   /** Free processors, in thousandths of a core. */
   readonly freeCpuMillis: number;
@@ -166,7 +179,7 @@
   for (const worker of registry.workers.values()) {
     const {id} = worker.info;
     if (!worker.usable || worker.info.draining) continue;
-    // A refusal doesn't change.
+    // Refusals are final.
     if (stepRun.advice.refused.has(id)) continue;
     if (!chooseWorker.isEligible(stepRun, worker)) continue;
     const fitting = Math.min(
--- a/packages/gypsumwall-scheduling/src/refusal_backoff.ts
+++ b/packages/gypsumwall-scheduling/src/refusal_backoff.ts
@@ -1,19 +1,19 @@
 /**
- * Paces the starts of a step that workers refuse one after the other. A refused
- * start has not run, so there is no limit to how often it may be tried: a
- * worker that takes it may join at any time. Without a pause each refusal would
- * be followed by the next start at once.
+ * Backoff for the starts of a step that workers refuse one after the other. A
+ * refused start has not run, so the number of tries is not limited: a worker
+ * that accepts it may join at any time. Without a pause, each refusal would be
+ * followed by the next start at once.
  */
 import * as types from '@gypsumwall/types';
 import type * as activeJob from './active_job.js';
 import type * as schedulerTypes from './scheduler_types.js';
 
-/** Refusals that are followed by another start at once. */
+/** Number of refusals that are followed by another start without a pause. */
 const REFUSALS_WITHOUT_PAUSE = 4;
 const FIRST_PAUSE_MS = 25;
 const MAX_PAUSE_MS = 5_000;
 
-/** Notes that a start of the step was refused. */
+/** Records that a start of the step was refused. */
 export function recordRefusal(
   stepRun: activeJob.StepRun,
   reason: schedulerTypes.RefusalReason,
@@ -23,7 +23,7 @@
     case 'bad_ticket':
     case 'no_room':
     case 'unhealthy':
-      // Tickets and workers are paced by themselves.
+      // Tickets and workers have their own backoff.
       return;
     case 'superseded':
     case 'other':
@@ -37,13 +37,13 @@
   stepRun.backoffUntil = types.clock.after(now, cappedMs);
 }
 
-/** Notes that a worker took a start of the step. */
+/** Ends the backoff, because a worker has accepted a start of the step. */
 export function resetRefusals(stepRun: activeJob.StepRun): void {
   stepRun.refusals = 0;
   stepRun.backoffUntil = undefined;
 }
 
-/** Whether starts of the step pause. */
+/** Whether starts of the step are paused. */
 export function isPaused(
   {backoffUntil}: activeJob.StepRun,
   now: types.clock.MonotonicMs,
--- a/packages/gypsumwall-scheduling/src/report_reader.ts
+++ b/packages/gypsumwall-scheduling/src/report_reader.ts
@@ -1,6 +1,6 @@
 /**
- * Reads what a worker tells of itself into the books: ends, progress, runs
- * that an earlier scheduler started, and runs that aren't there any more.
+ * Applies worker reports: ends, progress, attempts that an earlier scheduler
+ * started, and attempts that do not run any more.
  */
 import * as types from '@gypsumwall/types';
 import * as activeJob from './active_job.js';
@@ -16,13 +16,13 @@
 import type * as workerHealth from './worker_health.js';
 
 /**
- * A worker that accepted a stop has ended the run by then, its saved progress
- * included. Without another stop a member of a gang that runs on would keep its
- * gang from ever starting again.
+ * A worker that accepted a stop ends the attempt and saves its progress within
+ * this time. Without a second stop, a gang member that keeps running would
+ * prevent its gang from ever starting again; milliseconds.
  */
 const STOP_RETRY_AFTER_MS = 4_000;
 
-/** What a reader works on. */
+/** Dependencies of a report reader. */
 export interface ReportReaderParts {
   readonly registry: workerRegistry.WorkerRegistry;
   readonly attempts: attemptTable.AttemptTable;
@@ -31,13 +31,13 @@
   readonly onEvent: (event: schedulerTypes.SchedulerEvent) => void;
 }
 
-/** Reads reports. */
+/** Applies a worker report. */
 export type ReportReader = (
   report: schedulerTypes.WorkerReport,
   now: types.clock.MonotonicMs,
 ) => void;
 
-/** Creates the reader of a scheduler. */
+/** Creates the report reader of a scheduler. */
 export function createReportReader(parts: ReportReaderParts): ReportReader {
   const {registry, attempts, health, jobRegistry} = parts;
 
@@ -97,7 +97,8 @@
     jobSteps.markDone(stepRun, index);
     jobRegistry.updateWaiting(stepRun);
     for (const attempt of stepRun.attempts) {
-      // Members of a gang end together by themselves; copies don't.
+      // Members of a gang end together by themselves; the copies of a task do
+      // not.
       if (!stepRun.request.gang && attempt.owner?.index === index)
         jobRegistry.stop(attempt);
     }
@@ -159,7 +160,10 @@
     }
   }
 
-  /** A task that has run this long crashes no worker; old crashes don't count. */
+  /**
+   * Clears the crashes recorded for a task that has run long enough to show
+   * that it does not crash its worker.
+   */
   function clearCrashes(
     {stepRun, index}: jobRegistrys.TaskOwner,
     ranMs: number,
@@ -177,8 +181,9 @@
   }
 
   /**
-   * Takes over a run that an earlier scheduler started. What is no task of
-   * ours any more is stopped, and takes room until its end is told.
+   * Takes over an attempt that an earlier scheduler started. If it does not
+   * belong to a task of this scheduler, it is stopped and its capacity stays
+   * reserved until its end is reported.
    */
   function adoptAttempt(
     workerId: types.ids.WorkerId,
@@ -220,9 +225,9 @@
   }
 
   /**
-   * Whether a run is the one its task should have. A step that isn't open here
-   * is no reason against it: the steps before it were done when it started,
-   * and their last ends may not have been heard here yet.
+   * Whether an attempt is the one that its task should have. It is also wanted
+   * if its step is not open here: the steps before it were done when it
+   * started, and their last ends may not have been received here yet.
    */
   function isWanted(
     owner: jobRegistrys.TaskOwner,
--- a/packages/gypsumwall-scheduling/src/scheduler.ts
+++ b/packages/gypsumwall-scheduling/src/scheduler.ts
@@ -1,7 +1,7 @@
 /**
- * The scheduler of one cell: its jobs, its workers and every run that may be
- * on one of them. It does no input or output and reads no clock; whoever holds
- * the cell feeds it what was heard and carries out what it decides.
+ * The scheduler of one cell: its jobs, its workers and every attempt that may
+ * run on one of them. It does no input or output and reads no clock: the holder
+ * of the cell passes in what it receives and carries out the decisions.
  */
 import * as types from '@gypsumwall/types';
 import * as activeJob from './active_job.js';
@@ -28,14 +28,14 @@
 import * as workerHealth from './worker_health.js';
 import * as workerLosses from './worker_losses.js';
 
-/** Where nothing limits the calls to the adviser. */
+/** Used where calls to the adviser are not limited. */
 const UNLIMITED_ADVICE: adviserPool.AdviceCapacity = {
   needed: Infinity,
   large: Infinity,
   spare: Infinity,
 };
 
-/** Creates a scheduler that knows of nothing yet. */
+/** Creates a scheduler without jobs and workers. */
 export function createScheduler(
   options: schedulerTypes.SchedulerOptions,
 ): schedulerTypes.Scheduler {
@@ -87,7 +87,10 @@
     return false;
   }
 
-  /** Without this the same order would go to the same worker at once. */
+  /**
+   * Updates the approvals or the health of a worker after it refused a start.
+   * Without this, the same order would be sent to the same worker at once.
+   */
   function applyRefusal(
     attempt: activeJob.Attempt,
     reason: schedulerTypes.RefusalReason,
@@ -146,7 +149,10 @@
     return cycle;
   }
 
-  /** Calls for the most urgent steps, while there are entries to make them. */
+  /**
+   * Returns calls to the adviser for the most urgent steps, up to the capacity
+   * of the entries that make them.
+   */
   function requestAdvice(
     awaitingAdvice: readonly activeJob.StepRun[],
     now: types.clock.MonotonicMs,
@@ -164,7 +170,9 @@
     });
   }
 
-  /** Whether a worker isn't kept from what waits of a step. */
+  /**
+   * Whether isolation allows a waiting task of the step to start on a worker.
+   */
   function canHost(
     stepRun: activeJob.StepRun,
     id: types.ids.WorkerId,
@@ -176,7 +184,7 @@
     return isolation.canSoonStartIsolated(stepRun, id, now);
   }
 
-  /** Whether a step outranked another at the last cycle. */
+  /** Whether a step had a higher rank than another one in the last cycle. */
   function outranks(
     {rank}: activeJob.StepRun,
     other: activeJob.StepRun,
@@ -185,7 +193,7 @@
     return jobOrder.compareRanked(rank, other.rank) < 0;
   }
 
-  /** Has the workers recorded that tasks are about to be handed to. */
+  /** Has the workers recorded on which tasks are about to start. */
   function recordWorkers(
     awaitingCommit: readonly placements.Placement[],
   ): void {
@@ -256,7 +264,7 @@
       for (const job of jobsToOpen) {
         jobRegistry.openDue(job, now, wall);
         const total = job.request.schedule?.occurrences ?? 1;
-        // Only jobs with times to come are looked at again.
+        // Only jobs with occurrences to come are checked again.
         if (job.finishedOccurrences.size + job.open.size >= total)
           jobsToOpen.delete(job);
       }
@@ -285,7 +293,8 @@
           }
           return;
         case 'unknown':
-          // Only an answered stop tells whether it runs or ever will.
+          // Only an answered stop proves that the attempt does not run and
+          // never will.
           jobRegistry.stop(attempt);
           return;
         case 'refused':
@@ -336,7 +345,8 @@
         if (job !== undefined) activeJob.markChanged(job);
         if (job?.unstoredCrashes === progress) job.unstoredCrashes = undefined;
         for (const id of progress.workers) {
-          // One that was taken off the record since must not come back on it.
+          // A worker that was removed from the record since then must not be
+          // recorded again.
           if (job?.workers.has(id) === true) job.workers.set(id, 'recorded');
         }
       }
--- a/packages/gypsumwall-scheduling/src/scheduler_types.ts
+++ b/packages/gypsumwall-scheduling/src/scheduler_types.ts
@@ -1,4 +1,4 @@
-/** What a scheduler is told, what it decides, and what it tells the log. */
+/** Inputs, decisions and events of a scheduler. */
 import type * as types from '@gypsumwall/types';
 import type * as activeJob from './active_job.js';
 import type * as adviserPool from './adviser_pool.js';
@@ -8,7 +8,7 @@
 import type * as jobSteps from './job_steps.js';
 import type * as workerRegistry from './worker_registry.js';
 
-/** A start to be sent to a worker. */
+/** A start order that is to be sent to a worker. */
 export interface StartOrder {
   readonly attempt: activeJob.Attempt;
   readonly payload: string;
@@ -16,46 +16,46 @@
   readonly ticket?: string;
 }
 
-/** A question to the adviser. */
+/** A call to the adviser that is to be made. */
 export interface AdviceRequest {
   readonly stepRun: activeJob.StepRun;
   readonly workers: types.ids.WorkerId[];
-  /** How long the adviser will take, in milliseconds. */
+  /** Expected duration of the call, in milliseconds. */
   readonly callMs: number;
-  /** Whether nothing of the step can start before the answer. */
+  /** Whether no task of the step can start before the answer. */
   readonly needed: boolean;
 }
 
-/** What is to be done now. */
+/** What one scheduling cycle decided. */
 export interface Decisions {
   readonly starts: StartOrder[];
   readonly advice: AdviceRequest[];
 }
 
-/** How a start order was answered. */
+/** How a worker answered a start order. */
 export type StartOutcome =
   | {readonly type: 'started'}
-  /** Surely never runs. */
+  /** The attempt certainly never runs. */
   | {readonly type: 'refused'; readonly reason: RefusalReason}
-  /** May run, now or later. */
+  /** The attempt may run, now or later. */
   | {readonly type: 'unknown'};
 
 /** Why a worker refused a start. */
 export type RefusalReason =
   'bad_ticket' | 'superseded' | 'no_room' | 'unhealthy' | 'other';
 
-/** A run as a worker lists it. */
+/** An attempt that a worker reports as running. */
 export interface RunningAttempt {
   readonly taskId: types.ids.TaskId;
   readonly attempt: number;
-  /** Saved progress; empty if there is none. */
+  /** Saved progress; empty if none was saved. */
   readonly checkpoint: string;
   readonly percent: number;
 }
 
-/** An end as a worker lists it. */
+/** An attempt that a worker reports as ended. */
 export interface AttemptEnd {
-  /** Rises by one with each end of the worker's stay. */
+  /** Increases by one with each end in the worker's incarnation. */
   readonly sequence: number;
   readonly taskId: types.ids.TaskId;
   readonly attempt: number;
@@ -63,27 +63,33 @@
   readonly checkpoint: string;
 }
 
-/** What a worker told of itself. */
+/** What a worker reports about its attempts. */
 export interface WorkerReport {
   readonly workerId: types.ids.WorkerId;
   readonly askedAt: types.clock.MonotonicMs;
   readonly running: readonly RunningAttempt[];
-  /** Ends that weren't handed in before. */
+  /** Ends that were not passed to the scheduler before. */
   readonly ends: readonly AttemptEnd[];
-  /** Whether `running` and the ends heard so far are all there is. */
+  /** Whether `running` and the ends received so far are complete. */
   readonly complete: boolean;
 }
 
-/** How what ran on a worker was lost. */
+/** Why a worker's attempts were lost. */
 export type WorkerLoss =
-  /** It had announced that it leaves. */
+  /** The worker had announced that it leaves. */
   | 'left'
-  /** Another stay answers at its address, and it had announced nothing. */
+  /**
+   * Another incarnation answers at the address of the worker, which had not
+   * announced that it leaves.
+   */
   | 'crashed'
-  /** It doesn't answer, and its lease has passed; it may be cut off. */
+  /**
+   * The worker does not answer and its lease has expired; it may be cut off
+   * from the network.
+   */
   | 'silent';
 
-/** A job whose progress has to be stored. */
+/** A job with progress that has to be stored. */
 export interface DirtyJob {
   readonly jobId: types.ids.JobId;
   readonly queue: string;
@@ -93,46 +99,60 @@
 /** The scheduler of one cell. */
 export interface Scheduler {
   readonly book: workerRegistry.WorkerRegistry;
-  /** Its jobs with work left. */
+  /** Jobs that are not over. */
   readonly jobs: ReadonlyMap<types.ids.JobId, activeJob.ActiveJob>;
-  /** Takes a job up; its runs are looked for in reports from then on. */
+  /** Adds a job. Its attempts are recognised in worker reports from then on. */
   addJob(
     start: Omit<jobSteps.JobStart, 'arrival'>,
     now: types.clock.MonotonicMs,
     wall: types.clock.WallMs,
   ): void;
   hasJob(id: types.ids.JobId): boolean;
-  /** Takes over what the operator has set for queues since. */
+  /** Applies the current queue settings of the operator to all jobs. */
   updatePolicies(
     policyOf: (queue: string) => jobRequest.QueuePolicy | undefined,
   ): void;
   cancelJob(id: types.ids.JobId): void;
   putWorker(info: workerRegistry.WorkerInfo): void;
-  /** Its stay is surely over: nothing runs there any more. */
+  /**
+   * Removes a worker whose incarnation is certainly over: nothing runs on it
+   * any more.
+   */
   workerGone(
     id: types.ids.WorkerId,
     cause: WorkerLoss,
     now: types.clock.MonotonicMs,
   ): void;
-  /** Its lease has surely passed; it may come back, with nothing running. */
+  /**
+   * The lease of a worker has certainly expired. The worker may answer again,
+   * without any attempt running on it.
+   */
   leasePassed(id: types.ids.WorkerId, now: types.clock.MonotonicMs): void;
-  /** Whether new tasks may be placed there. */
+  /** Sets whether new tasks may be placed on a worker. */
   setUsable(
     id: types.ids.WorkerId,
     usable: boolean,
     now: types.clock.MonotonicMs,
   ): void;
-  /** It doesn't answer: what may be copied is started elsewhere as well. */
+  /**
+   * A worker does not answer: a second attempt of each of its tasks is queued
+   * where the step allows copies.
+   */
   outOfReach(id: types.ids.WorkerId): void;
-  /** Whether nothing runs or may run on a worker. */
+  /** Whether no attempt runs or may run on a worker. */
   isIdle(id: types.ids.WorkerId): boolean;
-  /** Whether any task that lasts runs or may run on a worker. */
+  /** Whether a long-running task runs or may run on a worker. */
   runsLasting(id: types.ids.WorkerId): boolean;
-  /** Stops all that runs on a worker that is about to leave. */
+  /** Stops all attempts on a worker that is about to leave. */
   evacuate(id: types.ids.WorkerId): void;
-  /** A worker was accounted for: jobs that were held back may go on. */
+  /**
+   * Resumes jobs whose workers of an earlier scheduler are all reconciled now.
+   */
   workerAccounted(): void;
-  /** Without a capacity nothing limits the calls to the adviser. */
+  /**
+   * Runs a scheduling cycle. Without `capacity`, calls to the adviser are not
+   * limited.
+   */
   decide(
     now: types.clock.MonotonicMs,
     wall: types.clock.WallMs,
@@ -150,36 +170,36 @@
     approved: ReadonlyMap<types.ids.WorkerId, string> | undefined,
     validUntil: types.clock.MonotonicMs,
   ): void;
-  /** Runs to stop, handed over once. */
+  /** Returns the attempts that are to be stopped since the last call. */
   takeStops(): activeJob.Attempt[];
-  /** Jobs to store, handed over once. */
+  /** Returns the jobs with progress to store since the last call. */
   takeDirty(): DirtyJob[];
-  /** The jobs' progress stands in the store. */
+  /** The store has committed the progress of these jobs. */
   stored(jobs: readonly DirtyJob[]): void;
   counts(): SchedulerCounts;
 }
 
-/** For gauges. */
+/** Counts for gauges. */
 export interface SchedulerCounts {
   readonly jobs: number;
   readonly runs: number;
   readonly waitingSteps: number;
 }
 
-/** What a scheduler is made with. */
+/** Options of a scheduler. */
 export interface SchedulerOptions {
-  /** Attempts of this scheduler are numbered above it. */
+  /** Attempts of this scheduler get numbers above this one. */
   readonly attemptBase: number;
   /**
-   * Whether it is known what runs on a worker that an earlier scheduler used:
-   * it has answered since, or can't run anything any more.
+   * Whether a worker of an earlier scheduler is reconciled: it has answered
+   * this scheduler, or nothing can run on it any more.
    */
   readonly isAccounted: (worker: types.ids.WorkerId) => boolean;
-  /** Told of each decision that touches a task, for the log. */
+  /** Receives each decision about a task, for the log. */
   readonly onEvent: (event: SchedulerEvent) => void;
 }
 
-/** A decision or a change of belief. */
+/** A decision, or a change in what the scheduler knows. */
 export type SchedulerEvent =
   | {
       readonly type: 'run_ended';
@@ -194,72 +214,89 @@
       readonly job: types.ids.JobId;
       readonly phase: jobProgress.JobPhase;
       readonly queue: string;
-      /** How long it should have taken from its acceptance. */
+      /** Target duration of the job from its acceptance, in milliseconds. */
       readonly objectiveMs: number;
     }
   | {
-      /** Nothing of a step has started for a while; bounded in number. */
+      /**
+       * No task of a step has started for a while. The number of these events
+       * is bounded.
+       */
       readonly type: 'step_waits';
       readonly step: string;
       readonly queue: string;
       readonly tasks: number;
       readonly ofTasks: number;
       readonly waitedMs: number;
-      /** Place in the order of work, from 0. */
+      /** Position in the order in which steps get capacity, from 0. */
       readonly rank: number;
-      /** Whether workers of an earlier scheduler aren't accounted for. */
+      /**
+       * Whether the job waits until its workers of an earlier scheduler are
+       * reconciled.
+       */
       readonly heldBack: boolean;
       readonly openCalls: number;
       /** Calls to the adviser that could be made before this cycle. */
       readonly callsLeft: number;
-      /** Workers by what keeps the step off them, as `reason:count`. */
+      /**
+       * Number of workers for each reason why the step cannot start on them, as
+       * `reason:count`.
+       */
       readonly workers: string;
     }
   | {
-      /** A gang can't start again: members of its last attempt haven't ended. */
+      /**
+       * A gang cannot start again because attempts of its members have not
+       * ended.
+       */
       readonly type: 'gang_breaks';
       readonly step: string;
       readonly ofTasks: number;
       readonly runs: number;
-      /** Of these, how many orders or stops are without an answer. */
+      /** Number of these whose start order or stop is not answered yet. */
       readonly unconfirmed: number;
-      /** Worker of one of them. */
+      /** The worker of one of these attempts. */
       readonly worker?: types.ids.WorkerId;
       readonly waitedMs: number;
     }
   | {
       readonly type: 'worker_crashed';
       readonly worker: types.ids.WorkerId;
-      /** Runs that it took along. */
+      /** Attempts that were lost with the worker. */
       readonly runs: number;
-      /** Of these, how many ran apart from other jobs. */
+      /** Number of these that were isolated from other jobs. */
       readonly isolated: number;
       readonly kind: crashRecords.CrashKind;
-      /** Others went down at the same moment without an explanation. */
+      /**
+       * Whether other workers were lost at the same moment without an
+       * explanation.
+       */
       readonly accompanied: boolean;
     }
   | {
-      /** From now on the task starts apart from other jobs. */
+      /** The task starts isolated from other jobs from now on. */
       readonly type: 'task_suspected';
       readonly task: types.ids.TaskId;
-      /** The last worker that has crashed under it. */
+      /** The last worker that crashed while it ran the task. */
       readonly worker: types.ids.WorkerId;
       readonly crashes: number;
     }
   | {
-      /** A task crashes its workers: its job fails. */
+      /** A task crashes its workers, so its job fails. */
       readonly type: 'task_given_up';
       readonly task: types.ids.TaskId;
       readonly reason: crashRecords.GiveUpReason;
       readonly crashes: number;
-      /** Workers that have crashed under it, separated by commas. */
+      /** Workers that crashed while they ran the task, separated by commas. */
       readonly workers: string;
     }
   | {
       readonly type: 'worker_stalled';
       readonly worker: types.ids.WorkerId;
       readonly runs: number;
-      /** Progress at which the first of them stands still, 0 to 100. */
+      /**
+       * Progress at which the first of the stalled attempts stopped, 0 to 100.
+       */
       readonly percent: number;
       readonly step: string;
       readonly blamed: boolean;
--- a/packages/gypsumwall-scheduling/src/scheduling_cycle.ts
+++ b/packages/gypsumwall-scheduling/src/scheduling_cycle.ts
@@ -1,11 +1,12 @@
 /**
- * One cycle over the waiting steps in the order of work: books room for what
- * fits, says whose approval must be asked, and which jobs are about to begin.
+ * Runs one scheduling cycle over the waiting steps, by rank: reserves capacity
+ * for the tasks that fit, and returns the placements that can start, those that
+ * wait until their worker is recorded, and the steps that need advice.
  *
- * A step that found no room is tried again only when something of its own has
- * changed or a worker that it may use has more room. So a cycle costs what has
- * changed and not what waits: a holder that takes over a backlog tries each of
- * its steps once.
+ * A step that found no capacity is tried again only when its own state has
+ * changed or a worker that it may use has more free capacity. The cost of a
+ * cycle therefore depends on what has changed and not on how much waits: a
+ * holder that takes over a backlog tries each of its steps once.
  */
 import * as types from '@gypsumwall/types';
 import type * as activeJob from './active_job.js';
@@ -18,24 +19,26 @@
 import * as refusalBackoff from './refusal_backoff.js';
 
 /**
- * Steps tried in one cycle at most; the others are left for the next one, so
- * that calls and timers get their turn in between.
+ * Maximum number of steps tried in one cycle; the others are left for the next
+ * one, so that calls and timers can run in between.
  */
 const MAX_TRIED_STEPS = 30;
 /**
- * Of these, how many go to steps that had no turn for longest. Without them,
- * more urgent steps that are tried in vain at each cycle would keep all others
- * from ever being tried.
+ * Number of these that are reserved for the steps skipped for longest. Without
+ * them, more urgent steps that are tried in vain in each cycle could prevent
+ * all others from ever being tried.
  */
 const MAX_SKIPPED_STEPS = 10;
 
-/** What a cycle looks at. */
+/** Input of a cycle. */
 export interface CycleContext extends chooseWorker.ChoiceContext {
-  /** Workers that can take more than at the last cycle. */
+  /**
+   * Workers that may accept tasks that they could not accept in the last cycle.
+   */
   readonly freed: ReadonlySet<types.ids.WorkerId>;
 }
 
-/** What a cycle came to. */
+/** Result of a cycle. */
 export interface CycleResult {
   readonly placed: placements.Placement[];
   /**
@@ -44,15 +47,15 @@
    */
   readonly awaitingAdvice: activeJob.StepRun[];
   /**
-   * Placements that would have been made on workers that aren't recorded for
-   * their jobs yet.
+   * Placements that cannot start yet because the store has not committed their
+   * workers or crashes.
    */
   readonly awaitingCommit: placements.Placement[];
-  /** Workers whose room is kept, and the gang that it is kept for. */
+  /** Reserved workers and the gang for which each is reserved. */
   readonly reservations: ReadonlyMap<types.ids.WorkerId, activeJob.StepRun>;
 }
 
-/** Runs a cycle over steps that wait and may start, most urgent first. */
+/** Runs a cycle over steps that may start, sorted by urgency. */
 export function runCycle(
   ordered: readonly activeJob.StepRun[],
   context: CycleContext,
@@ -73,7 +76,7 @@
     const isDue =
       stepRun.hasChanged ||
       hasFreedCapacity(stepRun, context) ||
-      // Workers become quiet with time.
+      // Workers become suitable for isolated tasks as time passes.
       placeIsolated.waitsForIsolation(stepRun);
     const isPaused = refusalBackoff.isPaused(stepRun, context.now);
     const isTried =
@@ -86,13 +89,13 @@
       result.awaitingAdvice.push(stepRun);
     const committed = committedOf(stepRun, found);
     result.placed.push(...committed);
-    // Uncommitted placements are made anew at the next cycle.
+    // Uncommitted placements are made again in the next cycle.
     const isSkipped = stepRun.hasChanged && !isPaused;
     if (isSkipped || committed.length < found.length) {
       stepRun.skippedSince ??= context.now;
     } else stepRun.skippedSince = undefined;
-    // Uncommitted placements keep their room until the end of the cycle, so
-    // that no later step takes it.
+    // Uncommitted placements keep their reservation until the end of the cycle,
+    // so that no later step uses that capacity.
     if (committed.length === found.length) continue;
     const early = new Set(committed);
     result.awaitingCommit.push(...found.filter((one) => !early.has(one)));
@@ -103,7 +106,7 @@
   return result;
 }
 
-/** The steps that had no turn for longest; most urgent first among equals. */
+/** The steps that were skipped for longest; most urgent first among equals. */
 function longestSkipped(
   ordered: readonly activeJob.StepRun[],
 ): ReadonlySet<activeJob.StepRun> {
@@ -112,7 +115,7 @@
   return new Set(skipped.slice(0, MAX_SKIPPED_STEPS));
 }
 
-/** Whether a worker that the step may use has got more room. */
+/** Whether a worker that the step may use has more free capacity. */
 function hasFreedCapacity(
   stepRun: activeJob.StepRun,
   {freed, registry}: CycleContext,
@@ -134,7 +137,7 @@
   return request.gang && waiting.length > 0;
 }
 
-/** Those that may start now; of a gang all or none. */
+/** Returns the placements that may start now: all or none for a gang. */
 function committedOf(
   stepRun: activeJob.StepRun,
   found: placements.Placement[],
@@ -147,8 +150,8 @@
 }
 
 /**
- * Crashes of a task that is about to be tried apart must outlive this process.
- * Otherwise its successor would begin to count anew.
+ * Whether the crashes of a task that is about to start isolated are stored.
+ * Otherwise a successor of this process would count them from zero.
  */
 function isCrashStored({stepRun, index}: placements.Placement): boolean {
   if (stepRun.job.unstoredCrashes === undefined) return true;
--- a/packages/gypsumwall-scheduling/src/stall_detector.ts
+++ b/packages/gypsumwall-scheduling/src/stall_detector.ts
@@ -1,39 +1,44 @@
 /**
- * Finds workers on which everything stands still while they answer. Progress
- * is reported in whole percent, so a sound task of 16 s shows one at least
- * every 160 ms; a task that goes on from saved progress or waits for its gang
- * shows none for a second.
+ * Detects workers on which no attempt makes progress although they answer.
+ * Progress is reported in whole percent, so a healthy task of 16 s shows
+ * progress at least every 160 ms; a task that resumes from saved progress or
+ * waits for its gang shows none for a second.
  */
 import type * as types from '@gypsumwall/types';
 import type * as activeJob from './active_job.js';
 
-/** No sound task was seen without progress for this long; milliseconds. */
+/**
+ * No healthy task was observed without progress for this long; milliseconds.
+ */
 export const STALLED_AFTER_MS = 2_000;
-/** Progress of a task that has done all its work. */
+/** Progress of a task that has finished its own work. */
 const DONE_PERCENT = 100;
 
-/** What stands still on one worker. */
+/** The stalled attempts of one worker. */
 export interface Stall {
   readonly attempts: activeJob.Attempt[];
   /**
-   * Whether the worker is to blame. Members of a gang stand still all
-   * together, wherever the one at fault is, so they accuse nobody.
+   * Whether the worker is at fault. Members of a gang stall all together,
+   * wherever the one at fault is, so they do not show that their worker is.
    */
   readonly blamesWorker: boolean;
 }
 
 /**
- * A member of a gang that has done its part waits for the others at 100, for
- * seconds where its worker is faster than theirs: that says nothing about
- * either. Taken for hanging, every third gang of a quiet day was stopped just
- * before its end and began anew. One that really hangs is found by the members
- * that stand still before 100.
+ * Whether an attempt waits at 100 for the other members of its gang, which
+ * takes seconds if its worker is faster than theirs and says nothing about
+ * either. When such members counted as stalled, every third gang was stopped
+ * and restarted just before its end on a day without faults. A member that
+ * really stalls is detected by the members that stop before 100.
  */
 function waitsForGang({owner, percent}: activeJob.Attempt): boolean {
   return owner?.stepRun.request.gang === true && percent >= DONE_PERCENT;
 }
 
-/** The stalled runs of a worker, if nothing on it moves; else undefined. */
+/**
+ * Returns the stalled attempts of a worker if none of its attempts makes
+ * progress; otherwise undefined.
+ */
 export function findStall(
   attempts: ReadonlySet<activeJob.Attempt>,
   now: types.clock.MonotonicMs,
--- a/packages/gypsumwall-scheduling/src/start_orders.ts
+++ b/packages/gypsumwall-scheduling/src/start_orders.ts
@@ -1,4 +1,4 @@
-/** Makes the orders of a cycle's placements. */
+/** Creates the start orders for the placements of a cycle. */
 import type * as types from '@gypsumwall/types';
 import * as activeJob from './active_job.js';
 import * as chooseWorker from './choose_worker.js';
@@ -7,7 +7,9 @@
 import * as stepAdvice from './step_advice.js';
 import * as taskIds from './task_id.js';
 
-/** Numbers the attempts: one for each task, one for a gang as a whole. */
+/**
+ * Assigns the attempt numbers: one for each task, one for a gang as a whole.
+ */
 export function numberAttempts(
   placed: readonly placements.Placement[],
   attemptBase: number,
@@ -23,7 +25,7 @@
   }
 }
 
-/** The order of a task whose attempt has its number. */
+/** Creates the start order of a task whose attempt number was assigned. */
 export function createStartOrder(
   {stepRun, index, worker}: placements.Placement,
   now: types.clock.MonotonicMs,
--- a/packages/gypsumwall-scheduling/src/step_advice.ts
+++ b/packages/gypsumwall-scheduling/src/step_advice.ts
@@ -1,31 +1,34 @@
 /**
- * What an adviser has said of one step: which workers it approved, until when
- * their tickets hold, and which it refused for good.
+ * Answers of the adviser for one step: the approved workers, the expiry of
+ * their tickets, and the refused workers.
  */
 import * as types from '@gypsumwall/types';
 
-/** An approval of one worker. */
+/** Approval of one worker. */
 export interface Approval {
   readonly ticket: string;
   readonly validUntil: types.clock.MonotonicMs;
 }
 
-/** The advice on one step. */
+/** The advice for one step. */
 export interface StepAdvice {
   readonly approvals: Map<types.ids.WorkerId, Approval>;
-  /** Workers that were named and not approved; that doesn't change. */
+  /** Workers that were named and not approved. Refusals are final. */
   readonly refused: Set<types.ids.WorkerId>;
-  /** Workers named in calls that aren't answered yet. */
+  /** Workers named in open calls. */
   readonly pendingWorkers: Set<types.ids.WorkerId>;
   openCalls: number;
-  /** When it is looked again whether to ask for more. */
+  /** When it is checked next whether more workers should be asked about. */
   nextCheckAt: types.clock.MonotonicMs;
 }
 
-/** Approvals that end sooner than this are not used: the start takes time. */
+/**
+ * Tickets that expire sooner than this are not used, because the start takes
+ * time.
+ */
 const MIN_TICKET_REMAINING_MS = 60;
 
-/** The advice on a step of which nobody was asked yet. */
+/** Creates the advice for a step that the adviser was not asked about. */
 export function createStepAdvice(): StepAdvice {
   return {
     approvals: new Map(),
@@ -36,7 +39,7 @@
   };
 }
 
-/** The ticket for a start on a worker now, if there is one. */
+/** Returns the ticket for a start on a worker now, if there is a valid one. */
 export function ticketFor(
   advice: StepAdvice,
   worker: types.ids.WorkerId,
@@ -51,7 +54,7 @@
   return now < usableUntil ? approval.ticket : undefined;
 }
 
-/** Notes that a call which names these workers is on its way. */
+/** Records that a call which names these workers was sent. */
 export function recordCall(
   advice: StepAdvice,
   workers: readonly types.ids.WorkerId[],
@@ -60,7 +63,7 @@
   for (const worker of workers) advice.pendingWorkers.add(worker);
 }
 
-/** Notes the answer to a call; undefined approvals: there was none. */
+/** Records the answer to a call; `approved` is undefined if there was none. */
 export function recordAnswer(
   advice: StepAdvice,
   workers: readonly types.ids.WorkerId[],
--- a/packages/gypsumwall-scheduling/src/take_advice_requests.ts
+++ b/packages/gypsumwall-scheduling/src/take_advice_requests.ts
@@ -1,8 +1,9 @@
 /**
- * Chooses which waiting steps the adviser is asked about now. Its calls are
- * scarce: those whose answer lets a task start go first, most urgent first.
- * A step without room has no use for an answer yet, and its tickets would end
- * before it has; it asks ahead only while calls are to spare.
+ * Chooses the waiting steps that the adviser is asked about now. Calls to the
+ * adviser are limited: calls whose answer lets a task start go first, the most
+ * urgent ones first. A step without free capacity cannot use an answer yet, and
+ * its tickets would expire before capacity is free; it asks ahead only while
+ * calls are to spare.
  */
 import * as types from '@gypsumwall/types';
 import type * as activeJob from './active_job.js';
@@ -14,9 +15,9 @@
 import * as stepAdvice from './step_advice.js';
 import type * as workerRegistry from './worker_registry.js';
 
-/** Least span between two considered at one step; milliseconds. */
+/** Minimum interval between two checks of one step; milliseconds. */
 const RECHECK_INTERVAL_MS = 80;
-/** Considering a step goes over all workers: a cycle has time for a few. */
+/** Checking a step iterates over all workers, so a cycle checks only a few. */
 const MAX_CONSIDERED_STEPS = 20;
 
 interface PlannedCall {
@@ -24,7 +25,10 @@
   readonly named: types.ids.WorkerId[];
 }
 
-/** The calls to be made for steps that wait, given most urgent first. */
+/**
+ * Returns the calls to make for the given waiting steps, which are sorted by
+ * urgency.
+ */
 export function takeAdviceRequests(
   steps: readonly activeJob.StepRun[],
   capacity: adviserPool.AdviceCapacity,
@@ -107,7 +111,10 @@
   return withCapacity;
 }
 
-/** Whether a task, or the whole gang, fits on workers that may be approved. */
+/**
+ * Whether a task, or the whole gang, fits on workers that the adviser may
+ * approve.
+ */
 function hasCapacity(
   stepRun: activeJob.StepRun,
   withCapacity: readonly workerRegistry.RegisteredWorker[],
--- a/packages/gypsumwall-scheduling/src/task_id.ts
+++ b/packages/gypsumwall-scheduling/src/task_id.ts
@@ -1,19 +1,19 @@
 /**
- * Ids of tasks of step jobs: `<job>.<occurrence>.<step>.<index>`, and of one
- * step of one occurrence: the same without the index.
+ * Ids of tasks, `<job>.<occurrence>.<step>.<index>`, and of step runs, which
+ * have the same form without the index.
  */
 import * as types from '@gypsumwall/types';
 
-/** A task id taken apart. */
+/** The parts of a task id. */
 export interface TaskPlace {
   readonly jobId: types.ids.JobId;
-  /** 0 for a job that runs once. */
+  /** Number of the occurrence; 0 for a job without a schedule. */
   readonly occurrence: number;
   readonly step: number;
   readonly index: number;
 }
 
-/** The id of a step of one occurrence. */
+/** Returns the id of one step of one occurrence. */
 export function stepRunId(
   jobId: types.ids.JobId,
   occurrence: number,
@@ -22,12 +22,12 @@
   return `${jobId}.${occurrence}.${step}`;
 }
 
-/** The id of one task of a step. */
+/** Returns the id of one task of a step run. */
 export function taskId(stepRun: string, index: number): types.ids.TaskId {
   return types.ids.brand<types.ids.TaskId>(`${stepRun}.${index}`);
 }
 
-/** Takes an id apart; undefined if it has another form. */
+/** Parses a task id; undefined if it has another form. */
 export function placeOf(id: string): TaskPlace | undefined {
   const parts = id.split('.');
   if (parts.length !== 4) return undefined;
--- a/packages/gypsumwall-scheduling/src/task_isolation.ts
+++ b/packages/gypsumwall-scheduling/src/task_isolation.ts
@@ -1,8 +1,9 @@
 /**
- * Keeps workers for tasks that may crash them, apart from other jobs: what runs
- * beside such a task has shown that it doesn't crash the worker, and nothing
- * else starts there until the task has shown the same. So a crash meanwhile is
- * the task's fault, however many other tasks crash workers at that time.
+ * Isolates tasks that may crash their worker from other jobs. Such a task
+ * starts only beside attempts that have run long enough to show that they do
+ * not crash the worker, and no other job starts a task there until the isolated
+ * task has shown the same. A crash during this isolation period is therefore
+ * caused by the task, however many other tasks crash workers at that time.
  */
 import * as types from '@gypsumwall/types';
 import type * as activeJob from './active_job.js';
@@ -12,86 +13,114 @@
 import type * as attemptTable from './attempt_table.js';
 import type * as workerRegistry from './worker_registry.js';
 
-/** What has run for so long beside a task doesn't crash its worker first. */
+/**
+ * An attempt that has run this long is not expected to crash its worker before
+ * the isolated task does; milliseconds.
+ */
 const MIN_SETTLED_MS = 2_000;
-/** Time for the order of a start and its answer; milliseconds. */
+/**
+ * Allowance for sending a start order and receiving the answer; milliseconds.
+ */
 const ORDER_SLACK_MS = 1_000;
-/** A worker is emptied for a task for so long at most; milliseconds. */
+/**
+ * Maximum time for which a worker is reserved for a task while other jobs drain
+ * from it; milliseconds.
+ */
 const MAX_RESERVATION_MS = 10_000;
-/** Share of the workers that are emptied at once at most. */
+/** Maximum share of the workers that are reserved at once. */
 const MAX_RESERVED_SHARE = 0.25;
 
 interface IsolationHold {
-  readonly type: 'reserved' | 'trial';
+  readonly type: 'reserved' | 'isolating';
   readonly jobId: types.ids.JobId;
   readonly until: types.clock.MonotonicMs;
 }
 
-/** Workers kept apart. */
+/** The isolated workers of a scheduler. */
 export interface TaskIsolation {
-  /** Whether a worker is kept for tasks of the step's job. */
+  /** Whether a worker is reserved for the step's job. */
   isReservedFor(
     stepRun: activeJob.StepRun,
     worker: types.ids.WorkerId,
   ): boolean;
-  /** Whether a worker is kept for tasks of another job. */
+  /** Whether a worker is reserved for another job. */
   isClosedTo(stepRun: activeJob.StepRun, worker: types.ids.WorkerId): boolean;
-  /** Whether a task that has to be apart may start there now. */
+  /** Whether a task that needs isolation may start on a worker now. */
   canStartIsolated(
     stepRun: activeJob.StepRun,
     worker: workerRegistry.RegisteredWorker,
     now: types.clock.MonotonicMs,
   ): boolean;
-  /** Whether a task of another job that may crash the worker is there. */
+  /**
+   * Whether a task of another job that may crash the worker runs or is placed
+   * there.
+   */
   hostsSuspect(stepRun: activeJob.StepRun, worker: types.ids.WorkerId): boolean;
-  /** Whether a task that has to be apart could start there soon. */
+  /** Whether a task that needs isolation could start on a worker soon. */
   canSoonStartIsolated(
     stepRun: activeJob.StepRun,
     worker: types.ids.WorkerId,
     now: types.clock.MonotonicMs,
   ): boolean;
-  /** A task under which workers have crashed is placed on a worker. */
+  /** Called when a task whose workers have crashed is placed on a worker. */
   onPlaced(
     stepRun: activeJob.StepRun,
     index: number,
     worker: types.ids.WorkerId,
     now: types.clock.MonotonicMs,
   ): void;
-  /** A start is sent: its task is on trial, if it has to be. */
+  /**
+   * Called when a start is sent: starts the isolation period if the task needs
+   * one.
+   */
   onStartOrdered(
     attempt: activeJob.Attempt,
     now: types.clock.MonotonicMs,
   ): void;
-  /** The start was taken: the trial counts from now. */
+  /**
+   * Called when a worker has accepted the start: the isolation period counts
+   * from now.
+   */
   onStarted(attempt: activeJob.Attempt, now: types.clock.MonotonicMs): void;
-  /** Runs of a worker were found: those that are apart are on trial from now. */
+  /**
+   * Called after a report of a worker: tasks found on it that need isolation
+   * and share it with no other job start their isolation period.
+   */
   onAttemptsFound(
     worker: types.ids.WorkerId,
     now: types.clock.MonotonicMs,
   ): void;
-  /** Closes workers to others, so that the step's tasks find one quiet soon. */
+  /**
+   * Reserves workers, so that tasks of the step can start isolated there soon.
+   */
   reserveFor(
     stepRun: activeJob.StepRun,
     taskCount: number,
     context: chooseWorker.ChoiceContext,
   ): void;
-  /** Opens workers that needn't be kept any more, once before each cycle. */
+  /**
+   * Releases workers that no longer have to be reserved and returns them;
+   * called once before each cycle.
+   */
   releaseExpired(now: types.clock.MonotonicMs): types.ids.WorkerId[];
 }
 
-/** What the isolation works on. */
+/** Dependencies of the task isolation. */
 export interface TaskIsolationParts {
   readonly registry: workerRegistry.WorkerRegistry;
   readonly attempts: attemptTable.AttemptTable;
-  /** Whether a task of the job that has to be apart waits. */
+  /** Whether a queued task of the job needs isolation. */
   readonly isWaiting: (job: types.ids.JobId) => boolean;
 }
 
-/** Creates an isolation that keeps no worker. */
+/** Creates an isolation that reserves no worker. */
 export function createTaskIsolation(parts: TaskIsolationParts): TaskIsolation {
   const {registry, attempts} = parts;
   const holds = new Map<types.ids.WorkerId, IsolationHold>();
-  /** Tasks that may crash workers, placed in this cycle. */
+  /**
+   * Jobs with tasks that may crash workers, by the worker on which they were
+   * placed in this cycle.
+   */
   let placedSuspects = new Map<types.ids.WorkerId, Set<types.ids.JobId>>();
 
   const isReservedFor = (stepRun: activeJob.StepRun, id: types.ids.WorkerId) =>
@@ -104,14 +133,17 @@
     if (owner === undefined || startedAt === undefined) return false;
     const {stepRun, index} = owner;
     const isSuspected = crashRecords.crashCount(stepRun, index) > 0;
-    // A suspect must have run for as long as a trial of its own takes.
+    // A suspected task must have run for as long as its own isolation period
+    // takes.
     const neededMs = isSuspected
       ? crashRecords.isolationPeriodMs(stepRun, index)
       : MIN_SETTLED_MS;
     return now - startedAt >= neededMs;
   }
 
-  /** Whether something was placed there that is no run yet. */
+  /**
+   * Whether tasks were placed on a worker for which no start order exists yet.
+   */
   function hasUnstartedPlacements(
     worker: workerRegistry.RegisteredWorker,
   ): boolean {
@@ -153,7 +185,7 @@
     return false;
   }
 
-  /** Whether all that runs beside it is of the same job. */
+  /** Whether the worker runs tasks of the same job only. */
   function sharesOnlyWithOwnJob({owner, workerId}: activeJob.Attempt): boolean {
     for (const other of attempts.ofWorker(workerId)) {
       if (other.owner?.stepRun.job !== owner?.stepRun.job) return false;
@@ -181,7 +213,7 @@
     switch (hold.type) {
       case 'reserved':
         return !parts.isWaiting(hold.jobId);
-      case 'trial':
+      case 'isolating':
         return !hasIsolatedAttempt(id, hold);
     }
   }
@@ -197,10 +229,10 @@
     const spanMs = crashRecords.isolationPeriodMs(stepRun, index) + slackMs;
     const until = types.clock.after(now, spanMs);
     attempt.isolatedUntil = until;
-    holds.set(workerId, {type: 'trial', jobId: stepRun.job.id, until});
+    holds.set(workerId, {type: 'isolating', jobId: stepRun.job.id, until});
   }
 
-  /** The fewer runs, the less is lost with the worker. */
+  /** Workers with the fewest attempts first: less is lost if they crash. */
   function compareByLoad(
     a: workerRegistry.RegisteredWorker,
     b: workerRegistry.RegisteredWorker,
@@ -229,8 +261,9 @@
       const jobs = placedSuspects.get(id) ?? new Set<types.ids.JobId>();
       placedSuspects.set(id, jobs.add(jobId));
       if (!crashRecords.needsIsolation(stepRun, index)) return;
-      // Its start may have to wait for the store; it is no trial until then.
-      if (holds.get(id)?.type === 'trial') return;
+      // Its start may have to wait for the store; the isolation period starts
+      // only with the order.
+      if (holds.get(id)?.type === 'isolating') return;
       const until = types.clock.after(now, MAX_RESERVATION_MS);
       holds.set(id, {type: 'reserved', jobId, until});
     },
--- a/packages/gypsumwall-scheduling/src/wait_reasons.ts
+++ b/packages/gypsumwall-scheduling/src/wait_reasons.ts
@@ -1,4 +1,4 @@
-/** Tells for a step that waits what stands against each worker. */
+/** Determines, for a waiting step, why it cannot start on each worker. */
 import * as types from '@gypsumwall/types';
 import type * as activeJob from './active_job.js';
 import * as chooseWorker from './choose_worker.js';
@@ -6,32 +6,34 @@
 import * as stepAdvice from './step_advice.js';
 import type * as workerRegistry from './worker_registry.js';
 
-/** The first thing that keeps a step's next task off a worker. */
+/** The first reason why the next task of a step cannot start on a worker. */
 export type WaitReason =
   | 'unusable'
   | 'draining'
-  /** Of another pool, or without the label that the step asks for. */
+  /** In another pool, or without the label that the step requires. */
   | 'other_kind'
-  /** The adviser has refused it. */
+  /** Refused by the adviser. */
   | 'refused'
-  /** As many of the step's tasks run there as may. */
+  /** Runs the maximum number of tasks of the step already. */
   | 'at_limit'
   | 'no_room'
   | 'avoided'
-  /** Its room is reserved for a gang. */
+  /** Reserved for a gang. */
   | 'reserved'
-  /** Tasks that may crash a worker are kept apart from other jobs. */
+  /** Closed to the step by the isolation of tasks that may crash a worker. */
   | 'isolated'
   | 'not_asked'
   | 'ticket_over'
   | 'not_recorded'
-  /** Nothing: the task could start. */
+  /** No reason: the task could start. */
   | 'open';
 
-/** How many workers each reason keeps the step off. */
+/** Number of workers for each reason. */
 export type WaitReasons = Partial<Record<WaitReason, number>>;
 
-/** Counts the workers of a cell by what keeps a step off them. */
+/**
+ * Counts the workers of a cell by the reason why a step cannot start on them.
+ */
 export function countReasons(
   stepRun: activeJob.StepRun,
   context: chooseWorker.ChoiceContext,
--- a/packages/gypsumwall-scheduling/src/wait_reporter.ts
+++ b/packages/gypsumwall-scheduling/src/wait_reporter.ts
@@ -1,6 +1,6 @@
 /**
- * Tells the log of steps that wait long and what they wait for. Only the log
- * depends on it. Reports are bounded, however many steps wait.
+ * Reports steps that wait long, with the reasons, to the log. Nothing but the
+ * log depends on it. The number of reports is bounded, however many steps wait.
  */
 import * as types from '@gypsumwall/types';
 import type * as activeJob from './active_job.js';
@@ -8,44 +8,44 @@
 import type * as schedulerTypes from './scheduler_types.js';
 import * as waitReasons from './wait_reasons.js';
 
-/** A step is reported once nothing of it has started for so long. */
+/** A step is reported once none of its tasks has started for this long. */
 const REPORT_AFTER_MS = 1_000;
-/** Least span between two reports of one step. */
+/** Minimum interval between two reports of one step. */
 const REPEAT_AFTER_MS = 2_000;
-/** Pause between two sweeps over the waiting steps. */
+/** Interval between two sweeps over the waiting steps. */
 const SWEEP_INTERVAL_MS = 500;
 const MAX_REPORTS_PER_SWEEP = 4;
 
-/** What a sweep takes into account. */
+/** Input of a sweep. */
 export interface WaitContext extends chooseWorker.ChoiceContext {
-  /** Calls that the adviser's callers could take before this cycle's. */
+  /** Number of calls to the adviser that could be made before this cycle. */
   readonly callsLeft: number;
 }
 
-/** The steps that a sweep goes over. */
+/** The steps that a sweep checks. */
 export interface WaitingSteps {
-  /** With tasks that wait, most urgent first. */
+  /** Steps with queued tasks, most urgent first. */
   readonly ordered: readonly activeJob.StepRun[];
-  /** Jobs that may have gangs whose members have not all ended. */
+  /** Jobs that may have gangs with members that have not ended. */
   readonly jobs: Iterable<activeJob.ActiveJob>;
 }
 
 /** Reports on the waiting steps of a scheduler. */
 export interface WaitReporter {
-  /** Something of the step starts: its wait begins anew. */
+  /** Restarts the waiting time of a step, because a task of it starts. */
   onPlaced(stepRun: activeJob.StepRun): void;
-  /** Sweeps over the steps if it is time. */
+  /** Reports on the steps if a sweep is due. */
   sweep(steps: WaitingSteps, context: WaitContext): void;
 }
 
 interface WaitRecord {
   readonly since: types.clock.MonotonicMs;
-  /** Place in the order of work. */
+  /** Position in the order in which steps get capacity. */
   rank: number;
   reportedAt?: types.clock.MonotonicMs;
 }
 
-/** Creates a reporter that has seen no step yet. */
+/** Creates a reporter without steps. */
 export function createWaitReporter(
   onEvent: (event: schedulerTypes.SchedulerEvent) => void,
 ): WaitReporter {
@@ -111,7 +111,7 @@
   };
 }
 
-/** Whether a gang waits until the last of its members has ended. */
+/** Whether a gang waits for the end of its remaining members. */
 function isGangStopping({
   request,
   state,
--- a/packages/gypsumwall-scheduling/src/waiting_order.ts
+++ b/packages/gypsumwall-scheduling/src/waiting_order.ts
@@ -1,24 +1,24 @@
 /**
- * Keeps the waiting steps in the order in which they get room. From one cycle
- * to the next few of them change places, so sorting the order of before again
- * takes time that grows with their number alone.
+ * Sorts the waiting steps by the order in which they get capacity. From one
+ * cycle to the next only few steps change their position, so sorting the
+ * previous order again takes time that grows with these few only.
  */
 import type * as types from '@gypsumwall/types';
 import * as activeJob from './active_job.js';
 import * as jobOrder from './job_order.js';
 
-/** The waiting steps in their order. */
+/** The sorted waiting steps. */
 export interface SortedSteps {
   /** Most urgent first. */
   readonly steps: readonly activeJob.StepRun[];
   /**
-   * Whether a gang has fallen behind others with time: room that is kept for
-   * it can be used by steps that go before it now.
+   * Whether the lateness of a gang has changed, so that it ranks behind others:
+   * steps that rank before it now can use the capacity reserved for it.
    */
   readonly gangFellBehind: boolean;
 }
 
-/** The order of the waiting steps. */
+/** Sorts the waiting steps. */
 export interface WaitingOrder {
   sorted(
     waiting: ReadonlySet<activeJob.StepRun>,
--- a/packages/gypsumwall-scheduling/src/worker_health.ts
+++ b/packages/gypsumwall-scheduling/src/worker_health.ts
@@ -1,28 +1,36 @@
 /**
- * Tells workers that fail or hang all they start from jobs that can't be done.
- * A bad worker is always free and would draw in task after task. A failure
- * counts against a worker only until the same job has failed on a second one:
- * then the job is at fault, and all its marks are taken back.
+ * Distinguishes workers that fail or stall all their tasks from jobs that
+ * cannot succeed. A bad worker is always free and would attract task after
+ * task. A failure counts against a worker only until the same job has failed on
+ * a second worker: then the job is at fault, and its failures are removed from
+ * both records.
  */
 import * as types from '@gypsumwall/types';
 
-/** How far a worker is trusted. */
+/** How much a worker is trusted. */
 export type Trust =
-  | 'sound'
-  /** Failed lately; used where no sound worker has room. */
+  | 'healthy'
+  /** Failed recently; used only where no healthy worker has capacity. */
   | 'doubtful'
-  /** Out of use for a while. */
+  /** Not used for a while. */
   | 'avoided';
 
-/** Failures of this many distinct jobs, with no success between. */
+/**
+ * A worker is avoided after failures of this many distinct jobs without a
+ * success in between.
+ */
 const MIN_FAILED_JOBS_TO_AVOID = 2;
 /**
- * First time out of use, doubled with each relapse up to the longest. Troubles
- * of this kind were seen to last 4 to 8 s; three tries find the end of one.
+ * First avoidance period, doubled with each relapse up to the maximum. Such
+ * problems were observed to last 4 to 8 s; three tries are enough to detect
+ * their end.
  */
 const FIRST_AVOIDANCE_MS = 1_500;
 const MAX_AVOIDANCE_MS = 6_000;
-/** Never avoid more than this share of the workers: then it isn't them. */
+/**
+ * Maximum share of the workers that are avoided at once: if more seem bad, the
+ * workers are not the cause.
+ */
 const MAX_AVOIDED_SHARE = 0.34;
 
 interface HealthRecord {
@@ -31,7 +39,7 @@
   nextAvoidanceMs: number;
 }
 
-/** What the ends of runs say about workers. */
+/** Health of the workers, derived from the ends of their attempts. */
 export interface WorkerHealth {
   recordSuccess(worker: types.ids.WorkerId, job: types.ids.JobId): void;
   recordFailure(
@@ -39,16 +47,21 @@
     job: types.ids.JobId,
     now: types.clock.MonotonicMs,
   ): void;
-  /** All that runs there stands still. */
+  /** Records that no attempt on a worker makes progress. */
   recordStall(worker: types.ids.WorkerId, now: types.clock.MonotonicMs): void;
   trustOf(worker: types.ids.WorkerId, now: types.clock.MonotonicMs): Trust;
-  /** Workers whose time out of use has ended since the last call. */
+  /**
+   * Returns the workers whose avoidance period has ended since the last call.
+   */
   takeRestored(now: types.clock.MonotonicMs): types.ids.WorkerId[];
   forgetWorker(worker: types.ids.WorkerId): void;
   forgetJob(job: types.ids.JobId): void;
 }
 
-/** Creates the record; `workerCount` bounds how many are avoided. */
+/**
+ * Creates a record without failures; `workerCount` bounds how many workers are
+ * avoided.
+ */
 export function createWorkerHealth(workerCount: () => number): WorkerHealth {
   const records = new Map<types.ids.WorkerId, HealthRecord>();
   const failedOn = new Map<types.ids.JobId, Set<types.ids.WorkerId>>();
@@ -116,10 +129,10 @@
     recordStall: (worker, now) => avoid(worker, now),
     trustOf(worker, now) {
       const record = records.get(worker);
-      if (record === undefined) return 'sound';
+      if (record === undefined) return 'healthy';
       if (record.avoidedUntil > now) return 'avoided';
       const relapse = record.nextAvoidanceMs > FIRST_AVOIDANCE_MS;
-      return record.failedJobs.size > 0 || relapse ? 'doubtful' : 'sound';
+      return record.failedJobs.size > 0 || relapse ? 'doubtful' : 'healthy';
     },
     takeRestored(now) {
       const restored = [...avoidedWorkers].filter(
--- a/packages/gypsumwall-scheduling/src/worker_losses.ts
+++ b/packages/gypsumwall-scheduling/src/worker_losses.ts
@@ -1,25 +1,31 @@
 /**
- * When workers stopped answering. What takes several down at one moment, such
- * as the power of a rack, is no task's fault.
+ * Records when workers stopped answering, to recognise losses with a common
+ * cause, such as a power failure of a rack, for which no task is to blame.
  */
 import * as types from '@gypsumwall/types';
 import type * as workerRegistry from './worker_registry.js';
 
 /**
- * Workers that go down together are noticed within this span of each other: one
- * whose connections are reset at once, one that falls silent after the longest
- * timeout of a look; milliseconds.
+ * Workers that go down together are detected within this span of each other:
+ * one whose connections are reset is detected at once, one that stops answering
+ * only after the longest poll timeout; milliseconds.
  */
 const GROUP_LOSS_WINDOW_MS = 1_500;
-/** Resets reach the holder together; milliseconds. */
+/**
+ * Connection resets with one cause reach the holder within this span;
+ * milliseconds.
+ */
 const SIMULTANEOUS_LOSS_WINDOW_MS = 250;
-/** Share of a rack or failure domain whose loss has a cause outside of it. */
+/** Share of a rack or failure domain whose loss has an external cause. */
 const GROUP_LOSS_SHARE = 0.75;
-/** Share of all workers whose loss at one moment has a cause outside of them. */
+/** Share of all workers whose simultaneous loss has an external cause. */
 const CELL_LOSS_SHARE = 0.2;
-/** Fewer are lost together by chance. */
+/** Fewer simultaneous losses may be a coincidence. */
 const MIN_LOST_TOGETHER = 3;
-/** A loss is remembered for so long, in case it proves a crash; milliseconds. */
+/**
+ * How long a loss is kept, in case it is proven to be a crash later;
+ * milliseconds.
+ */
 export const LATE_PROOF_MS = 60_000;
 
 interface Incarnation {
@@ -30,42 +36,49 @@
 
 interface Loss {
   readonly at: types.clock.MonotonicMs;
-  /** A task that may crash workers ran there apart from others. */
+  /** Whether an isolated task that may crash workers ran there. */
   readonly isExplained: boolean;
   readonly forgetAt: types.clock.MonotonicMs;
 }
 
 type Membership = (info: workerRegistry.WorkerInfo) => boolean;
 
-/** The losses of a cell. */
+/** The worker losses of a cell. */
 export interface WorkerLosses {
-  /** A stay of a worker answers, for the first time or again. */
+  /**
+   * Records that an incarnation of a worker answers, for the first time or
+   * again.
+   */
   recordAnswer(
     info: workerRegistry.WorkerInfo,
     now: types.clock.MonotonicMs,
   ): void;
   /**
-   * A worker has stopped answering; the first moment counts. `isExplained`
-   * tells whether a task that may crash workers ran there apart from others.
+   * Records that a worker has stopped answering; the first call counts.
+   * `isExplained` says whether an isolated task that may crash workers ran
+   * there.
    */
   recordLoss(
     id: types.ids.WorkerId,
     isExplained: boolean,
     now: types.clock.MonotonicMs,
   ): void;
-  /** The stay is over; if it was lost, that is remembered for a while. */
+  /**
+   * Records that an incarnation is over. If it was lost, the loss is kept for a
+   * while.
+   */
   recordRemoval(id: types.ids.WorkerId): void;
   lostAt(id: types.ids.WorkerId): types.clock.MonotonicMs | undefined;
-  /** Whether most of its rack or failure domain went down with it. */
+  /** Whether most of its rack or failure domain was lost with it. */
   isGroupLoss(id: types.ids.WorkerId): boolean;
   /**
-   * Whether another worker of its failure domain, or many anywhere, went down
-   * at the same moment without an explanation.
+   * Whether another worker of its failure domain, or many in the whole cell,
+   * were lost at the same moment without an explanation.
    */
   isAccompanied(id: types.ids.WorkerId): boolean;
 }
 
-/** Creates a record without losses. */
+/** Creates a record without workers. */
 export function createWorkerLosses(): WorkerLosses {
   const incarnations = new Map<types.ids.WorkerId, Incarnation>();
 
@@ -75,7 +88,10 @@
     }
   }
 
-  /** Stays that were up when a worker was lost, and lost with it. */
+  /**
+   * Counts incarnations that were up when a worker was lost, and those lost
+   * with it.
+   */
   function countAround(
     id: types.ids.WorkerId,
     at: types.clock.MonotonicMs,
--- a/packages/gypsumwall-scheduling/src/worker_registry.ts
+++ b/packages/gypsumwall-scheduling/src/worker_registry.ts
@@ -1,14 +1,15 @@
 /**
- * What each worker of a cell has and what is booked on it. Room is booked when
- * a start is decided and given back only when the worker has told the end of
- * the run, or the run can't go on any more. So the sum of what a worker was
- * told never passes its capacity, also where the worker checks nothing.
+ * The workers of a cell and the resources reserved on them. Resources are
+ * reserved when a start is decided and released only when the worker has
+ * reported the end of the attempt, or when the attempt certainly cannot run any
+ * more. The sum of the started tasks therefore never exceeds the capacity of a
+ * worker, even if the worker checks nothing.
  */
 import * as types from '@gypsumwall/types';
 
-/** A worker as the platform's list shows it. */
+/** A worker as listed by the platform. */
 export interface WorkerInfo {
-  /** One stay of a worker process. */
+  /** Identifies one incarnation of a worker process. */
   readonly id: types.ids.WorkerId;
   readonly address: string;
   readonly domain: types.ids.FailureDomain;
@@ -16,25 +17,27 @@
   readonly capacity: types.resources.Resources;
   readonly labels: readonly string[];
   readonly rack: types.ids.RackId;
-  /** Told to leave: nothing new may start on it. */
+  /** Whether it was told to leave; no new task may start on it. */
   readonly draining: boolean;
 }
 
-/** A worker and what is booked on it. */
+/** A worker and its reservations. */
 export interface RegisteredWorker {
   info: WorkerInfo;
-  /** Room left; negative where the capacity has shrunk below what runs. */
+  /** Free resources; negative where the capacity has shrunk below what runs. */
   free: types.resources.Resources;
-  /** Whether it has answered under our fencing token, and lately. */
+  /**
+   * Whether it has answered recently under the fencing token of this holder.
+   */
   usable: boolean;
-  /** Tasks of each step that are booked here, by step run id. */
+  /** Number of tasks reserved here, by step run id. */
   readonly tasksByStep: Map<string, number>;
 }
 
 /** The workers of a cell. */
 export interface WorkerRegistry {
   readonly workers: ReadonlyMap<types.ids.WorkerId, RegisteredWorker>;
-  /** Adds a worker or takes over what the list says of it now. */
+  /** Adds a worker or updates it from the list. */
   put(info: WorkerInfo): RegisteredWorker;
   remove(id: types.ids.WorkerId): void;
   book(
@@ -47,15 +50,15 @@
     stepRun: string,
     size: types.resources.Resources,
   ): void;
-  /** Whether new tasks may be placed there. */
+  /** Sets whether new tasks may be placed on a worker. */
   setUsable(id: types.ids.WorkerId, usable: boolean): void;
-  /** A worker can take work that it couldn't take before. */
+  /** Marks that a worker may accept tasks that it could not accept before. */
   markFreed(id: types.ids.WorkerId): void;
-  /** Workers that were freed since the last call. */
+  /** Returns the workers marked as freed since the last call. */
   takeFreed(): ReadonlySet<types.ids.WorkerId>;
 }
 
-/** Creates an empty book. */
+/** Creates a registry without workers. */
 export function createWorkerRegistry(): WorkerRegistry {
   const workers = new Map<types.ids.WorkerId, RegisteredWorker>();
   let freed = new Set<types.ids.WorkerId>();
@@ -67,7 +70,7 @@
     sign: 1 | -1,
   ): void {
     const worker = workers.get(id);
-    // A worker that left took its bookings with it.
+    // The reservations of a removed worker were removed with it.
     if (worker === undefined) return;
     worker.free = {
       cpuMillis: worker.free.cpuMillis - sign * size.cpuMillis,
