--- a/packages/gypsumwall-scheduling/src/__fixtures__/crash_checks.ts
+++ b/packages/gypsumwall-scheduling/src/__fixtures__/crash_checks.ts
@@ -1,16 +1,16 @@
-/** A small cell of crashing workers, and what tests ask of it. */
+/** A small cell with crashing workers, and checks that several tests share. */
 import * as assert from 'node:assert/strict';
 import type * as types from '@gypsumwall/types';
 import * as crashWorlds from './crash_world.js';
 
-/** Starts that are allowed after three workers have crashed under a task. */
+/** Maximum number of starts of a task after it has crashed three workers. */
 const MAX_STARTS_AFTER_THIRD_CRASH = 2;
 /** Three failure domains of three machines. */
 export const CELL = {domains: 3, machinesPerDomain: 3, cores: 16};
 
 type World = crashWorlds.CrashWorld;
 
-/** Creates the cell, with a holder. */
+/** Creates the cell with a holder. */
 export function createWorld(
   options: Partial<crashWorlds.CrashWorldOptions> = {},
 ): World {
@@ -19,14 +19,16 @@
   return world;
 }
 
-/** Hands in a job of four lasting tasks. */
+/** Submits a job of four long-running tasks. */
 export function submitLongRunning(world: World, name: string): types.ids.JobId {
   const size = {cpuMillis: 2_000, memoryMb: 100, accelerators: 0};
   const fields = {taskCount: 4, longRunning: true, size};
   return world.submit(name, fields, {workMs: 0});
 }
 
-/** Checks that a job with a culprit has failed, and the starts of it. */
+/**
+ * Checks that a job with a crashing task has failed after few further starts.
+ */
 export function assertGivenUp(
   world: World,
   id: types.ids.JobId,
@@ -40,7 +42,7 @@
   assert.equal(world.stateOf(id), 'failed', id);
 }
 
-/** Checks that sound jobs are completed. */
+/** Checks that healthy jobs are completed. */
 export function assertCompleted(
   world: World,
   ids: readonly types.ids.JobId[],
@@ -48,7 +50,7 @@
   for (const id of ids) assert.equal(world.stateOf(id), 'completed', id);
 }
 
-/** The most crashes under one task of a job. */
+/** Returns the largest number of crashes of one task of a job. */
 export function maxCrashesUnder(world: World, id: types.ids.JobId): number {
   const counts = new Map<string, number>();
   for (const taskId of world.crashes.flatMap((one) => one.tasks)) {
--- a/packages/gypsumwall-scheduling/src/__fixtures__/crash_model.ts
+++ b/packages/gypsumwall-scheduling/src/__fixtures__/crash_model.ts
@@ -1,36 +1,39 @@
-/** The machines, jobs and sightings of a world of crashes. */
+/**
+ * The machines, jobs and observations of a simulated cell with crashing
+ * workers.
+ */
 import * as types from '@gypsumwall/types';
 import type * as jobRequest from '../job_request.js';
 import type * as schedulerTypes from '../scheduler_types.js';
 import type * as workerRegistry from '../worker_registry.js';
 import * as schedulerWorlds from './scheduler_world.js';
 
-/** What the tasks of a job do. */
+/** Behaviour of the tasks of a job. */
 export interface Behaviour {
   readonly workMs: number;
-  /** The task of this index crashes its worker after so long. */
+  /** The task with this index crashes its worker after this time. */
   readonly crash?: {readonly index: number; readonly afterMs: number};
 }
 
-/** A start that a worker carried out. */
+/** A start that a worker has carried out. */
 export interface ObservedStart {
   readonly taskId: types.ids.TaskId;
   readonly worker: types.ids.WorkerId;
   readonly at: types.clock.MonotonicMs;
-  /** Whether the worker's runs took more than its capacity from then on. */
+  /** Whether the attempts on the worker exceeded its capacity from then on. */
   readonly exceedsCapacity: boolean;
 }
 
-/** A worker's crash and what ran there. */
+/** A crash of a worker and the tasks that ran there. */
 export interface ObservedCrash {
   readonly at: types.clock.MonotonicMs;
   readonly worker: types.ids.WorkerId;
-  /** The task that crashed it; absent where it crashed by itself. */
+  /** The task that crashed the worker; absent if it crashed without one. */
   readonly culprit?: types.ids.TaskId;
   readonly tasks: readonly types.ids.TaskId[];
 }
 
-/** A run, as it is on its worker. */
+/** An attempt as it actually exists on its worker. */
 export interface RealAttempt {
   readonly taskId: types.ids.TaskId;
   readonly number: number;
@@ -39,12 +42,12 @@
   stopsAt?: types.clock.MonotonicMs;
 }
 
-/** A machine and the life of its worker. */
+/** A machine and the current incarnation of its worker. */
 export interface Machine {
   readonly name: string;
   incarnation: number;
   info: workerRegistry.WorkerInfo;
-  /** Down until then, if it isn't up. */
+  /** When the worker is restarted; absent while it is up. */
   backAt?: types.clock.MonotonicMs;
   crashedAt?: types.clock.MonotonicMs;
   attempts: RealAttempt[];
@@ -53,7 +56,7 @@
   receivedSequence: number;
 }
 
-/** A job as it was handed in. */
+/** A job as it was submitted. */
 export interface Job {
   readonly id: types.ids.JobId;
   readonly request: jobRequest.JobRequest;
@@ -62,16 +65,16 @@
   readonly acceptedAt: types.clock.MonotonicMs;
 }
 
-/** An append that the store has not confirmed. */
+/** An append that the store has not committed. */
 export interface Write {
   readonly dirty: readonly schedulerTypes.DirtyJob[];
   readonly dueAt: types.clock.MonotonicMs;
   readonly receivedSequences: ReadonlyMap<Machine, number>;
-  /** Lives that are off the record with it. */
+  /** Incarnations that the append removes from the recorded workers. */
   readonly removedWorkers: readonly types.ids.WorkerId[];
 }
 
-/** Creates a machine with a worker that has run nothing. */
+/** Creates a machine with a worker without attempts. */
 export function createMachine(
   domain: string,
   name: string,
@@ -101,7 +104,7 @@
   };
 }
 
-/** What the runs on a machine take together. */
+/** Resources used by all attempts on a machine. */
 export function usedResources(machine: Machine): types.resources.Resources {
   return machine.attempts
     .map((attempt) => attempt.size)
--- a/packages/gypsumwall-scheduling/src/__fixtures__/crash_world.ts
+++ b/packages/gypsumwall-scheduling/src/__fixtures__/crash_world.ts
@@ -1,7 +1,7 @@
 /**
- * Schedulers over machines whose workers crash and come back, on a time of its
- * own. Some tasks crash each worker that starts them. Answers come at once and
- * the store takes a moment, so that a test sees the decisions alone.
+ * Simulates a cell whose workers crash and restart, on a simulated clock. Some
+ * tasks crash each worker that starts them. Workers answer at once and the
+ * store takes a moment, so that a test checks the decisions alone.
  */
 import * as types from '@gypsumwall/types';
 import type * as activeJob from '../active_job.js';
@@ -23,18 +23,18 @@
 const ATTEMPTS_PER_GENERATION = 1_000;
 const FULL_PERCENT = 100;
 
-/** What a world is made with. */
+/** Options of a world. */
 export interface CrashWorldOptions {
   readonly domains: number;
   readonly machinesPerDomain: number;
   readonly cores: number;
-  /** A crashed worker is back after so long; milliseconds. */
+  /** Time until a crashed worker is restarted; milliseconds. */
   readonly restartMs?: number;
 }
 
 const RESTART_MS = 3_000;
 
-/** Creates a world at time 1,000,000 ms. */
+/** Creates a world with the clock at 1,000,000 ms. */
 export function createCrashWorld(options: CrashWorldOptions) {
   const {restartMs = RESTART_MS} = options;
   let now = 1_000_000 as types.clock.MonotonicMs;
@@ -47,9 +47,9 @@
   const jobs: crashModel.Job[] = [];
   const persisted = new Map<types.ids.JobId, jobProgress.JobProgress>();
   const unreconciled = new Set<types.ids.WorkerId>();
-  /** Machines by the ids of their workers' lives. */
+  /** Machines by the ids of all incarnations of their workers. */
   const machinesByWorker = new Map<types.ids.WorkerId, crashModel.Machine>();
-  /** Lives that the store has on record as used. */
+  /** Incarnations that the store has recorded as used. */
   const usedWorkers = new Map<types.ids.WorkerId, workerRegistry.WorkerInfo>();
   const starts: crashModel.ObservedStart[] = [];
   const crashes: crashModel.ObservedCrash[] = [];
@@ -134,7 +134,7 @@
     if (unreconciled.delete(id)) scheduler?.workerAccounted();
   }
 
-  /** Ends the runs of a gang whose member is gone or done. */
+  /** Ends the attempts of a gang whose member has crashed or ended. */
   function endGang(taskId: types.ids.TaskId, how: jobSteps.RunEnd): void {
     if (!stepOf(taskId).gang) return;
     const prefix = taskId.slice(0, taskId.lastIndexOf('.') + 1);
@@ -386,15 +386,21 @@
       const until = types.clock.after(now, spanMs);
       while (now < until) step();
     },
-    /** A worker crashes by itself. */
+    /** Crashes a worker without a task at fault. */
     crash: (machine: crashModel.Machine) => crash(machine),
-    /** All machines of a domain crash at the same moment, by themselves. */
+    /**
+     * Crashes all machines of a domain at the same moment, without a task at
+     * fault.
+     */
     cutPower(domain: string): void {
       for (const machine of machines) {
         if (machine.info.domain === domain) crash(machine);
       }
     },
-    /** What isn't stored is lost; a successor comes later. */
+    /**
+     * Stops the holder; what is not stored is lost. A successor takes over
+     * later.
+     */
     killHolder(): void {
       scheduler = undefined;
       writes = [];
@@ -409,7 +415,7 @@
       machine.info = {...machine.info, capacity};
       if (isUp(machine)) scheduler?.putWorker(machine.info);
     },
-    /** Starts of a task after the third crash by it. */
+    /** Number of starts of a task after the third crash that it has caused. */
     startsAfterThirdCrash(taskId: string): number {
       const third = crashes.filter((one) => one.culprit === taskId)[2];
       if (third === undefined) return 0;
@@ -419,5 +425,5 @@
   };
 }
 
-/** As `createCrashWorld` makes it. */
+/** A world as created by `createCrashWorld`. */
 export type CrashWorld = ReturnType<typeof createCrashWorld>;
--- a/packages/gypsumwall-scheduling/src/__fixtures__/scheduler_world.ts
+++ b/packages/gypsumwall-scheduling/src/__fixtures__/scheduler_world.ts
@@ -1,4 +1,4 @@
-/** A scheduler with workers that answer as they are told, on a time of its own. */
+/** A scheduler with workers that a test controls, on a simulated clock. */
 import * as types from '@gypsumwall/types';
 import type * as activeJob from '../active_job.js';
 import * as jobProgress from '../job_progress.js';
@@ -7,7 +7,7 @@
 import * as schedulers from '../scheduler.js';
 import type * as schedulerTypes from '../scheduler_types.js';
 
-/** A step of one small task, unless told otherwise. */
+/** Creates a step request of one small task, with the given fields replaced. */
 export function step(
   fields: Partial<jobRequest.StepRequest> = {},
 ): jobRequest.StepRequest {
@@ -26,7 +26,7 @@
   };
 }
 
-/** A policy without an adviser. */
+/** A queue policy without an adviser. */
 export const POLICY: jobRequest.QueuePolicy = {
   queue: 'plans',
   pool: 'pool',
@@ -36,18 +36,18 @@
   targetMs: 1_000,
 };
 
-/** What a job is submitted with beside its steps. */
+/** Options for submitting a job. */
 export interface Submission {
   readonly policy?: Partial<jobRequest.QueuePolicy>;
   readonly progress?: jobProgress.JobProgress;
   readonly inherited?: boolean;
 }
 
-/** A scheduler and its surroundings. */
+/** A scheduler with its workers, store and clock. */
 export interface SchedulerWorld {
   readonly scheduler: schedulerTypes.Scheduler;
   readonly events: schedulerTypes.SchedulerEvent[];
-  /** Workers of an earlier scheduler that aren't accounted for. */
+  /** Workers of an earlier scheduler that are not reconciled yet. */
   readonly unreconciled: Set<types.ids.WorkerId>;
   now: types.clock.MonotonicMs;
   addWorker(name: string, cores: number, rack?: string): types.ids.WorkerId;
@@ -56,19 +56,22 @@
     steps: jobRequest.StepRequest[],
     submission?: Submission,
   ): types.ids.JobId;
-  /** Decides, with the store confirming at once; starts aren't answered. */
+  /**
+   * Runs two scheduling cycles with a commit of the store in between; starts
+   * are not answered.
+   */
   decide(): schedulerTypes.StartOrder[];
-  /** Decides and answers every start. */
+  /** Runs scheduling cycles and answers every start. */
   startAll(): activeJob.Attempt[];
   end(attempt: activeJob.Attempt, how: jobSteps.RunEnd): void;
-  /** Hands in a report that lists exactly these runs. */
+  /** Delivers a report that lists exactly these attempts. */
   report(
     worker: types.ids.WorkerId,
     rows: schedulerTypes.RunningAttempt[],
   ): void;
 }
 
-/** Creates a world at time 1,000,000 ms. */
+/** Creates a world with the clock at 1,000,000 ms. */
 export function createSchedulerWorld(): SchedulerWorld {
   const events: schedulerTypes.SchedulerEvent[] = [];
   const unreconciled = new Set<types.ids.WorkerId>();
@@ -168,7 +171,7 @@
   return world;
 }
 
-/** How a worker lists a run. */
+/** Creates the entry of a running attempt in a worker report. */
 export function runningAttempt(
   taskId: string,
   attemptNumber: number,
--- a/packages/gypsumwall-scheduling/src/__fixtures__/unreliable_world.ts
+++ b/packages/gypsumwall-scheduling/src/__fixtures__/unreliable_world.ts
@@ -1,7 +1,8 @@
 /**
- * Schedulers one after the other over workers, a store and an adviser whose
- * answers come late, out of order or never. What runs on a worker is kept
- * apart from what the scheduler believes, so that the two can be compared.
+ * Simulates successive schedulers with workers, a store and an adviser whose
+ * answers are late, out of order or lost. The attempts that actually run on a
+ * worker are kept separately from the state of the scheduler, so that the two
+ * can be compared.
  */
 import * as assert from 'node:assert/strict';
 import * as types from '@gypsumwall/types';
@@ -15,16 +16,19 @@
 import * as worlds from './scheduler_world.js';
 
 const WALL = 0 as types.clock.WallMs;
-/** Ends in one report; the worker keeps the others for the next one. */
+/**
+ * Maximum number of ends in one report; the worker reports the others later.
+ */
 const MAX_ENDS_PER_REPORT = 3;
 const ATTEMPTS_PER_GENERATION = 1_000;
 /**
- * Longer than the longest avoidance of a worker, and than it takes until tasks
- * that may crash their workers have been tried one after the other.
+ * Together longer than the longest avoidance period of a worker, and than the
+ * time in which tasks that may crash their workers are isolated one after the
+ * other.
  */
 const SETTLE_PAUSE_MS = 1_000;
 const SETTLE_PAUSE_COUNT = 16;
-/** More than the pause between two looks for advice. */
+/** Longer than the interval between two checks for advice. */
 const SHORT_PAUSE_MS = 85;
 const QUIET_ROUNDS = 6;
 const MAX_ROUNDS = 400;
@@ -32,27 +36,27 @@
 interface RealAttempt {
   readonly taskId: types.ids.TaskId;
   readonly number: number;
-  /** A stop was accepted and isn't carried out yet. */
+  /** A stop was accepted and is not carried out yet. */
   isStopping: boolean;
 }
 
-/** A worker as it is. */
+/** The actual state of a worker. */
 export interface RealWorker {
   readonly id: types.ids.WorkerId;
   info: workerRegistry.WorkerInfo;
   isAlive: boolean;
-  /** Calls don't get through. */
+  /** Whether calls to and from the worker fail. */
   isCutOff: boolean;
   generation: number;
   readonly attempts: Map<string, RealAttempt>;
   readonly rejectedKeys: Set<string>;
   ends: schedulerTypes.AttemptEnd[];
   sequence: number;
-  /** The session's side. */
+  /** Last sequence number that the session has received. */
   receivedSequence: number;
   lastAskedAt: number;
   isReachable: boolean;
-  /** Whether the scheduler has been shown `info`. */
+  /** Whether the scheduler has received `info`. */
   isListed: boolean;
 }
 
@@ -66,7 +70,7 @@
   readonly worker: RealWorker;
   readonly generation: number;
   readonly askedAt: types.clock.MonotonicMs;
-  /** Absent: the worker answers when the report is delivered. */
+  /** The answer; if absent, it is created when the report is delivered. */
   readonly content?: ReportContent;
 }
 
@@ -88,19 +92,19 @@
   cancelled: boolean;
 }
 
-/** How a start order that is on its way is answered. */
+/** Outcome of a start order in transit. */
 export type StartFate =
   | 'started'
-  /** Carried out, and the answer is lost. */
+  /** The order is carried out and the answer is lost. */
   | 'unanswered'
-  /** Not answered; the worker may get it later. */
+  /** The order is not answered; the worker may receive it later. */
   | 'late'
   | schedulerTypes.RefusalReason;
 
 const keyOf = (taskId: string, attemptNumber: number) =>
   `${taskId}#${attemptNumber}`;
 
-/** Creates a world at time 1,000,000 ms. */
+/** Creates a world with the clock at 1,000,000 ms. */
 export function createUnreliableWorld() {
   let now = 1_000_000 as types.clock.MonotonicMs;
   let generation = 0;
@@ -109,7 +113,7 @@
   const workers: RealWorker[] = [];
   const jobs: SubmittedJob[] = [];
   const persisted = new Map<types.ids.JobId, jobProgress.JobProgress>();
-  /** Workers that an adviser has turned down, by step. */
+  /** Workers that the adviser has refused, by step. */
   const refusedByAdviser = new Set<string>();
   let starts: PendingStart[] = [];
   let lateStarts: PendingStart[] = [];
@@ -223,7 +227,7 @@
     return decisions.starts.length;
   }
 
-  /** The worker gets a start; what it answers. */
+  /** Delivers a start to its worker and returns the answer. */
   function receiveStart(start: PendingStart): schedulerTypes.StartOutcome {
     const {worker, order} = start;
     const {taskId, number: attemptNumber} = order.attempt;
@@ -295,7 +299,7 @@
     });
   }
 
-  /** The worker gets a stop, and perhaps takes its time. */
+  /** Delivers a stop to its worker, which may carry it out later. */
   function answerStop(
     attempt: activeJob.Attempt,
     options: {readonly slow: boolean; readonly answered: boolean},
@@ -406,7 +410,7 @@
     reconcile(worker);
   }
 
-  /** The worker is cut off until every lease on it has passed. */
+  /** Expires all leases of a worker that is cut off. */
   function leasePassed(worker: RealWorker): void {
     for (const attempt of [...worker.attempts.values()])
       endAttempt(worker, attempt, 'lapsed');
@@ -442,7 +446,7 @@
     }
   }
 
-  /** Gives every answer that is due; whether there was one. */
+  /** Delivers all pending answers; returns whether there were any. */
   function answerAll(): boolean {
     const due =
       starts.length + stops.length + adviceRequests.length + writes.length > 0;
@@ -465,7 +469,7 @@
       for (const attempt of [...worker.attempts.values()]) {
         if (attempt.isStopping) endAttempt(worker, attempt, 'stopped');
       }
-      // Until all ends are told.
+      // Repeated until all ends are received.
       do {
         requestReport(worker, true);
         for (const report of reports) deliverReport(report);
@@ -476,7 +480,7 @@
     return due;
   }
 
-  /** Lets all answers come and time pass until nothing more starts. */
+  /** Delivers all answers and advances the clock until nothing more starts. */
   function settle(): void {
     for (let pause = 0; pause < SETTLE_PAUSE_COUNT; pause++) {
       answerAll();
@@ -485,7 +489,7 @@
     }
     let quiet = 0;
     for (let round = 0; quiet < QUIET_ROUNDS; round++) {
-      assert.ok(round < MAX_ROUNDS, 'starts or stops never cease');
+      assert.ok(round < MAX_ROUNDS, 'starts or stops do not cease');
       answerAll();
       elapse(SHORT_PAUSE_MS);
       const started = decide();
@@ -556,14 +560,14 @@
     confirmWrite,
     answerAdvice,
     removeWorker,
-    /** Calls to the worker fail until it is joined again. */
+    /** Cuts the worker off until a test sets `isCutOff` to false. */
     disconnect(worker: RealWorker) {
       worker.isCutOff = true;
       if (!isKnown(worker)) return;
       setReachable(worker, false);
       scheduler.outOfReach(worker.id);
     },
-    /** Nobody is told. */
+    /** Crashes the worker without informing the scheduler. */
     crashUnnoticed(worker: RealWorker) {
       worker.isAlive = false;
       worker.attempts.clear();
@@ -576,5 +580,5 @@
   };
 }
 
-/** As `createUnreliableWorld` makes it. */
+/** A world as created by `createUnreliableWorld`. */
 export type UnreliableWorld = ReturnType<typeof createUnreliableWorld>;
--- a/packages/gypsumwall-scheduling/src/__tests__/advice_order.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/advice_order.test.ts
@@ -6,16 +6,18 @@
 
 const {test} = nodeTest;
 const WALL = 0 as types.clock.WallMs;
-/** A call gets large by its names alone. */
+/** A call becomes large only by the number of its names. */
 const COSTLY = {callMs: 20, perWorkerMs: 20, validMs: 2_500};
 const CHEAP = {callMs: 5, perWorkerMs: 0, validMs: 2_500};
-/** How often time alone has the holder decide; milliseconds. */
+/**
+ * Interval of the cycles that the holder runs without a trigger; milliseconds.
+ */
 const TICK_MS = 100;
 const ENTRIES = ['e1', 'e2', 'e3', 'e4', 'e5', 'e6', 'e7', 'e8'];
 
-// Guards against a small call that is kept waiting, beside free entries, by
-// looks at steps whose calls are too large for the entries that are left.
-test('a step with room and a small call is asked about behind large calls', () => {
+// Guards against a small call that waits although entries are free, because the
+// cycles check steps whose calls are too large for the remaining entries.
+test('the adviser is asked about a step with capacity and a small call behind large calls', () => {
   const world = worlds.createSchedulerWorld();
   const pool = adviserPool.createAdviserPool<string>();
   for (let nth = 0; nth < 100; nth++) world.addWorker(`w${nth}`, 4);
@@ -47,7 +49,7 @@
       }
       const answer = () => {
         pool.finish(entry, request.callMs);
-        // The policy allows none of the workers.
+        // The adviser approves none of the workers.
         world.scheduler.adviceAnswered(request, new Map(), never);
       };
       open.push({at: ms + request.callMs, answer});
@@ -56,6 +58,6 @@
   }
   assert.ok(
     askedAfterMs !== undefined && askedAfterMs < worlds.POLICY.targetMs,
-    `asked after ${askedAfterMs} ms; entries stood idle at ${idle} ticks`,
+    `asked after ${askedAfterMs} ms; entries were idle at ${idle} ticks`,
   );
 });
--- a/packages/gypsumwall-scheduling/src/__tests__/changing_capacity.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/changing_capacity.test.ts
@@ -1,4 +1,7 @@
-/** Load: a full cell whose workers lose room and get it back while they run. */
+/**
+ * Load: a full cell whose workers lose capacity and get it back while tasks
+ * run.
+ */
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
 import * as crashWorlds from '../__fixtures__/crash_world.js';
@@ -6,7 +9,7 @@
 const {test} = nodeTest;
 const CORES = 16;
 
-// Guards against starts that bring a worker over a capacity that has shrunk.
+// Guards against starts that exceed a capacity that has shrunk.
 test('a worker whose capacity shrinks is not filled beyond it', () => {
   const world = crashWorlds.createCrashWorld({
     domains: 1,
@@ -27,9 +30,9 @@
   assert.equal(over, 0, `${over} starts beyond the capacity`);
 });
 
-// Guards against room that is never used again after a capacity had shrunk, and
-// against runs that are stopped since they have no room any more.
-test('what runs goes on while capacity is short, and room that is back is used', () => {
+// Guards against capacity that is never used again after it had shrunk, and
+// against attempts that are stopped because they do not fit any more.
+test('running attempts continue while capacity is short, and restored capacity is used', () => {
   const world = crashWorlds.createCrashWorld({
     domains: 1,
     machinesPerDomain: 1,
--- a/packages/gypsumwall-scheduling/src/__tests__/crashing_tasks.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/crashing_tasks.test.ts
@@ -1,6 +1,6 @@
 /**
- * Load: tasks that crash each worker that starts them, beside sound work that
- * shares its workers with them, and crashes that no task is to blame for.
+ * Load: tasks that crash each worker that starts them, beside healthy work on
+ * the same workers, and crashes that no task has caused.
  */
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
@@ -13,7 +13,7 @@
 
 const CRASH = {workMs: 5_000, crash: {index: 0, afterMs: 200}};
 
-/** Sends a short sound job every so often while the time passes. */
+/** Submits a short healthy job every 100 ms while the clock advances. */
 function runBesideShortJobs(world: World, spanMs: number): types.ids.JobId[] {
   const sent: types.ids.JobId[] = [];
   for (let passedMs = 0; passedMs < spanMs; passedMs += 100) {
@@ -24,7 +24,7 @@
   return sent;
 }
 
-// Guards against a task that crashes its workers and is started without end.
+// Guards against a task that crashes its workers and is restarted forever.
 test('a task that crashes its workers is given up', () => {
   const world = crashChecks.createWorld();
   const culprit = world.submit('culprit', {}, CRASH);
@@ -34,8 +34,8 @@
   crashChecks.assertCompleted(world, shorts);
 });
 
-// Guards against a task that outlives its first trial and crashes its worker
-// beside others again and again.
+// Guards against a task that outlives its first isolation period and crashes
+// its worker beside others again and again.
 test('a task that crashes its workers late is given up', () => {
   for (const afterMs of [2_500, 5_000, 10_000]) {
     const world = crashChecks.createWorld();
@@ -48,8 +48,8 @@
   }
 });
 
-// Guards against crashes that are forgotten with the holder that heard of them.
-test('a successor goes on from the crashes that were recorded', () => {
+// Guards against crashes that are lost with the holder that recorded them.
+test('a successor continues with the recorded crashes', () => {
   for (let killAfterMs = 0; killAfterMs < 12_000; killAfterMs += 500) {
     const world = crashChecks.createWorld();
     const culprit = world.submit('culprit', {}, CRASH);
@@ -62,9 +62,9 @@
   }
 });
 
-// Guards against crashes that nobody hears of, since each takes place while
-// there is no holder or just before.
-test('a successor reckons with a crash that its predecessor did not hear of', () => {
+// Guards against crashes that no holder detects, since each happens while there
+// is no holder or just before.
+test('a successor counts a crash that its predecessor did not detect', () => {
   for (const afterMs of [200, 1_500]) {
     const world = crashChecks.createWorld();
     const behaviour = {workMs: 5_000, crash: {index: 0, afterMs}};
@@ -79,7 +79,8 @@
   }
 });
 
-// Guards against a gang that is started again for one of its members.
+// Guards against a gang that is restarted although one of its members crashes
+// workers.
 test('a gang with a member that crashes its workers is given up', () => {
   const size = {cpuMillis: 500, memoryMb: 100, accelerators: 0};
   for (const fields of [{taskCount: 6}, {taskCount: 20, size}]) {
@@ -95,9 +96,9 @@
   }
 });
 
-// Guards against tasks that hide behind each other's crashes, and against sound
-// tasks that are taken for them.
-test('several tasks that crash their workers are told from sound ones', () => {
+// Guards against crashing tasks that are not recognised because of each other's
+// crashes, and against healthy tasks that are mistaken for them.
+test('several tasks that crash their workers are distinguished from healthy ones', () => {
   for (const [machinesPerDomain, count] of [
     [3, 3],
     [11, 12],
@@ -116,8 +117,8 @@
   }
 });
 
-// Guards against sound work that is given up for crashes of a whole failure
-// domain, or held up by them.
+// Guards against healthy work that is given up or delayed because of the
+// crashes of a whole failure domain.
 test('no task is blamed for the loss of a whole failure domain', () => {
   const world = crashChecks.createWorld();
   const long = world.submit('long', {taskCount: 24}, {workMs: 6_500});
@@ -134,8 +135,8 @@
   assert.ok(world.events.every((event) => event.type !== 'task_suspected'));
 });
 
-// Guards against old crashes that are held against a task for all its life.
-test('a lasting task is cleared once it has run long enough', () => {
+// Guards against old crashes that count against a task for its whole duration.
+test('the crashes of a long-running task are cleared once it has run long enough', () => {
   const world = crashChecks.createWorld();
   const longRunning = crashChecks.submitLongRunning(world, 'lasting');
   for (let nth = 0; nth < 8; nth++) {
@@ -150,9 +151,9 @@
   assert.ok(world.events.every((event) => event.type !== 'task_suspected'));
 });
 
-// Guards against a sound task that is given up for its crashes of before while
-// others crash workers at the time of its trial.
-test('a sound task with two crashes completes beside tasks that crash workers', () => {
+// Guards against a healthy task that is given up for its earlier crashes while
+// others crash workers during its isolation period.
+test('a healthy task with two crashes completes beside tasks that crash workers', () => {
   const world = crashChecks.createWorld();
   const suspect = world.submit('suspect', {}, {workMs: 8_000});
   for (let nth = 0; nth < 2; nth++) {
@@ -170,20 +171,20 @@
   for (const culprit of culprits) crashChecks.assertGivenUp(world, culprit);
 });
 
-// Guards against crashes that don't count because the task had been started
-// elsewhere by the time they were known.
-test('a crash counts when it is proven after the lease has passed', () => {
+// Guards against crashes that do not count because the task was started
+// elsewhere before they were known.
+test('a crash counts when it is proven after the lease has expired', () => {
   const world = crashChecks.createWorld({restartMs: 12_000});
   const culprit = world.submit('culprit', {}, CRASH);
   world.run(90_000);
   crashChecks.assertGivenUp(world, culprit);
 });
 
-// Guards against starts of a suspected task whose count would be lost with the
-// holder.
+// Guards against starts of a suspected task whose crashes would be lost with
+// the holder.
 test('a suspected task waits until its crashes are stored', () => {
   const world = crashChecks.createWorld();
-  // Its other tasks leave a worker on record in each place.
+  // Through its other tasks every worker is recorded.
   const fields = {taskCount: 9, maxPerWorker: 1};
   const culprit = world.submit('culprit', fields, {...CRASH, workMs: 1_000});
   world.runUntil(() => world.crashes.length === 2, 20_000);
@@ -197,7 +198,7 @@
   crashChecks.assertGivenUp(world, culprit);
 });
 
-// Guards against copies that add to the starts of a task which crashes its
+// Guards against copies that add to the starts of a task that crashes its
 // workers.
 test('a task that crashes its workers is given up where copies are allowed', () => {
   const world = crashChecks.createWorld({restartMs: 1_000});
--- a/packages/gypsumwall-scheduling/src/__tests__/crashing_worlds.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/crashing_worlds.test.ts
@@ -1,4 +1,7 @@
-/** Load: as in `crashing_tasks.test.ts`, drawn at random with all that may fail. */
+/**
+ * Load: as in `crashing_tasks.test.ts`, with random events and all kinds of
+ * failures.
+ */
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
 import type * as types from '@gypsumwall/types';
@@ -133,9 +136,10 @@
   }
 }
 
-// Guards against a bound or a blame that fails only when crashes, power cuts,
-// changes of capacity, lost holders and outages of the store come together.
-test('whatever else fails, tasks that crash workers are given up and others done', () => {
+// Guards against too many starts, and against tasks blamed wrongly, that occur
+// only when crashes, power failures, changes of capacity, lost holders and
+// store outages coincide.
+test('whatever else fails, tasks that crash workers are given up and others complete', () => {
   fc.assert(
     fc.property(
       fc.array(arbitraryEvent, {maxLength: 40, size: 'max'}),
--- a/packages/gypsumwall-scheduling/src/__tests__/decisions.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/decisions.test.ts
@@ -22,14 +22,14 @@
   };
 }
 
-// Load: at 1.8 times the usual arrivals for 4 s not all can be on time.
-test('work that can be on time goes before work that is late', () => {
+// Load: at 1.8 times the usual arrivals for 4 s, not all jobs can be on time.
+test('work that can be on time ranks before late work', () => {
   const late = claimant({priority: 0, dueAt: at(500)});
   const onTime = claimant({priority: 2});
   assert.ok(jobOrder.compare(onTime, late, at(0)) < 0);
 });
 
-test('late work goes before work that is of no more use', () => {
+test('late work ranks before work that is of no more use', () => {
   const useless = claimant({priority: 0, dueAt: at(1), worthlessAt: at(2)});
   const late = claimant({priority: 2, dueAt: at(1)});
   assert.ok(jobOrder.compare(late, useless, at(100)) < 0);
@@ -50,7 +50,7 @@
   return {worker: {info} as workerRegistry.RegisteredWorker, tasks};
 }
 
-test('a gang that suffers from distance goes into one rack if one has room', () => {
+test('a gang that runs slower when spread is placed in one rack if it fits', () => {
   const slots = [
     workerSlots('a', 'r1', 3),
     workerSlots('b', 'r2', 2),
@@ -64,9 +64,9 @@
   assert.equal(racks(8), undefined);
 });
 
-// Load: 1.2 calls a second of 0.74 s, 4.6 of 0.12 s and 34 of 0.01 s, more
-// than one instance's adviser lane has time for.
-test('a small call never waits behind large ones on all lanes', () => {
+// Load: 1.2 calls a second of 0.74 s, 4.6 of 0.12 s and 34 of 0.01 s, more than
+// the adviser can handle for one instance.
+test('a small call never waits behind large ones at all entries', () => {
   const pool = adviserPool.createAdviserPool<string>();
   const entries = ['a', 'b', 'c', 'd'];
   const large = [1, 2, 3].map(() => pool.take(entries, 740, true));
@@ -75,7 +75,7 @@
   assert.equal(pool.take(entries, 10, true), 'd');
 });
 
-test('a lane that is long enough takes no more', () => {
+test('an entry with a long queue gets no more calls', () => {
   const pool = adviserPool.createAdviserPool<string>();
   assert.equal(pool.take(['a'], 1_600, true), 'a');
   assert.equal(pool.take(['a'], 1_600, true), undefined);
@@ -83,8 +83,8 @@
   assert.equal(pool.take(['a'], 1_600, true), 'a');
 });
 
-// Guards against urgent calls that stand in line behind long ones.
-test('a call waits at the holder until a lane is nearly free', () => {
+// Guards against urgent calls that are queued behind long ones.
+test('a call waits at the holder until an entry is nearly free', () => {
   const pool = adviserPool.createAdviserPool<string>();
   assert.deepEqual(pool.capacity(['a', 'b']), {
     needed: 2,
@@ -102,16 +102,17 @@
   assert.equal(pool.take(['a'], 10, true), 'a');
 });
 
-test('a call that can wait goes only where nothing is in line', () => {
+test('a deferrable call is made only by an idle entry', () => {
   const pool = adviserPool.createAdviserPool<string>();
   assert.equal(pool.take(['a'], 100, false), 'a');
   assert.equal(pool.take(['a'], 100, false), undefined);
   assert.equal(pool.take(['a'], 100, true), 'a');
 });
 
-// Load: gangs that wait ask for more workers all the time. An urgent job that
-// comes then is late: its small call waits behind theirs on every lane.
-test('calls that can wait leave lanes empty for urgent ones', () => {
+// Load: waiting gangs ask for more workers all the time. Guards against an
+// urgent job that arrives then and is late because its small call is queued
+// behind theirs at every entry.
+test('deferrable calls leave entries idle for urgent ones', () => {
   const pool = adviserPool.createAdviserPool<string>();
   const entries = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'];
   const taken = entries.map(() => pool.take(entries, 200, false));
@@ -119,7 +120,7 @@
   assert.equal(pool.take(entries, 10, true), 'g');
 });
 
-test('a task id is taken apart as it was put together', () => {
+test('a task id is parsed into the parts that it was created from', () => {
   const job = types.ids.brand<types.ids.JobId>('5c0e');
   const id = taskId.taskId(taskId.stepRunId(job, 2, 1), 17);
   const place = {jobId: job, occurrence: 2, step: 1, index: 17};
--- a/packages/gypsumwall-scheduling/src/__tests__/domain_affinity.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/domain_affinity.test.ts
@@ -1,7 +1,8 @@
 /**
- * Load: jobs of several tasks over three failure domains, one of which is cut
- * off for six seconds. Sent in the two seconds before, 10 jobs of 25 were late
- * and 3 lost with tasks spread over the domains; 6 and 1 with each job in one.
+ * Load: jobs of several tasks in three failure domains, one of which is cut off
+ * for six seconds. Of 25 jobs sent in the two seconds before, 10 were late and
+ * 3 lost with tasks spread over the domains; 6 were late and 1 was lost with
+ * each job in one domain.
  */
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
@@ -10,7 +11,7 @@
 
 const {test} = nodeTest;
 
-/** Workers of two cores each, two to a failure domain. */
+/** Creates workers of two cores each, two in each failure domain. */
 function createWorld() {
   const world = worlds.createSchedulerWorld();
   for (const name of ['a1', 'b1', 'c1', 'a2', 'b2', 'c2']) {
@@ -24,13 +25,13 @@
   return {world, domainsOf};
 }
 
-test('the tasks of a job keep to one failure domain', () => {
+test('the tasks of a job are placed in one failure domain', () => {
   const {world, domainsOf} = createWorld();
   world.submit('job', [worlds.step({taskCount: 4})]);
   assert.equal(domainsOf().size, 1);
 });
 
-test('a later step goes where the steps before it were', () => {
+test('a later step is placed where the earlier steps were', () => {
   const {world} = createWorld();
   world.submit('job', [
     worlds.step({taskCount: 2}),
@@ -47,20 +48,21 @@
   );
 });
 
-test('gangs keep to one failure domain too', () => {
+test('gangs are placed in one failure domain too', () => {
   const {world, domainsOf} = createWorld();
   world.submit('job', [worlds.step({taskCount: 4, gang: true})]);
   assert.equal(domainsOf().size, 1);
 });
 
-test('what finds no room in its domain goes elsewhere at once', () => {
+test('tasks that do not fit into the domain are placed elsewhere at once', () => {
   const {world} = createWorld();
   world.submit('job', [worlds.step({taskCount: 10})]);
   assert.equal(world.startAll().length, 10);
 });
 
-// Each task of a service is of use by itself: a cut must not take most of them.
-test('tasks that last are not drawn together', () => {
+// Each task of a service is useful without the others, so a cut must not affect
+// most of them.
+test('long-running tasks are not placed in one domain', () => {
   const {world, domainsOf} = createWorld();
   world.submit('job', [worlds.step({taskCount: 6, longRunning: true})]);
   assert.equal(domainsOf().size, 3);
--- a/packages/gypsumwall-scheduling/src/__tests__/gang_reservation.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/gang_reservation.test.ts
@@ -12,11 +12,11 @@
   return world.startAll();
 }
 
-// Load: a full cell of small tasks with more of them in line, and a gang that
-// outranks them. The gang's caller waits until all the small work has ended:
-// each core that is freed goes to the next small task, and the gang never sees
-// two at once.
-test('small tasks leave the room that a gang of higher rank waits for', () => {
+// Load: a full cell of small tasks with more of them queued, and a gang that
+// ranks before them. Guards against a gang that waits until all the small work
+// has ended: each core that becomes free goes to the next small task, and two
+// are never free at once.
+test('small tasks leave the capacity that a gang of higher rank waits for', () => {
   const world = worlds.createSchedulerWorld();
   for (let nth = 0; nth < 8; nth++) world.addWorker(`w${nth}`, 2);
   const attempts = fill(world, 16);
@@ -30,7 +30,7 @@
     (attempt) => attempt.workerId !== attempts[0]!.workerId,
   )!;
   world.end(onFirst[0]!, 'done');
-  assert.deepEqual(world.startAll(), [], 'its room is kept');
+  assert.deepEqual(world.startAll(), [], 'its capacity is reserved');
   world.end(other, 'done');
   const started = world.startAll();
   assert.deepEqual(
@@ -39,7 +39,7 @@
   );
 });
 
-test('no room is kept for a gang that could not get all of it', () => {
+test('no worker is reserved for a gang that could not get all of its capacity', () => {
   const world = worlds.createSchedulerWorld();
   for (let nth = 0; nth < 8; nth++) world.addWorker(`w${nth}`, 2);
   const attempts = fill(world, 16);
@@ -51,7 +51,7 @@
   assert.equal(next?.taskId.split('.')[0], 'small');
 });
 
-test('more urgent work starts on workers that are held', () => {
+test('more urgent work starts on reserved workers', () => {
   const world = worlds.createSchedulerWorld();
   for (let nth = 0; nth < 8; nth++) world.addWorker(`w${nth}`, 2);
   const attempts = fill(world, 16);
--- a/packages/gypsumwall-scheduling/src/__tests__/long_running_tasks.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/long_running_tasks.test.ts
@@ -4,14 +4,14 @@
 import * as worlds from '../__fixtures__/scheduler_world.js';
 
 const {test} = nodeTest;
-/** Far beyond any objective of the jobs here. */
+/** Longer than any target duration of the jobs here. */
 const LONG_MS = 60_000;
 
 const longRunningStep = () => worlds.step({longRunning: true});
 
-// Guards against a lasting task that is never started again while work that is
-// still on time keeps coming.
-test('a lasting task that failed goes before newer work of its priority', () => {
+// Guards against a long-running task that is never restarted while work that is
+// still on time keeps arriving.
+test('a failed long-running task ranks before newer work of its priority', () => {
   const world = worlds.createSchedulerWorld();
   world.addWorker('w1', 1);
   world.submit('watch', [longRunningStep()]);
--- a/packages/gypsumwall-scheduling/src/__tests__/plan_advice_calls.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/plan_advice_calls.test.ts
@@ -14,7 +14,7 @@
   return world.scheduler.decide(world.now, WALL).advice;
 }
 
-/** Approves all that a call names. */
+/** Approves all workers that a call names. */
 function approve(
   world: worlds.SchedulerWorld,
   request: schedulerTypes.AdviceRequest,
@@ -26,10 +26,10 @@
   world.scheduler.adviceAnswered(request, approved, until);
 }
 
-// Load: 150 workers, the first 100 of them full. A caller's job waits while 50
-// workers are idle: one call takes 100 names, and named in the order of the
-// books they were always the same.
-test('workers with room are named before full ones', () => {
+// Load: 150 workers, the first 100 of them full. Guards against a job that
+// waits while 50 workers are idle: one call names up to 100 workers, which were
+// always the same in the order of the registry.
+test('workers with free capacity are named before full ones', () => {
   const world = worlds.createSchedulerWorld();
   const ids = Array.from({length: 150}, (_, nth) =>
     world.addWorker(`w${nth}`, 4),
@@ -48,9 +48,10 @@
   assert.ok(named.every((id) => !busy.has(id) && ids.includes(id)));
 });
 
-// Load: a gang as wide as a quarter of the cell. It is late before it starts:
-// a call with all the names it needs takes 0.5 s longer than two with half.
-test('a wide gang is asked about in calls side by side', () => {
+// Load: a gang as wide as a quarter of the cell. Guards against a gang that is
+// late before it starts: a call with all the names it needs takes 0.5 s longer
+// than two with half of them.
+test('a wide gang is asked about in concurrent calls', () => {
   const world = worlds.createSchedulerWorld();
   for (let nth = 0; nth < 120; nth++) world.addWorker(`w${nth}`, 1);
   const gang = worlds.step({taskCount: 15, gang: true});
@@ -65,9 +66,9 @@
   );
 });
 
-// A gang waits for room while small tasks come and go. Its tickets ended, and
-// in the time until the next answer the room it waited for was taken.
-test('a gang that waits for room gets new tickets before the old end', () => {
+// Guards against a gang whose tickets expire while it waits for capacity beside
+// small tasks: the capacity was used by others before the next answer.
+test('a gang that waits for capacity gets new tickets before the old ones expire', () => {
   const world = worlds.createSchedulerWorld();
   const w1 = world.addWorker('w1', 2);
   world.submit('first', [worlds.step()]);
@@ -77,7 +78,7 @@
   const [first] = requestsOf(world);
   approve(world, first!);
   world.now = types.clock.after(world.now, 1_000);
-  assert.deepEqual(requestsOf(world), [], 'its tickets still hold');
+  assert.deepEqual(requestsOf(world), [], 'its tickets are still valid');
   world.now = types.clock.after(world.now, 300);
   const [renewal] = requestsOf(world);
   assert.deepEqual(renewal?.workers, [w1]);
@@ -86,8 +87,9 @@
   assert.equal(world.decide().length, 2, 'the old tickets are used meanwhile');
 });
 
-// Guards against free entries that ask for late jobs while urgent ones wait.
-test('the most urgent step asks first when few calls can be made', () => {
+// Guards against free entries that make calls for late jobs while urgent ones
+// wait.
+test('the adviser is asked about the most urgent step first when few calls can be made', () => {
   const world = worlds.createSchedulerWorld();
   world.addWorker('w', 4);
   const policyOf = (priority: number) => ({policy: {advice: ADVICE, priority}});
@@ -103,9 +105,10 @@
   assert.deepEqual(ask(2), ['normal', 'batch']);
 });
 
-// Guards against an adviser whose calls are all spent on steps without room:
-// those ask again whenever their tickets end, and others never get their turn.
-test('a step with room is asked about before more urgent ones without', () => {
+// Guards against calls that are all spent on steps without capacity: these ask
+// again whenever their tickets expire, and the adviser is never asked about
+// others.
+test('a step with free capacity is asked about before more urgent ones without', () => {
   const world = worlds.createSchedulerWorld();
   const small = world.addWorker('small', 1);
   world.addWorker('large', 8);
--- a/packages/gypsumwall-scheduling/src/__tests__/recorded_workers.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/recorded_workers.test.ts
@@ -7,11 +7,11 @@
 const {test} = nodeTest;
 const RUNNING = {...jobProgress.NO_PROGRESS, phase: 'running'} as const;
 
-// A service that stays up runs nowhere for 35 s. Its worker was told to leave
-// and its task stopped in good time; then the cell changed hands, and the
-// successor waited for the worker that had left, since the job's record named
-// it.
-test('a worker that leaves is off the record once its runs are over', () => {
+// Guards against a service that does not run for 35 s: its worker was told to
+// leave and its task was stopped in good time; then another holder took over
+// and waited for the worker that had left, because it was still recorded for
+// the job.
+test('a leaving worker is removed from the record once its attempts have ended', () => {
   const world = worlds.createSchedulerWorld();
   const w1 = world.addWorker('w1', 4);
   world.submit('job', [worlds.step({taskCount: 2, longRunning: true})]);
@@ -37,14 +37,18 @@
     );
   };
   endOf(0);
-  assert.deepEqual(recorded(), [], 'one run is left, so nothing is to store');
+  assert.deepEqual(
+    recorded(),
+    [],
+    'one attempt is left, so nothing has to be stored',
+  );
   endOf(1);
   const stored = world.scheduler.takeDirty();
   assert.deepEqual(
     stored.map((job) => job.progress.workers),
     [[]],
   );
-  // What was on its way to the store must not bring the worker back.
+  // A write in transit must not record the worker again.
   const earlier = stored.map((job) => ({
     ...job,
     progress: {...job.progress, workers: [w1]},
@@ -57,9 +61,10 @@
   );
 });
 
-// A job stands still for 20 s after a takeover though workers have room. One
-// worker is out of reach; only jobs that may have tasks on it have to wait.
-test('a job waits only for workers that it was recorded with', () => {
+// Guards against a job that does not start for 20 s after a takeover although
+// workers have capacity. One worker is unreachable; only jobs that may have
+// tasks on it have to wait.
+test('a job waits only for workers that are recorded for it', () => {
   const world = worlds.createSchedulerWorld();
   const cut = types.ids.brand<types.ids.WorkerId>('cut');
   const w1 = world.addWorker('w1', 4);
--- a/packages/gypsumwall-scheduling/src/__tests__/refused_starts.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/refused_starts.test.ts
@@ -8,7 +8,7 @@
 
 type World = worlds.SchedulerWorld;
 
-/** Refuses every start for a while; how many there were. */
+/** Refuses every start for a while; returns their number. */
 function refuseAll(world: World, spanMs: number): number {
   let refused = 0;
   const until = types.clock.after(world.now, spanMs);
@@ -23,8 +23,9 @@
   return refused;
 }
 
-// Guards against a start that every worker refuses and that is sent each cycle.
-test('a start that is refused again and again is sent less and less often', () => {
+// Guards against a start that every worker refuses and that is sent in each
+// cycle.
+test('a start that is refused repeatedly is sent with a growing delay', () => {
   const world = worlds.createSchedulerWorld();
   for (let nth = 0; nth < 20; nth++) world.addWorker(`w${nth}`, 4);
   world.submit('refused', [worlds.step()]);
@@ -32,7 +33,7 @@
   assert.ok(refused > 8 && refused < 30, `${refused} starts in a minute`);
 });
 
-// Guards against a pause that outlasts its cause, or that holds up other jobs.
+// Guards against a pause that lasts longer than its cause or delays other jobs.
 test('a step starts soon after a few refusals, and others at once', () => {
   const world = worlds.createSchedulerWorld();
   for (let nth = 0; nth < 8; nth++) world.addWorker(`w${nth}`, 4);
--- a/packages/gypsumwall-scheduling/src/__tests__/scheduler.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/scheduler.test.ts
@@ -22,7 +22,7 @@
   assert.equal(world.startAll().length, 1);
 });
 
-test('nothing starts on a worker before the store knows of it', () => {
+test('no task starts on a worker before the store has recorded it', () => {
   const world = worlds.createSchedulerWorld();
   world.addWorker('w1', 3);
   world.submit('job', [worlds.step()]);
@@ -35,10 +35,10 @@
   assert.equal(world.scheduler.decide(world.now, wall).starts.length, 1);
 });
 
-// Callers are told that two jobs wait while seven do. The workers of a job are
-// recorded before its tasks start, and the room on them is gone by the time
-// the record stands; the job then counts as begun for as long as it waits.
-test('a job counts as waiting until a worker has taken a task', () => {
+// Guards against jobs that callers see as running while they wait. The workers
+// of a job are recorded before its tasks start, and the capacity on them may be
+// used by other jobs before the record is committed.
+test('a job stays queued until a worker has accepted a task', () => {
   const world = worlds.createSchedulerWorld();
   const w1 = world.addWorker('w1', 1);
   world.submit('job', [worlds.step()]);
@@ -86,10 +86,10 @@
   });
 });
 
-// The caller's job runs one task twice at the same time. The start isn't
-// answered, the task is started elsewhere, and the first order comes up late.
-// Only an answered stop, and a report asked for after it, free the task.
-test('an unanswered start keeps its task and room until it is settled', () => {
+// Guards against a task that runs twice at the same time: its start is not
+// answered, it is started elsewhere, and the first order arrives late. Only an
+// answered stop and a report requested after it release the task.
+test('an unanswered start keeps its task and capacity until its outcome is known', () => {
   const world = worlds.createSchedulerWorld();
   const w1 = world.addWorker('w1', 1);
   world.submit('job', [worlds.step()]);
@@ -106,7 +106,7 @@
   assert.equal(again?.attempt.number, 2);
 });
 
-test('a task that was done in spite of its stop is done', () => {
+test('a task that is done in spite of its stop counts as done', () => {
   const world = worlds.createSchedulerWorld();
   world.addWorker('w1', 1);
   const job = world.submit('job', [worlds.step()]);
@@ -117,10 +117,10 @@
   assert.equal(world.scheduler.hasJob(job), false);
 });
 
-// The caller reads `failed` for a job that could be done. A worker repeats an
-// end until it is acknowledged; a new holder hears it again and counts it
-// twice. Attempts are named, so a repeat counts once.
-test('a failure that is repeated counts once', () => {
+// Guards against a job that fails although it could succeed. A worker repeats
+// an end until it is acknowledged, so a new holder receives it again. Failed
+// attempts are recorded by number, so a repeat counts once.
+test('a repeated failure counts once', () => {
   const world = worlds.createSchedulerWorld();
   const w1 = world.addWorker('w1', 1);
   const job = world.submit('job', [worlds.step()], {policy: {maxFailures: 2}});
@@ -163,7 +163,7 @@
   );
 });
 
-test('a gang that loses a member is stopped and starts anew as a whole', () => {
+test('a gang that loses a member is stopped and restarted as a whole', () => {
   const world = worlds.createSchedulerWorld();
   world.addWorker('w1', 4);
   world.submit('job', [worlds.step({taskCount: 3, gang: true})]);
@@ -179,10 +179,11 @@
   );
 });
 
-// A task of the second step runs twice after a takeover. The new holder finds
-// it running while it hasn't heard yet that the first step's last task is
-// done. It must keep the run, and not start the task again once it hears.
-test('a run of a step that is not open yet is kept', () => {
+// Guards against a task of a second step that runs twice after a takeover. The
+// new holder finds it running before it has received the end of the first
+// step's last task. It must keep the attempt, and not start the task again
+// later.
+test('an attempt of a step that is not open yet is kept', () => {
   const world = worlds.createSchedulerWorld();
   const w1 = world.addWorker('w1', 4);
   const w2 = world.addWorker('w2', 4);
@@ -212,12 +213,13 @@
     },
     world.now,
   );
-  // Without this the job is held back, and nothing could start in any case.
+  // Without this call the job waits for reconciliation and nothing could start
+  // anyway.
   world.scheduler.workerAccounted();
   assert.deepEqual(world.startAll(), []);
 });
 
-test('a run that nobody wants is stopped and keeps its room until its end', () => {
+test('an unknown attempt is stopped and keeps its capacity until its end', () => {
   const world = worlds.createSchedulerWorld();
   const w1 = world.addWorker('w1', 1);
   world.report(w1, [worlds.runningAttempt('unknown.0.0.0', 1)]);
@@ -229,9 +231,9 @@
   assert.equal(world.startAll().length, 1);
 });
 
-// A job that could be done is told as failed. One worker fails all it starts,
-// and each further try of the task goes there because it is recorded already.
-test('a task that failed is tried on another worker that has room', () => {
+// Guards against a job that fails although it could succeed: one worker fails
+// all its tasks, and each retry goes to it because it is recorded already.
+test('a failed task is retried on another worker with free capacity', () => {
   const world = worlds.createSchedulerWorld();
   world.addWorker('w1', 1);
   world.submit('job', [worlds.step()]);
@@ -242,7 +244,7 @@
   assert.equal(second?.workerId, 'w2');
 });
 
-test('a cancelled job is stopped at once and starts nothing more', () => {
+test('a cancelled job is stopped at once and starts no more tasks', () => {
   const world = worlds.createSchedulerWorld();
   world.addWorker('w1', 1);
   const job = world.submit('job', [worlds.step({taskCount: 2})]);
@@ -253,9 +255,10 @@
   assert.equal(world.startAll().length, 0);
 });
 
-// A gang waits for ever. Its adviser was asked right after a takeover, when
-// few workers had answered, and later calls named only those it had approved.
-test('workers that come later are named to the adviser too', () => {
+// Guards against a gang that waits forever: the adviser was asked right after a
+// takeover, when few workers had answered, and later calls named only workers
+// that it had approved.
+test('workers that are added later are named to the adviser too', () => {
   const world = worlds.createSchedulerWorld();
   const w1 = world.addWorker('w1', 1);
   const advice = {callMs: 10, perWorkerMs: 1, validMs: 1_000};
@@ -290,11 +293,11 @@
   );
 });
 
-// Every third job of tasks that work together was stopped just before its end and
-// began anew, on days without any trouble. Its members on fast workers had done
-// their part and waited at 100 for those on slow ones, 25% against 80% of the
-// usual speed; two seconds of that looked like a worker that hangs.
-test('members that wait for the slowest of their gang do not stand still', () => {
+// Guards against gangs that are stopped and restarted just before their end, as
+// every third gang was on days without faults. The members on fast workers had
+// finished and waited at 100 for those on slow ones, at 80% and 25% of the
+// usual speed; after two seconds they looked stalled.
+test('members that wait for the slowest one of their gang are not stalled', () => {
   const world = worlds.createSchedulerWorld();
   const fast = world.addWorker('fast', 1);
   const slow = world.addWorker('slow', 1);
@@ -318,9 +321,9 @@
   assert.deepEqual(world.scheduler.takeStops(), []);
 });
 
-// The rest of the gang waits for a member whose worker hangs all it runs: it has
-// to be found by that member.
-test('a gang whose slowest member stands still is stopped as a whole', () => {
+// The other members wait for one whose worker stalls all its tasks: the stall
+// has to be detected by that member.
+test('a gang whose slowest member stalls is stopped as a whole', () => {
   const world = worlds.createSchedulerWorld();
   const fast = world.addWorker('fast', 1);
   const hanging = world.addWorker('hanging', 1);
@@ -348,9 +351,9 @@
   assert.deepEqual(new Set(workers), new Set([fast, hanging]));
 });
 
-// Tasks on one worker stand still for seconds while it answers every call.
-// Its tasks are stopped, go elsewhere, and the worker is left alone.
-test('a worker on which nothing moves loses its tasks', () => {
+// Tasks on one worker make no progress for seconds although it answers every
+// call. They are stopped and started elsewhere, and the worker is avoided.
+test('the tasks of a worker without any progress are moved', () => {
   const world = worlds.createSchedulerWorld();
   const w1 = world.addWorker('w1', 2);
   world.submit('job', [worlds.step({taskCount: 2})]);
--- a/packages/gypsumwall-scheduling/src/__tests__/scheduling_cycle.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/scheduling_cycle.test.ts
@@ -7,10 +7,13 @@
 
 const {test} = nodeTest;
 const WALL = 0 as types.clock.WallMs;
-/** Waiting steps of a holder that takes over after some seconds without one. */
+/** Number of waiting steps after some seconds without a holder. */
 const BACKLOG = 600;
 
-/** Counts how often a step is tried: without advice each try lists workers. */
+/**
+ * Counts how often a step is tried: without advice each try iterates over the
+ * workers once.
+ */
 function countTries(world: worlds.SchedulerWorld): () => number {
   const {workers} = world.scheduler.book;
   const values = workers.values.bind(workers);
@@ -28,7 +31,7 @@
   };
 }
 
-/** A full cell with a backlog whose steps have all been tried. */
+/** Creates a full cell with a backlog of waiting steps. */
 function createBackloggedWorld() {
   const world = worlds.createSchedulerWorld();
   for (let nth = 0; nth < 20; nth++) world.addWorker(`w${nth}`, 4);
@@ -43,7 +46,7 @@
   return {world, attempts, tries};
 }
 
-// Guards against a holder that is kept from its calls by one long cycle.
+// Guards against one long cycle that delays the calls of the holder.
 test('a cycle tries a bounded number of steps', () => {
   const {world, tries} = createBackloggedWorld();
   for (let tried = 0; tried < BACKLOG;) {
@@ -54,8 +57,8 @@
   }
 });
 
-// Guards against cycles whose cost grows with all that waits.
-test('a step without room is tried again only when room is freed', () => {
+// Guards against cycles whose cost grows with the number of waiting steps.
+test('a step without capacity is tried again only when capacity becomes free', () => {
   const {world, attempts, tries} = createBackloggedWorld();
   do world.scheduler.decide(world.now, WALL);
   while (tries() > 0);
@@ -105,8 +108,8 @@
 );
 
 /**
- * Decides until nothing more starts, and answers each start. No time passes:
- * with time alone more may start.
+ * Runs cycles until nothing more starts and answers each start. The clock does
+ * not advance, because more could start with time alone.
  */
 function settle(
   world: worlds.SchedulerWorld,
@@ -124,7 +127,7 @@
   return started;
 }
 
-// Guards against a step that has room and is never tried again.
+// Guards against a step that has capacity and is never tried again.
 test('no step that could start is left waiting', () => {
   fc.assert(
     fc.property(
@@ -167,7 +170,7 @@
               );
               break;
             case 'replace': {
-              // Another life of the worker: all that ran there is gone.
+              // Another incarnation of the worker: all that ran there is lost.
               const removed = workers[action.worker]!;
               running = running.filter(
                 (attempt) => attempt.workerId !== removed,
--- a/packages/gypsumwall-scheduling/src/__tests__/speculative_copies.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/speculative_copies.test.ts
@@ -1,7 +1,7 @@
 /**
- * Load: jobs of several short tasks on workers of which some can't be reached
+ * Load: jobs of several short tasks on workers of which some are unreachable
  * for some seconds. A job is done with its last task, so a third of the workers
- * out of reach makes nearly every job of six tasks late.
+ * being unreachable makes nearly every job of six tasks late.
  */
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
@@ -10,7 +10,10 @@
 
 const {test} = nodeTest;
 
-/** One worker with a task on it that doesn't answer any more, and a free one. */
+/**
+ * Creates a world with an unreachable worker that runs a task, and a free
+ * worker.
+ */
 function createWorld(speculative: boolean) {
   const world = worlds.createSchedulerWorld();
   const w1 = world.addWorker('w1', 2);
@@ -24,13 +27,14 @@
 }
 
 // A failure domain is cut off for six seconds with a task of 1 s on one of its
-// workers. It may be running, so only a task that may be copied goes on.
-test('a task out of reach is copied where that is allowed, else not', () => {
+// workers. The task may still run, so it is started again only if copies are
+// allowed.
+test('a task on an unreachable worker is copied only where that is allowed', () => {
   assert.equal(createWorld(true).world.startAll().length, 1);
   assert.equal(createWorld(false).world.startAll().length, 0);
 });
 
-test('the first run that is done counts, and the other is stopped', () => {
+test('the first attempt that is done counts and the other one is stopped', () => {
   const {world, attempt} = createWorld(true);
   const [copy] = world.startAll();
   assert.equal(copy?.taskId, attempt.taskId);
@@ -41,8 +45,8 @@
   assert.equal(world.scheduler.counts().jobs, 0);
 });
 
-// Each failed look tells anew that the worker is out of reach.
-test('a task has one copy, however often its worker is found out of reach', () => {
+// Each failed poll reports again that the worker is unreachable.
+test('a task has one copy, however often its worker is reported as unreachable', () => {
   const {world, attempt} = createWorld(true);
   world.scheduler.outOfReach(attempt.workerId);
   assert.equal(world.startAll().length, 1);
@@ -50,9 +54,9 @@
   assert.equal(world.startAll().length, 0);
 });
 
-// The first run ends in a failure while its copy runs: a third would be one
-// too many, and a success of the copy must end the job.
-test('a task whose first run fails waits for its copy', () => {
+// The first attempt fails while its copy runs: a third attempt would be one too
+// many, and the success of the copy must end the job.
+test('a task whose first attempt fails waits for its copy', () => {
   const {world, attempt} = createWorld(true);
   const [copy] = world.startAll();
   world.end(attempt, 'failed');
--- a/packages/gypsumwall-scheduling/src/__tests__/stuck_steps.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/stuck_steps.test.ts
@@ -13,7 +13,8 @@
   accelerators: 0,
 });
 
-// Guards against a gang that is stopped for a member of an earlier attempt.
+// Guards against a gang that is stopped because of a member of an earlier
+// attempt.
 test('a late failure of an earlier attempt leaves the gang running', () => {
   const world = worlds.createSchedulerWorld();
   const w1 = world.addWorker('w1', 1);
@@ -28,14 +29,14 @@
   world.scheduler.takeStops();
   world.addWorker('w3', 1);
   assert.equal(world.startAll().length, 2);
-  // It failed while nobody could hear of it.
+  // It failed while its worker was unreachable.
   world.end(lost, 'failed');
   assert.deepEqual(world.scheduler.takeStops(), []);
 });
 
-// Guards against a gang that is stopped by the end of a run that was found
-// beside it and that nobody wanted.
-test('the end of an unwanted run leaves the gang running', () => {
+// Guards against a gang that is stopped by the end of an unwanted attempt that
+// was found beside it.
+test('the end of an unwanted attempt leaves the gang running', () => {
   const world = worlds.createSchedulerWorld();
   const w1 = world.addWorker('w1', 1);
   world.addWorker('w2', 1);
@@ -47,7 +48,7 @@
   world.scheduler.takeStops();
   const second = world.startAll();
   assert.equal(second.length, 2);
-  // An answer that was under way when the first attempt ended.
+  // A report that was in transit when the first attempt ended.
   const stale = first.find((attempt) => attempt.workerId === w1)!;
   const rows = second.filter((attempt) => attempt.workerId === w1);
   world.report(w1, [
@@ -63,9 +64,9 @@
   assert.deepEqual(world.scheduler.takeStops(), []);
 });
 
-// Guards against part of a gang that runs on alone: its step was not open yet
-// where the scheduler took it over, and one of its members ended.
-test('a gang found before its step is open is stopped without a member', () => {
+// Guards against a part of a gang that keeps running: its step was not open yet
+// when the scheduler took over, and one of its members ended.
+test('a gang found before its step is open is stopped if it loses a member', () => {
   const world = worlds.createSchedulerWorld();
   const [w1, w2, w3] = ['w1', 'w2', 'w3'].map((name) =>
     world.addWorker(name, 1),
@@ -87,9 +88,9 @@
   assert.equal(world.startAll().length, 2);
 });
 
-// Guards against part of a gang that runs on alone, where runs of two attempts
-// were found.
-test('a gang of an earlier attempt is stopped without a member', () => {
+// Guards against a part of a gang that keeps running after members of two
+// attempts were found.
+test('a gang of an earlier attempt is stopped if it loses a member', () => {
   const world = worlds.createSchedulerWorld();
   const [w1, w2, w3] = ['w1', 'w2', 'w3'].map((name) =>
     world.addWorker(name, 1),
@@ -112,7 +113,7 @@
 });
 
 // Guards against small work that never starts behind wide gangs that wait.
-test('a step gets its try while steps before it are tried in vain', () => {
+test('a step is tried even if the steps before it are always tried in vain', () => {
   const world = worlds.createSchedulerWorld();
   const capacity = 64;
   const ending = 25;
@@ -122,7 +123,7 @@
   const [long, ...short] = world.startAll();
   assert.equal(short.length, ending);
   world.end(long!, 'done');
-  // One task of these fits at any time, two don't.
+  // One task of each gang fits at any time, two do not.
   const gang = worlds.step({taskCount: 2, size: cores(33), gang: true});
   for (let nth = 0; nth < 40; nth++) world.submit(`gang${nth}`, [gang]);
   do world.startAll();
@@ -130,7 +131,7 @@
   world.submit('small', [worlds.step()], {policy: LATE_START});
   const started: string[] = [];
   for (const attempt of short) {
-    // Room is freed before each cycle.
+    // Capacity becomes free before each cycle.
     world.end(attempt, 'done');
     world.now = types.clock.after(world.now, 5);
     const {starts} = world.scheduler.decide(world.now, WALL);
@@ -140,9 +141,9 @@
   assert.deepEqual(started, ['small.0.0.0']);
 });
 
-// Guards against a gang that never starts again since one of its members runs
-// on after its stop was accepted.
-test('a run that is still there long after its stop is stopped again', () => {
+// Guards against a gang that never starts again because one of its members
+// keeps running after its stop was accepted.
+test('an attempt that still runs long after its stop is stopped again', () => {
   const world = worlds.createSchedulerWorld();
   const w1 = world.addWorker('w1', 1);
   world.addWorker('w2', 1);
@@ -159,7 +160,7 @@
     world.now = types.clock.after(world.now, spanMs);
     world.report(w1, [worlds.runningAttempt(member.taskId, member.number)]);
   };
-  // A worker takes a while to save progress.
+  // A worker may take this long to save progress.
   report(900);
   assert.deepEqual(world.scheduler.takeStops(), []);
   report(4_000);
@@ -172,9 +173,9 @@
   assert.equal(world.startAll().length, 2);
 });
 
-// Guards against an advised step that asks about no other worker for as long
-// as the room on those approved for it is reserved for a gang.
-test('approvals of reserved workers do not keep a step from asking', () => {
+// Guards against a step that does not ask the adviser about other workers while
+// those approved for it are reserved for a gang.
+test('approvals of reserved workers do not prevent further calls for a step', () => {
   const world = worlds.createSchedulerWorld();
   const large = ['w0', 'w1', 'w2'].map((name) => world.addWorker(name, 16));
   world.submit('running', [worlds.step({taskCount: 3, maxPerWorker: 1})]);
@@ -184,7 +185,7 @@
   world.submit('gang', [gang], {policy: {priority: 0}});
   const advice = {callMs: 10, perWorkerMs: 1, validMs: 1_000};
   world.submit('advised', [worlds.step()], {policy: {advice}});
-  // Neither of the large ones can be used.
+  // Neither of the approved large workers can be used.
   const approved = new Set([...large.slice(0, 2), 'w39']);
   const started: string[] = [];
   const until = types.clock.after(world.now, 3_000);
@@ -205,9 +206,9 @@
   assert.deepEqual(started, ['w39']);
 });
 
-// Guards against an urgent step that isn't asked about since the room that it
-// may take is reserved for a gang of lower rank.
-test('room reserved for a less urgent gang counts for an advised step', () => {
+// Guards against an urgent step that the adviser is not asked about because the
+// capacity that it may use is reserved for a gang of lower rank.
+test('capacity reserved for a less urgent gang counts for a step that needs advice', () => {
   const world = worlds.createSchedulerWorld();
   for (let nth = 0; nth < 8; nth++) world.addWorker(`w${nth}`, 2);
   world.submit('running', [worlds.step({taskCount: 16})], {policy: LATE_START});
--- a/packages/gypsumwall-scheduling/src/__tests__/task_isolation.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/task_isolation.test.ts
@@ -1,4 +1,4 @@
-/** Load: tasks under which workers have crashed, in a cell of few workers. */
+/** Load: tasks whose workers have crashed, in a cell of few workers. */
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
 import * as types from '@gypsumwall/types';
@@ -12,7 +12,7 @@
 const FIRST_ISOLATION_MS = 3_000;
 const SETTLED_MS = 2_000;
 
-/** The store knows already that tasks of the job may be on this worker. */
+/** Progress of a job for which the store has recorded this worker already. */
 const RECORDED: jobProgress.JobProgress = {
   ...jobProgress.NO_PROGRESS,
   workers: [types.ids.brand('w1')],
@@ -20,7 +20,7 @@
 
 type World = worlds.SchedulerWorld;
 
-/** Hands in a job under whose tasks workers have crashed. */
+/** Submits a job with tasks whose workers have crashed. */
 function submitSuspect(
   world: World,
   name: string,
@@ -47,8 +47,9 @@
 const workersOf = (attempts: readonly activeJob.Attempt[]) =>
   attempts.map((attempt) => attempt.workerId).sort();
 
-// Guards against a sound task that is given up for a newcomer's crash.
-test('nothing new starts beside a task on trial until it is over', () => {
+// Guards against a healthy task that is given up because a task that starts
+// later crashes its worker.
+test('no other task starts beside an isolated one until its isolation period is over', () => {
   const world = worlds.createSchedulerWorld();
   world.addWorker('w1', 4);
   submitSuspect(world, 'suspect', [0], 2);
@@ -61,8 +62,8 @@
   assert.equal(world.startAll().length, 1);
 });
 
-// Guards against a worker that stays closed after its task has ended.
-test('a worker is open again as soon as the task on trial has ended', () => {
+// Guards against a worker that stays reserved after its task has ended.
+test('a worker is released as soon as its isolated task has ended', () => {
   const world = worlds.createSchedulerWorld();
   world.addWorker('w1', 4);
   submitSuspect(world, 'suspect', [0], 2);
@@ -72,8 +73,9 @@
   assert.equal(world.startAll().length, 1);
 });
 
-// Guards against a trial beside a task that may crash the worker itself.
-test('a task is tried only beside what has run for a while', () => {
+// Guards against an isolation period beside a task that may crash the worker
+// itself.
+test('a task starts isolated only beside attempts that have run for a while', () => {
   const world = worlds.createSchedulerWorld();
   world.addWorker('w1', 4);
   world.submit('long', [worlds.step()]);
@@ -86,8 +88,9 @@
   assert.equal(world.startAll().length, 1);
 });
 
-// Guards against a trial on a worker that gets another task in the same cycle.
-test('a task is not tried beside one that is placed in the same cycle', () => {
+// Guards against an isolated start on a worker on which another task is placed
+// in the same cycle.
+test('a task does not start isolated beside one that is placed in the same cycle', () => {
   const world = worlds.createSchedulerWorld();
   world.addWorker('w1', 4);
   const policy = {priority: 0};
@@ -97,8 +100,9 @@
   assert.deepEqual(jobs, ['urgent']);
 });
 
-// Guards against a task that hides behind losses of power.
-test('losses of a group count beside a single crash, and not by themselves', () => {
+// Guards against a crashing task that is not recognised because of power
+// failures.
+test('group losses count beside a single crash, but not by themselves', () => {
   const startsIsolated = (...kinds: crashRecords.CrashKind[]) => {
     const world = worlds.createSchedulerWorld();
     world.addWorker('w1', 4);
@@ -116,9 +120,9 @@
   assert.equal(startsIsolated('single', 'single'), true);
 });
 
-// Guards against a trial that waits for ever in a cell whose workers always
-// have newcomers.
-test('a worker is emptied of newcomers for a task that waits for its trial', () => {
+// Guards against a task that waits forever for isolation in a cell whose
+// workers always run recently started tasks.
+test('a worker is reserved for a task that waits for isolation', () => {
   const world = worlds.createSchedulerWorld();
   for (const name of ['w1', 'w2']) world.addWorker(name, 2);
   const running: activeJob.Attempt[] = [];
@@ -137,7 +141,7 @@
   assert.ok(hasStarted());
 });
 
-// Guards against tasks of which none can be told to be at fault, since they
+// Guards against suspected tasks that cannot be distinguished because they
 // share a worker.
 test('suspected tasks of several jobs start on workers of their own', () => {
   const world = worlds.createSchedulerWorld();
@@ -146,7 +150,8 @@
   assert.deepEqual(workersOf(world.startAll()), ['w1', 'w2', 'w3']);
 });
 
-// Guards against a gang that blames all its members, since they are together.
+// Guards against a gang whose members are all suspected because they share a
+// worker.
 test('suspected members of a gang are spread over the workers', () => {
   const world = worlds.createSchedulerWorld();
   for (const name of ['w1', 'w2', 'w3']) world.addWorker(name, 8);
@@ -155,7 +160,7 @@
   assert.deepEqual(workersOf(world.startAll()), ['w1', 'w2', 'w3']);
 });
 
-// Guards against a gang that shares workers with others that are suspected.
+// Guards against a gang that shares workers with other suspected tasks.
 test('a suspected gang avoids workers with suspects of other jobs', () => {
   const world = worlds.createSchedulerWorld();
   for (const name of ['w1', 'w2', 'w3']) world.addWorker(name, 8);
@@ -168,9 +173,9 @@
   assert.ok(!gang.includes(other!.workerId), gang.join());
 });
 
-// Guards against a gang that is started in part, or not at all, for a member
-// that has to be apart.
-test('a gang starts whole with one member apart from other jobs', () => {
+// Guards against a gang that is started only in part, or not at all, because
+// one member needs isolation.
+test('a gang starts as a whole with one member isolated from other jobs', () => {
   const world = worlds.createSchedulerWorld();
   for (const name of ['w1', 'w2']) world.addWorker(name, 8);
   world.submit('busy', [worlds.step({taskCount: 2, maxPerWorker: 1})]);
@@ -182,8 +187,8 @@
   assert.equal(world.startAll().length, 6);
 });
 
-// Guards against a successor under which a trial no longer counts.
-test('a task that is found by itself on a worker is on trial', () => {
+// Guards against a successor that does not continue an isolation period.
+test('a task that is found alone on a worker is isolated', () => {
   const world = worlds.createSchedulerWorld();
   const worker = world.addWorker('w1', 4);
   submitSuspect(world, 'suspect', [0], 2);
@@ -197,9 +202,9 @@
   assert.deepEqual(reasons, ['crashed_in_isolation']);
 });
 
-// Guards against a sound task that is given up when others went down with its
-// worker during its trial.
-test('a crash beside others at the same moment does not settle a trial', () => {
+// Guards against a healthy task that is given up when other workers are lost
+// together with its worker during the isolation period.
+test('a crash together with others does not count as a crash in isolation', () => {
   const world = worlds.createSchedulerWorld();
   const workers = ['w1', 'w2', 'w3', 'w4', 'w5'].map((name) =>
     world.addWorker(name, 4),
@@ -233,9 +238,9 @@
   assert.equal(startsAgain([0]), false);
 });
 
-// Guards against a task that outlives each of its trials and then crashes its
-// worker beside others.
-test('each trial after a crash takes longer', () => {
+// Guards against a task that outlives each of its isolation periods and then
+// crashes its worker beside others.
+test('the isolation period doubles with each crash', () => {
   const isolationMs = (crashCount: number) => {
     const world = worlds.createSchedulerWorld();
     world.addWorker('w1', 4);
@@ -247,8 +252,8 @@
   assert.deepEqual([2, 3, 4].map(isolationMs), [3_000, 6_000, 12_000]);
 });
 
-// Guards against a sound task that is given up for one chance crash.
-test('a crash late in a trial takes one more to settle it', () => {
+// Guards against a healthy task that is given up for one coincidental crash.
+test('after a crash late in the isolation period it takes one more to give up the task', () => {
   const isGivenUp = (crashCount: number, ranMs: number) => {
     const world = worlds.createSchedulerWorld();
     const worker = world.addWorker('w1', 4);
--- a/packages/gypsumwall-scheduling/src/__tests__/wait_reporter.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/wait_reporter.test.ts
@@ -22,8 +22,8 @@
   }
 }
 
-// Guards against a step that stands still while no log line says why.
-test('a step that waits is logged with what keeps it off each worker', () => {
+// Guards against a step that waits without a log line that says why.
+test('a waiting step is logged with the reason for each worker', () => {
   const world = worlds.createSchedulerWorld();
   world.addWorker('small', 1);
   const unreachable = world.addWorker('away', 8);
@@ -41,7 +41,7 @@
   assert.ok(waits[0]!.waitedMs >= 1_000);
 });
 
-// Guards against a log that grows with all that waits.
+// Guards against a log that grows with the number of waiting steps.
 test('reports of waiting steps are bounded', () => {
   const world = worlds.createSchedulerWorld();
   for (let nth = 0; nth < 500; nth++) world.submit(`j${nth}`, [worlds.step()]);
@@ -50,7 +50,7 @@
   assert.ok(length >= 20 && length <= 80, `${length} lines`);
 });
 
-// Guards against a gang that is held up by one member without a word of it.
+// Guards against a gang that waits for one member without a log line.
 test('a gang whose members have not all ended is logged', () => {
   const world = worlds.createSchedulerWorld();
   world.addWorker('one', 1);
--- a/packages/gypsumwall-scheduling/src/__tests__/waiting_work.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/waiting_work.test.ts
@@ -297,24 +297,31 @@
 function stepsOf(world: worlds.UnreliableWorld): activeJob.StepRun[] {
   const found: activeJob.StepRun[] = [];
   for (const job of world.scheduler.jobs.values()) {
-    assert.equal(job.isAwaitingReconciliation, false, `${job.id} is held back`);
+    assert.equal(
+      job.isAwaitingReconciliation,
+      false,
+      `${job.id} awaits reconciliation`,
+    );
     for (const {steps} of job.open.values()) found.push(...steps);
   }
   return found;
 }
 
-/** Each open task is in line or runs; a gang's are all the one or the other. */
+/**
+ * Checks that each task of an open step is queued, runs or is done, and that
+ * the members of a gang are either all queued or all running.
+ */
 function checkTasks(stepRun: activeJob.StepRun): void {
   const {id, request, state, waiting, attempts, doneIndexes: done} = stepRun;
   if (state !== 'open') return;
   const {gang, taskCount} = request;
   for (const attempt of attempts) {
-    assert.equal(attempt.phase, 'running', `a run of ${id}`);
+    assert.equal(attempt.phase, 'running', `an attempt of ${id}`);
     assert.notEqual(attempt.confirmedAt, undefined);
   }
   assert.equal(new Set(waiting).size, waiting.length);
   if (gang) {
-    const found = `${attempts.size} run and ${waiting.length} wait`;
+    const found = `${attempts.size} run and ${waiting.length} are queued`;
     assert.equal(attempts.size + waiting.length, taskCount, `${id}: ${found}`);
     assert.ok(attempts.size === 0 || waiting.length === 0, `${id}: ${found}`);
     const attemptNumbers = new Set(
@@ -332,12 +339,12 @@
       done.has(index) || running.has(index) || waiting.includes(index);
     assert.ok(
       isAccountedFor,
-      `${id}.${index} neither waits nor runs nor is done`,
+      `${id}.${index} is neither queued nor running nor done`,
     );
   }
 }
 
-/** What the scheduler believes of the workers is what is so. */
+/** Checks that the free capacity known to the scheduler is the actual one. */
 function checkWorkers(world: worlds.UnreliableWorld): void {
   for (const worker of world.workers) {
     const known = world.scheduler.book.workers.get(worker.id);
@@ -349,7 +356,9 @@
   }
 }
 
-/** The next task of a step, or its whole gang, has room on these workers. */
+/**
+ * Whether the next task of a step, or its whole gang, fits on these workers.
+ */
 function fitsOn(
   stepRun: activeJob.StepRun,
   workers: readonly workerRegistry.RegisteredWorker[],
@@ -381,11 +390,14 @@
   const label = request.requiredLabel;
   if (label !== undefined && !info.labels.includes(label)) return false;
   if (job.policy.advice === undefined) return true;
-  // Of the others the adviser can be asked, and approves them.
+  // Other workers are named to the adviser, which approves them.
   return !advice.refused.has(info.id);
 }
 
-/** No step waits for which there is room that isn't kept for another. */
+/**
+ * Checks that no step waits while there is capacity that is not reserved for
+ * another.
+ */
 function checkWaiting(world: worlds.UnreliableWorld): void {
   const {book: registry} = world.scheduler;
   const health = workerHealth.createWorkerHealth(() => registry.workers.size);
@@ -409,12 +421,12 @@
         !reservation.isReserved(worker.info.id) &&
         isAvailableTo(stepRun, worker),
     );
-    assert.equal(fitsOn(stepRun, open), false, `${stepRun.id} has room`);
+    assert.equal(fitsOn(stepRun, open), false, `${stepRun.id} has capacity`);
     if (stepRun.request.gang) reservation.reserveFor(stepRun);
   }
 }
 
-/** Nothing but copies runs twice. */
+/** Checks that no task runs twice, except for copies. */
 function checkCopies(world: worlds.UnreliableWorld): void {
   const seen = new Set<string>();
   for (const worker of world.workers) {
@@ -438,8 +450,9 @@
   assert.equal(world.decide(), 0, 'a step was not tried');
 }
 
-// Guards against work that has room and stands still, whatever was lost before.
-test('nothing that could start waits once all answers are in', () => {
+// Guards against work that does not start although it has capacity, whatever
+// failed before.
+test('no task that could start is left waiting once all answers are received', () => {
   fc.assert(
     fc.property(
       fc.integer({min: 2, max: 12}),
--- a/packages/gypsumwall-scheduling/src/__tests__/worker_health.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/worker_health.test.ts
@@ -8,9 +8,9 @@
 const job = (name: string) => types.ids.brand<types.ids.JobId>(name);
 const at = (ms: number) => ms as types.clock.MonotonicMs;
 
-// Load: 8.5% of the workers fail all they start for 6.5 s, as the users'
-// sites have it. Such a worker is always free and draws in task after task.
-test('a worker that fails the tasks of two jobs is left alone', () => {
+// Load: 8.5% of the workers fail all their tasks for 6.5 s, as on the sites of
+// the users. Such a worker is always free and attracts task after task.
+test('a worker that fails the tasks of two jobs is avoided', () => {
   const health = workerHealth.createWorkerHealth(() => 33);
   health.recordFailure(worker('w1'), job('a'), at(0));
   assert.equal(health.trustOf(worker('w1'), at(1)), 'doubtful');
@@ -21,8 +21,8 @@
   assert.equal(health.trustOf(worker('w1'), at(2_001)), 'healthy');
 });
 
-// Load: 1 to 5% of jobs can never be done and fail wherever they run.
-test('a job that fails on two workers condemns neither', () => {
+// Load: 1 to 5% of the jobs can never succeed and fail on every worker.
+test('a job that fails on two workers counts against neither', () => {
   const health = workerHealth.createWorkerHealth(() => 33);
   health.recordFailure(worker('w1'), job('bad'), at(0));
   health.recordFailure(worker('w2'), job('bad'), at(1));
