--- a/packages/gypsumwall-scheduling/src/__fixtures__/crash_world.ts
+++ b/packages/gypsumwall-scheduling/src/__fixtures__/crash_world.ts
@@ -41,7 +41,7 @@
   let generation = 0;
   let scheduler: schedulerTypes.Scheduler | undefined;
   let takesOverAt: types.clock.MonotonicMs | undefined = now;
-  let storeDown = false;
+  let isStoreDown = false;
   let reportsAt = now;
   const machines: crashModel.Machine[] = [];
   const jobs: crashModel.Job[] = [];
@@ -294,23 +294,25 @@
 
   function flush(target: schedulerTypes.Scheduler): void {
     const dirty = target.takeDirty();
-    const heard = new Map(machines.map((one) => [one, one.receivedSequence]));
+    const receivedSequences = new Map(
+      machines.map((one) => [one, one.receivedSequence]),
+    );
     const dueAt = types.clock.after(now, STORE_MS);
-    writes.push({dirty, dueAt, receivedSequences: heard, removedWorkers});
+    writes.push({dirty, dueAt, receivedSequences, removedWorkers});
     removedWorkers = [];
   }
 
   function confirmWrites(target: schedulerTypes.Scheduler): void {
-    while (!storeDown && writes.length > 0 && writes[0]!.dueAt <= now) {
+    while (!isStoreDown && writes.length > 0 && writes[0]!.dueAt <= now) {
       const {
         dirty,
-        receivedSequences: heard,
+        receivedSequences,
         removedWorkers: removed,
       } = writes.shift()!;
       for (const id of removed) usedWorkers.delete(id);
       for (const {jobId, progress} of dirty) persisted.set(jobId, progress);
       target.stored(dirty);
-      for (const [machine, upTo] of heard) {
+      for (const [machine, upTo] of receivedSequences) {
         machine.ends = machine.ends.filter((end) => end.sequence > upTo);
       }
     }
@@ -408,7 +410,7 @@
       takesOverAt = types.clock.after(now, TAKEOVER_MS);
     },
     setStoreDown(down: boolean): void {
-      storeDown = down;
+      isStoreDown = down;
     },
     setCapacity(machine: crashModel.Machine, cores: number): void {
       const capacity = {...machine.info.capacity, cpuMillis: cores * 1_000};
--- a/packages/gypsumwall-scheduling/src/__fixtures__/unreliable_world.ts
+++ b/packages/gypsumwall-scheduling/src/__fixtures__/unreliable_world.ts
@@ -93,7 +93,7 @@
 }
 
 /** Outcome of a start order in transit. */
-export type StartFate =
+export type StartDelivery =
   | 'started'
   /** The order is carried out and the answer is lost. */
   | 'unanswered'
@@ -245,7 +245,7 @@
     return {type: 'started'};
   }
 
-  function answerStart(start: PendingStart, fate: StartFate): void {
+  function answerStart(start: PendingStart, fate: StartDelivery): void {
     starts = starts.filter((one) => one !== start);
     const {attempt} = start.order;
     const reportOutcome = (outcome: schedulerTypes.StartOutcome) => {
--- a/packages/gypsumwall-scheduling/src/__tests__/crashing_tasks.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/crashing_tasks.test.ts
@@ -87,7 +87,7 @@
     const world = crashChecks.createWorld();
     const behaviour = {workMs: 5_000, crash: {index: 3, afterMs: 200}};
     const gang = world.submit('gang', {...fields, gang: true}, behaviour);
-    const longRunning = crashChecks.submitLongRunning(world, 'lasting');
+    const longRunning = crashChecks.submitLongRunning(world, 'long-running');
     const shorts = runBesideShortJobs(world, 20_000);
     world.run(10_000);
     crashChecks.assertGivenUp(world, gang, 3);
@@ -104,7 +104,7 @@
     [11, 12],
   ] as const) {
     const world = crashChecks.createWorld({machinesPerDomain});
-    const longRunning = crashChecks.submitLongRunning(world, 'lasting');
+    const longRunning = crashChecks.submitLongRunning(world, 'long-running');
     world.run(500);
     const culprits = Array.from({length: count}, (_none, nth) =>
       world.submit(`culprit${nth}`, {}, CRASH),
@@ -123,7 +123,7 @@
   const world = crashChecks.createWorld();
   const long = world.submit('long', {taskCount: 24}, {workMs: 6_500});
   world.run(100);
-  const longRunning = crashChecks.submitLongRunning(world, 'lasting');
+  const longRunning = crashChecks.submitLongRunning(world, 'long-running');
   for (let nth = 0; nth < 4; nth++) {
     world.run(4_500);
     world.cutPower('d0');
@@ -138,7 +138,7 @@
 // Guards against old crashes that count against a task for its whole duration.
 test('the crashes of a long-running task are cleared once it has run long enough', () => {
   const world = crashChecks.createWorld();
-  const longRunning = crashChecks.submitLongRunning(world, 'lasting');
+  const longRunning = crashChecks.submitLongRunning(world, 'long-running');
   for (let nth = 0; nth < 8; nth++) {
     world.run(16_000);
     const used = world.machines.filter(
--- a/packages/gypsumwall-scheduling/src/__tests__/crashing_worlds.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/crashing_worlds.test.ts
@@ -25,12 +25,15 @@
   {
     weight: 4,
     arbitrary: fc.record({
-      type: fc.constant('sound' as const),
+      type: fc.constant('healthy' as const),
       gang: fc.boolean(),
       workMs: fc.integer({min: 100, max: 9_000}),
     }),
   },
-  {weight: 1, arbitrary: fc.record({type: fc.constant('lasting' as const)})},
+  {
+    weight: 1,
+    arbitrary: fc.record({type: fc.constant('longRunning' as const)}),
+  },
   {
     weight: 2,
     arbitrary: fc.record({
@@ -74,12 +77,12 @@
 
 interface Drawn {
   readonly culprits: types.ids.JobId[];
-  readonly sound: types.ids.JobId[];
-  readonly lasting: types.ids.JobId[];
+  readonly healthy: types.ids.JobId[];
+  readonly longRunning: types.ids.JobId[];
 }
 
 function applyEvent(world: World, event: DrawnEvent, drawn: Drawn): void {
-  const {culprits, sound, lasting: longRunning} = drawn;
+  const {culprits, healthy, longRunning} = drawn;
   const taskCount = 4;
   switch (event.type) {
     case 'culprit': {
@@ -90,15 +93,18 @@
       culprits.push(world.submit(name, {taskCount, gang}, behaviour));
       return;
     }
-    case 'sound': {
+    case 'healthy': {
       const {gang, workMs} = event;
-      const name = `sound${sound.length}`;
-      sound.push(world.submit(name, {taskCount, gang}, {workMs}));
+      const name = `healthy${healthy.length}`;
+      healthy.push(world.submit(name, {taskCount, gang}, {workMs}));
       return;
     }
-    case 'lasting':
+    case 'longRunning':
       longRunning.push(
-        crashChecks.submitLongRunning(world, `lasting${longRunning.length}`),
+        crashChecks.submitLongRunning(
+          world,
+          `longRunning${longRunning.length}`,
+        ),
       );
       return;
     case 'crash':
@@ -123,7 +129,7 @@
 }
 
 /** A task may be given up once two workers have crashed under it. */
-function assertSound(
+function assertHealthy(
   world: World,
   ids: readonly types.ids.JobId[],
   expected: 'completed' | 'running',
@@ -145,7 +151,7 @@
       fc.array(arbitraryEvent, {maxLength: 40, size: 'max'}),
       (events) => {
         const world = crashChecks.createWorld();
-        const drawn: Drawn = {culprits: [], sound: [], lasting: []};
+        const drawn: Drawn = {culprits: [], healthy: [], longRunning: []};
         for (const event of events) applyEvent(world, event, drawn);
         world.setStoreDown(false);
         for (const machine of world.machines) {
@@ -153,8 +159,8 @@
         }
         world.run(100_000);
         for (const id of drawn.culprits) crashChecks.assertGivenUp(world, id);
-        assertSound(world, drawn.sound, 'completed');
-        assertSound(world, drawn.lasting, 'running');
+        assertHealthy(world, drawn.healthy, 'completed');
+        assertHealthy(world, drawn.longRunning, 'running');
         assert.equal(
           world.starts.filter((one) => one.exceedsCapacity).length,
           0,
--- a/packages/gypsumwall-scheduling/src/__tests__/decisions.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/decisions.test.ts
@@ -41,24 +41,24 @@
   assert.ok(jobOrder.compare(long, short, at(0)) < 0);
 });
 
-function workerSlots(
+function gangCandidate(
   name: string,
   rack: string,
   tasks: number,
-): gangFit.WorkerSlots {
+): gangFit.GangCandidate {
   const info = {id: name, rack} as unknown as workerRegistry.WorkerInfo;
   return {worker: {info} as workerRegistry.RegisteredWorker, tasks};
 }
 
 test('a gang that runs slower when spread is placed in one rack if it fits', () => {
-  const slots = [
-    workerSlots('a', 'r1', 3),
-    workerSlots('b', 'r2', 2),
-    workerSlots('c', 'r2', 2),
+  const candidates = [
+    gangCandidate('a', 'r1', 3),
+    gangCandidate('b', 'r2', 2),
+    gangCandidate('c', 'r2', 2),
   ];
   const layout = {sameRack: true, spread: false};
   const racks = (count: number) =>
-    gangFit.fitGang(slots, count, layout)?.map((one) => one.info.rack);
+    gangFit.fitGang(candidates, count, layout)?.map((one) => one.info.rack);
   assert.deepEqual(racks(4), ['r2', 'r2', 'r2', 'r2']);
   assert.equal(racks(7)?.length, 7);
   assert.equal(racks(8), undefined);
--- a/packages/gypsumwall-scheduling/src/__tests__/waiting_work.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/waiting_work.test.ts
@@ -54,7 +54,7 @@
       ...kinds('start'),
       pick: nat,
       count: fc.integer({min: 1, max: 6}),
-      fate: fc.constantFrom<worlds.StartFate[]>(
+      fate: fc.constantFrom<worlds.StartDelivery[]>(
         'started',
         'started',
         'started',
@@ -295,16 +295,16 @@
 }
 
 function stepsOf(world: worlds.UnreliableWorld): activeJob.StepRun[] {
-  const found: activeJob.StepRun[] = [];
+  const stepRuns: activeJob.StepRun[] = [];
   for (const job of world.scheduler.jobs.values()) {
     assert.equal(
       job.isAwaitingReconciliation,
       false,
       `${job.id} awaits reconciliation`,
     );
-    for (const {steps} of job.open.values()) found.push(...steps);
+    for (const {steps} of job.open.values()) stepRuns.push(...steps);
   }
-  return found;
+  return stepRuns;
 }
 
 /**
--- a/packages/gypsumwall-scheduling/src/active_job.ts
+++ b/packages/gypsumwall-scheduling/src/active_job.ts
@@ -205,11 +205,11 @@
 export function claimantOf(stepRun: StepRun): jobOrder.Claimant {
   const {job, occurrence} = stepRun;
   const objective = objectiveMs(job);
-  const lateUntil = objective * jobOrder.LATE_FACTOR;
+  const worthlessAt = objective * jobOrder.LATE_FACTOR;
   return {
     priority: job.policy.priority,
     dueAt: types.clock.after(occurrence.objectiveStartsAt, objective),
-    worthlessAt: types.clock.after(occurrence.objectiveStartsAt, lateUntil),
+    worthlessAt: types.clock.after(occurrence.objectiveStartsAt, worthlessAt),
     remainingMs: remainingMs(stepRun),
     isLongRunning: stepRun.request.longRunning,
     arrival: job.arrival,
--- a/packages/gypsumwall-scheduling/src/crash_attribution.ts
+++ b/packages/gypsumwall-scheduling/src/crash_attribution.ts
@@ -5,7 +5,7 @@
 import * as types from '@gypsumwall/types';
 import type * as activeJob from './active_job.js';
 import * as crashRecords from './crash_records.js';
-import type * as jobRegistrys from './job_registry.js';
+import type * as jobRegistries from './job_registry.js';
 import * as jobProgress from './job_progress.js';
 import type * as schedulerTypes from './scheduler_types.js';
 import * as taskIds from './task_id.js';
@@ -14,7 +14,7 @@
 /** Dependencies of the crash attribution. */
 export interface CrashAttributionParts {
   readonly losses: workerLosses.WorkerLosses;
-  readonly jobRegistry: jobRegistrys.JobRegistry;
+  readonly jobRegistry: jobRegistries.JobRegistry;
   readonly onEvent: (event: schedulerTypes.SchedulerEvent) => void;
 }
 
@@ -95,7 +95,7 @@
   }
 
   function giveUp(
-    {stepRun, index}: jobRegistrys.TaskOwner,
+    {stepRun, index}: jobRegistries.TaskRef,
     reason: crashRecords.GiveUpReason,
   ): void {
     const workers = [...(stepRun.crashes.get(index)?.keys() ?? [])];
--- a/packages/gypsumwall-scheduling/src/gang_fit.ts
+++ b/packages/gypsumwall-scheduling/src/gang_fit.ts
@@ -6,7 +6,7 @@
 import type * as workerRegistry from './worker_registry.js';
 
 /** A worker that may run tasks of the gang, and how many fit on it. */
-export interface WorkerSlots {
+export interface GangCandidate {
   readonly worker: workerRegistry.RegisteredWorker;
   readonly tasks: number;
 }
@@ -14,18 +14,18 @@
 /** Returns how many tasks of a size fit into the free resources. */
 export function tasksThatFit(
   size: types.resources.Resources,
-  room: types.resources.Resources,
+  available: types.resources.Resources,
 ): number {
   return Math.min(
-    fittingCount(room.cpuMillis, size.cpuMillis),
-    fittingCount(room.memoryMb, size.memoryMb),
-    fittingCount(room.accelerators, size.accelerators),
+    fittingCount(available.cpuMillis, size.cpuMillis),
+    fittingCount(available.memoryMb, size.memoryMb),
+    fittingCount(available.accelerators, size.accelerators),
   );
 }
 
-function fittingCount(room: number, need: number): number {
-  if (need === 0) return room < 0 ? 0 : Infinity;
-  return Math.max(0, Math.floor(room / need));
+function fittingCount(available: number, need: number): number {
+  if (need === 0) return available < 0 ? 0 : Infinity;
+  return Math.max(0, Math.floor(available / need));
 }
 
 /** How the tasks of a gang are distributed. */
@@ -44,40 +44,40 @@
  * and leaves the others free.
  */
 export function fitGang(
-  slots: readonly WorkerSlots[],
+  candidates: readonly GangCandidate[],
   taskCount: number,
   {sameRack, spread}: GangLayout,
 ): workerRegistry.RegisteredWorker[] | undefined {
   const place = spread ? fillEvenly : fillLargestFirst;
-  if (!sameRack) return place(slots, taskCount);
-  const racks = new Map<string, WorkerSlots[]>();
-  for (const room of slots) {
-    const rack = room.worker.info.rack;
-    racks.set(rack, [...(racks.get(rack) ?? []), room]);
+  if (!sameRack) return place(candidates, taskCount);
+  const racks = new Map<string, GangCandidate[]>();
+  for (const candidate of candidates) {
+    const rack = candidate.worker.info.rack;
+    racks.set(rack, [...(racks.get(rack) ?? []), candidate]);
   }
-  for (const inRack of racks.values()) {
-    const workers = place(inRack, taskCount);
+  for (const candidatesInRack of racks.values()) {
+    const workers = place(candidatesInRack, taskCount);
     if (workers !== undefined) return workers;
   }
-  return place(slots, taskCount);
+  return place(candidates, taskCount);
 }
 
 function hasSlotsFor(
-  slots: readonly WorkerSlots[],
+  candidates: readonly GangCandidate[],
   taskCount: number,
 ): boolean {
-  return slots.reduce((sum, room) => sum + room.tasks, 0) >= taskCount;
+  return candidates.reduce((sum, one) => sum + one.tasks, 0) >= taskCount;
 }
 
 /** Distributes one task to each worker in turn. */
 function fillEvenly(
-  slots: readonly WorkerSlots[],
+  candidates: readonly GangCandidate[],
   taskCount: number,
 ): workerRegistry.RegisteredWorker[] | undefined {
-  if (!hasSlotsFor(slots, taskCount)) return undefined;
+  if (!hasSlotsFor(candidates, taskCount)) return undefined;
   const workers: workerRegistry.RegisteredWorker[] = [];
   for (let round = 0; workers.length < taskCount; round++) {
-    for (const {worker, tasks} of slots) {
+    for (const {worker, tasks} of candidates) {
       if (tasks > round && workers.length < taskCount) workers.push(worker);
     }
   }
@@ -85,15 +85,15 @@
 }
 
 function fillLargestFirst(
-  slots: readonly WorkerSlots[],
+  candidates: readonly GangCandidate[],
   taskCount: number,
 ): workerRegistry.RegisteredWorker[] | undefined {
-  if (!hasSlotsFor(slots, taskCount)) return undefined;
+  if (!hasSlotsFor(candidates, taskCount)) return undefined;
   const workers: workerRegistry.RegisteredWorker[] = [];
-  const largestFirst = [...slots].sort((a, b) => b.tasks - a.tasks);
-  for (const room of largestFirst) {
-    const count = Math.min(room.tasks, taskCount - workers.length);
-    for (let nth = 0; nth < count; nth++) workers.push(room.worker);
+  const largestFirst = [...candidates].sort((a, b) => b.tasks - a.tasks);
+  for (const candidate of largestFirst) {
+    const count = Math.min(candidate.tasks, taskCount - workers.length);
+    for (let nth = 0; nth < count; nth++) workers.push(candidate.worker);
   }
   return workers;
 }
--- a/packages/gypsumwall-scheduling/src/job_registry.ts
+++ b/packages/gypsumwall-scheduling/src/job_registry.ts
@@ -13,7 +13,7 @@
 import type * as workerHealth from './worker_health.js';
 
 /** A task, identified by its step run and index. */
-export interface TaskOwner {
+export interface TaskRef {
   readonly stepRun: activeJob.StepRun;
   readonly index: number;
 }
@@ -94,12 +94,12 @@
   updateWaiting(stepRun: activeJob.StepRun): void;
   /** Removes a task that already runs, or its gang, from the queue. */
   dequeue(stepRun: activeJob.StepRun, index: number): void;
-  breakPartialGangs(job: activeJob.ActiveJob): void;
+  stopPartialGangs(job: activeJob.ActiveJob): void;
   /**
    * Returns the task with this id if its job is not over and its step is known.
    */
-  findTask(taskId: types.ids.TaskId): TaskOwner | undefined;
-  /** Returns the attempts to stop since the last call. */
+  findTask(taskId: types.ids.TaskId): TaskRef | undefined;
+  /** Returns the attempts to stop that were not returned before. */
   takeStops(): activeJob.Attempt[];
 }
 
@@ -124,9 +124,9 @@
   }
 
   function updateWaiting(stepRun: activeJob.StepRun): void {
-    const over = jobProgress.isOver(stepRun.job.phase);
+    const isOver = jobProgress.isOver(stepRun.job.phase);
     stepRun.hasChanged = true;
-    if (stepRun.waiting.length > 0 && !over) waitingSteps.add(stepRun);
+    if (stepRun.waiting.length > 0 && !isOver) waitingSteps.add(stepRun);
     else waitingSteps.delete(stepRun);
   }
 
@@ -164,7 +164,7 @@
   }
 
   /** Stops all members of a gang: they cannot work without the missing one. */
-  function breakGang(stepRun: activeJob.StepRun): void {
+  function stopGang(stepRun: activeJob.StepRun): void {
     for (const attempt of stepRun.attempts) stop(attempt);
   }
 
@@ -177,7 +177,7 @@
       for (const stepRun of occurrence.steps) {
         const {gang, taskCount} = stepRun.request;
         const found = stepRun.attempts.size;
-        if (gang && found > 0 && found < taskCount) breakGang(stepRun);
+        if (gang && found > 0 && found < taskCount) stopGang(stepRun);
       }
     }
   }
@@ -205,7 +205,7 @@
     index: number,
     attemptNumber: number,
   ): void {
-    if (losesMember(stepRun, attemptNumber)) breakGang(stepRun);
+    if (losesMember(stepRun, attemptNumber)) stopGang(stepRun);
     jobSteps.requeue(stepRun, index);
     updateWaiting(stepRun);
   }
@@ -245,7 +245,7 @@
     updateWaiting(stepRun);
   }
 
-  function findTask(taskId: types.ids.TaskId): TaskOwner | undefined {
+  function findTask(taskId: types.ids.TaskId): TaskRef | undefined {
     const place = taskIds.placeOf(taskId);
     if (place === undefined) return undefined;
     const occurrence = jobs.get(place.jobId)?.open.get(place.occurrence);
@@ -285,7 +285,7 @@
     queueCopy,
     updateWaiting,
     dequeue,
-    breakPartialGangs,
+    stopPartialGangs: breakPartialGangs,
     findTask,
     takeStops() {
       const taken = stops;
--- a/packages/gypsumwall-scheduling/src/job_steps.ts
+++ b/packages/gypsumwall-scheduling/src/job_steps.ts
@@ -120,10 +120,10 @@
 ): void {
   for (const stepRun of occurrence.steps) {
     if (stepRun.state !== 'closed') continue;
-    const ready = stepRun.request.after.every(
+    const isReady = stepRun.request.after.every(
       (earlier) => occurrence.steps[earlier]?.state === 'done',
     );
-    if (!ready) continue;
+    if (!isReady) continue;
     stepRun.state = 'open';
     stepRun.waiting = startableIndexes(stepRun);
     opened.push(stepRun);
--- a/packages/gypsumwall-scheduling/src/lost_attempts.ts
+++ b/packages/gypsumwall-scheduling/src/lost_attempts.ts
@@ -4,7 +4,7 @@
  */
 import type * as types from '@gypsumwall/types';
 import type * as crashAttribution from './crash_attribution.js';
-import type * as jobRegistrys from './job_registry.js';
+import type * as jobRegistries from './job_registry.js';
 import type * as attemptTable from './attempt_table.js';
 import type * as schedulerTypes from './scheduler_types.js';
 import type * as workerLosses from './worker_losses.js';
@@ -12,7 +12,7 @@
 /** Dependencies of the handler of lost workers. */
 export interface LostAttemptsParts {
   readonly attempts: attemptTable.AttemptTable;
-  readonly jobRegistry: jobRegistrys.JobRegistry;
+  readonly jobRegistry: jobRegistries.JobRegistry;
   readonly losses: workerLosses.WorkerLosses;
   readonly crashes: crashAttribution.CrashAttribution;
   readonly onEvent: (event: schedulerTypes.SchedulerEvent) => void;
--- a/packages/gypsumwall-scheduling/src/place_isolated.ts
+++ b/packages/gypsumwall-scheduling/src/place_isolated.ts
@@ -59,15 +59,15 @@
  */
 function chooseIsolationWorker(
   stepRun: activeJob.StepRun,
-  quiet: readonly workerRegistry.RegisteredWorker[],
+  suitable: readonly workerRegistry.RegisteredWorker[],
   context: chooseWorker.ChoiceContext,
 ): workerRegistry.RegisteredWorker | undefined {
   const {isolation} = context;
-  const ownWorkers = quiet.filter(
+  const ownWorkers = suitable.filter(
     ({info}) => isolation?.isReservedFor(stepRun, info.id) === true,
   );
-  const idle = quiet.filter(({tasksByStep}) => tasksByStep.size === 0);
-  for (const candidates of [ownWorkers, idle, quiet]) {
+  const idle = suitable.filter(({tasksByStep}) => tasksByStep.size === 0);
+  for (const candidates of [ownWorkers, idle, suitable]) {
     const worker = chooseWorker.chooseWorker(stepRun, candidates, context);
     if (worker !== undefined) return worker;
   }
--- a/packages/gypsumwall-scheduling/src/place_step.ts
+++ b/packages/gypsumwall-scheduling/src/place_step.ts
@@ -116,7 +116,7 @@
   const {sameRack} = stepRun.request;
   const count = indexes.length;
   let total = 0;
-  const slots = candidates.map((worker) => {
+  const fittingWorkers = candidates.map((worker) => {
     const fitting = gangFit.tasksThatFit(size, worker.free);
     const tasks = Math.min(
       fitting,
@@ -126,7 +126,7 @@
     return {worker, tasks};
   });
   if (total < count) return [];
-  const trusted = slots.filter(({worker}) =>
+  const trusted = fittingWorkers.filter(({worker}) =>
     chooseWorker.isTrusted(stepRun, worker, context),
   );
   const inHomeDomain = trusted.filter(
@@ -134,9 +134,9 @@
   );
   const isSuspected = stepRun.crashes.size > 0;
   const layout = {sameRack, spread: isSuspected};
-  const choices = [inHomeDomain, trusted, slots];
+  const choices = [inHomeDomain, trusted, fittingWorkers];
   if (isSuspected) {
-    const isFreeOfOtherSuspects = ({worker}: gangFit.WorkerSlots) =>
+    const isFreeOfOtherSuspects = ({worker}: gangFit.GangCandidate) =>
       !hostsSuspect(stepRun, worker, context);
     choices.unshift(inHomeDomain.filter(isFreeOfOtherSuspects));
   }
@@ -153,12 +153,12 @@
  * Returns workers for the gang from the first list of candidates that fits it.
  */
 function firstFit(
-  choices: readonly (readonly gangFit.WorkerSlots[])[],
+  choices: readonly (readonly gangFit.GangCandidate[])[],
   count: number,
   layout: gangFit.GangLayout,
 ): workerRegistry.RegisteredWorker[] | undefined {
-  for (const rooms of choices) {
-    const workers = gangFit.fitGang(rooms, count, layout);
+  for (const candidates of choices) {
+    const workers = gangFit.fitGang(candidates, count, layout);
     if (workers !== undefined) return workers;
   }
   return undefined;
--- a/packages/gypsumwall-scheduling/src/plan_advice_calls.ts
+++ b/packages/gypsumwall-scheduling/src/plan_advice_calls.ts
@@ -103,13 +103,14 @@
 ): boolean {
   if (advice.openCalls > 0) return false;
   const minTasks = request.gang ? request.taskCount : 1;
-  let ready = 0;
-  let all = 0;
+  let readyTasks = 0;
+  let possibleTasks = 0;
   for (const {id, tasks} of candidates) {
-    all += tasks;
-    if (stepAdvice.ticketFor(advice, id, now) !== undefined) ready += tasks;
+    possibleTasks += tasks;
+    if (stepAdvice.ticketFor(advice, id, now) !== undefined)
+      readyTasks += tasks;
   }
-  return ready < minTasks && all >= minTasks;
+  return readyTasks < minTasks && possibleTasks >= minTasks;
 }
 
 /**
@@ -127,24 +128,25 @@
   const renewalMs = policy.callMs + policy.perWorkerMs * MIN_NAMED_WORKERS;
   const freshUntil = types.clock.after(now, renewalMs);
   const {approvals, pendingWorkers} = stepRun.advice;
-  const wanted = stepRun.waiting.length * SPARE_FACTOR;
+  const wantedTasks = stepRun.waiting.length * SPARE_FACTOR;
   const candidates: Candidate[] = [];
-  let covered = 0;
+  let coveredTasks = 0;
   for (const candidate of allCandidates) {
     const approval = approvals.get(candidate.id);
     if (pendingWorkers.has(candidate.id))
-      covered += candidate.tasks * APPROVED_SHARE;
+      coveredTasks += candidate.tasks * APPROVED_SHARE;
     else if (approval === undefined) candidates.push(candidate);
-    else if (approval.validUntil >= freshUntil) covered += candidate.tasks;
+    else if (approval.validUntil >= freshUntil) coveredTasks += candidate.tasks;
     else candidates.push({...candidate, isApproved: true});
   }
   candidates.sort(compareCandidates);
   const names: types.ids.WorkerId[] = [];
   for (const candidate of candidates) {
-    if (covered >= wanted && !isBelowMinimum(names, stepRun)) break;
+    if (coveredTasks >= wantedTasks && !isBelowMinimum(names, stepRun)) break;
     if (names.length >= MAX_NAMED_WORKERS * MAX_OPEN_CALLS) break;
     names.push(candidate.id);
-    covered += candidate.tasks * (candidate.isApproved ? 1 : APPROVED_SHARE);
+    coveredTasks +=
+      candidate.tasks * (candidate.isApproved ? 1 : APPROVED_SHARE);
   }
   return names;
 }
--- a/packages/gypsumwall-scheduling/src/refusal_backoff.ts
+++ b/packages/gypsumwall-scheduling/src/refusal_backoff.ts
@@ -33,8 +33,8 @@
   const refusalsBeyond = stepRun.refusals - REFUSALS_WITHOUT_PAUSE;
   if (refusalsBeyond <= 0) return;
   const pauseMs = FIRST_PAUSE_MS * 2 ** (refusalsBeyond - 1);
-  const cappedMs = Math.min(MAX_PAUSE_MS, pauseMs);
-  stepRun.backoffUntil = types.clock.after(now, cappedMs);
+  const spanMs = Math.min(MAX_PAUSE_MS, pauseMs);
+  stepRun.backoffUntil = types.clock.after(now, spanMs);
 }
 
 /** Ends the backoff, because a worker has accepted a start of the step. */
--- a/packages/gypsumwall-scheduling/src/report_reader.ts
+++ b/packages/gypsumwall-scheduling/src/report_reader.ts
@@ -6,7 +6,7 @@
 import * as activeJob from './active_job.js';
 import * as chooseWorker from './choose_worker.js';
 import * as crashRecords from './crash_records.js';
-import type * as jobRegistrys from './job_registry.js';
+import type * as jobRegistries from './job_registry.js';
 import * as jobProgress from './job_progress.js';
 import * as jobSteps from './job_steps.js';
 import type * as attemptTable from './attempt_table.js';
@@ -27,7 +27,7 @@
   readonly registry: workerRegistry.WorkerRegistry;
   readonly attempts: attemptTable.AttemptTable;
   readonly health: workerHealth.WorkerHealth;
-  readonly jobRegistry: jobRegistrys.JobRegistry;
+  readonly jobRegistry: jobRegistries.JobRegistry;
   readonly onEvent: (event: schedulerTypes.SchedulerEvent) => void;
 }
 
@@ -43,39 +43,39 @@
 
   function applyEnd(
     workerId: types.ids.WorkerId,
-    row: schedulerTypes.AttemptEnd,
+    reported: schedulerTypes.AttemptEnd,
     now: types.clock.MonotonicMs,
   ): void {
-    const attempt = attempts.find(row.taskId, row.attempt, workerId);
+    const attempt = attempts.find(reported.taskId, reported.attempt, workerId);
     if (attempt !== undefined) {
       attempts.remove(attempt);
       jobRegistry.removeLeavingWorker(attempt);
     }
     parts.onEvent({
       type: 'run_ended',
-      run: row.taskId,
-      attempt: row.attempt,
+      run: reported.taskId,
+      attempt: reported.attempt,
       worker: workerId,
-      how: row.how,
+      how: reported.how,
     });
-    const owner = attempt?.owner ?? jobRegistry.findTask(row.taskId);
+    const owner = attempt?.owner ?? jobRegistry.findTask(reported.taskId);
     if (owner === undefined) return;
     const {stepRun, index} = owner;
     jobRegistry.markRunning(stepRun.job);
-    saveCheckpoint(stepRun, index, row.checkpoint);
-    switch (row.how) {
+    saveCheckpoint(stepRun, index, reported.checkpoint);
+    switch (reported.how) {
       case 'done':
-        applyDone(stepRun, index, row.attempt, workerId);
+        applyDone(stepRun, index, reported.attempt, workerId);
         return;
       case 'failed':
-        applyFailed(stepRun, index, row.attempt, workerId, now);
+        applyFailed(stepRun, index, reported.attempt, workerId, now);
         return;
       case 'stopped':
       case 'lapsed':
       case 'broken':
       case 'alone':
         if (attempt !== undefined) {
-          jobRegistry.requeue(stepRun, index, row.attempt);
+          jobRegistry.requeue(stepRun, index, reported.attempt);
         }
         return;
     }
@@ -135,17 +135,17 @@
 
   function applyRunning(
     workerId: types.ids.WorkerId,
-    row: schedulerTypes.RunningAttempt,
+    reported: schedulerTypes.RunningAttempt,
     now: types.clock.MonotonicMs,
   ): void {
-    const attempt = attempts.find(row.taskId, row.attempt, workerId);
+    const attempt = attempts.find(reported.taskId, reported.attempt, workerId);
     if (attempt === undefined) {
-      adoptAttempt(workerId, row, now);
+      adoptAttempt(workerId, reported, now);
       return;
     }
     if (isStopOverdue(attempt, now)) jobRegistry.retryStop(attempt);
-    if (attempt.percent !== row.percent) {
-      attempt.percent = row.percent;
+    if (attempt.percent !== reported.percent) {
+      attempt.percent = reported.percent;
       attempt.percentChangedAt = now;
     }
     attempt.startedAt ??= now;
@@ -154,7 +154,7 @@
       saveCheckpoint(
         attempt.owner.stepRun,
         attempt.owner.index,
-        row.checkpoint,
+        reported.checkpoint,
       );
       clearCrashes(attempt.owner, now - attempt.startedAt);
     }
@@ -165,7 +165,7 @@
    * that it does not crash its worker.
    */
   function clearCrashes(
-    {stepRun, index}: jobRegistrys.TaskOwner,
+    {stepRun, index}: jobRegistries.TaskRef,
     ranMs: number,
   ): void {
     if (ranMs < crashRecords.SURVIVAL_MS) return;
@@ -187,11 +187,11 @@
    */
   function adoptAttempt(
     workerId: types.ids.WorkerId,
-    row: schedulerTypes.RunningAttempt,
+    reported: schedulerTypes.RunningAttempt,
     now: types.clock.MonotonicMs,
   ): void {
-    const owner = jobRegistry.findTask(row.taskId);
-    const wanted = owner !== undefined && isWanted(owner, row.attempt);
+    const owner = jobRegistry.findTask(reported.taskId);
+    const wanted = owner !== undefined && isWanted(owner, reported.attempt);
     const worker = registry.workers.get(workerId);
     const size =
       owner === undefined
@@ -199,8 +199,8 @@
         : chooseWorker.reservedSize(owner.stepRun);
     const stepRunId = owner?.stepRun.id ?? 'stray';
     const attempt: activeJob.Attempt = {
-      taskId: row.taskId,
-      number: row.attempt,
+      taskId: reported.taskId,
+      number: reported.attempt,
       workerId,
       owner,
       size,
@@ -208,7 +208,7 @@
       phase: 'running',
       confirmedAt: now,
       startedAt: now,
-      percent: row.percent,
+      percent: reported.percent,
       percentChangedAt: now,
     };
     attempts.add(attempt);
@@ -218,8 +218,8 @@
       return;
     }
     jobRegistry.markRunning(owner.stepRun.job);
-    recordAttemptNumber(owner.stepRun, owner.index, row.attempt);
-    saveCheckpoint(owner.stepRun, owner.index, row.checkpoint);
+    recordAttemptNumber(owner.stepRun, owner.index, reported.attempt);
+    saveCheckpoint(owner.stepRun, owner.index, reported.checkpoint);
     if (wanted) jobRegistry.dequeue(owner.stepRun, owner.index);
     else jobRegistry.stop(attempt);
   }
@@ -230,7 +230,7 @@
    * started, and their last ends may not have been received here yet.
    */
   function isWanted(
-    owner: jobRegistrys.TaskOwner,
+    owner: jobRegistries.TaskRef,
     attemptNumber: number,
   ): boolean {
     const {stepRun, index} = owner;
@@ -259,7 +259,9 @@
 
   function findVanished(report: schedulerTypes.WorkerReport): void {
     const listed = new Set(
-      report.running.map((row) => `${row.taskId}#${row.attempt}`),
+      report.running.map(
+        (reported) => `${reported.taskId}#${reported.attempt}`,
+      ),
     );
     for (const attempt of [...attempts.ofWorker(report.workerId)]) {
       if (listed.has(`${attempt.taskId}#${attempt.number}`)) continue;
@@ -296,7 +298,8 @@
 
   return (report, now) => {
     for (const end of report.ends) applyEnd(report.workerId, end, now);
-    for (const row of report.running) applyRunning(report.workerId, row, now);
+    for (const reported of report.running)
+      applyRunning(report.workerId, reported, now);
     if (report.complete) findVanished(report);
     handleStall(report.workerId, now);
   };
--- a/packages/gypsumwall-scheduling/src/scheduler.ts
+++ b/packages/gypsumwall-scheduling/src/scheduler.ts
@@ -9,7 +9,7 @@
 import * as takeAdviceRequests from './take_advice_requests.js';
 import * as crashAttribution from './crash_attribution.js';
 import * as jobOrder from './job_order.js';
-import * as jobRegistrys from './job_registry.js';
+import * as jobRegistries from './job_registry.js';
 import * as jobSteps from './job_steps.js';
 import * as lostAttempts from './lost_attempts.js';
 import * as placeIsolated from './place_isolated.js';
@@ -43,7 +43,7 @@
   const registry = workerRegistry.createWorkerRegistry();
   const attempts = attemptTable.createAttemptTable(registry);
   const health = workerHealth.createWorkerHealth(() => registry.workers.size);
-  const jobRegistry = jobRegistrys.createJobRegistry({
+  const jobRegistry = jobRegistries.createJobRegistry({
     attempts,
     health,
     isLeaving: (id) => registry.workers.get(id)?.info.draining ?? true,
@@ -76,7 +76,7 @@
     isWaiting: (id) => waitsForIsolation(id),
   });
   const order = waitingOrder.createWaitingOrder();
-  const waits = waitReporter.createWaitReporter(onEvent);
+  const reporter = waitReporter.createWaitReporter(onEvent);
   let arrivals = 0;
   let reservations: schedulingCycle.CycleResult['reservations'] = new Map();
 
@@ -126,7 +126,7 @@
     now: types.clock.MonotonicMs,
     callsLeft: number,
   ): schedulingCycle.CycleResult {
-    const {steps, gangFellBehind} = order.sorted(waitingSteps, now);
+    const {steps, gangFellBehind} = order.sort(waitingSteps, now);
     if (gangFellBehind)
       for (const id of reservations.keys()) registry.markFreed(id);
     for (const id of health.takeRestored(now)) registry.markFreed(id);
@@ -141,11 +141,11 @@
       if (cycle.reservations.get(id) !== gang) registry.markFreed(id);
     }
     reservations = cycle.reservations;
-    for (const {stepRun} of cycle.placed) waits.onPlaced(stepRun);
+    for (const {stepRun} of cycle.placed) reporter.onPlaced(stepRun);
     const isReserved = (id: types.ids.WorkerId) => reservations.has(id);
     const sweptSteps = {ordered: steps, jobs: jobs.values()};
     const reasons = {registry, health, now, isReserved, isolation, callsLeft};
-    waits.sweep(sweptSteps, reasons);
+    reporter.sweep(sweptSteps, reasons);
     return cycle;
   }
 
@@ -257,7 +257,7 @@
         job.isAwaitingReconciliation = false;
         crashes.onJobReconciled(job);
         activeJob.markChanged(job);
-        jobRegistry.breakPartialGangs(job);
+        jobRegistry.stopPartialGangs(job);
       }
     },
     decide(now, wall, capacity = UNLIMITED_ADVICE) {
--- a/packages/gypsumwall-scheduling/src/scheduler_types.ts
+++ b/packages/gypsumwall-scheduling/src/scheduler_types.ts
@@ -170,9 +170,9 @@
     approved: ReadonlyMap<types.ids.WorkerId, string> | undefined,
     validUntil: types.clock.MonotonicMs,
   ): void;
-  /** Returns the attempts that are to be stopped since the last call. */
+  /** Returns the attempts to stop that were not returned before. */
   takeStops(): activeJob.Attempt[];
-  /** Returns the jobs with progress to store since the last call. */
+  /** Returns the jobs to store that were not returned before. */
   takeDirty(): DirtyJob[];
   /** The store has committed the progress of these jobs. */
   stored(jobs: readonly DirtyJob[]): void;
--- a/packages/gypsumwall-scheduling/src/scheduling_cycle.ts
+++ b/packages/gypsumwall-scheduling/src/scheduling_cycle.ts
@@ -97,8 +97,8 @@
     // Uncommitted placements keep their reservation until the end of the cycle,
     // so that no later step uses that capacity.
     if (committed.length === found.length) continue;
-    const early = new Set(committed);
-    result.awaitingCommit.push(...found.filter((one) => !early.has(one)));
+    const startable = new Set(committed);
+    result.awaitingCommit.push(...found.filter((one) => !startable.has(one)));
   }
   for (const placement of result.awaitingCommit) {
     placements.revert(placement, context.registry);
@@ -145,8 +145,8 @@
   const committed = found.filter(
     (one) => placeStep.isRecorded(stepRun, one.worker) && isCrashStored(one),
   );
-  const whole = committed.length === found.length;
-  return stepRun.request.gang && !whole ? [] : committed;
+  const isComplete = committed.length === found.length;
+  return stepRun.request.gang && !isComplete ? [] : committed;
 }
 
 /**
--- a/packages/gypsumwall-scheduling/src/take_advice_requests.ts
+++ b/packages/gypsumwall-scheduling/src/take_advice_requests.ts
@@ -40,7 +40,7 @@
   const deferrable: PlannedCall[] = [];
   let withCapacity: workerRegistry.RegisteredWorker[] | undefined;
   let {needed, large, spare} = capacity;
-  let considered = 0;
+  let consideredSteps = 0;
 
   function addRequest({stepRun, named}: PlannedCall, isNeeded: boolean): void {
     const callMs = callMsOf(stepRun, named);
@@ -54,7 +54,7 @@
   }
 
   function considerStep(stepRun: activeJob.StepRun): void {
-    considered++;
+    consideredSteps++;
     const calls = planAdviceCalls.planAdviceCalls(stepRun, context);
     calls.workersByCall.forEach((named, nth) => {
       const isNeeded = calls.needed && nth === 0;
@@ -64,7 +64,7 @@
   }
 
   for (const stepRun of steps) {
-    if (needed <= 0 || considered >= MAX_CONSIDERED_STEPS) break;
+    if (needed <= 0 || consideredSteps >= MAX_CONSIDERED_STEPS) break;
     if (!isDue(stepRun, large, now)) continue;
     stepRun.advice.nextCheckAt = types.clock.after(now, RECHECK_INTERVAL_MS);
     withCapacity ??= workersWithCapacity(context);
@@ -72,10 +72,10 @@
     else withoutCapacity.push(stepRun);
   }
   for (const stepRun of withoutCapacity) {
-    if (spare <= 0 || considered >= MAX_CONSIDERED_STEPS) break;
+    if (spare <= 0 || consideredSteps >= MAX_CONSIDERED_STEPS) break;
     considerStep(stepRun);
   }
-  for (const wanted of deferrable) addRequest(wanted, false);
+  for (const call of deferrable) addRequest(call, false);
   return requests;
 }
 
--- a/packages/gypsumwall-scheduling/src/task_isolation.ts
+++ b/packages/gypsumwall-scheduling/src/task_isolation.ts
@@ -147,9 +147,9 @@
   function hasUnstartedPlacements(
     worker: workerRegistry.RegisteredWorker,
   ): boolean {
-    let booked = 0;
-    for (const count of worker.tasksByStep.values()) booked += count;
-    return booked > attempts.ofWorker(worker.info.id).size;
+    let reservedTasks = 0;
+    for (const count of worker.tasksByStep.values()) reservedTasks += count;
+    return reservedTasks > attempts.ofWorker(worker.info.id).size;
   }
 
   function canStartIsolated(
--- a/packages/gypsumwall-scheduling/src/waiting_order.ts
+++ b/packages/gypsumwall-scheduling/src/waiting_order.ts
@@ -20,7 +20,7 @@
 
 /** Sorts the waiting steps. */
 export interface WaitingOrder {
-  sorted(
+  sort(
     waiting: ReadonlySet<activeJob.StepRun>,
     now: types.clock.MonotonicMs,
   ): SortedSteps;
@@ -32,7 +32,7 @@
   let steps: activeJob.StepRun[] = [];
 
   return {
-    sorted(waiting, now) {
+    sort(waiting, now) {
       const kept = steps.filter((stepRun) => waiting.has(stepRun));
       for (const stepRun of waiting)
         if (!known.has(stepRun)) kept.push(stepRun);
--- a/packages/gypsumwall-scheduling/src/worker_losses.ts
+++ b/packages/gypsumwall-scheduling/src/worker_losses.ts
@@ -155,13 +155,13 @@
       const incarnation = incarnations.get(id);
       if (incarnation?.loss === undefined) return false;
       const {domain} = incarnation.info;
-      const near = countAround(
+      const inDomain = countAround(
         id,
         incarnation.loss.at,
         SIMULTANEOUS_LOSS_WINDOW_MS,
         (info) => info.domain === domain,
       );
-      if (near.lost > 1) return true;
+      if (inDomain.lost > 1) return true;
       return isShareLost(
         id,
         SIMULTANEOUS_LOSS_WINDOW_MS,
