--- a/packages/gypsumwall-scheduling/src/__tests__/decisions.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/decisions.test.ts
@@ -124,7 +124,7 @@
   const job = types.ids.brand<types.ids.JobId>('5c0e');
   const id = taskId.taskId(taskId.stepRunId(job, 2, 1), 17);
   const place = {jobId: job, occurrence: 2, step: 1, index: 17};
-  assert.deepEqual(taskId.placeOf(id), place);
-  assert.equal(taskId.placeOf('5c0e.1.x.2'), undefined);
-  assert.equal(taskId.placeOf('5c0e.1'), undefined);
+  assert.deepEqual(taskId.parseTaskId(id), place);
+  assert.equal(taskId.parseTaskId('5c0e.1.x.2'), undefined);
+  assert.equal(taskId.parseTaskId('5c0e.1'), undefined);
 });
--- a/packages/gypsumwall-scheduling/src/job_registry.ts
+++ b/packages/gypsumwall-scheduling/src/job_registry.ts
@@ -246,7 +246,7 @@
   }
 
   function findTask(taskId: types.ids.TaskId): TaskRef | undefined {
-    const place = taskIds.placeOf(taskId);
+    const place = taskIds.parseTaskId(taskId);
     if (place === undefined) return undefined;
     const occurrence = jobs.get(place.jobId)?.open.get(place.occurrence);
     const stepRun = occurrence?.steps[place.step];
--- a/packages/gypsumwall-scheduling/src/scheduler_types.ts
+++ b/packages/gypsumwall-scheduling/src/scheduler_types.ts
@@ -166,7 +166,7 @@
   stopAnswered(attempt: activeJob.Attempt, now: types.clock.MonotonicMs): void;
   report(report: WorkerReport, now: types.clock.MonotonicMs): void;
   adviceAnswered(
-    wish: AdviceRequest,
+    request: AdviceRequest,
     approved: ReadonlyMap<types.ids.WorkerId, string> | undefined,
     validUntil: types.clock.MonotonicMs,
   ): void;
--- a/packages/gypsumwall-scheduling/src/task_id.ts
+++ b/packages/gypsumwall-scheduling/src/task_id.ts
@@ -5,7 +5,7 @@
 import * as types from '@gypsumwall/types';
 
 /** The parts of a task id. */
-export interface TaskPlace {
+export interface TaskIdParts {
   readonly jobId: types.ids.JobId;
   /** Number of the occurrence; 0 for a job without a schedule. */
   readonly occurrence: number;
@@ -28,7 +28,7 @@
 }
 
 /** Parses a task id; undefined if it has another form. */
-export function placeOf(id: string): TaskPlace | undefined {
+export function parseTaskId(id: string): TaskIdParts | undefined {
   const parts = id.split('.');
   if (parts.length !== 4) return undefined;
   const [occurrence, step, index] = parts.slice(1).map(Number);
