--- a/packages/gypsumwall-scheduling/src/__fixtures__/unreliable_world.ts
+++ b/packages/gypsumwall-scheduling/src/__fixtures__/unreliable_world.ts
@@ -208,10 +208,10 @@
 
   function flush(): void {
     const dirty = scheduler.takeDirty();
-    const sequence = new Map(
+    const receivedSequences = new Map(
       workers.map((worker) => [worker, worker.receivedSequence]),
     );
-    writes.push({dirty, receivedSequences: sequence});
+    writes.push({dirty, receivedSequences});
   }
 
   function decide(): number {
@@ -245,7 +245,7 @@
     return {type: 'started'};
   }
 
-  function answerStart(start: PendingStart, fate: StartDelivery): void {
+  function answerStart(start: PendingStart, delivery: StartDelivery): void {
     starts = starts.filter((one) => one !== start);
     const {attempt} = start.order;
     const reportOutcome = (outcome: schedulerTypes.StartOutcome) => {
@@ -254,7 +254,7 @@
         scheduler.startAnswered(attempt, outcome, now);
       }
     };
-    switch (fate) {
+    switch (delivery) {
       case 'started':
         reportOutcome(receiveStart(start));
         return;
@@ -271,7 +271,7 @@
       case 'no_room':
       case 'unhealthy':
       case 'other':
-        reportOutcome({type: 'refused', reason: fate});
+        reportOutcome({type: 'refused', reason: delivery});
         return;
     }
   }
@@ -328,10 +328,10 @@
     return {running, ends, complete: ends.length < MAX_ENDS_PER_REPORT};
   }
 
-  function requestReport(worker: RealWorker, answeredNow: boolean): void {
+  function requestReport(worker: RealWorker, isAnsweredNow: boolean): void {
     if (!worker.isAlive || worker.isCutOff) return;
     worker.generation = generation;
-    const content = answeredNow ? reportContentOf(worker) : undefined;
+    const content = isAnsweredNow ? reportContentOf(worker) : undefined;
     reports.push({worker, generation, askedAt: now, content});
   }
 
@@ -411,7 +411,7 @@
   }
 
   /** Expires all leases of a worker that is cut off. */
-  function leasePassed(worker: RealWorker): void {
+  function expireLeases(worker: RealWorker): void {
     for (const attempt of [...worker.attempts.values()])
       endAttempt(worker, attempt, 'lapsed');
     for (const start of starts.filter((one) => one.worker === worker)) {
@@ -456,7 +456,7 @@
         continue;
       }
       if (!worker.isListed) listWorker(worker);
-      if (worker.isCutOff) leasePassed(worker);
+      if (worker.isCutOff) expireLeases(worker);
     }
     for (const start of lateStarts) deliverLate(start);
     for (const start of starts) answerStart(start, 'started');
@@ -572,7 +572,7 @@
       worker.isAlive = false;
       worker.attempts.clear();
     },
-    leasePassed,
+    expireLeases,
     takeOver,
     answerAll,
     settle,
--- a/packages/gypsumwall-scheduling/src/__tests__/task_isolation.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/task_isolation.test.ts
@@ -10,7 +10,7 @@
 
 const {test} = nodeTest;
 const FIRST_ISOLATION_MS = 3_000;
-const SETTLED_MS = 2_000;
+const MIN_SETTLED_MS = 2_000;
 
 /** Progress of a job for which the store has recorded this worker already. */
 const RECORDED: jobProgress.JobProgress = {
@@ -82,7 +82,7 @@
   assert.equal(world.startAll().length, 1);
   submitSuspect(world, 'suspect', [0], 2);
   assert.equal(world.startAll().length, 0);
-  elapse(world, SETTLED_MS - 100);
+  elapse(world, MIN_SETTLED_MS - 100);
   assert.equal(world.startAll().length, 0);
   elapse(world, 200);
   assert.equal(world.startAll().length, 1);
@@ -183,7 +183,7 @@
   const fields = {taskCount: 6, gang: true};
   submitSuspect(world, 'gang', [2], 2, fields);
   assert.equal(world.startAll().length, 0);
-  elapse(world, SETTLED_MS);
+  elapse(world, MIN_SETTLED_MS);
   assert.equal(world.startAll().length, 6);
 });
 
--- a/packages/gypsumwall-scheduling/src/__tests__/waiting_work.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/waiting_work.test.ts
@@ -54,7 +54,7 @@
       ...kinds('start'),
       pick: nat,
       count: fc.integer({min: 1, max: 6}),
-      fate: fc.constantFrom<worlds.StartDelivery[]>(
+      delivery: fc.constantFrom<worlds.StartDelivery[]>(
         'started',
         'started',
         'started',
@@ -81,9 +81,13 @@
   },
   {
     weight: 5,
-    arbitrary: fc.record({...kinds('ask'), worker: nat, now: fc.boolean()}),
+    arbitrary: fc.record({
+      ...kinds('requestReport'),
+      worker: nat,
+      now: fc.boolean(),
+    }),
   },
-  {weight: 6, arbitrary: fc.record({...kinds('deliver'), pick: nat})},
+  {weight: 6, arbitrary: fc.record({...kinds('deliverReport'), pick: nat})},
   {weight: 4, arbitrary: fc.record(kinds('write'))},
   {
     weight: 5,
@@ -118,9 +122,9 @@
     arbitrary: fc.record({...kinds('drain'), worker: nat, on: fc.boolean()}),
   },
   {weight: 1, arbitrary: fc.record({...kinds('evacuate'), worker: nat})},
-  {weight: 1, arbitrary: fc.record({...kinds('leasePassed'), worker: nat})},
-  {weight: 1, arbitrary: fc.record({...kinds('gone'), worker: nat})},
-  {weight: 1, arbitrary: fc.record({...kinds('die'), worker: nat})},
+  {weight: 1, arbitrary: fc.record({...kinds('expireLeases'), worker: nat})},
+  {weight: 1, arbitrary: fc.record({...kinds('removeWorker'), worker: nat})},
+  {weight: 1, arbitrary: fc.record({...kinds('crashUnnoticed'), worker: nat})},
   {
     weight: 1,
     arbitrary: fc.record({
@@ -183,8 +187,8 @@
     case 'start':
       for (let nth = 0; nth < action.count; nth++) {
         const start = world.pickOf(world.starts, action.pick);
-        const fate = nth === 0 ? action.fate : 'started';
-        if (start !== undefined) world.answerStart(start, fate);
+        const delivery = nth === 0 ? action.delivery : 'started';
+        if (start !== undefined) world.answerStart(start, delivery);
       }
       return;
     case 'late': {
@@ -197,12 +201,12 @@
       if (attempt !== undefined) world.answerStop(attempt, action);
       return;
     }
-    case 'ask': {
+    case 'requestReport': {
       const worker = workerOf(action.worker);
       if (worker !== undefined) world.requestReport(worker, action.now);
       return;
     }
-    case 'deliver': {
+    case 'deliverReport': {
       const report = world.pickOf(world.reports, action.pick);
       if (report !== undefined) world.deliverReport(report);
       return;
@@ -253,17 +257,17 @@
       if (worker !== undefined) world.scheduler.evacuate(worker.id);
       return;
     }
-    case 'leasePassed': {
+    case 'expireLeases': {
       const worker = workerOf(action.worker);
-      if (worker?.isCutOff === true) world.leasePassed(worker);
+      if (worker?.isCutOff === true) world.expireLeases(worker);
       return;
     }
-    case 'gone': {
+    case 'removeWorker': {
       const worker = workerOf(action.worker);
       if (worker !== undefined) world.removeWorker(worker);
       return;
     }
-    case 'die': {
+    case 'crashUnnoticed': {
       const worker = workerOf(action.worker);
       if (worker !== undefined) world.crashUnnoticed(worker);
       return;
--- a/packages/gypsumwall-scheduling/src/crash_attribution.ts
+++ b/packages/gypsumwall-scheduling/src/crash_attribution.ts
@@ -81,7 +81,7 @@
    * Records a crash for one of these workers only: a task has one attempt at a
    * time, so it ran on one of them at most.
    */
-  function recordFirstUnknown(
+  function recordSingleCrash(
     stepRun: activeJob.StepRun,
     index: number,
     workers: readonly types.ids.WorkerId[],
@@ -111,7 +111,8 @@
 
   /**
    * How long an attempt ran isolated from other jobs before its worker crashed;
-   * undefined if the crash is not its own.
+   * undefined if it was not isolated then, or if other workers were lost at the
+   * same moment.
    */
   function isolatedMs(
     {isolatedUntil, startedAt, workerId}: activeJob.Attempt,
@@ -171,7 +172,7 @@
       for (const {steps} of job.open.values()) {
         for (const stepRun of steps) {
           for (const index of missingIndexes(stepRun)) {
-            recordFirstUnknown(stepRun, index, crashed);
+            recordSingleCrash(stepRun, index, crashed);
           }
         }
       }
--- a/packages/gypsumwall-scheduling/src/job_registry.ts
+++ b/packages/gypsumwall-scheduling/src/job_registry.ts
@@ -182,7 +182,7 @@
     }
   }
 
-  /** Whether a gang misses a member after the end of this attempt. */
+  /** Whether a gang lacks a member after the end of this attempt. */
   function losesMember(
     stepRun: activeJob.StepRun,
     attemptNumber: number,
--- a/packages/gypsumwall-scheduling/src/lost_attempts.ts
+++ b/packages/gypsumwall-scheduling/src/lost_attempts.ts
@@ -18,7 +18,7 @@
   readonly onEvent: (event: schedulerTypes.SchedulerEvent) => void;
 }
 
-/** Handles lost workers. */
+/** Handles the attempts of lost workers. */
 export interface LostAttempts {
   /** Called when a worker has stopped answering. */
   onWorkerUnanswered(
--- a/packages/gypsumwall-scheduling/src/plan_advice_calls.ts
+++ b/packages/gypsumwall-scheduling/src/plan_advice_calls.ts
@@ -152,7 +152,8 @@
 }
 
 /**
- * Whether a first call would name fewer workers than the objective allows for.
+ * Whether this is the first call of a step and names fewer workers than the
+ * objective allows for.
  */
 function isBelowMinimum(
   names: readonly types.ids.WorkerId[],
--- a/packages/gypsumwall-scheduling/src/scheduler.ts
+++ b/packages/gypsumwall-scheduling/src/scheduler.ts
@@ -193,7 +193,10 @@
     return jobOrder.compareRanked(rank, other.rank) < 0;
   }
 
-  /** Has the workers recorded on which tasks are about to start. */
+  /**
+   * Marks the jobs to be stored with the workers on which their tasks are about
+   * to start.
+   */
   function recordWorkers(
     awaitingCommit: readonly placements.Placement[],
   ): void {
--- a/packages/gypsumwall-scheduling/src/task_isolation.ts
+++ b/packages/gypsumwall-scheduling/src/task_isolation.ts
@@ -30,6 +30,7 @@
 /** Maximum share of the workers that are reserved at once. */
 const MAX_RESERVED_SHARE = 0.25;
 
+/** Why a worker is closed to other jobs, and until when. */
 interface IsolationHold {
   readonly type: 'reserved' | 'isolating';
   readonly jobId: types.ids.JobId;
