--- a/packages/gypsumwall-cell/src/__fixtures__/fake_worker.ts
+++ b/packages/gypsumwall-cell/src/__fixtures__/fake_worker.ts
@@ -173,7 +173,7 @@
             percent: Math.floor(clockMs() / 100) % 100,
           })),
           ends: [...ends],
-          moreEnds: false,
+          hasMoreEnds: false,
         });
       },
       close() {},
--- a/packages/gypsumwall-cell/src/cell_holder.ts
+++ b/packages/gypsumwall-cell/src/cell_holder.ts
@@ -301,7 +301,7 @@
       void writer.run();
       // Everything that was accepted before the claim has to be known.
       while (!stopping.signal.aborted && !(await options.catchUpJobs())) {
-        await types.clock.pause(clock, TICK_MS, stopping.signal);
+        await types.clock.sleepFor(clock, TICK_MS, stopping.signal);
       }
       if (stopping.signal.aborted) return;
       for (const job of jobs.all()) takeUp(job, true);
@@ -348,7 +348,7 @@
       deciding = false;
       const until = types.clock.after(clock.monotonic(), HAND_OVER_WAIT_MS);
       while (ordersOnTheirWay > 0 && clock.monotonic() < until) {
-        await types.clock.pause(clock, ORDERS_LOOK_MS);
+        await types.clock.sleepFor(clock, ORDERS_LOOK_MS);
       }
       const released: storeRecords.ClaimRecord = {
         holder: claim.holder,
@@ -361,7 +361,7 @@
           flush(),
           writer.write([{kind: 'claim', claim: released}]),
         ]),
-        types.clock.pause(clock, HAND_OVER_WAIT_MS),
+        types.clock.sleepFor(clock, HAND_OVER_WAIT_MS),
       ]);
       stop();
     },
--- a/packages/gypsumwall-cell/src/job_service.ts
+++ b/packages/gypsumwall-cell/src/job_service.ts
@@ -159,7 +159,7 @@
   async function readIfOverdue(appended: Promise<unknown>): Promise<void> {
     const answered = new AbortController();
     void appended.then(() => answered.abort());
-    await types.clock.pause(clock, SUSPECT_STORE_MS, answered.signal);
+    await types.clock.sleepFor(clock, SUSPECT_STORE_MS, answered.signal);
     if (!answered.signal.aborted) await follower.catchUp();
   }
 
@@ -194,7 +194,7 @@
   }
 
   async function outOfPatience(patienceMs: number): Promise<false> {
-    await types.clock.pause(clock, patienceMs);
+    await types.clock.sleepFor(clock, patienceMs);
     return false;
   }
 
--- a/packages/gypsumwall-cell/src/worker_session.ts
+++ b/packages/gypsumwall-cell/src/worker_session.ts
@@ -182,7 +182,7 @@
     }
     const ends = report.ends.filter((end) => end.sequence > lastSequence);
     for (const end of ends) lastSequence = Math.max(lastSequence, end.sequence);
-    const complete = !report.moreEnds;
+    const complete = !report.hasMoreEnds;
     const {running} = report;
     scheduler.report(
       {workerId: worker.id, askedAt, running, ends, complete},
@@ -209,7 +209,7 @@
   }
 
   const pause = (spanMs: number) =>
-    types.clock.pause(clock, spanMs, closing.signal);
+    types.clock.sleepFor(clock, spanMs, closing.signal);
 
   function startOutcome(
     answer: result.Result<ports.OrderAnswer, types.stepError.StepError>,
--- a/packages/gypsumwall-entry/src/create_entry.ts
+++ b/packages/gypsumwall-entry/src/create_entry.ts
@@ -178,7 +178,7 @@
     makePlacer: () => placement.createPlacer.createPlacer({random}),
     scheduler: {
       self,
-      spans: {
+      durations: {
         workerHeartbeatMs: cfg.workerHeartbeatMs,
         taskLeaseMs: cfg.taskLeaseMs,
         serviceLeaseMs: cfg.serviceLeaseMs,
@@ -281,7 +281,7 @@
   }
 
   function onView(view: membership.domainView.DomainView): void {
-    recentWorkers.note(
+    recentWorkers.record(
       view.workers.map((worker) => worker.id),
       clock.monotonic(),
     );
--- a/packages/gypsumwall-entry/src/domain_holder.ts
+++ b/packages/gypsumwall-entry/src/domain_holder.ts
@@ -94,7 +94,7 @@
     onView: (view) => held?.setWorkers(view.workers),
     onJob: (change) => {
       if (change.type !== 'restored' || heldEpoch === undefined) {
-        held?.onJob(change);
+        held?.onJobChange(change);
         return;
       }
       // The books were kept record by record; after a jump they are made
--- a/packages/gypsumwall-entry/src/domain_scheduler.ts
+++ b/packages/gypsumwall-entry/src/domain_scheduler.ts
@@ -29,8 +29,8 @@
   /** Workers as the list shows them now. */
   setWorkers(listed: readonly platform.instanceList.ListedWorker[]): void;
   setTeam(team: placement.placer.PlacerTeam): void;
-  onJob(change: records.jobFold.JobChange): void;
-  running(jobId: types.ids.JobId): number;
+  onJobChange(change: records.jobFold.JobChange): void;
+  activeTaskCount(jobId: types.ids.JobId): number;
   /** Runs of its tasks that failed while this entry has held the domain. */
   failures(jobId: types.ids.JobId): number;
   explain(jobId: types.ids.JobId): string;
@@ -52,7 +52,7 @@
 export function createDomainScheduler(
   options: schedulerOptions.DomainSchedulerOptions,
 ): DomainScheduler {
-  const {clock, placer, spans, epoch} = options;
+  const {clock, placer, durations: spans, epoch} = options;
   const logger = options.logger.with({epoch});
   const heldSince = clock.monotonic();
   const closing = new AbortController();
@@ -66,7 +66,7 @@
     runsOnce: (taskId) => books.runsOnce(taskId),
     eventsOf,
     onClosed: (id) => {
-      placer.closeWorker(id);
+      placer.cordonWorker(id);
       evacuate(id);
     },
     onReopened: openWorker,
@@ -108,8 +108,8 @@
       options.metrics.observe('placementTime', tookMs / decided);
     }
     decisions.placements.forEach(startTask);
-    decisions.reliefs.forEach(relieve);
-    placer.takeGivenUp().forEach(giveUpJob);
+    decisions.preemptions.forEach(relieve);
+    placer.takeAbandonedJobs().forEach(giveUpJob);
     if (decided >= ROUND_LIMIT) scheduleRound();
   }
 
@@ -139,7 +139,7 @@
     });
   }
 
-  function relieve(relief: placement.placer.Relief): void {
+  function relieve(relief: placement.placer.PreemptionAction): void {
     const task = tasks.get(relief.taskId);
     const session = task && pool.session(task.workerId);
     if (task === undefined || session === undefined) return;
@@ -203,7 +203,7 @@
 
   function onAttached(
     id: types.ids.WorkerId,
-    answer: platform.worker.Attached,
+    answer: platform.worker.AttachAnswer,
   ): void {
     fenced.add(id);
     capacities.set(id, answer.capacity);
@@ -227,7 +227,7 @@
     const capacity = capacities.get(id);
     if (listed === undefined || capacity === undefined) return;
     placer.setWorker({id, rack: listed.rack, capacity});
-    if (listed.state === 'leaving') placer.closeWorker(id);
+    if (listed.state === 'leaving') placer.cordonWorker(id);
   }
 
   /**
@@ -265,7 +265,7 @@
       usage: (usage) => {
         for (const {taskId, used} of usage) placer.reportUsage(taskId, used);
       },
-      silent: () => placer.closeWorker(id),
+      silent: () => placer.cordonWorker(id),
       lapsed: () => {
         for (const task of tasks.at(id)) books.release(task, {type: 'stopped'});
         pool.forgetIfGone(id);
@@ -311,10 +311,10 @@
       scheduleRound();
     },
     setTeam: (team) => placer.setTeam(team),
-    onJob,
-    running: (jobId) => tasks.of(jobId).length,
+    onJobChange: onJob,
+    activeTaskCount: (jobId) => tasks.of(jobId).length,
     failures: (jobId) => books.failures(jobId),
-    explain: (jobId) => placer.explain(jobId),
+    explain: (jobId) => placer.explainWait(jobId),
     admit: (spec) => placer.admit(spec, clock.wall()),
     status: () => ({
       epoch,
--- a/packages/gypsumwall-entry/src/job_routes.ts
+++ b/packages/gypsumwall-entry/src/job_routes.ts
@@ -175,7 +175,7 @@
   context: entryContext.EntryContext,
   jobId: types.ids.JobId,
 ): forwardCall.PeerChoice {
-  const home = types.ids.homeOfJob(jobId);
+  const home = types.ids.homeDomainOfJob(jobId);
   if (home !== context.failureDomain) {
     return forwardCall.peersOfDomain(context, home);
   }
@@ -205,13 +205,13 @@
   context: entryContext.EntryContext,
   jobId: types.ids.JobId,
 ): boolean {
-  const home = types.ids.homeOfJob(jobId);
+  const home = types.ids.homeDomainOfJob(jobId);
   const domains = context.config.cell()?.failureDomains ?? [];
   return home !== context.failureDomain && domains.includes(home);
 }
 
 function homeUnreachable(jobId: types.ids.JobId): problem.Problem {
-  return unreachable(types.ids.homeOfJob(jobId));
+  return unreachable(types.ids.homeDomainOfJob(jobId));
 }
 
 function unreachable(home: types.ids.FailureDomain): problem.Problem {
@@ -259,7 +259,7 @@
   if (checked.isErr) return problem.send(res, checked.error);
   const {team, deadline} = checked.value;
   const jobId = types.ids.brand<types.ids.JobId>(req.params.jobId);
-  if (types.ids.homeOfJob(jobId) !== context.failureDomain) {
+  if (types.ids.homeDomainOfJob(jobId) !== context.failureDomain) {
     const handed = await handOn(context, req, res, deadline);
     if (handed.type === 'answered') return handed.reply;
     if (isForeign(context, jobId)) {
--- a/packages/gypsumwall-entry/src/job_service.ts
+++ b/packages/gypsumwall-entry/src/job_service.ts
@@ -189,14 +189,14 @@
   job: records.jobFold.JobState,
   scheduler: domainScheduler.DomainScheduler | undefined,
 ): types.job.JobView {
-  const running = scheduler?.running(job.jobId) ?? 0;
+  const running = scheduler?.activeTaskCount(job.jobId) ?? 0;
   const closedWell = job.phase.type === 'done';
   return {
     jobId: job.jobId,
     team: job.spec.team,
     state: stateOf(job.phase, running),
     kind: job.spec.shape.kind,
-    tasks: types.job.taskCount(job.spec.shape),
+    tasks: types.job.maxTaskCount(job.spec.shape),
     finished: job.results.size,
     failed: scheduler?.failures(job.jobId) ?? 0,
     running,
--- a/packages/gypsumwall-entry/src/recovery_gate.ts
+++ b/packages/gypsumwall-entry/src/recovery_gate.ts
@@ -17,7 +17,7 @@
 /** When each worker was last on the list, as long as this process ran. */
 export interface RecentWorkers {
   /** Notes the workers of a list that was just fetched. */
-  note(ids: Iterable<types.ids.WorkerId>, now: MonotonicMs): void;
+  record(ids: Iterable<types.ids.WorkerId>, now: MonotonicMs): void;
   /** Workers listed at or after `since`. */
   listedSince(since: MonotonicMs): readonly types.ids.WorkerId[];
   /** When the first list was noted; undefined before. */
@@ -29,7 +29,7 @@
   const lastListed = new Map<types.ids.WorkerId, MonotonicMs>();
   let since: MonotonicMs | undefined;
   return {
-    note: (ids, now) => {
+    record: (ids, now) => {
       since ??= now;
       for (const id of ids) lastListed.set(id, now);
     },
--- a/packages/gypsumwall-entry/src/scheduler_options.ts
+++ b/packages/gypsumwall-entry/src/scheduler_options.ts
@@ -7,7 +7,7 @@
 import type * as recoveryGate from './recovery_gate.js';
 
 /** Spans of the scheduler, in milliseconds, out of the entry's settings. */
-export interface SchedulerSpans {
+export interface SchedulerDurations {
   readonly workerHeartbeatMs: number;
   readonly taskLeaseMs: number;
   /** Lease of a service's task, which may run twice for a while. */
@@ -22,7 +22,7 @@
   readonly self: types.ids.EntryId;
   /** Whether anybody has held the domain before this epoch. */
   readonly hadPredecessor: boolean;
-  readonly spans: SchedulerSpans;
+  readonly durations: SchedulerDurations;
   readonly clock: types.clock.Clock;
   readonly logger: telemetry.logger.Logger;
   readonly tracer: telemetry.tracing.Tracer;
--- a/packages/gypsumwall-entry/src/task_books.ts
+++ b/packages/gypsumwall-entry/src/task_books.ts
@@ -31,7 +31,7 @@
     startedAt: types.clock.MonotonicMs,
   ): taskTable.ActiveTask;
   /** Gives a task's room back; it waits again if its job still wants it. */
-  release(task: taskTable.ActiveTask, report: placement.placer.RunReport): void;
+  release(task: taskTable.ActiveTask, report: placement.placer.AttemptReport): void;
   /** Runs of a job's tasks that failed in this epoch. */
   failures(jobId: types.ids.JobId): number;
   /** Jobs from before the epoch that are held back. */
@@ -60,13 +60,13 @@
     const job = jobOf(taskId);
     if (job?.phase.type !== 'open') return false;
     const {index} = types.ids.splitTaskId(taskId);
-    const count = types.job.taskCount(job.spec.shape);
+    const count = types.job.maxTaskCount(job.spec.shape);
     return index < count && !job.results.has(index);
   }
 
   function waitingIndexes(job: JobState): number[] {
     const waiting: number[] = [];
-    const count = types.job.taskCount(job.spec.shape);
+    const count = types.job.maxTaskCount(job.spec.shape);
     for (let index = 0; index < count; index++) {
       if (job.results.has(index)) continue;
       const taskId = types.ids.makeTaskId(job.jobId, index);
@@ -84,7 +84,7 @@
 
   function release(
     task: taskTable.ActiveTask,
-    report: placement.placer.RunReport,
+    report: placement.placer.AttemptReport,
   ): void {
     tasks.remove(task);
     placer.release(task.taskId, report);
--- a/packages/gypsumwall-entry/src/task_ends.ts
+++ b/packages/gypsumwall-entry/src/task_ends.ts
@@ -76,7 +76,7 @@
   ): void {
     if (task?.phase === 'recording') return;
     if (task !== undefined) task.phase = 'recording';
-    const report: placement.placer.RunReport = {
+    const report: placement.placer.AttemptReport = {
       type: 'done',
       ranMs: ranMs(task),
     };
@@ -101,7 +101,7 @@
 function reportOf(
   end: types.job.TaskEnd,
   ranMs: number,
-): placement.placer.RunReport {
+): placement.placer.AttemptReport {
   switch (end.type) {
     case 'done':
       return {type: 'done', ranMs};
--- a/packages/gypsumwall-entry/src/worker_attachment.ts
+++ b/packages/gypsumwall-entry/src/worker_attachment.ts
@@ -18,7 +18,7 @@
 
 /** Makes it of the answer to an attach that arrived at `now`. */
 export function fromAnswer(
-  answer: platform.worker.Attached,
+  answer: platform.worker.AttachAnswer,
   epoch: number,
   now: MonotonicMs,
   runsOnce: (taskId: types.ids.TaskId) => boolean,
--- a/packages/gypsumwall-entry/src/worker_pool.ts
+++ b/packages/gypsumwall-entry/src/worker_pool.ts
@@ -54,7 +54,7 @@
 
   function add(listed: platform.instanceList.ListedWorker): void {
     const abort = new AbortController();
-    const {spans} = scheduler;
+    const {durations: durations} = scheduler;
     const session = workerSession.createWorkerSession({
       workerId: listed.id,
       worker: scheduler.makeWorker(listed),
@@ -64,9 +64,9 @@
       logger: scheduler.logger,
       tracer: scheduler.tracer,
       metrics: scheduler.metrics,
-      heartbeatMs: spans.workerHeartbeatMs,
-      leaseMs: spans.taskLeaseMs,
-      graceMs: spans.leaseGraceMs,
+      heartbeatMs: durations.workerHeartbeatMs,
+      leaseMs: durations.taskLeaseMs,
+      graceMs: durations.leaseGraceMs,
       runsOnce: options.runsOnce,
       claimDeadline: scheduler.claimDeadline,
       events: options.eventsOf(listed.id),
--- a/packages/gypsumwall-entry/src/worker_session.ts
+++ b/packages/gypsumwall-entry/src/worker_session.ts
@@ -15,7 +15,7 @@
 /** What the session tells the scheduler. */
 export interface SessionEvents {
   /** Attached; the answer tells all that runs or has ended there. */
-  attached(answer: platform.worker.Attached): void;
+  attached(answer: platform.worker.AttachAnswer): void;
   started(order: startOrder.StartOrder): void;
   /** Proved that the attempt does not run and never will. */
   notStarted(order: startOrder.StartOrder, message: string): void;
--- a/packages/gypsumwall-membership/src/peer_client.ts
+++ b/packages/gypsumwall-membership/src/peer_client.ts
@@ -155,11 +155,11 @@
   thrown: unknown,
 ): types.stepError.StepError {
   if (!(thrown instanceof connect.ConnectError)) {
-    return platform.httpCall.transportError({step, peer}, thrown);
+    return platform.httpCall.createTransportError({step, peer}, thrown);
   }
   // The cause, not the text, tells whether anything was sent.
-  if (platform.httpCall.codeOf(thrown.cause) !== '') {
-    return platform.httpCall.transportError({step, peer}, thrown.cause);
+  if (platform.httpCall.findErrorCode(thrown.cause) !== '') {
+    return platform.httpCall.createTransportError({step, peer}, thrown.cause);
   }
   // Nothing else proves that the call had no effect: an answer that can't be
   // read gets the same codes here as a request that the peer couldn't read,
--- a/packages/gypsumwall-records/src/config_fold.ts
+++ b/packages/gypsumwall-records/src/config_fold.ts
@@ -89,7 +89,7 @@
       record.value,
     );
     if (checked.isErr) return {type: 'invalid', problems: checked.error};
-    const owner = settings.tokenHashes.otherOwner(checked.value, inForce());
+    const owner = settings.tokenHashes.findSharedTokenOwner(checked.value, inForce());
     if (owner !== undefined) {
       return {
         type: 'invalid',
--- a/packages/gypsumwall-records/src/job_fold.ts
+++ b/packages/gypsumwall-records/src/job_fold.ts
@@ -100,7 +100,7 @@
     if (record.end.type !== 'done') return;
     if (job.spec.shape.kind === 'service') return;
     job.results.set(index, record.end.result);
-    const wanted = types.job.taskCount(job.spec.shape);
+    const wanted = types.job.maxTaskCount(job.spec.shape);
     if (job.results.size >= wanted) close(job, {type: 'done'});
   }
 
--- a/packages/gypsumwall-testing/src/__fixtures__/domain_harness.ts
+++ b/packages/gypsumwall-testing/src/__fixtures__/domain_harness.ts
@@ -23,7 +23,7 @@
   | {readonly type: 'hold'; readonly until: Promise<void>};
 
 /** Spans of a test's domain: long enough to work, short enough to wait out. */
-export const SPANS: entry.schedulerOptions.SchedulerSpans = {
+export const SPANS: entry.schedulerOptions.SchedulerDurations = {
   workerHeartbeatMs: 20,
   taskLeaseMs: 300,
   serviceLeaseMs: 60_000,
@@ -84,11 +84,11 @@
     state: 'live' as const,
     capacity: CAPACITY,
   }));
-  recentWorkers.note(
+  recentWorkers.record(
     listed.map((worker) => worker.id),
     types.clock.after(clock.monotonic(), -10_000),
   );
-  recentWorkers.note(
+  recentWorkers.record(
     listed.map((worker) => worker.id),
     clock.monotonic(),
   );
@@ -113,11 +113,11 @@
       epoch,
       self: types.ids.brand<types.ids.EntryId>(`holder-${epoch}`),
       hadPredecessor: epoch > 1,
-      spans: SPANS,
+      durations: SPANS,
       clock,
       logger: telemetry.logger.createLogger('silent'),
       tracer: telemetry.tracing.createTracer({instance: `holder-${epoch}`}),
-      metrics: telemetry.metrics.createSilentMetrics(),
+      metrics: telemetry.metrics.createNoopMetrics(),
       placer,
       jobs,
       recentWorkers,
@@ -138,7 +138,7 @@
       deadline: types.clock.after(clock.monotonic(), 60_000),
       cut,
     };
-    listeners.add((change) => scheduler.onJob(change));
+    listeners.add((change) => scheduler.onJobChange(change));
     scheduler.setWorkers(listed);
     context.after(() => scheduler.close());
     return holder;
--- a/packages/gypsumwall-testing/src/__tests__/domain_scheduler.test.ts
+++ b/packages/gypsumwall-testing/src/__tests__/domain_scheduler.test.ts
@@ -31,7 +31,7 @@
   domain.startFaults.set('w2', {type: 'hold', until: until1});
   const old = domain.hold(1);
   const jobId = domain.submit('a', 200);
-  await until('decided', () => old.scheduler.running(jobId) === 1);
+  await until('decided', () => old.scheduler.activeTaskCount(jobId) === 1);
   old.deadline = undefined;
   domain.startFaults.clear();
   domain.hold(2);
@@ -120,7 +120,7 @@
   const jobId = domain.submit('a', 60_000, 50);
   await until('some run', () => domain.starts().length > 0);
   domain.apply({type: 'job_cancelled', jobId});
-  await until('none active', () => scheduler.running(jobId) === 0);
+  await until('none active', () => scheduler.activeTaskCount(jobId) === 0);
   const started = domain.starts().length;
   const other = domain.submit('b', 10);
   await until('next', () => domain.jobs.job(other)?.phase.type === 'done');
@@ -176,7 +176,7 @@
     domain.startFaults.set('w1', {type: 'hold', until: held});
     const {scheduler} = domain.hold(1);
     const jobId = domain.submit('a', 10);
-    await until('decided', () => scheduler.running(jobId) === 1);
+    await until('decided', () => scheduler.activeTaskCount(jobId) === 1);
     let isClosed = false;
     const closed = scheduler.close().then(() => (isClosed = true));
     await new Promise((resolve) => setImmediate(resolve));
