--- a/packages/gypsumwall-scheduling/src/__fixtures__/crash_model.ts
+++ b/packages/gypsumwall-scheduling/src/__fixtures__/crash_model.ts
@@ -1,59 +1,62 @@
-/** The machines, jobs and sightings of a world of crashes. */
+/**
+ * The machines, jobs and observations of a simulated cell with crashing
+ * workers.
+ */
 import * as types from '@gypsumwall/types';
 import type * as jobRequest from '../job_request.js';
 import type * as schedulerTypes from '../scheduler_types.js';
 import type * as workerRegistry from '../worker_registry.js';
 import * as schedulerWorlds from './scheduler_world.js';
 
-/** What the tasks of a job do. */
+/** Behaviour of the tasks of a job. */
 export interface Behaviour {
   readonly workMs: number;
-  /** The task of this index crashes its worker after so long. */
+  /** The task with this index crashes its worker after this time. */
   readonly crash?: {readonly index: number; readonly afterMs: number};
 }
 
-/** A start that a worker carried out. */
-export interface SeenStart {
+/** A start that a worker has carried out. */
+export interface ObservedStart {
   readonly taskId: types.ids.TaskId;
   readonly worker: types.ids.WorkerId;
   readonly at: types.clock.MonotonicMs;
-  /** Whether the worker's runs took more than its capacity from then on. */
-  readonly exceeds: boolean;
+  /** Whether the attempts on the worker exceeded its capacity from then on. */
+  readonly exceedsCapacity: boolean;
 }
 
-/** A worker's crash and what ran there. */
-export interface SeenCrash {
+/** A crash of a worker and the tasks that ran there. */
+export interface ObservedCrash {
   readonly at: types.clock.MonotonicMs;
   readonly worker: types.ids.WorkerId;
-  /** The task that crashed it; absent where it crashed by itself. */
+  /** The task that crashed the worker; absent if it crashed without one. */
   readonly culprit?: types.ids.TaskId;
   readonly tasks: readonly types.ids.TaskId[];
 }
 
-/** A run, as it is on its worker. */
-export interface RealRun {
+/** An attempt as it actually exists on its worker. */
+export interface RealAttempt {
   readonly taskId: types.ids.TaskId;
-  readonly attempt: number;
+  readonly number: number;
   readonly startedAt: types.clock.MonotonicMs;
   readonly size: types.resources.Resources;
   stopsAt?: types.clock.MonotonicMs;
 }
 
-/** A machine and the life of its worker. */
+/** A machine and the current incarnation of its worker. */
 export interface Machine {
   readonly name: string;
-  life: number;
+  incarnation: number;
   info: workerRegistry.WorkerInfo;
-  /** Down until then, if it isn't up. */
+  /** When the worker is restarted; absent while it is up. */
   backAt?: types.clock.MonotonicMs;
   crashedAt?: types.clock.MonotonicMs;
-  runs: RealRun[];
+  attempts: RealAttempt[];
   ends: schedulerTypes.AttemptEnd[];
   sequence: number;
-  heard: number;
+  receivedSequence: number;
 }
 
-/** A job as it was handed in. */
+/** A job as it was submitted. */
 export interface Job {
   readonly id: types.ids.JobId;
   readonly request: jobRequest.JobRequest;
@@ -62,16 +65,16 @@
   readonly acceptedAt: types.clock.MonotonicMs;
 }
 
-/** An append that the store has not confirmed. */
+/** An append that the store has not committed. */
 export interface Write {
   readonly dirty: readonly schedulerTypes.DirtyJob[];
   readonly dueAt: types.clock.MonotonicMs;
-  readonly heard: ReadonlyMap<Machine, number>;
-  /** Lives that are off the record with it. */
-  readonly forgotten: readonly types.ids.WorkerId[];
+  readonly receivedSequences: ReadonlyMap<Machine, number>;
+  /** Incarnations that the append removes from the recorded workers. */
+  readonly removedWorkers: readonly types.ids.WorkerId[];
 }
 
-/** Creates a machine with a worker that has run nothing. */
+/** Creates a machine with a worker without attempts. */
 export function createMachine(
   domain: string,
   name: string,
@@ -79,7 +82,7 @@
 ): Machine {
   return {
     name,
-    life: 1,
+    incarnation: 1,
     info: {
       id: types.ids.brand(`${name}.1`),
       address: `${name}:1`,
@@ -94,16 +97,16 @@
       rack: types.ids.brand(domain),
       draining: false,
     },
-    runs: [],
+    attempts: [],
     ends: [],
     sequence: 0,
-    heard: 0,
+    receivedSequence: 0,
   };
 }
 
-/** What the runs on a machine take together. */
-export function usedOf(machine: Machine): types.resources.Resources {
-  return machine.runs
-    .map((run) => run.size)
+/** Resources used by all attempts on a machine. */
+export function usedResources(machine: Machine): types.resources.Resources {
+  return machine.attempts
+    .map((attempt) => attempt.size)
     .reduce(types.resources.add, types.resources.NO_RESOURCES);
 }
--- a/packages/gypsumwall-scheduling/src/__fixtures__/scheduler_world.ts
+++ b/packages/gypsumwall-scheduling/src/__fixtures__/scheduler_world.ts
@@ -1,4 +1,4 @@
-/** A scheduler with workers that answer as they are told, on a time of its own. */
+/** A scheduler with workers that a test controls, on a simulated clock. */
 import * as types from '@gypsumwall/types';
 import type * as activeJob from '../active_job.js';
 import * as jobProgress from '../job_progress.js';
@@ -7,7 +7,7 @@
 import * as schedulers from '../scheduler.js';
 import type * as schedulerTypes from '../scheduler_types.js';
 
-/** A step of one small task, unless told otherwise. */
+/** Creates a step request of one small task, with the given fields replaced. */
 export function step(
   fields: Partial<jobRequest.StepRequest> = {},
 ): jobRequest.StepRequest {
@@ -26,7 +26,7 @@
   };
 }
 
-/** A policy without an adviser. */
+/** A queue policy without an adviser. */
 export const POLICY: jobRequest.QueuePolicy = {
   queue: 'plans',
   pool: 'pool',
@@ -36,19 +36,19 @@
   targetMs: 1_000,
 };
 
-/** What a job is submitted with beside its steps. */
+/** Options for submitting a job. */
 export interface Submission {
   readonly policy?: Partial<jobRequest.QueuePolicy>;
   readonly progress?: jobProgress.JobProgress;
   readonly inherited?: boolean;
 }
 
-/** A scheduler and its surroundings. */
+/** A scheduler with its workers, store and clock. */
 export interface SchedulerWorld {
   readonly scheduler: schedulerTypes.Scheduler;
   readonly events: schedulerTypes.SchedulerEvent[];
-  /** Workers of an earlier scheduler that aren't accounted for. */
-  readonly unaccounted: Set<types.ids.WorkerId>;
+  /** Workers of an earlier scheduler that are not reconciled yet. */
+  readonly unreconciled: Set<types.ids.WorkerId>;
   now: types.clock.MonotonicMs;
   addWorker(name: string, cores: number, rack?: string): types.ids.WorkerId;
   submit(
@@ -56,38 +56,41 @@
     steps: jobRequest.StepRequest[],
     submission?: Submission,
   ): types.ids.JobId;
-  /** Decides, with the store confirming at once; starts aren't answered. */
+  /**
+   * Runs two scheduling cycles with a commit of the store in between; starts
+   * are not answered.
+   */
   decide(): schedulerTypes.StartOrder[];
-  /** Decides and answers every start. */
+  /** Runs scheduling cycles and answers every start. */
   startAll(): activeJob.Attempt[];
-  end(run: activeJob.Attempt, how: jobSteps.RunEnd): void;
-  /** Hands in a report that lists exactly these runs. */
+  end(attempt: activeJob.Attempt, how: jobSteps.RunEnd): void;
+  /** Delivers a report that lists exactly these attempts. */
   report(
     worker: types.ids.WorkerId,
     rows: schedulerTypes.RunningAttempt[],
   ): void;
 }
 
-/** Creates a world at time 1,000,000 ms. */
+/** Creates a world with the clock at 1,000,000 ms. */
 export function createSchedulerWorld(): SchedulerWorld {
   const events: schedulerTypes.SchedulerEvent[] = [];
-  const unaccounted = new Set<types.ids.WorkerId>();
+  const unreconciled = new Set<types.ids.WorkerId>();
   const scheduler = schedulers.createScheduler({
     attemptBase: 0,
-    isAccounted: (worker) => !unaccounted.has(worker),
+    isAccounted: (worker) => !unreconciled.has(worker),
     onEvent: (event) => events.push(event),
   });
   const wall = 0 as types.clock.WallMs;
   let sequence = 0;
 
-  function store(): void {
+  function confirmWrites(): void {
     scheduler.stored(scheduler.takeDirty());
   }
 
   const world: SchedulerWorld = {
     scheduler,
     events,
-    unaccounted,
+    unreconciled,
     now: 1_000_000 as types.clock.MonotonicMs,
     addWorker(name, cores, rack = 'r1') {
       const id = types.ids.brand<types.ids.WorkerId>(name);
@@ -126,20 +129,26 @@
     },
     decide() {
       const first = scheduler.decide(world.now, wall).starts;
-      store();
+      confirmWrites();
       return [...first, ...scheduler.decide(world.now, wall).starts];
     },
     startAll() {
       const orders = world.decide();
-      for (const {attempt: run} of orders) {
-        scheduler.startAnswered(run, {type: 'started'}, world.now);
+      for (const {attempt} of orders) {
+        scheduler.startAnswered(attempt, {type: 'started'}, world.now);
       }
       world.now = types.clock.after(world.now, 1);
       return orders.map((order) => order.attempt);
     },
-    end(run, how) {
-      const {taskId, number: attempt, workerId} = run;
-      const row = {sequence: ++sequence, taskId, attempt, how, checkpoint: ''};
+    end(attempt, how) {
+      const {taskId, number: attemptNumber, workerId} = attempt;
+      const row = {
+        sequence: ++sequence,
+        taskId,
+        attempt: attemptNumber,
+        how,
+        checkpoint: '',
+      };
       scheduler.report(
         {
           workerId,
@@ -150,7 +159,7 @@
         },
         world.now,
       );
-      store();
+      confirmWrites();
     },
     report(workerId, running) {
       scheduler.report(
@@ -162,11 +171,16 @@
   return world;
 }
 
-/** How a worker lists a run. */
-export function row(
+/** Creates the entry of a running attempt in a worker report. */
+export function runningAttempt(
   taskId: string,
-  attempt: number,
+  attemptNumber: number,
   percent = 10,
 ): schedulerTypes.RunningAttempt {
-  return {taskId: types.ids.brand(taskId), attempt, checkpoint: '', percent};
+  return {
+    taskId: types.ids.brand(taskId),
+    attempt: attemptNumber,
+    checkpoint: '',
+    percent,
+  };
 }
--- a/packages/gypsumwall-scheduling/src/__tests__/changing_capacity.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/changing_capacity.test.ts
@@ -1,4 +1,7 @@
-/** Load: a full cell whose workers lose room and get it back while they run. */
+/**
+ * Load: a full cell whose workers lose capacity and get it back while tasks
+ * run.
+ */
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
 import * as crashWorlds from '../__fixtures__/crash_world.js';
@@ -6,7 +9,7 @@
 const {test} = nodeTest;
 const CORES = 16;
 
-// Guards against starts that bring a worker over a capacity that has shrunk.
+// Guards against starts that exceed a capacity that has shrunk.
 test('a worker whose capacity shrinks is not filled beyond it', () => {
   const world = crashWorlds.createCrashWorld({
     domains: 1,
@@ -22,14 +25,14 @@
   const shrunkAt = world.now;
   world.run(4_000);
   const over = world.starts.filter(
-    (one) => one.exceeds && one.at > shrunkAt,
+    (one) => one.exceedsCapacity && one.at > shrunkAt,
   ).length;
   assert.equal(over, 0, `${over} starts beyond the capacity`);
 });
 
-// Guards against room that is never used again after a capacity had shrunk, and
-// against runs that are stopped since they have no room any more.
-test('what runs goes on while capacity is short, and room that is back is used', () => {
+// Guards against capacity that is never used again after it had shrunk, and
+// against attempts that are stopped because they do not fit any more.
+test('running attempts continue while capacity is short, and restored capacity is used', () => {
   const world = crashWorlds.createCrashWorld({
     domains: 1,
     machinesPerDomain: 1,
@@ -46,13 +49,13 @@
     {workMs: 1_000},
   );
   world.run(1_000);
-  assert.equal(machine.runs.length, CORES);
+  assert.equal(machine.attempts.length, CORES);
   world.run(3_500);
   assert.equal(world.stateOf(first), 'completed');
-  assert.equal(machine.runs.length, CORES / 4);
+  assert.equal(machine.attempts.length, CORES / 4);
   world.setCapacity(machine, CORES);
-  world.stepsUntil(() => machine.runs.length === CORES, 500);
-  assert.equal(machine.runs.length, CORES);
+  world.runUntil(() => machine.attempts.length === CORES, 500);
+  assert.equal(machine.attempts.length, CORES);
   world.run(4_000);
   assert.equal(world.stateOf(second), 'completed');
 });
--- a/packages/gypsumwall-scheduling/src/__tests__/crashing_worlds.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/crashing_worlds.test.ts
@@ -1,4 +1,7 @@
-/** Load: as in `crashing_tasks.test.ts`, drawn at random with all that may fail. */
+/**
+ * Load: as in `crashing_tasks.test.ts`, with random events and all kinds of
+ * failures.
+ */
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
 import type * as types from '@gypsumwall/types';
@@ -22,12 +25,15 @@
   {
     weight: 4,
     arbitrary: fc.record({
-      type: fc.constant('sound' as const),
+      type: fc.constant('healthy' as const),
       gang: fc.boolean(),
       workMs: fc.integer({min: 100, max: 9_000}),
     }),
   },
-  {weight: 1, arbitrary: fc.record({type: fc.constant('lasting' as const)})},
+  {
+    weight: 1,
+    arbitrary: fc.record({type: fc.constant('longRunning' as const)}),
+  },
   {
     weight: 2,
     arbitrary: fc.record({
@@ -71,12 +77,12 @@
 
 interface Drawn {
   readonly culprits: types.ids.JobId[];
-  readonly sound: types.ids.JobId[];
-  readonly lasting: types.ids.JobId[];
+  readonly healthy: types.ids.JobId[];
+  readonly longRunning: types.ids.JobId[];
 }
 
-function act(world: World, event: DrawnEvent, drawn: Drawn): void {
-  const {culprits, sound, lasting} = drawn;
+function applyEvent(world: World, event: DrawnEvent, drawn: Drawn): void {
+  const {culprits, healthy, longRunning} = drawn;
   const taskCount = 4;
   switch (event.type) {
     case 'culprit': {
@@ -87,15 +93,18 @@
       culprits.push(world.submit(name, {taskCount, gang}, behaviour));
       return;
     }
-    case 'sound': {
+    case 'healthy': {
       const {gang, workMs} = event;
-      const name = `sound${sound.length}`;
-      sound.push(world.submit(name, {taskCount, gang}, {workMs}));
+      const name = `healthy${healthy.length}`;
+      healthy.push(world.submit(name, {taskCount, gang}, {workMs}));
       return;
     }
-    case 'lasting':
-      lasting.push(
-        crashChecks.submitLasting(world, `lasting${lasting.length}`),
+    case 'longRunning':
+      longRunning.push(
+        crashChecks.submitLongRunning(
+          world,
+          `longRunning${longRunning.length}`,
+        ),
       );
       return;
     case 'crash':
@@ -120,38 +129,42 @@
 }
 
 /** A task may be given up once two workers have crashed under it. */
-function assertSound(
+function assertHealthy(
   world: World,
   ids: readonly types.ids.JobId[],
   expected: 'completed' | 'running',
 ): void {
   for (const id of ids) {
     const state = world.stateOf(id);
-    if (state === 'failed' && crashChecks.mostCrashesUnder(world, id) >= 2)
+    if (state === 'failed' && crashChecks.maxCrashesUnder(world, id) >= 2)
       continue;
     assert.equal(state, expected, id);
   }
 }
 
-// Guards against a bound or a blame that fails only when crashes, power cuts,
-// changes of capacity, lost holders and outages of the store come together.
-test('whatever else fails, tasks that crash workers are given up and others done', () => {
+// Guards against too many starts, and against tasks blamed wrongly, that occur
+// only when crashes, power failures, changes of capacity, lost holders and
+// store outages coincide.
+test('whatever else fails, tasks that crash workers are given up and others complete', () => {
   fc.assert(
     fc.property(
       fc.array(arbitraryEvent, {maxLength: 40, size: 'max'}),
       (events) => {
         const world = crashChecks.createWorld();
-        const drawn: Drawn = {culprits: [], sound: [], lasting: []};
-        for (const event of events) act(world, event, drawn);
+        const drawn: Drawn = {culprits: [], healthy: [], longRunning: []};
+        for (const event of events) applyEvent(world, event, drawn);
         world.setStoreDown(false);
         for (const machine of world.machines) {
           world.setCapacity(machine, crashChecks.CELL.cores);
         }
         world.run(100_000);
         for (const id of drawn.culprits) crashChecks.assertGivenUp(world, id);
-        assertSound(world, drawn.sound, 'completed');
-        assertSound(world, drawn.lasting, 'running');
-        assert.equal(world.starts.filter((one) => one.exceeds).length, 0);
+        assertHealthy(world, drawn.healthy, 'completed');
+        assertHealthy(world, drawn.longRunning, 'running');
+        assert.equal(
+          world.starts.filter((one) => one.exceedsCapacity).length,
+          0,
+        );
       },
     ),
     {numRuns: 60, seed: 1},
--- a/packages/gypsumwall-scheduling/src/__tests__/scheduling_cycle.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/scheduling_cycle.test.ts
@@ -7,10 +7,13 @@
 
 const {test} = nodeTest;
 const WALL = 0 as types.clock.WallMs;
-/** Waiting steps of a holder that takes over after some seconds without one. */
+/** Number of waiting steps after some seconds without a holder. */
 const BACKLOG = 600;
 
-/** Counts how often a step is tried: without advice each try lists workers. */
+/**
+ * Counts how often a step is tried: without advice each try iterates over the
+ * workers once.
+ */
 function countTries(world: worlds.SchedulerWorld): () => number {
   const {workers} = world.scheduler.book;
   const values = workers.values.bind(workers);
@@ -28,22 +31,22 @@
   };
 }
 
-/** A full cell with a backlog whose steps have all been tried. */
+/** Creates a full cell with a backlog of waiting steps. */
 function createBackloggedWorld() {
   const world = worlds.createSchedulerWorld();
   for (let nth = 0; nth < 20; nth++) world.addWorker(`w${nth}`, 4);
   for (let nth = 0; nth < 80; nth++) world.submit(`run${nth}`, [worlds.step()]);
-  const runs: activeJob.Attempt[] = [];
-  settle(world, runs);
-  assert.equal(runs.length, 80);
+  const attempts: activeJob.Attempt[] = [];
+  settle(world, attempts);
+  assert.equal(attempts.length, 80);
   for (let nth = 0; nth < BACKLOG; nth++) {
     world.submit(`wait${nth}`, [worlds.step()]);
   }
   const tries = countTries(world);
-  return {world, runs, tries};
+  return {world, attempts, tries};
 }
 
-// Guards against a holder that is kept from its calls by one long cycle.
+// Guards against one long cycle that delays the calls of the holder.
 test('a cycle tries a bounded number of steps', () => {
   const {world, tries} = createBackloggedWorld();
   for (let tried = 0; tried < BACKLOG;) {
@@ -54,14 +57,14 @@
   }
 });
 
-// Guards against cycles whose cost grows with all that waits.
-test('a step without room is tried again only when room is freed', () => {
-  const {world, runs, tries} = createBackloggedWorld();
+// Guards against cycles whose cost grows with the number of waiting steps.
+test('a step without capacity is tried again only when capacity becomes free', () => {
+  const {world, attempts, tries} = createBackloggedWorld();
   do world.scheduler.decide(world.now, WALL);
   while (tries() > 0);
   assert.deepEqual(world.scheduler.decide(world.now, WALL).starts, []);
   assert.equal(tries(), 0);
-  world.end(runs[0]!, 'done');
+  world.end(attempts[0]!, 'done');
   assert.equal(world.decide().length, 1);
   assert.ok(tries() <= 4);
 });
@@ -105,8 +108,8 @@
 );
 
 /**
- * Decides until nothing more starts, and answers each start. No time passes:
- * with time alone more may start.
+ * Runs cycles until nothing more starts and answers each start. The clock does
+ * not advance, because more could start with time alone.
  */
 function settle(
   world: worlds.SchedulerWorld,
@@ -115,16 +118,16 @@
   const {now} = world;
   let started = 0;
   for (let quiet = 0; quiet < 2;) {
-    const runs = world.startAll();
-    running.push(...runs);
-    started += runs.length;
-    quiet = runs.length === 0 ? quiet + 1 : 0;
+    const attempts = world.startAll();
+    running.push(...attempts);
+    started += attempts.length;
+    quiet = attempts.length === 0 ? quiet + 1 : 0;
     world.now = now;
   }
   return started;
 }
 
-// Guards against a step that has room and is never tried again.
+// Guards against a step that has capacity and is never tried again.
 test('no step that could start is left waiting', () => {
   fc.assert(
     fc.property(
@@ -136,7 +139,7 @@
         );
         const jobs: types.ids.JobId[] = [];
         let running: activeJob.Attempt[] = [];
-        let lives = WORKERS;
+        let incarnations = WORKERS;
         for (const action of actions) {
           switch (action.type) {
             case 'submit': {
@@ -151,11 +154,12 @@
               break;
             }
             case 'end': {
-              const run = running[action.pick % Math.max(1, running.length)];
-              if (run === undefined) break;
-              running = running.filter((one) => one !== run);
-              const stopped = run.phase === 'stopping';
-              world.end(run, stopped ? 'stopped' : action.how);
+              const attempt =
+                running[action.pick % Math.max(1, running.length)];
+              if (attempt === undefined) break;
+              running = running.filter((one) => one !== attempt);
+              const stopped = attempt.phase === 'stopping';
+              world.end(attempt, stopped ? 'stopped' : action.how);
               break;
             }
             case 'usable':
@@ -166,11 +170,13 @@
               );
               break;
             case 'replace': {
-              // Another life of the worker: all that ran there is gone.
-              const gone = workers[action.worker]!;
-              running = running.filter((run) => run.workerId !== gone);
-              world.scheduler.workerGone(gone, 'crashed', world.now);
-              workers[action.worker] = world.addWorker(`w${++lives}`, 4);
+              // Another incarnation of the worker: all that ran there is lost.
+              const removed = workers[action.worker]!;
+              running = running.filter(
+                (attempt) => attempt.workerId !== removed,
+              );
+              world.scheduler.workerGone(removed, 'crashed', world.now);
+              workers[action.worker] = world.addWorker(`w${++incarnations}`, 4);
               break;
             }
             case 'cancel': {
--- a/packages/gypsumwall-scheduling/src/__tests__/task_isolation.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/task_isolation.test.ts
@@ -1,4 +1,4 @@
-/** Load: tasks under which workers have crashed, in a cell of few workers. */
+/** Load: tasks whose workers have crashed, in a cell of few workers. */
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
 import * as types from '@gypsumwall/types';
@@ -9,10 +9,10 @@
 import type * as jobRequest from '../job_request.js';
 
 const {test} = nodeTest;
-const TRIAL_MS = 3_000;
-const SETTLED_MS = 2_000;
+const FIRST_ISOLATION_MS = 3_000;
+const MIN_SETTLED_MS = 2_000;
 
-/** The store knows already that tasks of the job may be on this worker. */
+/** Progress of a job for which the store has recorded this worker already. */
 const RECORDED: jobProgress.JobProgress = {
   ...jobProgress.NO_PROGRESS,
   workers: [types.ids.brand('w1')],
@@ -20,7 +20,7 @@
 
 type World = worlds.SchedulerWorld;
 
-/** Hands in a job under whose tasks workers have crashed. */
+/** Submits a job with tasks whose workers have crashed. */
 function submitSuspect(
   world: World,
   name: string,
@@ -44,62 +44,66 @@
   world.now = types.clock.after(world.now, spanMs);
 }
 
-const workersOf = (runs: readonly activeJob.Attempt[]) =>
-  runs.map((run) => run.workerId).sort();
+const workersOf = (attempts: readonly activeJob.Attempt[]) =>
+  attempts.map((attempt) => attempt.workerId).sort();
 
-// Guards against a sound task that is given up for a newcomer's crash.
-test('nothing new starts beside a task on trial until it is over', () => {
+// Guards against a healthy task that is given up because a task that starts
+// later crashes its worker.
+test('no other task starts beside an isolated one until its isolation period is over', () => {
   const world = worlds.createSchedulerWorld();
   world.addWorker('w1', 4);
   submitSuspect(world, 'suspect', [0], 2);
   assert.equal(world.startAll().length, 1);
   world.submit('other', [worlds.step()]);
   assert.equal(world.startAll().length, 0);
-  elapse(world, TRIAL_MS - 100);
+  elapse(world, FIRST_ISOLATION_MS - 100);
   assert.equal(world.startAll().length, 0);
   elapse(world, 200);
   assert.equal(world.startAll().length, 1);
 });
 
-// Guards against a worker that stays closed after its task has ended.
-test('a worker is open again as soon as the task on trial has ended', () => {
+// Guards against a worker that stays reserved after its task has ended.
+test('a worker is released as soon as its isolated task has ended', () => {
   const world = worlds.createSchedulerWorld();
   world.addWorker('w1', 4);
   submitSuspect(world, 'suspect', [0], 2);
-  const [run] = world.startAll();
+  const [attempt] = world.startAll();
   world.submit('other', [worlds.step()]);
-  world.end(run!, 'done');
+  world.end(attempt!, 'done');
   assert.equal(world.startAll().length, 1);
 });
 
-// Guards against a trial beside a task that may crash the worker itself.
-test('a task is tried only beside what has run for a while', () => {
+// Guards against an isolation period beside a task that may crash the worker
+// itself.
+test('a task starts isolated only beside attempts that have run for a while', () => {
   const world = worlds.createSchedulerWorld();
   world.addWorker('w1', 4);
   world.submit('long', [worlds.step()]);
   assert.equal(world.startAll().length, 1);
   submitSuspect(world, 'suspect', [0], 2);
   assert.equal(world.startAll().length, 0);
-  elapse(world, SETTLED_MS - 100);
+  elapse(world, MIN_SETTLED_MS - 100);
   assert.equal(world.startAll().length, 0);
   elapse(world, 200);
   assert.equal(world.startAll().length, 1);
 });
 
-// Guards against a trial on a worker that gets another task in the same cycle.
-test('a task is not tried beside one that is placed in the same cycle', () => {
+// Guards against an isolated start on a worker on which another task is placed
+// in the same cycle.
+test('a task does not start isolated beside one that is placed in the same cycle', () => {
   const world = worlds.createSchedulerWorld();
   world.addWorker('w1', 4);
   const policy = {priority: 0};
   world.submit('urgent', [worlds.step()], {policy, progress: RECORDED});
   submitSuspect(world, 'suspect', [0], 2);
-  const jobs = world.startAll().map((run) => run.owner?.stepRun.job.id);
+  const jobs = world.startAll().map((attempt) => attempt.owner?.stepRun.job.id);
   assert.deepEqual(jobs, ['urgent']);
 });
 
-// Guards against a task that hides behind losses of power.
-test('losses of a group count beside a single crash, and not by themselves', () => {
-  const isApart = (...kinds: crashRecords.CrashKind[]) => {
+// Guards against a crashing task that is not recognised because of power
+// failures.
+test('group losses count beside a single crash, but not by themselves', () => {
+  const startsIsolated = (...kinds: crashRecords.CrashKind[]) => {
     const world = worlds.createSchedulerWorld();
     world.addWorker('w1', 4);
     const workers = kinds.map((kind, nth) => [`old${nth}`, kind] as const);
@@ -107,18 +111,18 @@
     const occurrences = {'0': [{done: [], failures: {}, crashes}]};
     const progress = {...RECORDED, occurrences};
     world.submit('hit', [worlds.step()], {progress});
-    const [run] = world.startAll();
-    return run?.isolatedUntil !== undefined;
+    const [attempt] = world.startAll();
+    return attempt?.isolatedUntil !== undefined;
   };
-  assert.equal(isApart('group', 'group', 'group'), false);
-  assert.equal(isApart('single'), false);
-  assert.equal(isApart('group', 'single'), true);
-  assert.equal(isApart('single', 'single'), true);
+  assert.equal(startsIsolated('group', 'group', 'group'), false);
+  assert.equal(startsIsolated('single'), false);
+  assert.equal(startsIsolated('group', 'single'), true);
+  assert.equal(startsIsolated('single', 'single'), true);
 });
 
-// Guards against a trial that waits for ever in a cell whose workers always
-// have newcomers.
-test('a worker is emptied of newcomers for a task that waits for its trial', () => {
+// Guards against a task that waits forever for isolation in a cell whose
+// workers always run recently started tasks.
+test('a worker is reserved for a task that waits for isolation', () => {
   const world = worlds.createSchedulerWorld();
   for (const name of ['w1', 'w2']) world.addWorker(name, 2);
   const running: activeJob.Attempt[] = [];
@@ -131,13 +135,13 @@
   };
   for (let nth = 0; nth < 4; nth++) sendShort();
   const suspect = submitSuspect(world, 'suspect', [0], 2);
-  const isTried = () =>
-    running.some((run) => run.owner?.stepRun.job.id === suspect);
-  for (let nth = 0; nth < 60 && !isTried(); nth++) sendShort();
-  assert.ok(isTried());
+  const hasStarted = () =>
+    running.some((attempt) => attempt.owner?.stepRun.job.id === suspect);
+  for (let nth = 0; nth < 60 && !hasStarted(); nth++) sendShort();
+  assert.ok(hasStarted());
 });
 
-// Guards against tasks of which none can be told to be at fault, since they
+// Guards against suspected tasks that cannot be distinguished because they
 // share a worker.
 test('suspected tasks of several jobs start on workers of their own', () => {
   const world = worlds.createSchedulerWorld();
@@ -146,7 +150,8 @@
   assert.deepEqual(workersOf(world.startAll()), ['w1', 'w2', 'w3']);
 });
 
-// Guards against a gang that blames all its members, since they are together.
+// Guards against a gang whose members are all suspected because they share a
+// worker.
 test('suspected members of a gang are spread over the workers', () => {
   const world = worlds.createSchedulerWorld();
   for (const name of ['w1', 'w2', 'w3']) world.addWorker(name, 8);
@@ -155,7 +160,7 @@
   assert.deepEqual(workersOf(world.startAll()), ['w1', 'w2', 'w3']);
 });
 
-// Guards against a gang that shares workers with others that are suspected.
+// Guards against a gang that shares workers with other suspected tasks.
 test('a suspected gang avoids workers with suspects of other jobs', () => {
   const world = worlds.createSchedulerWorld();
   for (const name of ['w1', 'w2', 'w3']) world.addWorker(name, 8);
@@ -168,9 +173,9 @@
   assert.ok(!gang.includes(other!.workerId), gang.join());
 });
 
-// Guards against a gang that is started in part, or not at all, for a member
-// that has to be apart.
-test('a gang starts whole with one member apart from other jobs', () => {
+// Guards against a gang that is started only in part, or not at all, because
+// one member needs isolation.
+test('a gang starts as a whole with one member isolated from other jobs', () => {
   const world = worlds.createSchedulerWorld();
   for (const name of ['w1', 'w2']) world.addWorker(name, 8);
   world.submit('busy', [worlds.step({taskCount: 2, maxPerWorker: 1})]);
@@ -178,16 +183,16 @@
   const fields = {taskCount: 6, gang: true};
   submitSuspect(world, 'gang', [2], 2, fields);
   assert.equal(world.startAll().length, 0);
-  elapse(world, SETTLED_MS);
+  elapse(world, MIN_SETTLED_MS);
   assert.equal(world.startAll().length, 6);
 });
 
-// Guards against a successor under which a trial no longer counts.
-test('a task that is found by itself on a worker is on trial', () => {
+// Guards against a successor that does not continue an isolation period.
+test('a task that is found alone on a worker is isolated', () => {
   const world = worlds.createSchedulerWorld();
   const worker = world.addWorker('w1', 4);
   submitSuspect(world, 'suspect', [0], 2);
-  world.report(worker, [worlds.row('suspect.0.0.0', 7)]);
+  world.report(worker, [worlds.runningAttempt('suspect.0.0.0', 7)]);
   world.submit('other', [worlds.step()]);
   assert.equal(world.startAll().length, 0);
   world.scheduler.workerGone(worker, 'crashed', world.now);
@@ -197,21 +202,21 @@
   assert.deepEqual(reasons, ['crashed_in_isolation']);
 });
 
-// Guards against a sound task that is given up when others went down with its
-// worker during its trial.
-test('a crash beside others at the same moment does not settle a trial', () => {
+// Guards against a healthy task that is given up when other workers are lost
+// together with its worker during the isolation period.
+test('a crash together with others does not count as a crash in isolation', () => {
   const world = worlds.createSchedulerWorld();
   const workers = ['w1', 'w2', 'w3', 'w4', 'w5'].map((name) =>
     world.addWorker(name, 4),
   );
   for (const worker of workers) world.report(worker, []);
   submitSuspect(world, 'suspect', [0], 2);
-  const [run] = world.startAll();
-  const neighbour = workers.find((worker) => worker !== run!.workerId)!;
-  for (const lost of [run!.workerId, neighbour]) {
+  const [attempt] = world.startAll();
+  const neighbour = workers.find((worker) => worker !== attempt!.workerId)!;
+  for (const lost of [attempt!.workerId, neighbour]) {
     world.scheduler.setUsable(lost, false, world.now);
   }
-  world.scheduler.workerGone(run!.workerId, 'crashed', world.now);
+  world.scheduler.workerGone(attempt!.workerId, 'crashed', world.now);
   const givenUp = world.events.filter(
     (event) => event.type === 'task_given_up',
   );
@@ -224,31 +229,31 @@
     const world = worlds.createSchedulerWorld();
     for (const name of ['w1', 'w2']) world.addWorker(name, 4);
     submitSuspect(world, 'job', crashed, 1, {speculative: true});
-    const [run] = world.startAll();
-    world.scheduler.setUsable(run!.workerId, false, world.now);
-    world.scheduler.outOfReach(run!.workerId);
+    const [attempt] = world.startAll();
+    world.scheduler.setUsable(attempt!.workerId, false, world.now);
+    world.scheduler.outOfReach(attempt!.workerId);
     return world.startAll().length > 0;
   };
   assert.equal(startsAgain([]), true);
   assert.equal(startsAgain([0]), false);
 });
 
-// Guards against a task that outlives each of its trials and then crashes its
-// worker beside others.
-test('each trial after a crash takes longer', () => {
-  const trialMs = (crashCount: number) => {
+// Guards against a task that outlives each of its isolation periods and then
+// crashes its worker beside others.
+test('the isolation period doubles with each crash', () => {
+  const isolationMs = (crashCount: number) => {
     const world = worlds.createSchedulerWorld();
     world.addWorker('w1', 4);
     submitSuspect(world, 'suspect', [0], crashCount);
     const startedAt = world.now;
-    const [run] = world.startAll();
-    return run!.isolatedUntil! - startedAt;
+    const [attempt] = world.startAll();
+    return attempt!.isolatedUntil! - startedAt;
   };
-  assert.deepEqual([2, 3, 4].map(trialMs), [3_000, 6_000, 12_000]);
+  assert.deepEqual([2, 3, 4].map(isolationMs), [3_000, 6_000, 12_000]);
 });
 
-// Guards against a sound task that is given up for one chance crash.
-test('a crash late in a trial takes one more to settle it', () => {
+// Guards against a healthy task that is given up for one coincidental crash.
+test('after a crash late in the isolation period it takes one more to give up the task', () => {
   const isGivenUp = (crashCount: number, ranMs: number) => {
     const world = worlds.createSchedulerWorld();
     const worker = world.addWorker('w1', 4);
--- a/packages/gypsumwall-scheduling/src/__tests__/waiting_work.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/waiting_work.test.ts
@@ -54,7 +54,7 @@
       ...kinds('start'),
       pick: nat,
       count: fc.integer({min: 1, max: 6}),
-      fate: fc.constantFrom<worlds.StartFate[]>(
+      delivery: fc.constantFrom<worlds.StartDelivery[]>(
         'started',
         'started',
         'started',
@@ -81,9 +81,13 @@
   },
   {
     weight: 5,
-    arbitrary: fc.record({...kinds('ask'), worker: nat, now: fc.boolean()}),
+    arbitrary: fc.record({
+      ...kinds('requestReport'),
+      worker: nat,
+      now: fc.boolean(),
+    }),
   },
-  {weight: 6, arbitrary: fc.record({...kinds('deliver'), pick: nat})},
+  {weight: 6, arbitrary: fc.record({...kinds('deliverReport'), pick: nat})},
   {weight: 4, arbitrary: fc.record(kinds('write'))},
   {
     weight: 5,
@@ -118,9 +122,9 @@
     arbitrary: fc.record({...kinds('drain'), worker: nat, on: fc.boolean()}),
   },
   {weight: 1, arbitrary: fc.record({...kinds('evacuate'), worker: nat})},
-  {weight: 1, arbitrary: fc.record({...kinds('leasePassed'), worker: nat})},
-  {weight: 1, arbitrary: fc.record({...kinds('gone'), worker: nat})},
-  {weight: 1, arbitrary: fc.record({...kinds('die'), worker: nat})},
+  {weight: 1, arbitrary: fc.record({...kinds('expireLeases'), worker: nat})},
+  {weight: 1, arbitrary: fc.record({...kinds('removeWorker'), worker: nat})},
+  {weight: 1, arbitrary: fc.record({...kinds('crashUnnoticed'), worker: nat})},
   {
     weight: 1,
     arbitrary: fc.record({
@@ -159,8 +163,8 @@
   return schedulerWorlds.step({...fields, size, after});
 }
 
-function act(world: worlds.UnreliableWorld, action: Action): void {
-  const living = world.workers.filter((worker) => worker.alive);
+function applyAction(world: worlds.UnreliableWorld, action: Action): void {
+  const living = world.workers.filter((worker) => worker.isAlive);
   const workerOf = (pick: number) => world.pickOf(living, pick);
   switch (action.type) {
     case 'submit': {
@@ -183,8 +187,8 @@
     case 'start':
       for (let nth = 0; nth < action.count; nth++) {
         const start = world.pickOf(world.starts, action.pick);
-        const fate = nth === 0 ? action.fate : 'started';
-        if (start !== undefined) world.answerStart(start, fate);
+        const delivery = nth === 0 ? action.delivery : 'started';
+        if (start !== undefined) world.answerStart(start, delivery);
       }
       return;
     case 'late': {
@@ -193,32 +197,32 @@
       return;
     }
     case 'stop': {
-      const run = world.pickOf(world.stops, action.pick);
-      if (run !== undefined) world.answerStop(run, action);
+      const attempt = world.pickOf(world.stops, action.pick);
+      if (attempt !== undefined) world.answerStop(attempt, action);
       return;
     }
-    case 'ask': {
+    case 'requestReport': {
       const worker = workerOf(action.worker);
-      if (worker !== undefined) world.ask(worker, action.now);
+      if (worker !== undefined) world.requestReport(worker, action.now);
       return;
     }
-    case 'deliver': {
+    case 'deliverReport': {
       const report = world.pickOf(world.reports, action.pick);
-      if (report !== undefined) world.deliver(report);
+      if (report !== undefined) world.deliverReport(report);
       return;
     }
     case 'write':
       world.confirmWrite();
       return;
     case 'advice': {
-      const wish = world.pickOf(world.wishes, action.pick);
-      if (wish === undefined) return;
+      const request = world.pickOf(world.wishes, action.pick);
+      if (request === undefined) return;
       const {answer} = action;
       if (answer === 'none') {
-        world.answerAdvice(wish, 'none');
+        world.answerAdvice(request, 'none');
         return;
       }
-      world.answerAdvice(wish, (_worker, nth) => {
+      world.answerAdvice(request, (_worker, nth) => {
         if (answer === 'all') return true;
         return answer !== 'nobody' && nth % 2 === (answer === 'odd' ? 1 : 0);
       });
@@ -227,24 +231,25 @@
     case 'end': {
       const worker = workerOf(action.worker);
       if (worker === undefined) return;
-      const run = world.pickOf([...worker.runs.values()], action.pick);
-      if (run === undefined) return;
-      if (action.how !== 'vanished') world.endRun(worker, run, action.how);
-      else worker.runs.delete(`${run.taskId}#${run.attempt}`);
+      const attempt = world.pickOf([...worker.attempts.values()], action.pick);
+      if (attempt === undefined) return;
+      if (action.how !== 'vanished')
+        world.endAttempt(worker, attempt, action.how);
+      else worker.attempts.delete(`${attempt.taskId}#${attempt.number}`);
       return;
     }
     case 'cut': {
       const worker = workerOf(action.worker);
       if (worker === undefined) return;
-      if (action.cut) world.cutOff(worker);
-      else worker.cut = false;
+      if (action.cut) world.disconnect(worker);
+      else worker.isCutOff = false;
       return;
     }
     case 'drain': {
       const worker = workerOf(action.worker);
       if (worker === undefined) return;
       worker.info = {...worker.info, draining: action.on};
-      world.list(worker);
+      world.listWorker(worker);
       return;
     }
     case 'evacuate': {
@@ -252,19 +257,19 @@
       if (worker !== undefined) world.scheduler.evacuate(worker.id);
       return;
     }
-    case 'leasePassed': {
+    case 'expireLeases': {
       const worker = workerOf(action.worker);
-      if (worker?.cut === true) world.leasePassed(worker);
+      if (worker?.isCutOff === true) world.expireLeases(worker);
       return;
     }
-    case 'gone': {
+    case 'removeWorker': {
       const worker = workerOf(action.worker);
-      if (worker !== undefined) world.gone(worker);
+      if (worker !== undefined) world.removeWorker(worker);
       return;
     }
-    case 'die': {
+    case 'crashUnnoticed': {
       const worker = workerOf(action.worker);
-      if (worker !== undefined) world.die(worker);
+      if (worker !== undefined) world.crashUnnoticed(worker);
       return;
     }
     case 'join':
@@ -288,69 +293,87 @@
       world.elapse(action.spanMs);
       return;
     case 'settle':
-      check(world);
+      settleAndCheck(world);
       return;
   }
 }
 
 function stepsOf(world: worlds.UnreliableWorld): activeJob.StepRun[] {
-  const found: activeJob.StepRun[] = [];
+  const stepRuns: activeJob.StepRun[] = [];
   for (const job of world.scheduler.jobs.values()) {
-    assert.equal(job.heldBack, false, `${job.id} is held back`);
-    for (const {steps} of job.open.values()) found.push(...steps);
+    assert.equal(
+      job.isAwaitingReconciliation,
+      false,
+      `${job.id} awaits reconciliation`,
+    );
+    for (const {steps} of job.open.values()) stepRuns.push(...steps);
   }
-  return found;
+  return stepRuns;
 }
 
-/** Each open task is in line or runs; a gang's are all the one or the other. */
+/**
+ * Checks that each task of an open step is queued, runs or is done, and that
+ * the members of a gang are either all queued or all running.
+ */
 function checkTasks(stepRun: activeJob.StepRun): void {
-  const {id, request, state, waiting, attempts: runs, done} = stepRun;
+  const {id, request, state, waiting, attempts, doneIndexes: done} = stepRun;
   if (state !== 'open') return;
   const {gang, taskCount} = request;
-  for (const run of runs) {
-    assert.equal(run.phase, 'running', `a run of ${id}`);
-    assert.notEqual(run.confirmedAt, undefined);
+  for (const attempt of attempts) {
+    assert.equal(attempt.phase, 'running', `an attempt of ${id}`);
+    assert.notEqual(attempt.confirmedAt, undefined);
   }
   assert.equal(new Set(waiting).size, waiting.length);
   if (gang) {
-    const found = `${runs.size} run and ${waiting.length} wait`;
-    assert.equal(runs.size + waiting.length, taskCount, `${id}: ${found}`);
-    assert.ok(runs.size === 0 || waiting.length === 0, `${id}: ${found}`);
-    const attempts = new Set([...runs].map((run) => run.number));
-    assert.ok(attempts.size <= 1, `${id}: attempts ${[...attempts].join()}`);
+    const found = `${attempts.size} run and ${waiting.length} are queued`;
+    assert.equal(attempts.size + waiting.length, taskCount, `${id}: ${found}`);
+    assert.ok(attempts.size === 0 || waiting.length === 0, `${id}: ${found}`);
+    const attemptNumbers = new Set(
+      [...attempts].map((attempt) => attempt.number),
+    );
+    assert.ok(
+      attemptNumbers.size <= 1,
+      `${id}: attempts ${[...attemptNumbers].join()}`,
+    );
     return;
   }
-  const running = new Set([...runs].map((run) => run.owner!.index));
+  const running = new Set([...attempts].map((attempt) => attempt.owner!.index));
   for (let index = 0; index < taskCount; index++) {
-    const held =
+    const isAccountedFor =
       done.has(index) || running.has(index) || waiting.includes(index);
-    assert.ok(held, `${id}.${index} neither waits nor runs nor is done`);
+    assert.ok(
+      isAccountedFor,
+      `${id}.${index} is neither queued nor running nor done`,
+    );
   }
 }
 
-/** What the scheduler believes of the workers is what is so. */
+/** Checks that the free capacity known to the scheduler is the actual one. */
 function checkWorkers(world: worlds.UnreliableWorld): void {
   for (const worker of world.workers) {
-    const booked = world.scheduler.book.workers.get(worker.id);
-    if (booked === undefined) continue;
-    const used = world.usedOf(worker);
+    const known = world.scheduler.book.workers.get(worker.id);
+    if (known === undefined) continue;
+    const used = world.usedResources(worker);
     const free = types.resources.subtract(worker.info.capacity, used);
-    assert.deepEqual(booked.free, free, worker.id);
+    assert.deepEqual(known.free, free, worker.id);
     assert.ok(types.resources.fits(types.resources.NO_RESOURCES, free));
   }
 }
 
-/** The next task of a step, or its whole gang, has room on these workers. */
+/**
+ * Whether the next task of a step, or its whole gang, fits on these workers.
+ */
 function fitsOn(
   stepRun: activeJob.StepRun,
-  workers: readonly workerRegistry.BookedWorker[],
+  workers: readonly workerRegistry.RegisteredWorker[],
 ): boolean {
   const {gang, taskCount, size, usesSpareCpu, maxPerWorker} = stepRun.request;
   const needed = usesSpareCpu ? {...size, cpuMillis: 0} : size;
   let found = 0;
   for (const {info, free} of workers) {
     let here = 0;
-    for (const run of stepRun.attempts) if (run.workerId === info.id) here++;
+    for (const attempt of stepRun.attempts)
+      if (attempt.workerId === info.id) here++;
     let left = free;
     while (types.resources.fits(needed, left) && found < taskCount) {
       if (here++ >= (maxPerWorker ?? Infinity)) break;
@@ -361,9 +384,9 @@
   return found >= (gang ? taskCount : 1);
 }
 
-function isOpenTo(
+function isAvailableTo(
   stepRun: activeJob.StepRun,
-  worker: workerRegistry.BookedWorker,
+  worker: workerRegistry.RegisteredWorker,
 ): boolean {
   const {info, usable} = worker;
   const {request, job, advice} = stepRun;
@@ -371,16 +394,19 @@
   const label = request.requiredLabel;
   if (label !== undefined && !info.labels.includes(label)) return false;
   if (job.policy.advice === undefined) return true;
-  // Of the others the adviser can be asked, and approves them.
+  // Other workers are named to the adviser, which approves them.
   return !advice.refused.has(info.id);
 }
 
-/** No step waits for which there is room that isn't kept for another. */
+/**
+ * Checks that no step waits while there is capacity that is not reserved for
+ * another.
+ */
 function checkWaiting(world: worlds.UnreliableWorld): void {
-  const {book} = world.scheduler;
-  const health = workerHealth.createWorkerHealth(() => book.workers.size);
-  const hold = gangReservation.createGangReservation({
-    book,
+  const {book: registry} = world.scheduler;
+  const health = workerHealth.createWorkerHealth(() => registry.workers.size);
+  const reservation = gangReservation.createGangReservation({
+    registry,
     health,
     now: world.now,
   });
@@ -394,19 +420,21 @@
     ),
   );
   for (const stepRun of waiting) {
-    const open = [...book.workers.values()].filter(
-      (worker) => !hold.isHeld(worker.info.id) && isOpenTo(stepRun, worker),
+    const open = [...registry.workers.values()].filter(
+      (worker) =>
+        !reservation.isReserved(worker.info.id) &&
+        isAvailableTo(stepRun, worker),
     );
-    assert.equal(fitsOn(stepRun, open), false, `${stepRun.id} has room`);
-    if (stepRun.request.gang) hold.holdFor(stepRun);
+    assert.equal(fitsOn(stepRun, open), false, `${stepRun.id} has capacity`);
+    if (stepRun.request.gang) reservation.reserveFor(stepRun);
   }
 }
 
-/** Nothing but copies runs twice. */
+/** Checks that no task runs twice, except for copies. */
 function checkCopies(world: worlds.UnreliableWorld): void {
   const seen = new Set<string>();
   for (const worker of world.workers) {
-    for (const {taskId} of worker.runs.values()) {
+    for (const {taskId} of worker.attempts.values()) {
       const [jobId, , step] = taskId.split('.');
       const job = world.jobs.find((one) => one.id === jobId)!;
       if (job.request.steps[Number(step)]!.speculative) continue;
@@ -416,7 +444,7 @@
   }
 }
 
-function check(world: worlds.UnreliableWorld): void {
+function settleAndCheck(world: worlds.UnreliableWorld): void {
   world.settle();
   for (const stepRun of stepsOf(world)) checkTasks(stepRun);
   checkWorkers(world);
@@ -426,8 +454,9 @@
   assert.equal(world.decide(), 0, 'a step was not tried');
 }
 
-// Guards against work that has room and stands still, whatever was lost before.
-test('nothing that could start waits once all answers are in', () => {
+// Guards against work that does not start although it has capacity, whatever
+// failed before.
+test('no task that could start is left waiting once all answers are received', () => {
   fc.assert(
     fc.property(
       fc.integer({min: 2, max: 12}),
@@ -441,10 +470,10 @@
           });
         }
         for (const action of actions) {
-          act(world, action);
+          applyAction(world, action);
           checkCopies(world);
         }
-        check(world);
+        settleAndCheck(world);
       },
     ),
     {numRuns: NUM_RUNS},
--- a/packages/gypsumwall-scheduling/src/choose_worker.ts
+++ b/packages/gypsumwall-scheduling/src/choose_worker.ts
@@ -1,4 +1,4 @@
-/** Chooses the worker for one task among those that may run it. */
+/** Chooses the worker for one task among the eligible ones. */
 import * as types from '@gypsumwall/types';
 import type * as activeJob from './active_job.js';
 import * as domainAffinity from './domain_affinity.js';
@@ -7,23 +7,26 @@
 import type * as workerRegistry from './worker_registry.js';
 import type * as workerHealth from './worker_health.js';
 
-/** What a choice looks at beside the books. */
+/** Input of a choice. */
 export interface ChoiceContext {
-  readonly book: workerRegistry.WorkerRegistry;
+  readonly registry: workerRegistry.WorkerRegistry;
   readonly health: workerHealth.WorkerHealth;
   readonly now: types.clock.MonotonicMs;
-  /** Whether a worker's room is kept for work of higher rank. */
-  readonly isHeld?: (worker: types.ids.WorkerId) => boolean;
-  /** Workers that are kept for tasks which may crash them. */
+  /** Whether a worker is reserved for work of higher rank. */
+  readonly isReserved?: (worker: types.ids.WorkerId) => boolean;
+  /** Workers reserved for tasks that may crash them. */
   readonly isolation?: taskIsolation.TaskIsolation;
-  /** A worker has crashed under the task that is placed. */
+  /** Whether a worker has crashed while it ran the task. */
   readonly isSuspected?: boolean;
 }
 
-/** Whether a step's tasks may run on a worker at all, room left aside. */
-export function mayRunOn(
+/**
+ * Whether a worker is in the pool of a step and has its required label,
+ * regardless of free capacity.
+ */
+export function isEligible(
   stepRun: activeJob.StepRun,
-  worker: workerRegistry.BookedWorker,
+  worker: workerRegistry.RegisteredWorker,
 ): boolean {
   const {info} = worker;
   const {request} = stepRun;
@@ -32,8 +35,8 @@
   return label === undefined || info.labels.includes(label);
 }
 
-/** What a task takes from a worker's books. */
-export function bookedSize(
+/** Resources reserved on the worker for a task of a step. */
+export function reservedSize(
   stepRun: activeJob.StepRun,
 ): types.resources.Resources {
   const {size, usesSpareCpu} = stepRun.request;
@@ -41,108 +44,113 @@
 }
 
 /**
- * The workers that have room for a task of the step and may run it now. Room
- * is looked at first: in a full cell that leaves few workers, and the other
- * questions cost more.
+ * Finds the workers that have capacity for a task of the step and may run it
+ * now. Capacity is checked first: in a full cell it leaves few workers, and the
+ * other checks are more expensive.
  */
-export function candidates(
+export function findCandidates(
   stepRun: activeJob.StepRun,
   context: ChoiceContext,
-): workerRegistry.BookedWorker[] {
-  const size = bookedSize(stepRun);
+): workerRegistry.RegisteredWorker[] {
+  const size = reservedSize(stepRun);
   const {advice, job} = stepRun;
-  const advised = job.policy.advice !== undefined;
-  const found: workerRegistry.BookedWorker[] = [];
+  const needsAdvice = job.policy.advice !== undefined;
+  const found: workerRegistry.RegisteredWorker[] = [];
   for (const worker of approvedWorkers(stepRun, context)) {
     const {id} = worker.info;
     if (!types.resources.fits(size, worker.free)) continue;
-    if (context.isHeld?.(id) === true) continue;
-    const ticket = advised && stepAdvice.ticketFor(advice, id, context.now);
-    if (advised && ticket === undefined) continue;
-    if (isOpen(stepRun, worker, context)) found.push(worker);
+    if (context.isReserved?.(id) === true) continue;
+    const ticket = needsAdvice && stepAdvice.ticketFor(advice, id, context.now);
+    if (needsAdvice && ticket === undefined) continue;
+    if (isAvailable(stepRun, worker, context)) found.push(worker);
   }
   return found;
 }
 
-/** The workers that may run the step once they have room. */
-export function mayEverRun(
+/** Finds the workers that may run the step once they have free capacity. */
+export function findAvailableWorkers(
   stepRun: activeJob.StepRun,
   context: ChoiceContext,
-): workerRegistry.BookedWorker[] {
-  const found: workerRegistry.BookedWorker[] = [];
+): workerRegistry.RegisteredWorker[] {
+  const found: workerRegistry.RegisteredWorker[] = [];
   for (const worker of approvedWorkers(stepRun, context)) {
-    if (isOpen(stepRun, worker, context)) found.push(worker);
+    if (isAvailable(stepRun, worker, context)) found.push(worker);
   }
   return found;
 }
 
-/** Approved by the adviser, where there is one; tickets may have ended. */
+/**
+ * The workers approved by the adviser, also with expired tickets; all workers
+ * if the queue has no adviser.
+ */
 function* approvedWorkers(
   {advice, job}: activeJob.StepRun,
-  {book}: ChoiceContext,
-): Iterable<workerRegistry.BookedWorker> {
+  {registry}: ChoiceContext,
+): Iterable<workerRegistry.RegisteredWorker> {
   if (job.policy.advice === undefined) {
-    yield* book.workers.values();
+    yield* registry.workers.values();
     return;
   }
   for (const id of advice.approvals.keys()) {
-    const worker = book.workers.get(id);
+    const worker = registry.workers.get(id);
     if (worker !== undefined) yield worker;
   }
 }
 
-function isOpen(
+function isAvailable(
   stepRun: activeJob.StepRun,
-  worker: workerRegistry.BookedWorker,
+  worker: workerRegistry.RegisteredWorker,
   {health, now, isolation}: ChoiceContext,
 ): boolean {
   if (!worker.usable || worker.info.draining) return false;
   if (isolation?.isClosedTo(stepRun, worker.info.id) === true) return false;
-  if (!mayRunOn(stepRun, worker)) return false;
+  if (!isEligible(stepRun, worker)) return false;
   return health.trustOf(worker.info.id, now) !== 'avoided';
 }
 
-/** How many more tasks of the step the worker may take. */
-export function roomFor(
+/**
+ * How many more tasks of the step a worker may run under its limit per worker.
+ */
+export function remainingSlots(
   stepRun: activeJob.StepRun,
-  worker: workerRegistry.BookedWorker,
+  worker: workerRegistry.RegisteredWorker,
 ): number {
-  const most = stepRun.request.maxPerWorker ?? Infinity;
-  return most - (worker.perStep.get(stepRun.id) ?? 0);
+  const limit = stepRun.request.maxPerWorker ?? Infinity;
+  return limit - (worker.tasksByStep.get(stepRun.id) ?? 0);
 }
 
 /**
- * Whether nothing speaks against a worker for this step. A task that failed is
- * tried elsewhere first: on a worker that fails all it starts, every further
- * try would use up one of the few that a job has.
+ * Whether a worker is healthy and no task of the job has failed on it. A failed
+ * task is tried on other workers first: on a worker that fails all its tasks,
+ * every further attempt would use up one of the few that a job has.
  */
 export function isTrusted(
   stepRun: activeJob.StepRun,
-  worker: workerRegistry.BookedWorker,
+  worker: workerRegistry.RegisteredWorker,
   context: ChoiceContext,
 ): boolean {
   const {id} = worker.info;
   if (stepRun.job.failedOn.has(id)) return false;
-  return context.health.trustOf(id, context.now) === 'sound';
+  return context.health.trustOf(id, context.now) === 'healthy';
 }
 
 /**
- * The best of the given workers with room for a task: sound before doubtful,
- * near the data before far, in the job's failure domain before others, then
- * the one that the task fills most, which keeps other workers whole for large
- * tasks.
+ * Chooses the best of the given workers with capacity for a task: trusted ones
+ * first, then the rack near the data, then the failure domain of the job, and
+ * then the worker with the least free processors, which leaves other workers
+ * free for large tasks.
  */
 export function chooseWorker(
   stepRun: activeJob.StepRun,
-  among: readonly workerRegistry.BookedWorker[],
+  candidates: readonly workerRegistry.RegisteredWorker[],
   context: ChoiceContext,
-): workerRegistry.BookedWorker | undefined {
-  const size = bookedSize(stepRun);
-  let best: workerRegistry.BookedWorker | undefined;
+): workerRegistry.RegisteredWorker | undefined {
+  const size = reservedSize(stepRun);
+  let best: workerRegistry.RegisteredWorker | undefined;
   let bestCost = Infinity;
-  for (const worker of among) {
+  for (const worker of candidates) {
     if (!types.resources.fits(size, worker.free)) continue;
-    if (roomFor(stepRun, worker) < 1) continue;
+    if (remainingSlots(stepRun, worker) < 1) continue;
     const cost = costOf(stepRun, worker, context);
     if (cost >= bestCost) continue;
     best = worker;
@@ -151,29 +159,38 @@
   return best;
 }
 
-/** Larger than any difference in free processors, in thousandths of a core. */
-const DOUBTFUL_COST = 1e9;
-const FAR_COST = 1e8;
-const AWAY_COST = 1e7;
-/** A crash under two tasks that may be at fault tells little about either. */
+/**
+ * Costs of the criteria, each larger than those below it and than any
+ * difference in free processors, in thousandths of a core.
+ */
+const UNTRUSTED_COST = 1e9;
+const OTHER_RACK_COST = 1e8;
+const OTHER_DOMAIN_COST = 1e7;
+/**
+ * A crash of a worker with two suspected tasks tells little about either of
+ * them.
+ */
 const SUSPECTS_TOGETHER_COST = 1e6;
 
 function costOf(
   stepRun: activeJob.StepRun,
-  worker: workerRegistry.BookedWorker,
+  worker: workerRegistry.RegisteredWorker,
   context: ChoiceContext,
 ): number {
   const {preferredRack} = stepRun.request;
-  const far = preferredRack !== undefined && preferredRack !== worker.info.rack;
+  const isFar =
+    preferredRack !== undefined && preferredRack !== worker.info.rack;
   const trusted = isTrusted(stepRun, worker, context);
   const {isSuspected = false, isolation} = context;
-  const together =
+  const isTogether =
     isSuspected && isolation?.hostsSuspect(stepRun, worker.info.id) === true;
   return (
-    (trusted ? 0 : DOUBTFUL_COST) +
-    (far ? FAR_COST : 0) +
-    (together ? SUSPECTS_TOGETHER_COST : 0) +
-    (domainAffinity.isAway(stepRun, worker) ? AWAY_COST : 0) +
+    (trusted ? 0 : UNTRUSTED_COST) +
+    (isFar ? OTHER_RACK_COST : 0) +
+    (isTogether ? SUSPECTS_TOGETHER_COST : 0) +
+    (domainAffinity.isOutsideHomeDomain(stepRun, worker)
+      ? OTHER_DOMAIN_COST
+      : 0) +
     worker.free.cpuMillis
   );
 }
--- a/packages/gypsumwall-scheduling/src/crash_reader.ts
+++ b/packages/gypsumwall-scheduling/src/crash_attribution.ts
@@ -1,60 +1,64 @@
 /**
- * Reads crashes of workers into the records of the tasks that ran there, and
- * gives up those whose fault they are.
+ * Attributes worker crashes to the tasks that ran there and gives up the tasks
+ * that caused them.
  */
 import * as types from '@gypsumwall/types';
 import type * as activeJob from './active_job.js';
 import * as crashRecords from './crash_records.js';
-import type * as jobRegistrys from './job_registry.js';
+import type * as jobRegistries from './job_registry.js';
 import * as jobProgress from './job_progress.js';
 import type * as schedulerTypes from './scheduler_types.js';
 import * as taskIds from './task_id.js';
 import * as workerLosses from './worker_losses.js';
 
-/** What a reader works on. */
-export interface CrashReaderParts {
+/** Dependencies of the crash attribution. */
+export interface CrashAttributionParts {
   readonly losses: workerLosses.WorkerLosses;
-  readonly jobRegistry: jobRegistrys.JobRegistry;
+  readonly jobRegistry: jobRegistries.JobRegistry;
   readonly onEvent: (event: schedulerTypes.SchedulerEvent) => void;
 }
 
-/** Reads crashes. */
-export interface CrashReader {
-  /** A worker has crashed with these runs. */
-  noteCrash(
+/** Attributes worker crashes to tasks. */
+export interface CrashAttribution {
+  /** Records that a worker crashed with these attempts. */
+  recordCrash(
     worker: types.ids.WorkerId,
-    runs: readonly activeJob.Attempt[],
+    attempts: readonly activeJob.Attempt[],
     now: types.clock.MonotonicMs,
   ): void;
   /**
-   * Runs ended with a lease, and nobody knows yet whether their worker has
-   * crashed or is cut off. Their tasks start again meanwhile.
+   * Records attempts that ended with the lease of their worker, while it is not
+   * known yet whether the worker has crashed or is cut off. Their tasks are
+   * started again meanwhile.
    */
-  noteSilent(
+  recordSilence(
     worker: types.ids.WorkerId,
-    runs: readonly activeJob.Attempt[],
+    attempts: readonly activeJob.Attempt[],
     now: types.clock.MonotonicMs,
   ): void;
-  /** The worker was cut off: it answers, and is the one it was. */
-  noteAnswered(worker: types.ids.WorkerId): void;
+  /** Called when a worker answers: its incarnation has not crashed. */
+  onWorkerAnswered(worker: types.ids.WorkerId): void;
   /**
-   * All workers of a job that an earlier scheduler left are accounted for. A
-   * task that isn't found on them may have been on one that has crashed.
+   * Called when all workers recorded for a job of an earlier scheduler are
+   * reconciled. A task that was not found on them may have run on a crashed
+   * worker.
    */
-  noteAccounted(job: activeJob.ActiveJob): void;
+  onJobReconciled(job: activeJob.ActiveJob): void;
 }
 
-interface Unproven {
-  readonly runs: readonly activeJob.Attempt[];
+interface UnprovenCrash {
+  readonly attempts: readonly activeJob.Attempt[];
   readonly forgetAt: types.clock.MonotonicMs;
 }
 
-/** Creates the reader of a scheduler. */
-export function createCrashReader(parts: CrashReaderParts): CrashReader {
+/** Creates the crash attribution of a scheduler. */
+export function createCrashAttribution(
+  parts: CrashAttributionParts,
+): CrashAttribution {
   const {losses, jobRegistry, onEvent} = parts;
-  const unproven = new Map<types.ids.WorkerId, Unproven>();
+  const unprovenCrashes = new Map<types.ids.WorkerId, UnprovenCrash>();
 
-  function record(
+  function recordForTask(
     stepRun: activeJob.StepRun,
     index: number,
     worker: types.ids.WorkerId,
@@ -62,7 +66,7 @@
   ): boolean {
     const {job} = stepRun;
     if (jobProgress.isOver(job.phase) || stepRun.state === 'done') return false;
-    if (stepRun.done.has(index)) return false;
+    if (stepRun.doneIndexes.has(index)) return false;
     if (!crashRecords.recordCrash(stepRun, index, worker, kind)) return false;
     jobRegistry.dirty.add(job);
     const crashes = crashRecords.crashCount(stepRun, index);
@@ -73,8 +77,11 @@
     return true;
   }
 
-  /** A task has one run at a time, so it was on one of the workers at most. */
-  function recordOne(
+  /**
+   * Records a crash for one of these workers only: a task has one attempt at a
+   * time, so it ran on one of them at most.
+   */
+  function recordSingleCrash(
     stepRun: activeJob.StepRun,
     index: number,
     workers: readonly types.ids.WorkerId[],
@@ -82,13 +89,13 @@
     const known = stepRun.crashes.get(index);
     const worker = workers.find((id) => known?.has(id) !== true);
     if (worker === undefined) return;
-    if (!record(stepRun, index, worker, 'single')) return;
+    if (!recordForTask(stepRun, index, worker, 'single')) return;
     const reason = crashRecords.giveUpReason(stepRun, index, undefined);
     if (reason !== undefined) giveUp({stepRun, index}, reason);
   }
 
   function giveUp(
-    {stepRun, index}: jobRegistrys.TaskOwner,
+    {stepRun, index}: jobRegistries.TaskRef,
     reason: crashRecords.GiveUpReason,
   ): void {
     const workers = [...(stepRun.crashes.get(index)?.keys() ?? [])];
@@ -102,7 +109,11 @@
     jobRegistry.finishJob(stepRun.job, 'failed');
   }
 
-  /** How long a run was apart from other jobs when its worker crashed. */
+  /**
+   * How long an attempt ran isolated from other jobs before its worker crashed;
+   * undefined if it was not isolated then, or if other workers were lost at the
+   * same moment.
+   */
   function isolatedMs(
     {isolatedUntil, startedAt, workerId}: activeJob.Attempt,
     now: types.clock.MonotonicMs,
@@ -115,45 +126,53 @@
   }
 
   return {
-    noteCrash(worker, lost, now) {
-      const runs = [...lost, ...(unproven.get(worker)?.runs ?? [])];
-      unproven.delete(worker);
+    recordCrash(worker, lost, now) {
+      const attempts = [
+        ...lost,
+        ...(unprovenCrashes.get(worker)?.attempts ?? []),
+      ];
+      unprovenCrashes.delete(worker);
       const kind = losses.isGroupLoss(worker) ? 'group' : 'single';
       onEvent({
         type: 'worker_crashed',
         worker,
-        runs: runs.length,
-        isolated: runs.filter((run) => run.isolatedUntil !== undefined).length,
+        runs: attempts.length,
+        isolated: attempts.filter(
+          (attempt) => attempt.isolatedUntil !== undefined,
+        ).length,
         kind,
         accompanied: losses.isAccompanied(worker),
       });
-      for (const run of runs) {
-        if (run.owner === undefined) continue;
-        const {stepRun, index} = run.owner;
-        if (!record(stepRun, index, worker, kind)) continue;
-        const ranMs = isolatedMs(run, now);
+      for (const attempt of attempts) {
+        if (attempt.owner === undefined) continue;
+        const {stepRun, index} = attempt.owner;
+        if (!recordForTask(stepRun, index, worker, kind)) continue;
+        const ranMs = isolatedMs(attempt, now);
         const reason = crashRecords.giveUpReason(stepRun, index, ranMs);
-        if (reason !== undefined) giveUp(run.owner, reason);
+        if (reason !== undefined) giveUp(attempt.owner, reason);
       }
     },
-    noteSilent(worker, runs, now) {
-      for (const [id, {forgetAt}] of unproven) {
-        if (forgetAt <= now) unproven.delete(id);
+    recordSilence(worker, attempts, now) {
+      for (const [id, {forgetAt}] of unprovenCrashes) {
+        if (forgetAt <= now) unprovenCrashes.delete(id);
       }
-      if (runs.length === 0) return;
+      if (attempts.length === 0) return;
       const forgetAt = types.clock.after(now, workerLosses.LATE_PROOF_MS);
-      const before = unproven.get(worker)?.runs ?? [];
-      unproven.set(worker, {runs: [...before, ...runs], forgetAt});
+      const before = unprovenCrashes.get(worker)?.attempts ?? [];
+      unprovenCrashes.set(worker, {
+        attempts: [...before, ...attempts],
+        forgetAt,
+      });
     },
-    noteAnswered: (worker) => void unproven.delete(worker),
-    noteAccounted(job) {
-      const crashed = [...job.unheardCrashes];
-      job.unheardCrashes.clear();
+    onWorkerAnswered: (worker) => void unprovenCrashes.delete(worker),
+    onJobReconciled(job) {
+      const crashed = [...job.unresolvedCrashes];
+      job.unresolvedCrashes.clear();
       if (crashed.length === 0) return;
       for (const {steps} of job.open.values()) {
         for (const stepRun of steps) {
           for (const index of missingIndexes(stepRun)) {
-            recordOne(stepRun, index, crashed);
+            recordSingleCrash(stepRun, index, crashed);
           }
         }
       }
@@ -161,10 +180,10 @@
   };
 }
 
-/** Tasks of an open step that neither run nor are done. */
+/** Indexes of tasks of an open step that neither run nor are done. */
 function missingIndexes(stepRun: activeJob.StepRun): number[] {
   if (stepRun.state !== 'open') return [];
-  const found = new Set(stepRun.done);
+  const found = new Set(stepRun.doneIndexes);
   for (const {owner} of stepRun.attempts) {
     if (owner !== undefined) found.add(owner.index);
   }
--- a/packages/gypsumwall-scheduling/src/gang_fit.ts
+++ b/packages/gypsumwall-scheduling/src/gang_fit.ts
@@ -1,77 +1,83 @@
 /**
- * Finds workers for all tasks of a gang at once, in one rack where its tasks
- * run slower when they are spread.
+ * Finds workers for all tasks of a gang at once, in one rack if its tasks run
+ * slower when they are spread.
  */
 import type * as types from '@gypsumwall/types';
 import type * as workerRegistry from './worker_registry.js';
 
-/** A worker that may run the tasks, and how many it has room for. */
-export interface GangRoom {
-  readonly worker: workerRegistry.BookedWorker;
+/** A worker that may run tasks of the gang, and how many fit on it. */
+export interface GangCandidate {
+  readonly worker: workerRegistry.RegisteredWorker;
   readonly tasks: number;
 }
 
-/** How many tasks of a size fit into some room. */
+/** Returns how many tasks of a size fit into the free resources. */
 export function tasksThatFit(
   size: types.resources.Resources,
-  room: types.resources.Resources,
+  available: types.resources.Resources,
 ): number {
   return Math.min(
-    share(room.cpuMillis, size.cpuMillis),
-    share(room.memoryMb, size.memoryMb),
-    share(room.accelerators, size.accelerators),
+    fittingCount(available.cpuMillis, size.cpuMillis),
+    fittingCount(available.memoryMb, size.memoryMb),
+    fittingCount(available.accelerators, size.accelerators),
   );
 }
 
-function share(room: number, need: number): number {
-  if (need === 0) return room < 0 ? 0 : Infinity;
-  return Math.max(0, Math.floor(room / need));
+function fittingCount(available: number, need: number): number {
+  if (need === 0) return available < 0 ? 0 : Infinity;
+  return Math.max(0, Math.floor(available / need));
 }
 
-/** How a gang's tasks are laid out. */
+/** How the tasks of a gang are distributed. */
 export interface GangLayout {
   readonly sameRack: boolean;
-  /** Few on each worker, so that its crash tells more of which is at fault. */
+  /**
+   * Whether each worker gets few tasks, so that its crash gives more evidence
+   * of which task is at fault.
+   */
   readonly spread: boolean;
 }
 
 /**
- * One worker for each task, or undefined while there is no room for all.
- * Workers that take the most tasks come first, so that a gang sits on few
- * workers and leaves the others whole.
+ * Returns one worker for each task, or undefined if they do not all fit.
+ * Workers that fit the most tasks come first, so that a gang uses few workers
+ * and leaves the others free.
  */
 export function fitGang(
-  rooms: readonly GangRoom[],
+  candidates: readonly GangCandidate[],
   taskCount: number,
   {sameRack, spread}: GangLayout,
-): workerRegistry.BookedWorker[] | undefined {
-  const fill = spread ? fillEvenly : fillLargestFirst;
-  if (!sameRack) return fill(rooms, taskCount);
-  const racks = new Map<string, GangRoom[]>();
-  for (const room of rooms) {
-    const rack = room.worker.info.rack;
-    racks.set(rack, [...(racks.get(rack) ?? []), room]);
+): workerRegistry.RegisteredWorker[] | undefined {
+  const place = spread ? fillEvenly : fillLargestFirst;
+  if (!sameRack) return place(candidates, taskCount);
+  const racks = new Map<string, GangCandidate[]>();
+  for (const candidate of candidates) {
+    const rack = candidate.worker.info.rack;
+    racks.set(rack, [...(racks.get(rack) ?? []), candidate]);
   }
-  for (const inRack of racks.values()) {
-    const workers = fill(inRack, taskCount);
+  for (const candidatesInRack of racks.values()) {
+    const workers = place(candidatesInRack, taskCount);
     if (workers !== undefined) return workers;
   }
-  return fill(rooms, taskCount);
+  return place(candidates, taskCount);
 }
 
-function hasRoom(rooms: readonly GangRoom[], taskCount: number): boolean {
-  return rooms.reduce((sum, room) => sum + room.tasks, 0) >= taskCount;
+function hasSlotsFor(
+  candidates: readonly GangCandidate[],
+  taskCount: number,
+): boolean {
+  return candidates.reduce((sum, one) => sum + one.tasks, 0) >= taskCount;
 }
 
-/** One task for each worker, round after round. */
+/** Distributes one task to each worker in turn. */
 function fillEvenly(
-  rooms: readonly GangRoom[],
+  candidates: readonly GangCandidate[],
   taskCount: number,
-): workerRegistry.BookedWorker[] | undefined {
-  if (!hasRoom(rooms, taskCount)) return undefined;
-  const workers: workerRegistry.BookedWorker[] = [];
+): workerRegistry.RegisteredWorker[] | undefined {
+  if (!hasSlotsFor(candidates, taskCount)) return undefined;
+  const workers: workerRegistry.RegisteredWorker[] = [];
   for (let round = 0; workers.length < taskCount; round++) {
-    for (const {worker, tasks} of rooms) {
+    for (const {worker, tasks} of candidates) {
       if (tasks > round && workers.length < taskCount) workers.push(worker);
     }
   }
@@ -79,15 +85,15 @@
 }
 
 function fillLargestFirst(
-  rooms: readonly GangRoom[],
+  candidates: readonly GangCandidate[],
   taskCount: number,
-): workerRegistry.BookedWorker[] | undefined {
-  if (!hasRoom(rooms, taskCount)) return undefined;
-  const workers: workerRegistry.BookedWorker[] = [];
-  const largestFirst = [...rooms].sort((a, b) => b.tasks - a.tasks);
-  for (const room of largestFirst) {
-    const count = Math.min(room.tasks, taskCount - workers.length);
-    for (let nth = 0; nth < count; nth++) workers.push(room.worker);
+): workerRegistry.RegisteredWorker[] | undefined {
+  if (!hasSlotsFor(candidates, taskCount)) return undefined;
+  const workers: workerRegistry.RegisteredWorker[] = [];
+  const largestFirst = [...candidates].sort((a, b) => b.tasks - a.tasks);
+  for (const candidate of largestFirst) {
+    const count = Math.min(candidate.tasks, taskCount - workers.length);
+    for (let nth = 0; nth < count; nth++) workers.push(candidate.worker);
   }
   return workers;
 }
--- a/packages/gypsumwall-scheduling/src/job_registry.ts
+++ b/packages/gypsumwall-scheduling/src/job_registry.ts
@@ -1,7 +1,7 @@
 /**
- * The jobs of a scheduler, the steps that wait, the runs to be stopped and the
- * jobs to be stored: every change of a job goes through here, so that none of
- * these lists misses it.
+ * The jobs of a scheduler, its waiting steps, the attempts to stop and the jobs
+ * to store. Every change of a job goes through this module, so that all these
+ * lists stay up to date.
  */
 import * as types from '@gypsumwall/types';
 import * as activeJob from './active_job.js';
@@ -12,116 +12,131 @@
 import * as taskIds from './task_id.js';
 import type * as workerHealth from './worker_health.js';
 
-/** A task, as its step and index. */
-export interface TaskOwner {
+/** A task, identified by its step run and index. */
+export interface TaskRef {
   readonly stepRun: activeJob.StepRun;
   readonly index: number;
 }
 
-/** What a job book works on. */
+/** Dependencies of a job registry. */
 export interface JobRegistryParts {
-  readonly runs: attemptTable.AttemptTable;
+  readonly attempts: attemptTable.AttemptTable;
   readonly health: workerHealth.WorkerHealth;
-  /** Whether a worker drains or is gone for good. */
+  /** Whether a worker drains or was removed. */
   readonly isLeaving: (worker: types.ids.WorkerId) => boolean;
   readonly onEvent: (event: schedulerTypes.SchedulerEvent) => void;
 }
 
-/** Jobs and what is to be done about them. */
+/** The jobs of a scheduler and what is due for them. */
 export interface JobRegistry {
   readonly jobs: ReadonlyMap<types.ids.JobId, activeJob.ActiveJob>;
-  /** Steps with tasks that wait. */
-  readonly waiting: ReadonlySet<activeJob.StepRun>;
-  /** Jobs whose steps or occurrences may have come due. */
-  readonly scheduled: Set<activeJob.ActiveJob>;
+  /** Steps with queued tasks. */
+  readonly waitingSteps: ReadonlySet<activeJob.StepRun>;
+  /** Jobs with steps or occurrences that may be due to open. */
+  readonly jobsToOpen: Set<activeJob.ActiveJob>;
   /** Jobs whose progress has to be stored. */
   readonly dirty: Set<activeJob.ActiveJob>;
   add(job: activeJob.ActiveJob): void;
-  /** Opens what is due. */
-  moveOn(
+  /** Opens the steps and occurrences of a job that are due. */
+  openDue(
     job: activeJob.ActiveJob,
     now: types.clock.MonotonicMs,
     wall: types.clock.WallMs,
   ): void;
-  /** Ends a job: what still runs of it is stopped. */
+  /** Ends a job and stops its remaining attempts. */
   finishJob(
     job: activeJob.ActiveJob,
     phase: 'completed' | 'failed' | 'cancelled',
   ): void;
   /**
-   * A worker has taken a task. Until then a job counts as waiting for its
-   * callers, however long ago its workers were recorded or orders were sent:
-   * in a full cell, or at workers that answer no orders, that is seconds.
+   * Marks a job as running once a worker has accepted a task of it. Until then
+   * callers see it as queued, even if workers were recorded or orders sent long
+   * ago: in a full cell, or with workers that do not answer orders, that takes
+   * seconds.
    */
-  noteBegun(job: activeJob.ActiveJob): void;
-  /** Has a run stopped; it keeps its room until its end is known. */
-  stop(run: activeJob.Attempt): void;
-  /** Has a run stopped whose stop was answered and that is still there. */
-  stopAgain(run: activeJob.Attempt): void;
+  markRunning(job: activeJob.ActiveJob): void;
   /**
-   * Puts a task whose attempt has ended back into line, with its gang if it has
-   * one.
+   * Requests the stop of an attempt. Its capacity stays reserved until its end
+   * is known.
    */
-  requeue(stepRun: activeJob.StepRun, index: number, attempt: number): void;
-  dropRun(run: activeJob.Attempt): void;
+  stop(attempt: activeJob.Attempt): void;
   /**
-   * A run is over. A worker that is about to leave and has none of the job's
-   * runs any more is taken off the job's record. A successor holds a job back
-   * until each recorded worker is accounted for, and one that has left answers
-   * nobody: tasks that were moved off in good time stood still for 35 s.
-   * Nothing starts on a leaving worker, so it isn't put on the record again.
+   * Requests another stop of an attempt that still runs although its stop was
+   * answered.
    */
-  noteLeft(run: activeJob.Attempt): void;
+  retryStop(attempt: activeJob.Attempt): void;
   /**
-   * Puts a second run of a task into line beside one that may take long, where
-   * its caller allows copies. The first that is done counts, and the other is
-   * stopped.
+   * Queues a task again after the end of its attempt; a gang is queued as a
+   * whole.
    */
-  startCopy(run: activeJob.Attempt): void;
-  /** Notes whether the step has tasks that wait. */
-  noteWaiting(stepRun: activeJob.StepRun): void;
-  /** A task, or its gang, runs already. */
-  takeOutOfLine(stepRun: activeJob.StepRun, index: number): void;
-  breakPartialGangs(job: activeJob.ActiveJob): void;
-  /** The task of a job that isn't over, if its step is known. */
-  stepRunOf(taskId: types.ids.TaskId): TaskOwner | undefined;
-  /** Runs to be stopped, handed over once. */
+  requeue(
+    stepRun: activeJob.StepRun,
+    index: number,
+    attemptNumber: number,
+  ): void;
+  dropAttempt(attempt: activeJob.Attempt): void;
+  /**
+   * Called when an attempt has ended. If its worker is about to leave and has
+   * no other attempt of the job, removes the worker from the workers recorded
+   * for the job. A successor does not start tasks of a job until each recorded
+   * worker is reconciled, and a worker that has left does not answer: tasks
+   * that were moved to other workers in good time did not run for 35 s. Nothing
+   * starts on a leaving worker, so it is not recorded again.
+   */
+  removeLeavingWorker(attempt: activeJob.Attempt): void;
+  /**
+   * Queues a second attempt of a task whose first one may take long, if its
+   * step allows copies. The first attempt that is done counts and the other one
+   * is stopped.
+   */
+  queueCopy(attempt: activeJob.Attempt): void;
+  /** Updates whether the step has queued tasks. */
+  updateWaiting(stepRun: activeJob.StepRun): void;
+  /** Removes a task that already runs, or its gang, from the queue. */
+  dequeue(stepRun: activeJob.StepRun, index: number): void;
+  stopPartialGangs(job: activeJob.ActiveJob): void;
+  /**
+   * Returns the task with this id if its job is not over and its step is known.
+   */
+  findTask(taskId: types.ids.TaskId): TaskRef | undefined;
+  /** Returns the attempts to stop that were not returned before. */
   takeStops(): activeJob.Attempt[];
 }
 
-/** Creates an empty book. */
+/** Creates a registry without jobs. */
 export function createJobRegistry(parts: JobRegistryParts): JobRegistry {
   const jobs = new Map<types.ids.JobId, activeJob.ActiveJob>();
-  const waiting = new Set<activeJob.StepRun>();
-  const scheduled = new Set<activeJob.ActiveJob>();
+  const waitingSteps = new Set<activeJob.StepRun>();
+  const jobsToOpen = new Set<activeJob.ActiveJob>();
   const dirty = new Set<activeJob.ActiveJob>();
   let stops: activeJob.Attempt[] = [];
 
-  function stop(run: activeJob.Attempt): void {
-    if (run.phase === 'stopping') return;
-    run.phase = 'stopping';
-    run.confirmedAt = undefined;
-    stops.push(run);
+  function stop(attempt: activeJob.Attempt): void {
+    if (attempt.phase === 'stopping') return;
+    attempt.phase = 'stopping';
+    attempt.confirmedAt = undefined;
+    stops.push(attempt);
   }
 
-  function stopAgain(run: activeJob.Attempt): void {
-    run.confirmedAt = undefined;
-    stops.push(run);
+  function retryStop(attempt: activeJob.Attempt): void {
+    attempt.confirmedAt = undefined;
+    stops.push(attempt);
   }
 
-  function noteWaiting(stepRun: activeJob.StepRun): void {
-    const over = jobProgress.isOver(stepRun.job.phase);
-    stepRun.changed = true;
-    if (stepRun.waiting.length > 0 && !over) waiting.add(stepRun);
-    else waiting.delete(stepRun);
+  function updateWaiting(stepRun: activeJob.StepRun): void {
+    const isOver = jobProgress.isOver(stepRun.job.phase);
+    stepRun.hasChanged = true;
+    if (stepRun.waiting.length > 0 && !isOver) waitingSteps.add(stepRun);
+    else waitingSteps.delete(stepRun);
   }
 
-  function moveOn(
+  function openDue(
     job: activeJob.ActiveJob,
     now: types.clock.MonotonicMs,
     wall: types.clock.WallMs,
   ): void {
-    for (const opened of jobSteps.openDue(job, now, wall)) noteWaiting(opened);
+    for (const opened of jobSteps.openDue(job, now, wall))
+      updateWaiting(opened);
   }
 
   function finishJob(
@@ -131,12 +146,12 @@
     job.phase = phase;
     dirty.add(job);
     jobs.delete(job.id);
-    scheduled.delete(job);
+    jobsToOpen.delete(job);
     parts.health.forgetJob(job.id);
     for (const occurrence of job.open.values()) {
       for (const stepRun of occurrence.steps) {
-        waiting.delete(stepRun);
-        for (const run of stepRun.attempts) stop(run);
+        waitingSteps.delete(stepRun);
+        for (const attempt of stepRun.attempts) stop(attempt);
       }
     }
     parts.onEvent({
@@ -148,88 +163,90 @@
     });
   }
 
-  /** Breaks a gang up: without one member the others can't work. */
-  function breakGang(stepRun: activeJob.StepRun): void {
-    for (const run of stepRun.attempts) stop(run);
+  /** Stops all members of a gang: they cannot work without the missing one. */
+  function stopGang(stepRun: activeJob.StepRun): void {
+    for (const attempt of stepRun.attempts) stop(attempt);
   }
 
-  /** A gang that was found in part has lost members with their workers. */
+  /**
+   * Stops gangs of which only some members were found: the others were lost
+   * with their workers.
+   */
   function breakPartialGangs(job: activeJob.ActiveJob): void {
     for (const occurrence of job.open.values()) {
       for (const stepRun of occurrence.steps) {
         const {gang, taskCount} = stepRun.request;
         const found = stepRun.attempts.size;
-        if (gang && found > 0 && found < taskCount) breakGang(stepRun);
+        if (gang && found > 0 && found < taskCount) stopGang(stepRun);
       }
     }
   }
 
-  /** Whether the end of an attempt leaves a gang without a member. */
-  function losesMember(stepRun: activeJob.StepRun, attempt: number): boolean {
-    const {
-      request,
-      state,
-      highestAttempts: attempts,
-      job,
-      attempts: runs,
-    } = stepRun;
-    // Members of one that is done end by themselves.
+  /** Whether a gang lacks a member after the end of this attempt. */
+  function losesMember(
+    stepRun: activeJob.StepRun,
+    attemptNumber: number,
+  ): boolean {
+    const {request, state, highestAttempts, job, attempts} = stepRun;
+    // Members of a gang that is done end by themselves.
     if (!request.gang || state === 'done') return false;
-    const latest = attempts.get(activeJob.GANG_KEY) ?? 0;
-    if (attempt >= latest) return true;
-    // Members of the latest attempt may not all have been found yet.
-    if (job.heldBack) return false;
-    const members = [...runs].filter((run) => run.phase !== 'stopping');
+    const latest = highestAttempts.get(activeJob.GANG_KEY) ?? 0;
+    if (attemptNumber >= latest) return true;
+    // Some members of the latest attempt may not be found yet.
+    if (job.isAwaitingReconciliation) return false;
+    const members = [...attempts].filter(
+      (attempt) => attempt.phase !== 'stopping',
+    );
     return members.length < request.taskCount;
   }
 
   function requeue(
     stepRun: activeJob.StepRun,
     index: number,
-    attempt: number,
+    attemptNumber: number,
   ): void {
-    if (losesMember(stepRun, attempt)) breakGang(stepRun);
+    if (losesMember(stepRun, attemptNumber)) stopGang(stepRun);
     jobSteps.requeue(stepRun, index);
-    noteWaiting(stepRun);
+    updateWaiting(stepRun);
   }
 
-  function noteLeft({owner, workerId}: activeJob.Attempt): void {
+  function removeLeavingWorker({owner, workerId}: activeJob.Attempt): void {
     const job = owner?.stepRun.job;
     if (job === undefined || jobProgress.isOver(job.phase)) return;
     if (!parts.isLeaving(workerId)) return;
-    for (const run of parts.runs.ofWorker(workerId)) {
-      if (run.owner?.stepRun.job === job) return;
+    for (const attempt of parts.attempts.ofWorker(workerId)) {
+      if (attempt.owner?.stepRun.job === job) return;
     }
     if (job.workers.delete(workerId)) dirty.add(job);
   }
 
-  /** A run is over without a word on how: its task waits again. */
-  function dropRun(run: activeJob.Attempt): void {
-    const {owner, number: attempt} = run;
-    parts.runs.remove(run);
-    noteLeft(run);
-    if (owner !== undefined) requeue(owner.stepRun, owner.index, attempt);
+  /** Queues the task of an attempt whose outcome is not known. */
+  function dropAttempt(attempt: activeJob.Attempt): void {
+    const {owner, number: attemptNumber} = attempt;
+    parts.attempts.remove(attempt);
+    removeLeavingWorker(attempt);
+    if (owner !== undefined) requeue(owner.stepRun, owner.index, attemptNumber);
   }
 
-  function startCopy({phase, owner}: activeJob.Attempt): void {
+  function queueCopy({phase, owner}: activeJob.Attempt): void {
     if (phase === 'stopping' || owner === undefined) return;
     const {stepRun, index} = owner;
     const {speculative, gang, longRunning} = stepRun.request;
     if (!speculative || gang || longRunning) return;
-    // A copy of a task that crashes its workers would crash another one.
+    // A copy of a task that crashes its workers would crash another worker.
     if (stepRun.crashes.has(index)) return;
     if (stepRun.state !== 'open') return;
     if (jobProgress.isOver(stepRun.job.phase)) return;
-    const runsOfTask = [...stepRun.attempts].filter(
-      (run) => run.owner?.index === index,
+    const attemptsOfTask = [...stepRun.attempts].filter(
+      (attempt) => attempt.owner?.index === index,
     );
-    if (runsOfTask.length > 1 || stepRun.waiting.includes(index)) return;
+    if (attemptsOfTask.length > 1 || stepRun.waiting.includes(index)) return;
     stepRun.waiting.push(index);
-    noteWaiting(stepRun);
+    updateWaiting(stepRun);
   }
 
-  function stepRunOf(taskId: types.ids.TaskId): TaskOwner | undefined {
-    const place = taskIds.placeOf(taskId);
+  function findTask(taskId: types.ids.TaskId): TaskRef | undefined {
+    const place = taskIds.parseTaskId(taskId);
     if (place === undefined) return undefined;
     const occurrence = jobs.get(place.jobId)?.open.get(place.occurrence);
     const stepRun = occurrence?.steps[place.step];
@@ -237,39 +254,39 @@
     return {stepRun, index: place.index};
   }
 
-  function takeOutOfLine(stepRun: activeJob.StepRun, index: number): void {
+  function dequeue(stepRun: activeJob.StepRun, index: number): void {
     stepRun.waiting = stepRun.request.gang
       ? []
       : stepRun.waiting.filter((waitingIndex) => waitingIndex !== index);
-    noteWaiting(stepRun);
+    updateWaiting(stepRun);
   }
 
   return {
     jobs,
-    waiting,
-    scheduled,
+    waitingSteps,
+    jobsToOpen,
     dirty,
     add(job) {
       jobs.set(job.id, job);
-      scheduled.add(job);
+      jobsToOpen.add(job);
     },
-    moveOn,
-    noteBegun(job) {
+    openDue,
+    markRunning(job) {
       if (job.phase !== 'queued') return;
       job.phase = 'running';
       dirty.add(job);
     },
     finishJob,
     stop,
-    stopAgain,
+    retryStop,
     requeue,
-    dropRun,
-    noteLeft,
-    startCopy,
-    noteWaiting,
-    takeOutOfLine,
-    breakPartialGangs,
-    stepRunOf,
+    dropAttempt,
+    removeLeavingWorker,
+    queueCopy,
+    updateWaiting,
+    dequeue,
+    stopPartialGangs: breakPartialGangs,
+    findTask,
     takeStops() {
       const taken = stops;
       stops = [];
--- a/packages/gypsumwall-scheduling/src/job_steps.ts
+++ b/packages/gypsumwall-scheduling/src/job_steps.ts
@@ -1,50 +1,50 @@
 /**
- * Moves a job along: which steps are open, which tasks wait, what an end of a
- * run means for the task, the step, the occurrence and the job.
+ * Advances a job: opens its steps, queues its tasks, and applies the end of an
+ * attempt to the task, the step, the occurrence and the job.
  */
 import * as types from '@gypsumwall/types';
 import * as activeJob from './active_job.js';
 import * as jobProgress from './job_progress.js';
 import type * as jobRequest from './job_request.js';
 
-/** How a worker says that a run has ended. */
+/** How an attempt has ended, as reported by the worker. */
 export type RunEnd =
   | 'done'
-  /** Through its own fault or the worker's. */
+  /** It failed, through its own fault or that of the worker. */
   | 'failed'
-  /** On our order. */
+  /** It was stopped by an order of the scheduler. */
   | 'stopped'
-  /** Its lease ran out, or its worker went away. */
+  /** Its lease expired, or its worker left. */
   | 'lapsed'
-  /** Another member of its gang ended. */
+  /** Another member of its gang had ended. */
   | 'broken'
-  /** The other members of its gang didn't come. */
+  /** The other members of its gang did not start. */
   | 'alone';
 
-/** What is known of a job when it is taken up. */
+/** What is known of a job when it is added to a scheduler. */
 export interface JobStart {
   readonly id: types.ids.JobId;
   readonly request: jobRequest.JobRequest;
   readonly policy: jobRequest.QueuePolicy;
   readonly arrival: number;
   readonly acceptedAt: types.clock.MonotonicMs;
-  /** Whether an earlier scheduler may have runs of it. */
+  /** Whether an earlier scheduler may have started attempts of it. */
   readonly inherited: boolean;
   readonly progress: jobProgress.JobProgress;
 }
 
-/** Makes the record of a job from what was stored of it. */
+/** Creates the state of a job from its request and its stored progress. */
 export function createJob(start: JobStart): activeJob.ActiveJob {
   const {progress, inherited, ...rest} = start;
   const job: activeJob.ActiveJob = {
     ...rest,
     phase: progress.phase,
-    heldBack: inherited && progress.workers.length > 0,
+    isAwaitingReconciliation: inherited && progress.workers.length > 0,
     workers: new Map(progress.workers.map((id) => [id, 'recorded'])),
     failedOn: new Set(),
-    unheardCrashes: new Set(),
+    unresolvedCrashes: new Set(),
     open: new Map(),
-    finished: new Set(progress.finished),
+    finishedOccurrences: new Set(progress.finished),
   };
   for (const [number, steps] of Object.entries(progress.occurrences)) {
     const occurrence = activeJob.createOccurrence(
@@ -53,20 +53,20 @@
       start.acceptedAt,
     );
     job.open.set(occurrence.number, occurrence);
-    steps.forEach((step, index) => restore(occurrence.steps[index], step));
+    steps.forEach((step, index) => restoreStep(occurrence.steps[index], step));
   }
   return job;
 }
 
-function restore(
+function restoreStep(
   stepRun: activeJob.StepRun | undefined,
   progress: jobProgress.StepProgress,
 ): void {
   if (stepRun === undefined) return;
   if (progress.done === 'all') stepRun.state = 'done';
-  else for (const index of progress.done) stepRun.done.add(index);
-  for (const [index, attempts] of Object.entries(progress.failures)) {
-    stepRun.failures.set(Number(index), new Set(attempts));
+  else for (const index of progress.done) stepRun.doneIndexes.add(index);
+  for (const [index, failedAttempts] of Object.entries(progress.failures)) {
+    stepRun.failures.set(Number(index), new Set(failedAttempts));
   }
   for (const [index, workers] of Object.entries(progress.crashes ?? {})) {
     const crashes = Object.entries(workers).map(
@@ -76,7 +76,10 @@
   }
 }
 
-/** Opens occurrences that are due and steps whose turn has come. */
+/**
+ * Opens the occurrences that are due and the steps whose predecessors are done;
+ * returns these steps.
+ */
 export function openDue(
   job: activeJob.ActiveJob,
   now: types.clock.MonotonicMs,
@@ -85,20 +88,25 @@
   const schedule = job.request.schedule;
   const total = schedule?.occurrences ?? 1;
   for (let number = 0; number < total; number++) {
-    if (job.finished.has(number) || job.open.has(number)) continue;
-    const lateMs =
-      schedule === undefined ? 0 : lateness(schedule, number, wall);
-    if (lateMs < 0) break;
-    const countsFrom =
-      schedule === undefined ? job.acceptedAt : types.clock.after(now, -lateMs);
-    job.open.set(number, activeJob.createOccurrence(job, number, countsFrom));
+    if (job.finishedOccurrences.has(number) || job.open.has(number)) continue;
+    const latenessMs =
+      schedule === undefined ? 0 : latenessMsOf(schedule, number, wall);
+    if (latenessMs < 0) break;
+    const objectiveStartsAt =
+      schedule === undefined
+        ? job.acceptedAt
+        : types.clock.after(now, -latenessMs);
+    job.open.set(
+      number,
+      activeJob.createOccurrence(job, number, objectiveStartsAt),
+    );
   }
   const opened: activeJob.StepRun[] = [];
   for (const occurrence of job.open.values()) openSteps(occurrence, opened);
   return opened;
 }
 
-function lateness(
+function latenessMsOf(
   schedule: jobRequest.Schedule,
   number: number,
   wall: types.clock.WallMs,
@@ -112,40 +120,44 @@
 ): void {
   for (const stepRun of occurrence.steps) {
     if (stepRun.state !== 'closed') continue;
-    const ready = stepRun.request.after.every(
+    const isReady = stepRun.request.after.every(
       (earlier) => occurrence.steps[earlier]?.state === 'done',
     );
-    if (!ready) continue;
+    if (!isReady) continue;
     stepRun.state = 'open';
-    stepRun.waiting = openIndexes(stepRun);
+    stepRun.waiting = startableIndexes(stepRun);
     opened.push(stepRun);
   }
 }
 
-/** Indexes without end or run; a gang waits for the last of its runs. */
-function openIndexes(stepRun: activeJob.StepRun): number[] {
+/**
+ * Indexes of tasks that are not done and have no attempt; none for a gang while
+ * an attempt of a member is left.
+ */
+function startableIndexes(stepRun: activeJob.StepRun): number[] {
   const {gang, taskCount} = stepRun.request;
   if (gang && stepRun.attempts.size > 0) return [];
   const running = new Set<number | undefined>();
-  for (const run of stepRun.attempts) running.add(run.owner?.index);
+  for (const attempt of stepRun.attempts) running.add(attempt.owner?.index);
   const indexes: number[] = [];
-  // Taken from the end: the first index goes first.
+  // Tasks are taken from the end of the list, so the first index starts first.
   for (let index = taskCount - 1; index >= 0; index--) {
-    if (!stepRun.done.has(index) && !running.has(index)) indexes.push(index);
+    if (!stepRun.doneIndexes.has(index) && !running.has(index))
+      indexes.push(index);
   }
   return indexes;
 }
 
-/** Notes that a task, or a gang as a whole, is done. */
+/** Marks a task, or a gang as a whole, as done. */
 export function markDone(stepRun: activeJob.StepRun, index: number): void {
   if (stepRun.state === 'done') return;
   if (stepRun.request.gang) {
     stepRun.waiting = [];
     stepRun.state = 'done';
   } else {
-    stepRun.done.add(index);
+    stepRun.doneIndexes.add(index);
     stepRun.waiting = stepRun.waiting.filter((waiting) => waiting !== index);
-    if (stepRun.done.size < stepRun.request.taskCount) return;
+    if (stepRun.doneIndexes.size < stepRun.request.taskCount) return;
     stepRun.state = 'done';
   }
   finishOccurrence(stepRun.occurrence, stepRun.job);
@@ -157,38 +169,42 @@
 ): void {
   if (!occurrence.steps.every((step) => step.state === 'done')) return;
   job.open.delete(occurrence.number);
-  job.finished.add(occurrence.number);
+  job.finishedOccurrences.add(occurrence.number);
   const total = job.request.schedule?.occurrences ?? 1;
-  if (job.finished.size === total && !jobProgress.isOver(job.phase)) {
+  if (
+    job.finishedOccurrences.size === total &&
+    !jobProgress.isOver(job.phase)
+  ) {
     job.phase = 'completed';
   }
 }
 
 /**
- * Counts a failed attempt once, however often the worker repeats it; true if
- * the task has used up its attempts.
+ * Records a failed attempt once, however often the worker reports it; returns
+ * whether the task has used up its attempts.
  */
-export function countFailure(
+export function recordFailure(
   stepRun: activeJob.StepRun,
   index: number,
-  attempt: number,
+  attemptNumber: number,
 ): boolean {
-  const key = activeJob.countKey(stepRun, index);
+  const key = activeJob.counterKey(stepRun, index);
   const failed = stepRun.failures.get(key) ?? new Set<number>();
-  stepRun.failures.set(key, failed.add(attempt));
+  stepRun.failures.set(key, failed.add(attemptNumber));
   if (stepRun.request.longRunning) return false;
   return failed.size >= stepRun.job.policy.maxFailures;
 }
 
-/** Puts a task, or a gang once all its runs have ended, back into line. */
+/** Queues a task again, or a gang once all its attempts have ended. */
 export function requeue(stepRun: activeJob.StepRun, index: number): void {
   if (stepRun.state !== 'open' || jobProgress.isOver(stepRun.job.phase)) return;
   if (stepRun.request.gang) {
     if (stepRun.attempts.size > 0 || stepRun.waiting.length > 0) return;
-    stepRun.waiting = openIndexes(stepRun);
+    stepRun.waiting = startableIndexes(stepRun);
     return;
   }
-  if (stepRun.done.has(index) || stepRun.waiting.includes(index)) return;
-  for (const run of stepRun.attempts) if (run.owner?.index === index) return;
+  if (stepRun.doneIndexes.has(index) || stepRun.waiting.includes(index)) return;
+  for (const attempt of stepRun.attempts)
+    if (attempt.owner?.index === index) return;
   stepRun.waiting.push(index);
 }
--- a/packages/gypsumwall-scheduling/src/place_isolated.ts
+++ b/packages/gypsumwall-scheduling/src/place_isolated.ts
@@ -1,11 +1,11 @@
-/** Places tasks that may crash their workers, apart from other jobs. */
+/** Places tasks that may crash their workers, isolated from other jobs. */
 import type * as activeJob from './active_job.js';
 import * as chooseWorker from './choose_worker.js';
 import * as crashRecords from './crash_records.js';
 import * as placements from './placements.js';
 import type * as workerRegistry from './worker_registry.js';
 
-/** Whether tasks of a step wait that have to be apart. */
+/** Whether a queued task of a step needs isolation. */
 export function waitsForIsolation(stepRun: activeJob.StepRun): boolean {
   if (stepRun.crashes.size === 0) return false;
   return stepRun.waiting.some((index) =>
@@ -13,59 +13,62 @@
   );
 }
 
-/** The tasks that wait, by whether they have to be apart. */
+/** Splits the queued tasks by whether they need isolation. */
 export function splitWaiting(stepRun: activeJob.StepRun): {
-  readonly apart: number[];
+  readonly isolated: number[];
   readonly others: number[];
 } {
-  const apart: number[] = [];
+  const isolated: number[] = [];
   const others: number[] = [];
   for (const index of stepRun.waiting) {
-    const isApart = crashRecords.needsIsolation(stepRun, index);
-    (isApart ? apart : others).push(index);
+    const needsIsolation = crashRecords.needsIsolation(stepRun, index);
+    (needsIsolation ? isolated : others).push(index);
   }
-  return {apart, others};
+  return {isolated, others};
 }
 
 /**
- * Places as many of the tasks as there are quiet workers for, the first ones
- * first. For the others workers are emptied.
+ * Places as many of the tasks, in their order, as there are suitable workers.
+ * For the remaining ones workers are reserved.
  */
 export function placeIsolated(
   stepRun: activeJob.StepRun,
   indexes: readonly number[],
   context: chooseWorker.ChoiceContext,
 ): placements.Placement[] {
-  const {isolation, book, now} = context;
+  const {isolation, registry, now} = context;
   if (isolation === undefined) return [];
-  const quiet = chooseWorker
-    .candidates(stepRun, context)
-    .filter((worker) => isolation.isQuiet(stepRun, worker, now));
+  const suitable = chooseWorker
+    .findCandidates(stepRun, context)
+    .filter((worker) => isolation.canStartIsolated(stepRun, worker, now));
   const placed: placements.Placement[] = [];
   for (const index of indexes) {
-    const worker = chooseQuiet(stepRun, quiet, context);
+    const worker = chooseIsolationWorker(stepRun, suitable, context);
     if (worker === undefined) break;
-    isolation.notePlaced(stepRun, index, worker.info.id, now);
-    placed.push(placements.take(stepRun, index, worker, book));
+    isolation.onPlaced(stepRun, index, worker.info.id, now);
+    placed.push(placements.reserve(stepRun, index, worker, registry));
   }
   const missing = indexes.length - placed.length;
   if (missing > 0) isolation.reserveFor(stepRun, missing, context);
   return placed;
 }
 
-/** Where the job's own tasks are, then an empty worker, then any other. */
-function chooseQuiet(
+/**
+ * Chooses a worker reserved for the job first, then an idle worker, then any
+ * other.
+ */
+function chooseIsolationWorker(
   stepRun: activeJob.StepRun,
-  quiet: readonly workerRegistry.BookedWorker[],
+  suitable: readonly workerRegistry.RegisteredWorker[],
   context: chooseWorker.ChoiceContext,
-): workerRegistry.BookedWorker | undefined {
+): workerRegistry.RegisteredWorker | undefined {
   const {isolation} = context;
-  const own = quiet.filter(
-    ({info}) => isolation?.isKeptFor(stepRun, info.id) === true,
+  const ownWorkers = suitable.filter(
+    ({info}) => isolation?.isReservedFor(stepRun, info.id) === true,
   );
-  const empty = quiet.filter(({perStep}) => perStep.size === 0);
-  for (const among of [own, empty, quiet]) {
-    const worker = chooseWorker.chooseWorker(stepRun, among, context);
+  const idle = suitable.filter(({tasksByStep}) => tasksByStep.size === 0);
+  for (const candidates of [ownWorkers, idle, suitable]) {
+    const worker = chooseWorker.chooseWorker(stepRun, candidates, context);
     if (worker !== undefined) return worker;
   }
   return undefined;
--- a/packages/gypsumwall-scheduling/src/refusal_backoff.ts
+++ b/packages/gypsumwall-scheduling/src/refusal_backoff.ts
@@ -1,20 +1,20 @@
 /**
- * Paces the starts of a step that workers refuse one after the other. A refused
- * start has not run, so there is no limit to how often it may be tried: a
- * worker that takes it may join at any time. Without a pause each refusal would
- * be followed by the next start at once.
+ * Backoff for the starts of a step that workers refuse one after the other. A
+ * refused start has not run, so the number of tries is not limited: a worker
+ * that accepts it may join at any time. Without a pause, each refusal would be
+ * followed by the next start at once.
  */
 import * as types from '@gypsumwall/types';
 import type * as activeJob from './active_job.js';
 import type * as schedulerTypes from './scheduler_types.js';
 
-/** Refusals that are followed by another start at once. */
-const FREE_REFUSALS = 4;
+/** Number of refusals that are followed by another start without a pause. */
+const REFUSALS_WITHOUT_PAUSE = 4;
 const FIRST_PAUSE_MS = 25;
-const LONGEST_PAUSE_MS = 5_000;
+const MAX_PAUSE_MS = 5_000;
 
-/** Notes that a start of the step was refused. */
-export function noteRefused(
+/** Records that a start of the step was refused. */
+export function recordRefusal(
   stepRun: activeJob.StepRun,
   reason: schedulerTypes.RefusalReason,
   now: types.clock.MonotonicMs,
@@ -23,30 +23,30 @@
     case 'bad_ticket':
     case 'no_room':
     case 'unhealthy':
-      // Tickets and workers are paced by themselves.
+      // Tickets and workers have their own backoff.
       return;
     case 'superseded':
     case 'other':
       break;
   }
   stepRun.refusals++;
-  const beyond = stepRun.refusals - FREE_REFUSALS;
-  if (beyond <= 0) return;
-  const pauseMs = FIRST_PAUSE_MS * 2 ** (beyond - 1);
-  const spanMs = Math.min(LONGEST_PAUSE_MS, pauseMs);
-  stepRun.refusedUntil = types.clock.after(now, spanMs);
+  const refusalsBeyond = stepRun.refusals - REFUSALS_WITHOUT_PAUSE;
+  if (refusalsBeyond <= 0) return;
+  const pauseMs = FIRST_PAUSE_MS * 2 ** (refusalsBeyond - 1);
+  const spanMs = Math.min(MAX_PAUSE_MS, pauseMs);
+  stepRun.backoffUntil = types.clock.after(now, spanMs);
 }
 
-/** Notes that a worker took a start of the step. */
-export function noteTaken(stepRun: activeJob.StepRun): void {
+/** Ends the backoff, because a worker has accepted a start of the step. */
+export function resetRefusals(stepRun: activeJob.StepRun): void {
   stepRun.refusals = 0;
-  stepRun.refusedUntil = undefined;
+  stepRun.backoffUntil = undefined;
 }
 
-/** Whether starts of the step pause. */
-export function pauses(
-  {refusedUntil}: activeJob.StepRun,
+/** Whether starts of the step are paused. */
+export function isPaused(
+  {backoffUntil}: activeJob.StepRun,
   now: types.clock.MonotonicMs,
 ): boolean {
-  return refusedUntil !== undefined && now < refusedUntil;
+  return backoffUntil !== undefined && now < backoffUntil;
 }
--- a/packages/gypsumwall-scheduling/src/report_reader.ts
+++ b/packages/gypsumwall-scheduling/src/report_reader.ts
@@ -1,12 +1,12 @@
 /**
- * Reads what a worker tells of itself into the books: ends, progress, runs
- * that an earlier scheduler started, and runs that aren't there any more.
+ * Applies worker reports: ends, progress, attempts that an earlier scheduler
+ * started, and attempts that do not run any more.
  */
 import * as types from '@gypsumwall/types';
 import * as activeJob from './active_job.js';
 import * as chooseWorker from './choose_worker.js';
 import * as crashRecords from './crash_records.js';
-import type * as jobRegistrys from './job_registry.js';
+import type * as jobRegistries from './job_registry.js';
 import * as jobProgress from './job_progress.js';
 import * as jobSteps from './job_steps.js';
 import type * as attemptTable from './attempt_table.js';
@@ -16,66 +16,66 @@
 import type * as workerHealth from './worker_health.js';
 
 /**
- * A worker that accepted a stop has ended the run by then, its saved progress
- * included. Without another stop a member of a gang that runs on would keep its
- * gang from ever starting again.
+ * A worker that accepted a stop ends the attempt and saves its progress within
+ * this time. Without a second stop, a gang member that keeps running would
+ * prevent its gang from ever starting again; milliseconds.
  */
-const STOP_AGAIN_AFTER_MS = 4_000;
+const STOP_RETRY_AFTER_MS = 4_000;
 
-/** What a reader works on. */
+/** Dependencies of a report reader. */
 export interface ReportReaderParts {
-  readonly book: workerRegistry.WorkerRegistry;
-  readonly runs: attemptTable.AttemptTable;
+  readonly registry: workerRegistry.WorkerRegistry;
+  readonly attempts: attemptTable.AttemptTable;
   readonly health: workerHealth.WorkerHealth;
-  readonly jobRegistry: jobRegistrys.JobRegistry;
+  readonly jobRegistry: jobRegistries.JobRegistry;
   readonly onEvent: (event: schedulerTypes.SchedulerEvent) => void;
 }
 
-/** Reads reports. */
+/** Applies a worker report. */
 export type ReportReader = (
   report: schedulerTypes.WorkerReport,
   now: types.clock.MonotonicMs,
 ) => void;
 
-/** Creates the reader of a scheduler. */
+/** Creates the report reader of a scheduler. */
 export function createReportReader(parts: ReportReaderParts): ReportReader {
-  const {book, runs, health, jobRegistry} = parts;
+  const {registry, attempts, health, jobRegistry} = parts;
 
   function applyEnd(
     workerId: types.ids.WorkerId,
-    row: schedulerTypes.AttemptEnd,
+    reported: schedulerTypes.AttemptEnd,
     now: types.clock.MonotonicMs,
   ): void {
-    const run = runs.find(row.taskId, row.attempt, workerId);
-    if (run !== undefined) {
-      runs.remove(run);
-      jobRegistry.noteLeft(run);
+    const attempt = attempts.find(reported.taskId, reported.attempt, workerId);
+    if (attempt !== undefined) {
+      attempts.remove(attempt);
+      jobRegistry.removeLeavingWorker(attempt);
     }
     parts.onEvent({
       type: 'run_ended',
-      run: row.taskId,
-      attempt: row.attempt,
+      run: reported.taskId,
+      attempt: reported.attempt,
       worker: workerId,
-      how: row.how,
+      how: reported.how,
     });
-    const owner = run?.owner ?? jobRegistry.stepRunOf(row.taskId);
+    const owner = attempt?.owner ?? jobRegistry.findTask(reported.taskId);
     if (owner === undefined) return;
     const {stepRun, index} = owner;
-    jobRegistry.noteBegun(stepRun.job);
-    keepCheckpoint(stepRun, index, row.checkpoint);
-    switch (row.how) {
+    jobRegistry.markRunning(stepRun.job);
+    saveCheckpoint(stepRun, index, reported.checkpoint);
+    switch (reported.how) {
       case 'done':
-        applyDone(stepRun, index, row.attempt, workerId);
+        applyDone(stepRun, index, reported.attempt, workerId);
         return;
       case 'failed':
-        applyFailed(stepRun, index, row.attempt, workerId, now);
+        applyFailed(stepRun, index, reported.attempt, workerId, now);
         return;
       case 'stopped':
       case 'lapsed':
       case 'broken':
       case 'alone':
-        if (run !== undefined) {
-          jobRegistry.requeue(stepRun, index, row.attempt);
+        if (attempt !== undefined) {
+          jobRegistry.requeue(stepRun, index, reported.attempt);
         }
         return;
     }
@@ -84,80 +84,88 @@
   function applyDone(
     stepRun: activeJob.StepRun,
     index: number,
-    attempt: number,
+    attemptNumber: number,
     workerId: types.ids.WorkerId,
   ): void {
     const {job} = stepRun;
-    health.noteDone(workerId, job.id);
+    health.recordSuccess(workerId, job.id);
     if (stepRun.request.longRunning) {
-      jobRegistry.requeue(stepRun, index, attempt);
+      jobRegistry.requeue(stepRun, index, attemptNumber);
       return;
     }
-    if (stepRun.state === 'done' || stepRun.done.has(index)) return;
+    if (stepRun.state === 'done' || stepRun.doneIndexes.has(index)) return;
     jobSteps.markDone(stepRun, index);
-    jobRegistry.noteWaiting(stepRun);
-    for (const run of stepRun.attempts) {
-      // Members of a gang end together by themselves; copies don't.
-      if (!stepRun.request.gang && run.owner?.index === index)
-        jobRegistry.stop(run);
+    jobRegistry.updateWaiting(stepRun);
+    for (const attempt of stepRun.attempts) {
+      // Members of a gang end together by themselves; the copies of a task do
+      // not.
+      if (!stepRun.request.gang && attempt.owner?.index === index)
+        jobRegistry.stop(attempt);
     }
     jobRegistry.dirty.add(job);
     if (job.phase === 'completed') jobRegistry.finishJob(job, 'completed');
-    else jobRegistry.scheduled.add(job);
+    else jobRegistry.jobsToOpen.add(job);
   }
 
   function applyFailed(
     stepRun: activeJob.StepRun,
     index: number,
-    attempt: number,
+    attemptNumber: number,
     workerId: types.ids.WorkerId,
     now: types.clock.MonotonicMs,
   ): void {
     const {job} = stepRun;
-    health.noteFailed(workerId, job.id, now);
+    health.recordFailure(workerId, job.id, now);
     job.failedOn.add(workerId);
     if (stepRun.state === 'done' || jobProgress.isOver(job.phase)) return;
-    const spent = jobSteps.countFailure(stepRun, index, attempt);
+    const isExhausted = jobSteps.recordFailure(stepRun, index, attemptNumber);
     jobRegistry.dirty.add(job);
-    if (spent) jobRegistry.finishJob(job, 'failed');
-    else jobRegistry.requeue(stepRun, index, attempt);
+    if (isExhausted) jobRegistry.finishJob(job, 'failed');
+    else jobRegistry.requeue(stepRun, index, attemptNumber);
   }
 
-  function keepCheckpoint(
+  function saveCheckpoint(
     stepRun: activeJob.StepRun,
     index: number,
     checkpoint: string,
   ): void {
     if (checkpoint === '') return;
-    stepRun.saved.set(activeJob.countKey(stepRun, index), checkpoint);
+    stepRun.checkpoints.set(activeJob.counterKey(stepRun, index), checkpoint);
   }
 
-  function applyRow(
+  function applyRunning(
     workerId: types.ids.WorkerId,
-    row: schedulerTypes.RunningAttempt,
+    reported: schedulerTypes.RunningAttempt,
     now: types.clock.MonotonicMs,
   ): void {
-    const run = runs.find(row.taskId, row.attempt, workerId);
-    if (run === undefined) {
-      adopt(workerId, row, now);
+    const attempt = attempts.find(reported.taskId, reported.attempt, workerId);
+    if (attempt === undefined) {
+      adoptAttempt(workerId, reported, now);
       return;
     }
-    if (isStopOverdue(run, now)) jobRegistry.stopAgain(run);
-    if (run.percent !== row.percent) {
-      run.percent = row.percent;
-      run.percentChangedAt = now;
+    if (isStopOverdue(attempt, now)) jobRegistry.retryStop(attempt);
+    if (attempt.percent !== reported.percent) {
+      attempt.percent = reported.percent;
+      attempt.percentChangedAt = now;
     }
-    run.startedAt ??= now;
-    if (run.owner !== undefined) {
-      jobRegistry.noteBegun(run.owner.stepRun.job);
-      keepCheckpoint(run.owner.stepRun, run.owner.index, row.checkpoint);
-      clearSurvivor(run.owner, now - run.startedAt);
+    attempt.startedAt ??= now;
+    if (attempt.owner !== undefined) {
+      jobRegistry.markRunning(attempt.owner.stepRun.job);
+      saveCheckpoint(
+        attempt.owner.stepRun,
+        attempt.owner.index,
+        reported.checkpoint,
+      );
+      clearCrashes(attempt.owner, now - attempt.startedAt);
     }
   }
 
-  /** A task that has run this long crashes no worker; old crashes don't count. */
-  function clearSurvivor(
-    {stepRun, index}: jobRegistrys.TaskOwner,
+  /**
+   * Clears the crashes recorded for a task that has run long enough to show
+   * that it does not crash its worker.
+   */
+  function clearCrashes(
+    {stepRun, index}: jobRegistries.TaskRef,
     ranMs: number,
   ): void {
     if (ranMs < crashRecords.SURVIVAL_MS) return;
@@ -169,29 +177,30 @@
     now: types.clock.MonotonicMs,
   ): boolean {
     if (phase !== 'stopping' || confirmedAt === undefined) return false;
-    return now - confirmedAt > STOP_AGAIN_AFTER_MS;
+    return now - confirmedAt > STOP_RETRY_AFTER_MS;
   }
 
   /**
-   * Takes over a run that an earlier scheduler started. What is no task of
-   * ours any more is stopped, and takes room until its end is told.
+   * Takes over an attempt that an earlier scheduler started. If it does not
+   * belong to a task of this scheduler, it is stopped and its capacity stays
+   * reserved until its end is reported.
    */
-  function adopt(
+  function adoptAttempt(
     workerId: types.ids.WorkerId,
-    row: schedulerTypes.RunningAttempt,
+    reported: schedulerTypes.RunningAttempt,
     now: types.clock.MonotonicMs,
   ): void {
-    const owner = jobRegistry.stepRunOf(row.taskId);
-    const wanted = owner !== undefined && isWanted(owner, row.attempt);
-    const worker = book.workers.get(workerId);
+    const owner = jobRegistry.findTask(reported.taskId);
+    const wanted = owner !== undefined && isWanted(owner, reported.attempt);
+    const worker = registry.workers.get(workerId);
     const size =
       owner === undefined
         ? (worker?.info.capacity ?? types.resources.NO_RESOURCES)
-        : chooseWorker.bookedSize(owner.stepRun);
+        : chooseWorker.reservedSize(owner.stepRun);
     const stepRunId = owner?.stepRun.id ?? 'stray';
-    const run: activeJob.Attempt = {
-      taskId: row.taskId,
-      number: row.attempt,
+    const attempt: activeJob.Attempt = {
+      taskId: reported.taskId,
+      number: reported.attempt,
       workerId,
       owner,
       size,
@@ -199,65 +208,73 @@
       phase: 'running',
       confirmedAt: now,
       startedAt: now,
-      percent: row.percent,
+      percent: reported.percent,
       percentChangedAt: now,
     };
-    runs.add(run);
-    book.book(workerId, stepRunId, size);
+    attempts.add(attempt);
+    registry.book(workerId, stepRunId, size);
     if (owner === undefined) {
-      jobRegistry.stop(run);
+      jobRegistry.stop(attempt);
       return;
     }
-    jobRegistry.noteBegun(owner.stepRun.job);
-    noteAttempt(owner.stepRun, owner.index, row.attempt);
-    keepCheckpoint(owner.stepRun, owner.index, row.checkpoint);
-    if (wanted) jobRegistry.takeOutOfLine(owner.stepRun, owner.index);
-    else jobRegistry.stop(run);
+    jobRegistry.markRunning(owner.stepRun.job);
+    recordAttemptNumber(owner.stepRun, owner.index, reported.attempt);
+    saveCheckpoint(owner.stepRun, owner.index, reported.checkpoint);
+    if (wanted) jobRegistry.dequeue(owner.stepRun, owner.index);
+    else jobRegistry.stop(attempt);
   }
 
   /**
-   * Whether a run is the one its task should have. A step that isn't open here
-   * is no reason against it: the steps before it were done when it started,
-   * and their last ends may not have been heard here yet.
+   * Whether an attempt is the one that its task should have. It is also wanted
+   * if its step is not open here: the steps before it were done when it
+   * started, and their last ends may not have been received here yet.
    */
-  function isWanted(owner: jobRegistrys.TaskOwner, attempt: number): boolean {
+  function isWanted(
+    owner: jobRegistries.TaskRef,
+    attemptNumber: number,
+  ): boolean {
     const {stepRun, index} = owner;
-    if (stepRun.state === 'done' || stepRun.done.has(index)) return false;
+    if (stepRun.state === 'done' || stepRun.doneIndexes.has(index))
+      return false;
     const {gang} = stepRun.request;
-    for (const run of stepRun.attempts) {
-      if (gang ? run.number !== attempt : run.owner?.index === index) {
+    for (const attempt of stepRun.attempts) {
+      if (
+        gang ? attempt.number !== attemptNumber : attempt.owner?.index === index
+      ) {
         return false;
       }
     }
     return true;
   }
 
-  function noteAttempt(
+  function recordAttemptNumber(
     stepRun: activeJob.StepRun,
     index: number,
-    attempt: number,
+    attemptNumber: number,
   ): void {
-    const key = activeJob.countKey(stepRun, index);
+    const key = activeJob.counterKey(stepRun, index);
     const highest = stepRun.highestAttempts.get(key) ?? 0;
-    stepRun.highestAttempts.set(key, Math.max(highest, attempt));
+    stepRun.highestAttempts.set(key, Math.max(highest, attemptNumber));
   }
 
   function findVanished(report: schedulerTypes.WorkerReport): void {
     const listed = new Set(
-      report.running.map((row) => `${row.taskId}#${row.attempt}`),
+      report.running.map(
+        (reported) => `${reported.taskId}#${reported.attempt}`,
+      ),
     );
-    for (const run of [...runs.ofWorker(report.workerId)]) {
-      if (listed.has(`${run.taskId}#${run.number}`)) continue;
-      const confirmed = run.confirmedAt;
+    for (const attempt of [...attempts.ofWorker(report.workerId)]) {
+      if (listed.has(`${attempt.taskId}#${attempt.number}`)) continue;
+      const confirmed = attempt.confirmedAt;
       if (confirmed === undefined || confirmed >= report.askedAt) continue;
       parts.onEvent({
         type: 'run_ended',
-        run: run.taskId,
-        attempt: run.number,
-        worker: run.workerId,
+        run: attempt.taskId,
+        attempt: attempt.number,
+        worker: attempt.workerId,
         how: 'vanished',
       });
-      jobRegistry.dropRun(run);
+      jobRegistry.dropAttempt(attempt);
     }
   }
 
@@ -265,23 +282,24 @@
     workerId: types.ids.WorkerId,
     now: types.clock.MonotonicMs,
   ): void {
-    const stall = stallDetector.findStall(runs.ofWorker(workerId), now);
+    const stall = stallDetector.findStall(attempts.ofWorker(workerId), now);
     if (stall === undefined) return;
     parts.onEvent({
       type: 'worker_stalled',
       worker: workerId,
-      runs: stall.runs.length,
-      percent: stall.runs[0]?.percent ?? 0,
-      step: stall.runs[0]?.stepRunId ?? '',
+      runs: stall.attempts.length,
+      percent: stall.attempts[0]?.percent ?? 0,
+      step: stall.attempts[0]?.stepRunId ?? '',
       blamed: stall.blamesWorker,
     });
-    if (stall.blamesWorker) health.noteStalled(workerId, now);
-    for (const run of stall.runs) jobRegistry.stop(run);
+    if (stall.blamesWorker) health.recordStall(workerId, now);
+    for (const attempt of stall.attempts) jobRegistry.stop(attempt);
   }
 
   return (report, now) => {
     for (const end of report.ends) applyEnd(report.workerId, end, now);
-    for (const row of report.running) applyRow(report.workerId, row, now);
+    for (const reported of report.running)
+      applyRunning(report.workerId, reported, now);
     if (report.complete) findVanished(report);
     handleStall(report.workerId, now);
   };
--- a/packages/gypsumwall-scheduling/src/start_orders.ts
+++ b/packages/gypsumwall-scheduling/src/start_orders.ts
@@ -1,4 +1,4 @@
-/** Makes the orders of a cycle's placements. */
+/** Creates the start orders for the placements of a cycle. */
 import type * as types from '@gypsumwall/types';
 import * as activeJob from './active_job.js';
 import * as chooseWorker from './choose_worker.js';
@@ -7,7 +7,9 @@
 import * as stepAdvice from './step_advice.js';
 import * as taskIds from './task_id.js';
 
-/** Numbers the attempts: one for each task, one for a gang as a whole. */
+/**
+ * Assigns the attempt numbers: one for each task, one for a gang as a whole.
+ */
 export function numberAttempts(
   placed: readonly placements.Placement[],
   attemptBase: number,
@@ -16,34 +18,34 @@
   for (const {stepRun, index} of placed) {
     if (stepRun.request.gang && gangs.has(stepRun)) continue;
     gangs.add(stepRun);
-    const key = activeJob.countKey(stepRun, index);
+    const key = activeJob.counterKey(stepRun, index);
     const highest = stepRun.highestAttempts.get(key) ?? 0;
     const next = Math.max(attemptBase, highest) + 1;
     stepRun.highestAttempts.set(key, next);
   }
 }
 
-/** The order of a task whose attempt has its number. */
-export function startOrder(
+/** Creates the start order of a task whose attempt number was assigned. */
+export function createStartOrder(
   {stepRun, index, worker}: placements.Placement,
   now: types.clock.MonotonicMs,
 ): schedulerTypes.StartOrder {
-  const key = activeJob.countKey(stepRun, index);
-  const run: activeJob.Attempt = {
+  const key = activeJob.counterKey(stepRun, index);
+  const attempt: activeJob.Attempt = {
     taskId: taskIds.taskId(stepRun.id, index),
     number: stepRun.highestAttempts.get(key)!,
     workerId: worker.info.id,
     owner: {stepRun, index},
-    size: chooseWorker.bookedSize(stepRun),
+    size: chooseWorker.reservedSize(stepRun),
     stepRunId: stepRun.id,
     phase: 'starting',
     percent: 0,
     percentChangedAt: now,
   };
   return {
-    attempt: run,
+    attempt,
     payload: stepRun.job.request.payload,
-    checkpoint: stepRun.saved.get(key),
+    checkpoint: stepRun.checkpoints.get(key),
     ticket: stepAdvice.ticketFor(stepRun.advice, worker.info.id, now),
   };
 }
--- a/packages/gypsumwall-scheduling/src/step_advice.ts
+++ b/packages/gypsumwall-scheduling/src/step_advice.ts
@@ -1,42 +1,45 @@
 /**
- * What an adviser has said of one step: which workers it approved, until when
- * their tickets hold, and which it refused for good.
+ * Answers of the adviser for one step: the approved workers, the expiry of
+ * their tickets, and the refused workers.
  */
 import * as types from '@gypsumwall/types';
 
-/** An approval of one worker. */
+/** Approval of one worker. */
 export interface Approval {
   readonly ticket: string;
   readonly validUntil: types.clock.MonotonicMs;
 }
 
-/** The advice on one step. */
+/** The advice for one step. */
 export interface StepAdvice {
   readonly approvals: Map<types.ids.WorkerId, Approval>;
-  /** Workers that were named and not approved; that doesn't change. */
+  /** Workers that were named and not approved. Refusals are final. */
   readonly refused: Set<types.ids.WorkerId>;
-  /** Workers named in calls that aren't answered yet. */
-  readonly asked: Set<types.ids.WorkerId>;
+  /** Workers named in open calls. */
+  readonly pendingWorkers: Set<types.ids.WorkerId>;
   openCalls: number;
-  /** When it is looked again whether to ask for more. */
-  nextLookAt: types.clock.MonotonicMs;
+  /** When it is checked next whether more workers should be asked about. */
+  nextCheckAt: types.clock.MonotonicMs;
 }
 
-/** Approvals that end sooner than this are not used: the start takes time. */
-const TICKET_MARGIN_MS = 60;
+/**
+ * Tickets that expire sooner than this are not used, because the start takes
+ * time.
+ */
+const MIN_TICKET_REMAINING_MS = 60;
 
-/** The advice on a step of which nobody was asked yet. */
+/** Creates the advice for a step that the adviser was not asked about. */
 export function createStepAdvice(): StepAdvice {
   return {
     approvals: new Map(),
     refused: new Set(),
-    asked: new Set(),
+    pendingWorkers: new Set(),
     openCalls: 0,
-    nextLookAt: 0 as types.clock.MonotonicMs,
+    nextCheckAt: 0 as types.clock.MonotonicMs,
   };
 }
 
-/** The ticket for a start on a worker now, if there is one. */
+/** Returns the ticket for a start on a worker now, if there is a valid one. */
 export function ticketFor(
   advice: StepAdvice,
   worker: types.ids.WorkerId,
@@ -44,28 +47,31 @@
 ): string | undefined {
   const approval = advice.approvals.get(worker);
   if (approval === undefined) return undefined;
-  const usableUntil = types.clock.after(approval.validUntil, -TICKET_MARGIN_MS);
+  const usableUntil = types.clock.after(
+    approval.validUntil,
+    -MIN_TICKET_REMAINING_MS,
+  );
   return now < usableUntil ? approval.ticket : undefined;
 }
 
-/** Notes that a call which names these workers is on its way. */
-export function noteAsked(
+/** Records that a call which names these workers was sent. */
+export function recordCall(
   advice: StepAdvice,
   workers: readonly types.ids.WorkerId[],
 ): void {
   advice.openCalls++;
-  for (const worker of workers) advice.asked.add(worker);
+  for (const worker of workers) advice.pendingWorkers.add(worker);
 }
 
-/** Notes the answer to a call; undefined approvals: there was none. */
-export function noteAnswer(
+/** Records the answer to a call; `approved` is undefined if there was none. */
+export function recordAnswer(
   advice: StepAdvice,
   workers: readonly types.ids.WorkerId[],
   approved: ReadonlyMap<types.ids.WorkerId, string> | undefined,
   validUntil: types.clock.MonotonicMs,
 ): void {
   advice.openCalls--;
-  for (const worker of workers) advice.asked.delete(worker);
+  for (const worker of workers) advice.pendingWorkers.delete(worker);
   if (approved === undefined) return;
   for (const worker of workers) {
     const ticket = approved.get(worker);
--- a/packages/gypsumwall-scheduling/src/wait_reasons.ts
+++ b/packages/gypsumwall-scheduling/src/wait_reasons.ts
@@ -1,4 +1,4 @@
-/** Tells for a step that waits what stands against each worker. */
+/** Determines, for a waiting step, why it cannot start on each worker. */
 import * as types from '@gypsumwall/types';
 import type * as activeJob from './active_job.js';
 import * as chooseWorker from './choose_worker.js';
@@ -6,38 +6,40 @@
 import * as stepAdvice from './step_advice.js';
 import type * as workerRegistry from './worker_registry.js';
 
-/** The first thing that keeps a step's next task off a worker. */
+/** The first reason why the next task of a step cannot start on a worker. */
 export type WaitReason =
   | 'unusable'
   | 'draining'
-  /** Of another pool, or without the label that the step asks for. */
+  /** In another pool, or without the label that the step requires. */
   | 'other_kind'
-  /** The adviser has refused it. */
+  /** Refused by the adviser. */
   | 'refused'
-  /** As many of the step's tasks run there as may. */
+  /** Runs the maximum number of tasks of the step already. */
   | 'at_limit'
   | 'no_room'
   | 'avoided'
-  /** Its room is reserved for a gang. */
+  /** Reserved for a gang. */
   | 'reserved'
-  /** Tasks that may crash a worker are kept apart from other jobs. */
+  /** Closed to the step by the isolation of tasks that may crash a worker. */
   | 'isolated'
   | 'not_asked'
   | 'ticket_over'
   | 'not_recorded'
-  /** Nothing: the task could start. */
+  /** No reason: the task could start. */
   | 'open';
 
-/** How many workers each reason keeps the step off. */
+/** Number of workers for each reason. */
 export type WaitReasons = Partial<Record<WaitReason, number>>;
 
-/** Counts the workers of a cell by what keeps a step off them. */
+/**
+ * Counts the workers of a cell by the reason why a step cannot start on them.
+ */
 export function countReasons(
   stepRun: activeJob.StepRun,
   context: chooseWorker.ChoiceContext,
 ): WaitReasons {
   const counts: WaitReasons = {};
-  for (const worker of context.book.workers.values()) {
+  for (const worker of context.registry.workers.values()) {
     const reason = reasonOf(stepRun, worker, context);
     counts[reason] = (counts[reason] ?? 0) + 1;
   }
@@ -46,36 +48,36 @@
 
 function reasonOf(
   stepRun: activeJob.StepRun,
-  worker: workerRegistry.BookedWorker,
+  worker: workerRegistry.RegisteredWorker,
   context: chooseWorker.ChoiceContext,
 ): WaitReason {
   const {id, draining} = worker.info;
   const {advice, job} = stepRun;
-  const advised = job.policy.advice !== undefined;
+  const needsAdvice = job.policy.advice !== undefined;
   if (!worker.usable) return 'unusable';
   if (draining) return 'draining';
-  if (!chooseWorker.mayRunOn(stepRun, worker)) return 'other_kind';
-  if (advised && advice.refused.has(id)) return 'refused';
-  if (chooseWorker.roomFor(stepRun, worker) < 1) return 'at_limit';
-  const size = chooseWorker.bookedSize(stepRun);
+  if (!chooseWorker.isEligible(stepRun, worker)) return 'other_kind';
+  if (needsAdvice && advice.refused.has(id)) return 'refused';
+  if (chooseWorker.remainingSlots(stepRun, worker) < 1) return 'at_limit';
+  const size = chooseWorker.reservedSize(stepRun);
   if (!types.resources.fits(size, worker.free)) return 'no_room';
   const trust = context.health.trustOf(id, context.now);
   if (trust === 'avoided') return 'avoided';
-  if (context.isHeld?.(id) === true) return 'reserved';
-  if (isKeptApart(stepRun, worker, context)) return 'isolated';
-  if (advised && !advice.approvals.has(id)) return 'not_asked';
+  if (context.isReserved?.(id) === true) return 'reserved';
+  if (isClosedByIsolation(stepRun, worker, context)) return 'isolated';
+  if (needsAdvice && !advice.approvals.has(id)) return 'not_asked';
   const ticket = stepAdvice.ticketFor(advice, id, context.now);
-  if (advised && ticket === undefined) return 'ticket_over';
+  if (needsAdvice && ticket === undefined) return 'ticket_over';
   return job.workers.get(id) === 'recorded' ? 'open' : 'not_recorded';
 }
 
-function isKeptApart(
+function isClosedByIsolation(
   stepRun: activeJob.StepRun,
-  worker: workerRegistry.BookedWorker,
+  worker: workerRegistry.RegisteredWorker,
   {isolation, now}: chooseWorker.ChoiceContext,
 ): boolean {
   if (isolation === undefined) return false;
   if (isolation.isClosedTo(stepRun, worker.info.id)) return true;
   if (!placeIsolated.waitsForIsolation(stepRun)) return false;
-  return !isolation.isQuiet(stepRun, worker, now);
+  return !isolation.canStartIsolated(stepRun, worker, now);
 }
--- a/packages/gypsumwall-scheduling/src/waiting_order.ts
+++ b/packages/gypsumwall-scheduling/src/waiting_order.ts
@@ -1,26 +1,26 @@
 /**
- * Keeps the waiting steps in the order in which they get room. From one cycle
- * to the next few of them change places, so sorting the order of before again
- * takes time that grows with their number alone.
+ * Sorts the waiting steps by the order in which they get capacity. From one
+ * cycle to the next only few steps change their position, so sorting the
+ * previous order again takes time that grows with these few only.
  */
 import type * as types from '@gypsumwall/types';
 import * as activeJob from './active_job.js';
 import * as jobOrder from './job_order.js';
 
-/** The waiting steps in their order. */
+/** The sorted waiting steps. */
 export interface SortedSteps {
   /** Most urgent first. */
   readonly steps: readonly activeJob.StepRun[];
   /**
-   * Whether a gang has fallen behind others with time: room that is kept for
-   * it can be used by steps that go before it now.
+   * Whether the lateness of a gang has changed, so that it ranks behind others:
+   * steps that rank before it now can use the capacity reserved for it.
    */
   readonly gangFellBehind: boolean;
 }
 
-/** The order of the waiting steps. */
+/** Sorts the waiting steps. */
 export interface WaitingOrder {
-  sorted(
+  sort(
     waiting: ReadonlySet<activeJob.StepRun>,
     now: types.clock.MonotonicMs,
   ): SortedSteps;
@@ -32,21 +32,22 @@
   let steps: activeJob.StepRun[] = [];
 
   return {
-    sorted(waiting, now) {
+    sort(waiting, now) {
       const kept = steps.filter((stepRun) => waiting.has(stepRun));
       for (const stepRun of waiting)
         if (!known.has(stepRun)) kept.push(stepRun);
       let gangFellBehind = false;
-      const rows = kept.map((stepRun) => {
+      const ranked = kept.map((stepRun) => {
         const before = stepRun.rank;
         const rank = rankOf(stepRun, now);
-        const moved = before !== undefined && before.lateness !== rank.lateness;
-        if (moved && stepRun.request.gang) gangFellBehind = true;
+        const changedLateness =
+          before !== undefined && before.lateness !== rank.lateness;
+        if (changedLateness && stepRun.request.gang) gangFellBehind = true;
         stepRun.rank = rank;
         return {...rank, stepRun};
       });
-      rows.sort(jobOrder.compareRanked);
-      steps = rows.map((row) => row.stepRun);
+      ranked.sort(jobOrder.compareRanked);
+      steps = ranked.map((one) => one.stepRun);
       known = new Set(steps);
       return {steps, gangFellBehind};
     },
--- a/packages/gypsumwall-scheduling/src/worker_losses.ts
+++ b/packages/gypsumwall-scheduling/src/worker_losses.ts
@@ -1,28 +1,34 @@
 /**
- * When workers stopped answering. What takes several down at one moment, such
- * as the power of a rack, is no task's fault.
+ * Records when workers stopped answering, to recognise losses with a common
+ * cause, such as a power failure of a rack, for which no task is to blame.
  */
 import * as types from '@gypsumwall/types';
 import type * as workerRegistry from './worker_registry.js';
 
 /**
- * Workers that go down together are noticed within this span of each other: one
- * whose connections are reset at once, one that falls silent after the longest
- * timeout of a look; milliseconds.
+ * Workers that go down together are detected within this span of each other:
+ * one whose connections are reset is detected at once, one that stops answering
+ * only after the longest poll timeout; milliseconds.
+ */
+const GROUP_LOSS_WINDOW_MS = 1_500;
+/**
+ * Connection resets with one cause reach the holder within this span;
+ * milliseconds.
+ */
+const SIMULTANEOUS_LOSS_WINDOW_MS = 250;
+/** Share of a rack or failure domain whose loss has an external cause. */
+const GROUP_LOSS_SHARE = 0.75;
+/** Share of all workers whose simultaneous loss has an external cause. */
+const CELL_LOSS_SHARE = 0.2;
+/** Fewer simultaneous losses may be a coincidence. */
+const MIN_LOST_TOGETHER = 3;
+/**
+ * How long a loss is kept, in case it is proven to be a crash later;
+ * milliseconds.
  */
-const TOGETHER_MS = 1_500;
-/** Resets reach the holder together; milliseconds. */
-const SAME_MOMENT_MS = 250;
-/** Share of a rack or failure domain whose loss has a cause outside of it. */
-const WHOLE_GROUP_SHARE = 0.75;
-/** Share of all workers whose loss at one moment has a cause outside of them. */
-const WAVE_SHARE = 0.2;
-/** Fewer are lost together by chance. */
-const FEWEST_TOGETHER = 3;
-/** A loss is remembered for so long, in case it proves a crash; milliseconds. */
 export const LATE_PROOF_MS = 60_000;
 
-interface Stay {
+interface Incarnation {
   readonly info: workerRegistry.WorkerInfo;
   readonly upAt: types.clock.MonotonicMs;
   loss?: Loss;
@@ -30,52 +36,62 @@
 
 interface Loss {
   readonly at: types.clock.MonotonicMs;
-  /** A task that may crash workers ran there apart from others. */
+  /** Whether an isolated task that may crash workers ran there. */
   readonly isExplained: boolean;
   readonly forgetAt: types.clock.MonotonicMs;
 }
 
 type Membership = (info: workerRegistry.WorkerInfo) => boolean;
 
-/** The losses of a cell. */
+/** The worker losses of a cell. */
 export interface WorkerLosses {
-  /** A stay of a worker answers, for the first time or again. */
-  noteAnswered(
+  /**
+   * Records that an incarnation of a worker answers, for the first time or
+   * again.
+   */
+  recordAnswer(
     info: workerRegistry.WorkerInfo,
     now: types.clock.MonotonicMs,
   ): void;
   /**
-   * A worker has stopped answering; the first moment counts. `isExplained`
-   * tells whether a task that may crash workers ran there apart from others.
+   * Records that a worker has stopped answering; the first call counts.
+   * `isExplained` says whether an isolated task that may crash workers ran
+   * there.
    */
-  noteLost(
+  recordLoss(
     id: types.ids.WorkerId,
     isExplained: boolean,
     now: types.clock.MonotonicMs,
   ): void;
-  /** The stay is over; if it was lost, that is remembered for a while. */
-  noteGone(id: types.ids.WorkerId): void;
+  /**
+   * Records that an incarnation is over. If it was lost, the loss is kept for a
+   * while.
+   */
+  recordRemoval(id: types.ids.WorkerId): void;
   lostAt(id: types.ids.WorkerId): types.clock.MonotonicMs | undefined;
-  /** Whether most of its rack or failure domain went down with it. */
+  /** Whether most of its rack or failure domain was lost with it. */
   isGroupLoss(id: types.ids.WorkerId): boolean;
   /**
-   * Whether another worker of its failure domain, or many anywhere, went down
-   * at the same moment without an explanation.
+   * Whether another worker of its failure domain, or many in the whole cell,
+   * were lost at the same moment without an explanation.
    */
   isAccompanied(id: types.ids.WorkerId): boolean;
 }
 
-/** Creates a record without losses. */
+/** Creates a record without workers. */
 export function createWorkerLosses(): WorkerLosses {
-  const stays = new Map<types.ids.WorkerId, Stay>();
+  const incarnations = new Map<types.ids.WorkerId, Incarnation>();
 
   function prune(now: types.clock.MonotonicMs): void {
-    for (const [id, {loss}] of stays) {
-      if (loss !== undefined && loss.forgetAt <= now) stays.delete(id);
+    for (const [id, {loss}] of incarnations) {
+      if (loss !== undefined && loss.forgetAt <= now) incarnations.delete(id);
     }
   }
 
-  /** Stays that were up when a worker was lost, and lost with it. */
+  /**
+   * Counts incarnations that were up when a worker was lost, and those lost
+   * with it.
+   */
   function countAround(
     id: types.ids.WorkerId,
     at: types.clock.MonotonicMs,
@@ -84,7 +100,7 @@
   ): {readonly up: number; readonly lost: number} {
     let up = 0;
     let lost = 0;
-    for (const [other, {info, upAt, loss}] of stays) {
+    for (const [other, {info, upAt, loss}] of incarnations) {
       if (upAt > at || !isMember(info)) continue;
       if (loss !== undefined && loss.at < at - withinMs) continue;
       up++;
@@ -100,52 +116,58 @@
     share: number,
     isMember: Membership,
   ): boolean {
-    const at = stays.get(id)?.loss?.at;
+    const at = incarnations.get(id)?.loss?.at;
     if (at === undefined) return false;
     const {up, lost} = countAround(id, at, withinMs, isMember);
-    return lost >= FEWEST_TOGETHER && lost >= up * share;
+    return lost >= MIN_LOST_TOGETHER && lost >= up * share;
   }
 
   return {
-    noteAnswered(info, now) {
-      const stay = stays.get(info.id);
-      if (stay === undefined) stays.set(info.id, {info, upAt: now});
-      else stay.loss = undefined;
+    recordAnswer(info, now) {
+      const incarnation = incarnations.get(info.id);
+      if (incarnation === undefined)
+        incarnations.set(info.id, {info, upAt: now});
+      else incarnation.loss = undefined;
     },
-    noteLost(id, isExplained, now) {
+    recordLoss(id, isExplained, now) {
       prune(now);
-      const stay = stays.get(id);
-      if (stay === undefined || stay.loss !== undefined) return;
+      const incarnation = incarnations.get(id);
+      if (incarnation === undefined || incarnation.loss !== undefined) return;
       const forgetAt = types.clock.after(now, LATE_PROOF_MS);
-      stay.loss = {at: now, isExplained, forgetAt};
+      incarnation.loss = {at: now, isExplained, forgetAt};
     },
-    noteGone(id) {
-      if (stays.get(id)?.loss === undefined) stays.delete(id);
+    recordRemoval(id) {
+      if (incarnations.get(id)?.loss === undefined) incarnations.delete(id);
     },
-    lostAt: (id) => stays.get(id)?.loss?.at,
+    lostAt: (id) => incarnations.get(id)?.loss?.at,
     isGroupLoss(id) {
-      const info = stays.get(id)?.info;
+      const info = incarnations.get(id)?.info;
       if (info === undefined) return false;
       const {domain, rack, pool} = info;
       const isLost = (isMember: Membership) =>
-        isShareLost(id, TOGETHER_MS, WHOLE_GROUP_SHARE, isMember);
+        isShareLost(id, GROUP_LOSS_WINDOW_MS, GROUP_LOSS_SHARE, isMember);
       return (
         isLost((other) => other.domain === domain && other.pool === pool) ||
         isLost((other) => other.domain === domain && other.rack === rack)
       );
     },
     isAccompanied(id) {
-      const stay = stays.get(id);
-      if (stay?.loss === undefined) return false;
-      const {domain} = stay.info;
-      const near = countAround(
+      const incarnation = incarnations.get(id);
+      if (incarnation?.loss === undefined) return false;
+      const {domain} = incarnation.info;
+      const inDomain = countAround(
         id,
-        stay.loss.at,
-        SAME_MOMENT_MS,
+        incarnation.loss.at,
+        SIMULTANEOUS_LOSS_WINDOW_MS,
         (info) => info.domain === domain,
       );
-      if (near.lost > 1) return true;
-      return isShareLost(id, SAME_MOMENT_MS, WAVE_SHARE, () => true);
+      if (inDomain.lost > 1) return true;
+      return isShareLost(
+        id,
+        SIMULTANEOUS_LOSS_WINDOW_MS,
+        CELL_LOSS_SHARE,
+        () => true,
+      );
     },
   };
 }
