--- a/packages/gypsumwall-scheduling/src/__fixtures__/crash_world.ts
+++ b/packages/gypsumwall-scheduling/src/__fixtures__/crash_world.ts
@@ -101,7 +101,7 @@
   function createScheduler(): schedulerTypes.Scheduler {
     const created = schedulers.createScheduler({
       attemptBase: generation++ * ATTEMPTS_PER_GENERATION,
-      isAccounted: (worker) => !unreconciled.has(worker),
+      isReconciled: (worker) => !unreconciled.has(worker),
       onEvent: (event) => events.push(event),
     });
     for (const job of jobs) addTo(created, job);
@@ -109,7 +109,7 @@
       for (const id of progress.workers)
         if (usedWorkers.has(id)) unreconciled.add(id);
     }
-    created.workerAccounted();
+    created.onWorkerReconciled();
     for (const machine of machines) machine.receivedSequence = 0;
     for (const [id, info] of usedWorkers) {
       created.putWorker({...info, draining: true});
@@ -125,17 +125,21 @@
     target: schedulerTypes.Scheduler,
     id: types.ids.WorkerId,
   ): void {
-    if (target.book.workers.has(id)) target.workerGone(id, 'crashed', now);
+    if (target.workerRegistry.workers.has(id))
+      target.removeWorker(id, 'crashed', now);
     removedWorkers.push(id);
-    if (unreconciled.delete(id)) target.workerAccounted();
+    if (unreconciled.delete(id)) target.onWorkerReconciled();
   }
 
   function reconcile(id: types.ids.WorkerId): void {
-    if (unreconciled.delete(id)) scheduler?.workerAccounted();
+    if (unreconciled.delete(id)) scheduler?.onWorkerReconciled();
   }
 
   /** Ends the attempts of a gang whose member has crashed or ended. */
-  function endGang(taskId: types.ids.TaskId, how: jobSteps.RunEnd): void {
+  function endGang(
+    taskId: types.ids.TaskId,
+    how: jobSteps.AttemptOutcome,
+  ): void {
     if (!stepOf(taskId).gang) return;
     const prefix = taskId.slice(0, taskId.lastIndexOf('.') + 1);
     for (const machine of machines) {
@@ -150,7 +154,7 @@
   function endAttempt(
     machine: crashModel.Machine,
     attempt: crashModel.RealAttempt,
-    how: jobSteps.RunEnd,
+    how: jobSteps.AttemptOutcome,
   ): void {
     machine.attempts = machine.attempts.filter((one) => one !== attempt);
     const {taskId, number: attemptNumber} = attempt;
@@ -177,9 +181,9 @@
     machine.attempts = [];
     machine.ends = [];
     for (const taskId of tasks) endGang(taskId, 'broken');
-    if (scheduler?.book.workers.has(worker) !== true) return;
+    if (scheduler?.workerRegistry.workers.has(worker) !== true) return;
     scheduler.setUsable(worker, false, now);
-    scheduler.outOfReach(worker);
+    scheduler.onWorkerUnreachable(worker);
   }
 
   function restart(machine: crashModel.Machine): void {
@@ -224,7 +228,7 @@
   ): void {
     const machine = machinesByWorker.get(attempt.workerId)!;
     if (!isUp(machine) || machine.info.id !== attempt.workerId) {
-      target.startAnswered(attempt, {type: 'unknown'}, now);
+      target.onStartAnswered(attempt, {type: 'unknown'}, now);
       return;
     }
     const {taskId, number: attemptNumber, size, workerId: worker} = attempt;
@@ -241,7 +245,7 @@
       capacity,
     );
     starts.push({taskId, worker, at: now, exceedsCapacity});
-    target.startAnswered(attempt, {type: 'started'}, now);
+    target.onStartAnswered(attempt, {type: 'started'}, now);
   }
 
   function stop(
@@ -255,7 +259,7 @@
       (one) => one.taskId === attempt.taskId && one.number === attempt.number,
     );
     if (found !== undefined) found.stopsAt = types.clock.after(now, STOP_MS);
-    target.stopAnswered(attempt, now);
+    target.onStopAnswered(attempt, now);
   }
 
   function report(
@@ -263,10 +267,10 @@
     machine: crashModel.Machine,
   ): void {
     const {id} = machine.info;
-    if (!target.book.workers.has(id)) target.putWorker(machine.info);
+    if (!target.workerRegistry.workers.has(id)) target.putWorker(machine.info);
     const percentOf = (attempt: crashModel.RealAttempt) =>
       Math.floor((now - attempt.startedAt) / REPORT_EVERY_MS) % FULL_PERCENT;
-    target.report(
+    target.applyReport(
       {
         workerId: id,
         askedAt: now,
@@ -285,7 +289,7 @@
       now,
     );
     machine.receivedSequence = machine.sequence;
-    if (target.book.workers.get(id)?.usable === false) {
+    if (target.workerRegistry.workers.get(id)?.isUsable === false) {
       target.putWorker(machine.info);
       target.setUsable(id, true, now);
     }
@@ -311,7 +315,7 @@
       } = writes.shift()!;
       for (const id of removed) usedWorkers.delete(id);
       for (const {jobId, progress} of dirty) persisted.set(jobId, progress);
-      target.stored(dirty);
+      target.onStored(dirty);
       for (const [machine, upTo] of receivedSequences) {
         machine.ends = machine.ends.filter((end) => end.sequence > upTo);
       }
@@ -328,8 +332,8 @@
     for (const machine of machines) {
       const {crashedAt, info} = machine;
       if (isUp(machine) || now - crashedAt! < LEASE_MS) continue;
-      if (!target.book.workers.has(info.id)) continue;
-      target.leasePassed(info.id, now);
+      if (!target.workerRegistry.workers.has(info.id)) continue;
+      target.onLeaseExpired(info.id, now);
       reconcile(info.id);
     }
     for (const attempt of target.takeStops()) stop(target, attempt);
--- a/packages/gypsumwall-scheduling/src/__fixtures__/scheduler_world.ts
+++ b/packages/gypsumwall-scheduling/src/__fixtures__/scheduler_world.ts
@@ -63,7 +63,7 @@
   decide(): schedulerTypes.StartOrder[];
   /** Runs scheduling cycles and answers every start. */
   startAll(): activeJob.Attempt[];
-  end(attempt: activeJob.Attempt, how: jobSteps.RunEnd): void;
+  end(attempt: activeJob.Attempt, how: jobSteps.AttemptOutcome): void;
   /** Delivers a report that lists exactly these attempts. */
   report(
     worker: types.ids.WorkerId,
@@ -77,14 +77,14 @@
   const unreconciled = new Set<types.ids.WorkerId>();
   const scheduler = schedulers.createScheduler({
     attemptBase: 0,
-    isAccounted: (worker) => !unreconciled.has(worker),
+    isReconciled: (worker) => !unreconciled.has(worker),
     onEvent: (event) => events.push(event),
   });
   const wall = 0 as types.clock.WallMs;
   let sequence = 0;
 
   function confirmWrites(): void {
-    scheduler.stored(scheduler.takeDirty());
+    scheduler.onStored(scheduler.takeDirty());
   }
 
   const world: SchedulerWorld = {
@@ -135,7 +135,7 @@
     startAll() {
       const orders = world.decide();
       for (const {attempt} of orders) {
-        scheduler.startAnswered(attempt, {type: 'started'}, world.now);
+        scheduler.onStartAnswered(attempt, {type: 'started'}, world.now);
       }
       world.now = types.clock.after(world.now, 1);
       return orders.map((order) => order.attempt);
@@ -149,7 +149,7 @@
         how,
         checkpoint: '',
       };
-      scheduler.report(
+      scheduler.applyReport(
         {
           workerId,
           askedAt: world.now,
@@ -162,7 +162,7 @@
       confirmWrites();
     },
     report(workerId, running) {
-      scheduler.report(
+      scheduler.applyReport(
         {workerId, askedAt: world.now, running, ends: [], complete: true},
         world.now,
       );
--- a/packages/gypsumwall-scheduling/src/__fixtures__/unreliable_world.ts
+++ b/packages/gypsumwall-scheduling/src/__fixtures__/unreliable_world.ts
@@ -126,7 +126,7 @@
     generation++;
     scheduler = schedulers.createScheduler({
       attemptBase: generation * ATTEMPTS_PER_GENERATION,
-      isAccounted: (worker) => !unreconciled.has(worker),
+      isReconciled: (worker) => !unreconciled.has(worker),
       onEvent: () => undefined,
     });
   }
@@ -176,7 +176,7 @@
   }
 
   function isKnown(worker: RealWorker): boolean {
-    return scheduler.book.workers.has(worker.id);
+    return scheduler.workerRegistry.workers.has(worker.id);
   }
 
   function submit(
@@ -251,7 +251,7 @@
     const reportOutcome = (outcome: schedulerTypes.StartOutcome) => {
       if (start.generation === generation) {
         if (outcome.type === 'unknown') setReachable(start.worker, false);
-        scheduler.startAnswered(attempt, outcome, now);
+        scheduler.onStartAnswered(attempt, outcome, now);
       }
     };
     switch (delivery) {
@@ -284,7 +284,7 @@
   function endAttempt(
     worker: RealWorker,
     attempt: RealAttempt,
-    how: jobSteps.RunEnd,
+    how: jobSteps.AttemptOutcome,
   ): void {
     const {taskId, number: attemptNumber} = attempt;
     worker.attempts.delete(keyOf(taskId, attemptNumber));
@@ -316,7 +316,7 @@
     }
     if (!options.answered) return;
     stops = stops.filter((one) => one !== attempt);
-    scheduler.stopAnswered(attempt, now);
+    scheduler.onStopAnswered(attempt, now);
   }
 
   function reportContentOf(worker: RealWorker): ReportContent {
@@ -350,7 +350,7 @@
       worker.receivedSequence = Math.max(worker.receivedSequence, end.sequence);
     }
     const {running, complete} = content;
-    scheduler.report(
+    scheduler.applyReport(
       {workerId: worker.id, askedAt, running, ends, complete},
       now,
     );
@@ -365,14 +365,14 @@
   }
 
   function reconcile(worker: RealWorker): void {
-    if (unreconciled.delete(worker.id)) scheduler.workerAccounted();
+    if (unreconciled.delete(worker.id)) scheduler.onWorkerReconciled();
   }
 
   function confirmWrite(): void {
     const write = writes.shift();
     if (write === undefined) return;
     for (const {jobId, progress} of write.dirty) persisted.set(jobId, progress);
-    scheduler.stored(write.dirty);
+    scheduler.onStored(write.dirty);
     for (const [worker, sequence] of write.receivedSequences) {
       worker.ends = worker.ends.filter((end) => end.sequence > sequence);
     }
@@ -387,7 +387,7 @@
     const validMs = stepRun.job.policy.advice?.validMs ?? 0;
     const until = types.clock.after(now, validMs);
     if (answer === 'none') {
-      scheduler.adviceAnswered(request, undefined, until);
+      scheduler.onAdviceAnswered(request, undefined, until);
       return;
     }
     const approved = new Map<types.ids.WorkerId, string>();
@@ -397,7 +397,7 @@
         approved.set(worker, 'ticket');
       } else refusedByAdviser.add(key);
     });
-    scheduler.adviceAnswered(request, approved, until);
+    scheduler.onAdviceAnswered(request, approved, until);
   }
 
   function removeWorker(worker: RealWorker): void {
@@ -406,7 +406,7 @@
     starts = starts.filter((one) => one.worker !== worker);
     lateStarts = lateStarts.filter((one) => one.worker !== worker);
     stops = stops.filter((attempt) => attempt.workerId !== worker.id);
-    if (isKnown(worker)) scheduler.workerGone(worker.id, 'crashed', now);
+    if (isKnown(worker)) scheduler.removeWorker(worker.id, 'crashed', now);
     reconcile(worker);
   }
 
@@ -419,7 +419,7 @@
     }
     lateStarts = lateStarts.filter((one) => one.worker !== worker);
     setReachable(worker, false);
-    scheduler.leasePassed(worker.id, now);
+    scheduler.onLeaseExpired(worker.id, now);
     reconcile(worker);
   }
 
@@ -440,7 +440,7 @@
       unreconciled.add(worker.id);
     }
     for (const job of jobs) addJob(job, true);
-    scheduler.workerAccounted();
+    scheduler.onWorkerReconciled();
     for (const worker of used) {
       scheduler.putWorker({...worker.info, draining: true});
     }
@@ -565,7 +565,7 @@
       worker.isCutOff = true;
       if (!isKnown(worker)) return;
       setReachable(worker, false);
-      scheduler.outOfReach(worker.id);
+      scheduler.onWorkerUnreachable(worker.id);
     },
     /** Crashes the worker without informing the scheduler. */
     crashUnnoticed(worker: RealWorker) {
--- a/packages/gypsumwall-scheduling/src/__tests__/advice_order.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/advice_order.test.ts
@@ -37,20 +37,20 @@
     open = open.filter((call) => call.at > ms);
     const capacity = pool.capacity(ENTRIES);
     const {advice} = world.scheduler.decide(world.now, WALL, capacity);
-    world.scheduler.stored(world.scheduler.takeDirty());
+    world.scheduler.onStored(world.scheduler.takeDirty());
     world.now = types.clock.after(world.now, TICK_MS);
     for (const request of advice) {
       if (request.stepRun.job.id === 'narrow') askedAfterMs = ms;
-      const entry = pool.take(ENTRIES, request.callMs, request.needed);
+      const entry = pool.acquire(ENTRIES, request.callMs, request.needed);
       const never = 0 as types.clock.MonotonicMs;
       if (entry === undefined) {
-        world.scheduler.adviceAnswered(request, undefined, never);
+        world.scheduler.onAdviceAnswered(request, undefined, never);
         continue;
       }
       const answer = () => {
-        pool.finish(entry, request.callMs);
+        pool.release(entry, request.callMs);
         // The adviser approves none of the workers.
-        world.scheduler.adviceAnswered(request, new Map(), never);
+        world.scheduler.onAdviceAnswered(request, new Map(), never);
       };
       open.push({at: ms + request.callMs, answer});
     }
--- a/packages/gypsumwall-scheduling/src/__tests__/decisions.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/decisions.test.ts
@@ -69,18 +69,18 @@
 test('a small call never waits behind large ones at all entries', () => {
   const pool = adviserPool.createAdviserPool<string>();
   const entries = ['a', 'b', 'c', 'd'];
-  const large = [1, 2, 3].map(() => pool.take(entries, 740, true));
+  const large = [1, 2, 3].map(() => pool.acquire(entries, 740, true));
   assert.deepEqual(large, ['a', 'b', undefined]);
-  assert.equal(pool.take(entries, 10, true), 'c');
-  assert.equal(pool.take(entries, 10, true), 'd');
+  assert.equal(pool.acquire(entries, 10, true), 'c');
+  assert.equal(pool.acquire(entries, 10, true), 'd');
 });
 
 test('an entry with a long queue gets no more calls', () => {
   const pool = adviserPool.createAdviserPool<string>();
-  assert.equal(pool.take(['a'], 1_600, true), 'a');
-  assert.equal(pool.take(['a'], 1_600, true), undefined);
-  pool.finish('a', 1_600);
-  assert.equal(pool.take(['a'], 1_600, true), 'a');
+  assert.equal(pool.acquire(['a'], 1_600, true), 'a');
+  assert.equal(pool.acquire(['a'], 1_600, true), undefined);
+  pool.release('a', 1_600);
+  assert.equal(pool.acquire(['a'], 1_600, true), 'a');
 });
 
 // Guards against urgent calls that are queued behind long ones.
@@ -91,22 +91,22 @@
     large: 1,
     spare: 2,
   });
-  assert.equal(pool.take(['a'], 740, true), 'a');
-  assert.equal(pool.take(['a'], 10, true), undefined);
+  assert.equal(pool.acquire(['a'], 740, true), 'a');
+  assert.equal(pool.acquire(['a'], 10, true), undefined);
   assert.deepEqual(pool.capacity(['a', 'b']), {
     needed: 1,
     large: 0,
     spare: 1,
   });
-  pool.finish('a', 740);
-  assert.equal(pool.take(['a'], 10, true), 'a');
+  pool.release('a', 740);
+  assert.equal(pool.acquire(['a'], 10, true), 'a');
 });
 
 test('a deferrable call is made only by an idle entry', () => {
   const pool = adviserPool.createAdviserPool<string>();
-  assert.equal(pool.take(['a'], 100, false), 'a');
-  assert.equal(pool.take(['a'], 100, false), undefined);
-  assert.equal(pool.take(['a'], 100, true), 'a');
+  assert.equal(pool.acquire(['a'], 100, false), 'a');
+  assert.equal(pool.acquire(['a'], 100, false), undefined);
+  assert.equal(pool.acquire(['a'], 100, true), 'a');
 });
 
 // Load: waiting gangs ask for more workers all the time. Guards against an
@@ -115,9 +115,9 @@
 test('deferrable calls leave entries idle for urgent ones', () => {
   const pool = adviserPool.createAdviserPool<string>();
   const entries = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'];
-  const taken = entries.map(() => pool.take(entries, 200, false));
+  const taken = entries.map(() => pool.acquire(entries, 200, false));
   assert.deepEqual(taken.filter((entry) => entry !== undefined).length, 6);
-  assert.equal(pool.take(entries, 10, true), 'g');
+  assert.equal(pool.acquire(entries, 10, true), 'g');
 });
 
 test('a task id is parsed into the parts that it was created from', () => {
--- a/packages/gypsumwall-scheduling/src/__tests__/plan_advice_calls.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/plan_advice_calls.test.ts
@@ -23,7 +23,7 @@
     request.workers.map((id) => [id, 'ticket'] as const),
   );
   const until = types.clock.after(world.now, ADVICE.validMs);
-  world.scheduler.adviceAnswered(request, approved, until);
+  world.scheduler.onAdviceAnswered(request, approved, until);
 }
 
 // Load: 150 workers, the first 100 of them full. Guards against a job that
--- a/packages/gypsumwall-scheduling/src/__tests__/refused_starts.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/refused_starts.test.ts
@@ -16,7 +16,7 @@
     for (const {attempt} of world.decide()) {
       refused++;
       const outcome = {type: 'refused', reason: 'other'} as const;
-      world.scheduler.startAnswered(attempt, outcome, world.now);
+      world.scheduler.onStartAnswered(attempt, outcome, world.now);
     }
     world.now = types.clock.after(world.now, CYCLE_MS);
   }
@@ -41,7 +41,7 @@
   refuseAll(world, 200);
   const other = world.submit('other', [worlds.step()]);
   const jobs = () =>
-    world.startAll().map((attempt) => attempt.owner?.stepRun.job.id);
+    world.startAll().map((attempt) => attempt.task?.stepRun.job.id);
   assert.deepEqual(jobs(), [other]);
   world.now = types.clock.after(world.now, 400);
   assert.deepEqual(jobs(), [refused]);
--- a/packages/gypsumwall-scheduling/src/__tests__/scheduler.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/scheduler.test.ts
@@ -31,7 +31,7 @@
   const dirty = world.scheduler.takeDirty();
   assert.deepEqual(dirty[0]?.progress.workers, ['w1']);
   assert.deepEqual(world.scheduler.decide(world.now, wall).starts, []);
-  world.scheduler.stored(dirty);
+  world.scheduler.onStored(dirty);
   assert.equal(world.scheduler.decide(world.now, wall).starts.length, 1);
 });
 
@@ -46,16 +46,16 @@
   const [recorded] = world.scheduler.takeDirty();
   assert.deepEqual(recorded?.progress.workers, ['w1']);
   assert.equal(recorded.progress.phase, 'queued');
-  world.scheduler.stored([recorded]);
+  world.scheduler.onStored([recorded]);
   const [lost] = world.decide();
   const unknown = {type: 'unknown'} as const;
-  world.scheduler.startAnswered(lost!.attempt, unknown, world.now);
+  world.scheduler.onStartAnswered(lost!.attempt, unknown, world.now);
   assert.deepEqual(world.scheduler.takeDirty(), []);
-  world.scheduler.stopAnswered(lost!.attempt, world.now);
+  world.scheduler.onStopAnswered(lost!.attempt, world.now);
   world.now = types.clock.after(world.now, 1);
   world.report(w1, []);
   const [order] = world.decide();
-  world.scheduler.startAnswered(order!.attempt, {type: 'started'}, world.now);
+  world.scheduler.onStartAnswered(order!.attempt, {type: 'started'}, world.now);
   const [begun] = world.scheduler.takeDirty();
   assert.equal(begun?.progress.phase, 'running');
 });
@@ -94,12 +94,12 @@
   const w1 = world.addWorker('w1', 1);
   world.submit('job', [worlds.step()]);
   const [order] = world.decide();
-  world.scheduler.startAnswered(order!.attempt, {type: 'unknown'}, world.now);
+  world.scheduler.onStartAnswered(order!.attempt, {type: 'unknown'}, world.now);
   world.addWorker('w2', 1);
   assert.deepEqual(world.scheduler.takeStops(), [order!.attempt]);
   world.report(w1, []);
   assert.equal(world.decide().length, 0, 'a report alone proves nothing');
-  world.scheduler.stopAnswered(order!.attempt, world.now);
+  world.scheduler.onStopAnswered(order!.attempt, world.now);
   world.now = types.clock.after(world.now, 1);
   world.report(w1, []);
   const [again] = world.decide();
@@ -111,8 +111,8 @@
   world.addWorker('w1', 1);
   const job = world.submit('job', [worlds.step()]);
   const [order] = world.decide();
-  world.scheduler.startAnswered(order!.attempt, {type: 'unknown'}, world.now);
-  world.scheduler.stopAnswered(order!.attempt, world.now);
+  world.scheduler.onStartAnswered(order!.attempt, {type: 'unknown'}, world.now);
+  world.scheduler.onStopAnswered(order!.attempt, world.now);
   world.end(order!.attempt, 'done');
   assert.equal(world.scheduler.hasJob(job), false);
 });
@@ -127,7 +127,7 @@
   const [attempt] = world.startAll();
   world.end(attempt!, 'failed');
   const [second] = world.startAll();
-  world.scheduler.report(
+  world.scheduler.applyReport(
     {
       workerId: w1,
       askedAt: world.now,
@@ -195,7 +195,7 @@
     worlds.runningAttempt('job.0.1.1', 1),
   ]);
   assert.deepEqual(world.scheduler.takeStops(), []);
-  world.scheduler.report(
+  world.scheduler.applyReport(
     {
       workerId: w1,
       askedAt: world.now,
@@ -215,7 +215,7 @@
   );
   // Without this call the job waits for reconciliation and nothing could start
   // anyway.
-  world.scheduler.workerAccounted();
+  world.scheduler.onWorkerReconciled();
   assert.deepEqual(world.startAll(), []);
 });
 
@@ -270,7 +270,7 @@
   const w2 = world.addWorker('w2', 1);
   const w3 = world.addWorker('w3', 1);
   const until = types.clock.after(world.now, advice.validMs);
-  world.scheduler.adviceAnswered(request, new Map(), until);
+  world.scheduler.onAdviceAnswered(request, new Map(), until);
   world.now = types.clock.after(until, 1);
   const [next] = world.scheduler.decide(world.now, wall).advice;
   assert.deepEqual(next?.workers, [w2, w3]);
@@ -285,7 +285,7 @@
   const wall = 0 as types.clock.WallMs;
   const [request] = world.scheduler.decide(world.now, wall).advice;
   const until = types.clock.after(world.now, advice.validMs);
-  world.scheduler.adviceAnswered(request!, new Map([[w2, 'ticket']]), until);
+  world.scheduler.onAdviceAnswered(request!, new Map([[w2, 'ticket']]), until);
   const orders = world.decide();
   assert.deepEqual(
     orders.map((order) => [order.attempt.workerId, order.ticket]),
--- a/packages/gypsumwall-scheduling/src/__tests__/scheduling_cycle.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/scheduling_cycle.test.ts
@@ -15,7 +15,7 @@
  * workers once.
  */
 function countTries(world: worlds.SchedulerWorld): () => number {
-  const {workers} = world.scheduler.book;
+  const {workers} = world.scheduler.workerRegistry;
   const values = workers.values.bind(workers);
   let tries = 0;
   Object.assign(workers, {
@@ -175,7 +175,7 @@
               running = running.filter(
                 (attempt) => attempt.workerId !== removed,
               );
-              world.scheduler.workerGone(removed, 'crashed', world.now);
+              world.scheduler.removeWorker(removed, 'crashed', world.now);
               workers[action.worker] = world.addWorker(`w${++incarnations}`, 4);
               break;
             }
--- a/packages/gypsumwall-scheduling/src/__tests__/speculative_copies.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/speculative_copies.test.ts
@@ -22,7 +22,7 @@
   world.addWorker('w2', 4);
   world.now = types.clock.after(world.now, 500);
   world.scheduler.setUsable(w1, false, world.now);
-  world.scheduler.outOfReach(w1);
+  world.scheduler.onWorkerUnreachable(w1);
   return {world, attempt: attempt!};
 }
 
@@ -48,9 +48,9 @@
 // Each failed poll reports again that the worker is unreachable.
 test('a task has one copy, however often its worker is reported as unreachable', () => {
   const {world, attempt} = createWorld(true);
-  world.scheduler.outOfReach(attempt.workerId);
+  world.scheduler.onWorkerUnreachable(attempt.workerId);
   assert.equal(world.startAll().length, 1);
-  world.scheduler.outOfReach(attempt.workerId);
+  world.scheduler.onWorkerUnreachable(attempt.workerId);
   assert.equal(world.startAll().length, 0);
 });
 
--- a/packages/gypsumwall-scheduling/src/__tests__/stuck_steps.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/stuck_steps.test.ts
@@ -24,7 +24,7 @@
   const lost = first.find((attempt) => attempt.workerId === w2)!;
   const stopped = first.find((attempt) => attempt.workerId === w1)!;
   world.scheduler.setUsable(w2, false, world.now);
-  world.scheduler.leasePassed(w2, world.now);
+  world.scheduler.onLeaseExpired(w2, world.now);
   world.end(stopped, 'stopped');
   world.scheduler.takeStops();
   world.addWorker('w3', 1);
@@ -77,7 +77,7 @@
   world.report(w2!, [worlds.runningAttempt('job.0.1.0', 1)]);
   world.report(w3!, [worlds.runningAttempt('job.0.1.1', 1)]);
   world.report(w1!, []);
-  world.scheduler.leasePassed(w3!, world.now);
+  world.scheduler.onLeaseExpired(w3!, world.now);
   const [member] = world.scheduler.takeStops();
   assert.equal(member?.taskId, 'job.0.1.0');
   // The end of the first step is lost, so its task runs again.
@@ -103,7 +103,7 @@
   world.report(w3!, [worlds.runningAttempt('job.0.0.2', 2)]);
   const [unwanted] = world.scheduler.takeStops();
   assert.equal(unwanted?.workerId, w3);
-  world.scheduler.leasePassed(w1!, world.now);
+  world.scheduler.onLeaseExpired(w1!, world.now);
   const [member] = world.scheduler.takeStops();
   assert.equal(member?.workerId, w2);
   world.end(unwanted!, 'stopped');
@@ -136,7 +136,7 @@
     world.now = types.clock.after(world.now, 5);
     const {starts} = world.scheduler.decide(world.now, WALL);
     started.push(...starts.map((start) => start.attempt.taskId));
-    world.scheduler.stored(world.scheduler.takeDirty());
+    world.scheduler.onStored(world.scheduler.takeDirty());
   }
   assert.deepEqual(started, ['small.0.0.0']);
 });
@@ -155,7 +155,7 @@
     'lapsed',
   );
   assert.deepEqual(world.scheduler.takeStops(), [member]);
-  world.scheduler.stopAnswered(member, world.now);
+  world.scheduler.onStopAnswered(member, world.now);
   const report = (spanMs: number) => {
     world.now = types.clock.after(world.now, spanMs);
     world.report(w1, [worlds.runningAttempt(member.taskId, member.number)]);
@@ -167,7 +167,7 @@
   assert.deepEqual(world.scheduler.takeStops(), [member]);
   report(4_000);
   assert.deepEqual(world.scheduler.takeStops(), [], 'one at a time');
-  world.scheduler.stopAnswered(member, world.now);
+  world.scheduler.onStopAnswered(member, world.now);
   world.now = types.clock.after(world.now, 1);
   world.report(w1, []);
   assert.equal(world.startAll().length, 2);
@@ -194,13 +194,13 @@
     started.push(...starts.map(({attempt}) => attempt.workerId));
     for (const request of requests) {
       const named = request.workers.filter((id) => approved.has(id));
-      world.scheduler.adviceAnswered(
+      world.scheduler.onAdviceAnswered(
         request,
         new Map(named.map((id) => [id, 'ticket'])),
         types.clock.after(world.now, advice.validMs),
       );
     }
-    world.scheduler.stored(world.scheduler.takeDirty());
+    world.scheduler.onStored(world.scheduler.takeDirty());
     world.now = types.clock.after(world.now, 20);
   }
   assert.deepEqual(started, ['w39']);
--- a/packages/gypsumwall-scheduling/src/__tests__/task_isolation.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/task_isolation.test.ts
@@ -96,7 +96,7 @@
   const policy = {priority: 0};
   world.submit('urgent', [worlds.step()], {policy, progress: RECORDED});
   submitSuspect(world, 'suspect', [0], 2);
-  const jobs = world.startAll().map((attempt) => attempt.owner?.stepRun.job.id);
+  const jobs = world.startAll().map((attempt) => attempt.task?.stepRun.job.id);
   assert.deepEqual(jobs, ['urgent']);
 });
 
@@ -136,7 +136,7 @@
   for (let nth = 0; nth < 4; nth++) sendShort();
   const suspect = submitSuspect(world, 'suspect', [0], 2);
   const hasStarted = () =>
-    running.some((attempt) => attempt.owner?.stepRun.job.id === suspect);
+    running.some((attempt) => attempt.task?.stepRun.job.id === suspect);
   for (let nth = 0; nth < 60 && !hasStarted(); nth++) sendShort();
   assert.ok(hasStarted());
 });
@@ -195,7 +195,7 @@
   world.report(worker, [worlds.runningAttempt('suspect.0.0.0', 7)]);
   world.submit('other', [worlds.step()]);
   assert.equal(world.startAll().length, 0);
-  world.scheduler.workerGone(worker, 'crashed', world.now);
+  world.scheduler.removeWorker(worker, 'crashed', world.now);
   const reasons = world.events.flatMap((event) =>
     event.type === 'task_given_up' ? [event.reason] : [],
   );
@@ -216,7 +216,7 @@
   for (const lost of [attempt!.workerId, neighbour]) {
     world.scheduler.setUsable(lost, false, world.now);
   }
-  world.scheduler.workerGone(attempt!.workerId, 'crashed', world.now);
+  world.scheduler.removeWorker(attempt!.workerId, 'crashed', world.now);
   const givenUp = world.events.filter(
     (event) => event.type === 'task_given_up',
   );
@@ -231,7 +231,7 @@
     submitSuspect(world, 'job', crashed, 1, {speculative: true});
     const [attempt] = world.startAll();
     world.scheduler.setUsable(attempt!.workerId, false, world.now);
-    world.scheduler.outOfReach(attempt!.workerId);
+    world.scheduler.onWorkerUnreachable(attempt!.workerId);
     return world.startAll().length > 0;
   };
   assert.equal(startsAgain([]), true);
@@ -260,7 +260,7 @@
     submitSuspect(world, 'suspect', [0], crashCount);
     world.startAll();
     elapse(world, ranMs);
-    world.scheduler.workerGone(worker, 'crashed', world.now);
+    world.scheduler.removeWorker(worker, 'crashed', world.now);
     return world.events.some((event) => event.type === 'task_given_up');
   };
   assert.equal(isGivenUp(2, 500), true);
--- a/packages/gypsumwall-scheduling/src/__tests__/waiting_work.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/waiting_work.test.ts
@@ -306,7 +306,7 @@
       false,
       `${job.id} awaits reconciliation`,
     );
-    for (const {steps} of job.open.values()) stepRuns.push(...steps);
+    for (const {steps} of job.openOccurrences.values()) stepRuns.push(...steps);
   }
   return stepRuns;
 }
@@ -316,18 +316,32 @@
  * the members of a gang are either all queued or all running.
  */
 function checkTasks(stepRun: activeJob.StepRun): void {
-  const {id, request, state, waiting, attempts, doneIndexes: done} = stepRun;
+  const {
+    id,
+    request,
+    state,
+    waitingIndexes,
+    attempts,
+    doneIndexes: done,
+  } = stepRun;
   if (state !== 'open') return;
   const {gang, taskCount} = request;
   for (const attempt of attempts) {
     assert.equal(attempt.phase, 'running', `an attempt of ${id}`);
     assert.notEqual(attempt.confirmedAt, undefined);
   }
-  assert.equal(new Set(waiting).size, waiting.length);
+  assert.equal(new Set(waitingIndexes).size, waitingIndexes.length);
   if (gang) {
-    const found = `${attempts.size} run and ${waiting.length} are queued`;
-    assert.equal(attempts.size + waiting.length, taskCount, `${id}: ${found}`);
-    assert.ok(attempts.size === 0 || waiting.length === 0, `${id}: ${found}`);
+    const found = `${attempts.size} run and ${waitingIndexes.length} are queued`;
+    assert.equal(
+      attempts.size + waitingIndexes.length,
+      taskCount,
+      `${id}: ${found}`,
+    );
+    assert.ok(
+      attempts.size === 0 || waitingIndexes.length === 0,
+      `${id}: ${found}`,
+    );
     const attemptNumbers = new Set(
       [...attempts].map((attempt) => attempt.number),
     );
@@ -337,10 +351,10 @@
     );
     return;
   }
-  const running = new Set([...attempts].map((attempt) => attempt.owner!.index));
+  const running = new Set([...attempts].map((attempt) => attempt.task!.index));
   for (let index = 0; index < taskCount; index++) {
     const isAccountedFor =
-      done.has(index) || running.has(index) || waiting.includes(index);
+      done.has(index) || running.has(index) || waitingIndexes.includes(index);
     assert.ok(
       isAccountedFor,
       `${id}.${index} is neither queued nor running nor done`,
@@ -351,7 +365,7 @@
 /** Checks that the free capacity known to the scheduler is the actual one. */
 function checkWorkers(world: worlds.UnreliableWorld): void {
   for (const worker of world.workers) {
-    const known = world.scheduler.book.workers.get(worker.id);
+    const known = world.scheduler.workerRegistry.workers.get(worker.id);
     if (known === undefined) continue;
     const used = world.usedResources(worker);
     const free = types.resources.subtract(worker.info.capacity, used);
@@ -388,9 +402,9 @@
   stepRun: activeJob.StepRun,
   worker: workerRegistry.RegisteredWorker,
 ): boolean {
-  const {info, usable} = worker;
+  const {info, isUsable} = worker;
   const {request, job, advice} = stepRun;
-  if (!usable || info.draining || info.pool !== job.policy.pool) return false;
+  if (!isUsable || info.draining || info.pool !== job.policy.pool) return false;
   const label = request.requiredLabel;
   if (label !== undefined && !info.labels.includes(label)) return false;
   if (job.policy.advice === undefined) return true;
@@ -403,14 +417,14 @@
  * another.
  */
 function checkWaiting(world: worlds.UnreliableWorld): void {
-  const {book: registry} = world.scheduler;
+  const {workerRegistry: registry} = world.scheduler;
   const health = workerHealth.createWorkerHealth(() => registry.workers.size);
   const reservation = gangReservation.createGangReservation({
     registry,
     health,
     now: world.now,
   });
-  const waiting = stepsOf(world).filter((one) => one.waiting.length > 0);
+  const waiting = stepsOf(world).filter((one) => one.waitingIndexes.length > 0);
   assert.equal(world.scheduler.counts().waitingSteps, waiting.length);
   waiting.sort((a, b) =>
     jobOrder.compare(
--- a/packages/gypsumwall-scheduling/src/active_job.ts
+++ b/packages/gypsumwall-scheduling/src/active_job.ts
@@ -30,7 +30,7 @@
   /**
    * The task; absent for an attempt that no job of this scheduler asked for.
    */
-  readonly owner?: {readonly stepRun: StepRun; readonly index: number};
+  readonly task?: {readonly stepRun: StepRun; readonly index: number};
   /** Resources reserved for it on the worker, under this id of a step run. */
   readonly size: types.resources.Resources;
   readonly stepRunId: string;
@@ -64,7 +64,7 @@
    * Indexes of tasks that are queued: no attempt runs and they are not done.
    * Either all members of a gang are queued or none is.
    */
-  waiting: number[];
+  waitingIndexes: number[];
   readonly attempts: Set<Attempt>;
   readonly doneIndexes: Set<number>;
   /** Numbers of failed attempts by task index; under `GANG_KEY` for a gang. */
@@ -152,7 +152,7 @@
   unstoredCrashes?: 'new' | jobProgress.JobProgress;
   /** The failure domain in which its tasks are placed while it has capacity. */
   homeDomain?: types.ids.FailureDomain;
-  readonly open: Map<number, Occurrence>;
+  readonly openOccurrences: Map<number, Occurrence>;
   readonly finishedOccurrences: Set<number>;
 }
 
@@ -181,7 +181,7 @@
       number: step,
       request,
       state: 'closed',
-      waiting: [],
+      waitingIndexes: [],
       attempts: new Set(),
       doneIndexes: new Set(),
       failures: new Map(),
@@ -198,7 +198,9 @@
 
 /** Target duration of a job from its acceptance, in milliseconds. */
 export function objectiveMs({request, policy}: ActiveJob): number {
-  return jobRequest.chainMs(request) * policy.slackFactor + policy.targetMs;
+  return (
+    jobRequest.expectedChainMs(request) * policy.slackFactor + policy.targetMs
+  );
 }
 
 /** Returns what decides the rank of a step among the waiting ones. */
@@ -231,7 +233,7 @@
 
 /** Marks all steps of a job to be tried in the next cycle. */
 export function markChanged(job: ActiveJob): void {
-  for (const {steps} of job.open.values()) {
+  for (const {steps} of job.openOccurrences.values()) {
     for (const stepRun of steps) stepRun.hasChanged = true;
   }
 }
@@ -243,7 +245,7 @@
 ): void {
   job.policy = policy;
   markChanged(job);
-  for (const {steps} of job.open.values()) {
+  for (const {steps} of job.openOccurrences.values()) {
     for (const stepRun of steps) stepRun.rank = undefined;
   }
 }
@@ -256,7 +258,7 @@
   const {phase} = job;
   if (jobProgress.isOver(phase)) return {...jobProgress.NO_PROGRESS, phase};
   const occurrences: Record<string, jobProgress.StepProgress[]> = {};
-  for (const [number, occurrence] of job.open) {
+  for (const [number, occurrence] of job.openOccurrences) {
     occurrences[number] = occurrence.steps.map(stepProgressOf);
   }
   const workers = [...job.workers.keys()];
--- a/packages/gypsumwall-scheduling/src/adviser_pool.ts
+++ b/packages/gypsumwall-scheduling/src/adviser_pool.ts
@@ -53,16 +53,16 @@
    * or undefined if all queues are too long. A deferrable call takes an idle
    * entry while enough others are idle.
    */
-  take(
+  acquire(
     entries: readonly Entry[],
     callMs: number,
     needed: boolean,
   ): Entry | undefined;
-  finish(entry: Entry, callMs: number): void;
+  release(entry: Entry, callMs: number): void;
   /** Returns how many calls the entries can take now. */
   capacity(entries: readonly Entry[]): AdviceCapacity;
   /** Returns the duration of the calls queued at an entry, in milliseconds. */
-  lineMs(entry: Entry): number;
+  queuedMs(entry: Entry): number;
 }
 
 /** Creates a pool without queued calls. */
@@ -85,7 +85,7 @@
   const acceptsCalls = (entry: Entry) => queuedMsOf(entry) <= MAX_QUEUE_MS;
 
   return {
-    take(entries, callMs, needed) {
+    acquire(entries, callMs, needed) {
       const ordered = [...entries].sort();
       const eligible = isLarge(callMs) ? entriesForLarge(entries) : ordered;
       let shortest: Entry | undefined;
@@ -105,7 +105,7 @@
       queuedMsByEntry.set(shortest, queuedMsOf(shortest) + callMs);
       return shortest;
     },
-    lineMs: queuedMsOf,
+    queuedMs: queuedMsOf,
     capacity(entries) {
       const keptIdle = Math.floor(entries.length * IDLE_ENTRY_SHARE);
       return {
@@ -114,7 +114,7 @@
         spare: Math.max(0, idleEntries(entries) - keptIdle),
       };
     },
-    finish(entry, callMs) {
+    release(entry, callMs) {
       queuedMsByEntry.set(entry, Math.max(0, queuedMsOf(entry) - callMs));
     },
   };
--- a/packages/gypsumwall-scheduling/src/attempt_table.ts
+++ b/packages/gypsumwall-scheduling/src/attempt_table.ts
@@ -40,7 +40,7 @@
       const attempts =
         byWorker.get(attempt.workerId) ?? new Set<activeJob.Attempt>();
       byWorker.set(attempt.workerId, attempts.add(attempt));
-      attempt.owner?.stepRun.attempts.add(attempt);
+      attempt.task?.stepRun.attempts.add(attempt);
     },
     find: (taskId, attemptNumber, worker) =>
       byKey.get(keyOf(taskId, attemptNumber, worker)),
@@ -50,7 +50,7 @@
       const attempts = byWorker.get(attempt.workerId);
       attempts?.delete(attempt);
       if (attempts?.size === 0) byWorker.delete(attempt.workerId);
-      attempt.owner?.stepRun.attempts.delete(attempt);
+      attempt.task?.stepRun.attempts.delete(attempt);
       registry.release(attempt.workerId, attempt.stepRunId, attempt.size);
     },
     has: (attempt) => byKey.get(keyOfAttempt(attempt)) === attempt,
--- a/packages/gypsumwall-scheduling/src/choose_worker.ts
+++ b/packages/gypsumwall-scheduling/src/choose_worker.ts
@@ -102,7 +102,7 @@
   worker: workerRegistry.RegisteredWorker,
   {health, now, isolation}: ChoiceContext,
 ): boolean {
-  if (!worker.usable || worker.info.draining) return false;
+  if (!worker.isUsable || worker.info.draining) return false;
   if (isolation?.isClosedTo(stepRun, worker.info.id) === true) return false;
   if (!isEligible(stepRun, worker)) return false;
   return health.trustOf(worker.info.id, now) !== 'avoided';
--- a/packages/gypsumwall-scheduling/src/crash_attribution.ts
+++ b/packages/gypsumwall-scheduling/src/crash_attribution.ts
@@ -144,12 +144,12 @@
         accompanied: losses.isAccompanied(worker),
       });
       for (const attempt of attempts) {
-        if (attempt.owner === undefined) continue;
-        const {stepRun, index} = attempt.owner;
+        if (attempt.task === undefined) continue;
+        const {stepRun, index} = attempt.task;
         if (!recordForTask(stepRun, index, worker, kind)) continue;
         const ranMs = isolatedMs(attempt, now);
         const reason = crashRecords.giveUpReason(stepRun, index, ranMs);
-        if (reason !== undefined) giveUp(attempt.owner, reason);
+        if (reason !== undefined) giveUp(attempt.task, reason);
       }
     },
     recordSilence(worker, attempts, now) {
@@ -157,7 +157,7 @@
         if (forgetAt <= now) unprovenCrashes.delete(id);
       }
       if (attempts.length === 0) return;
-      const forgetAt = types.clock.after(now, workerLosses.LATE_PROOF_MS);
+      const forgetAt = types.clock.after(now, workerLosses.LOSS_RETENTION_MS);
       const before = unprovenCrashes.get(worker)?.attempts ?? [];
       unprovenCrashes.set(worker, {
         attempts: [...before, ...attempts],
@@ -169,7 +169,7 @@
       const crashed = [...job.unresolvedCrashes];
       job.unresolvedCrashes.clear();
       if (crashed.length === 0) return;
-      for (const {steps} of job.open.values()) {
+      for (const {steps} of job.openOccurrences.values()) {
         for (const stepRun of steps) {
           for (const index of missingIndexes(stepRun)) {
             recordSingleCrash(stepRun, index, crashed);
@@ -184,8 +184,8 @@
 function missingIndexes(stepRun: activeJob.StepRun): number[] {
   if (stepRun.state !== 'open') return [];
   const found = new Set(stepRun.doneIndexes);
-  for (const {owner} of stepRun.attempts) {
-    if (owner !== undefined) found.add(owner.index);
+  for (const {task} of stepRun.attempts) {
+    if (task !== undefined) found.add(task.index);
   }
   const missing: number[] = [];
   for (let index = 0; index < stepRun.request.taskCount; index++) {
--- a/packages/gypsumwall-scheduling/src/job_registry.ts
+++ b/packages/gypsumwall-scheduling/src/job_registry.ts
@@ -126,7 +126,7 @@
   function updateWaiting(stepRun: activeJob.StepRun): void {
     const isOver = jobProgress.isOver(stepRun.job.phase);
     stepRun.hasChanged = true;
-    if (stepRun.waiting.length > 0 && !isOver) waitingSteps.add(stepRun);
+    if (stepRun.waitingIndexes.length > 0 && !isOver) waitingSteps.add(stepRun);
     else waitingSteps.delete(stepRun);
   }
 
@@ -148,7 +148,7 @@
     jobs.delete(job.id);
     jobsToOpen.delete(job);
     parts.health.forgetJob(job.id);
-    for (const occurrence of job.open.values()) {
+    for (const occurrence of job.openOccurrences.values()) {
       for (const stepRun of occurrence.steps) {
         waitingSteps.delete(stepRun);
         for (const attempt of stepRun.attempts) stop(attempt);
@@ -173,7 +173,7 @@
    * with their workers.
    */
   function breakPartialGangs(job: activeJob.ActiveJob): void {
-    for (const occurrence of job.open.values()) {
+    for (const occurrence of job.openOccurrences.values()) {
       for (const stepRun of occurrence.steps) {
         const {gang, taskCount} = stepRun.request;
         const found = stepRun.attempts.size;
@@ -210,27 +210,27 @@
     updateWaiting(stepRun);
   }
 
-  function removeLeavingWorker({owner, workerId}: activeJob.Attempt): void {
-    const job = owner?.stepRun.job;
+  function removeLeavingWorker({task, workerId}: activeJob.Attempt): void {
+    const job = task?.stepRun.job;
     if (job === undefined || jobProgress.isOver(job.phase)) return;
     if (!parts.isLeaving(workerId)) return;
     for (const attempt of parts.attempts.ofWorker(workerId)) {
-      if (attempt.owner?.stepRun.job === job) return;
+      if (attempt.task?.stepRun.job === job) return;
     }
     if (job.workers.delete(workerId)) dirty.add(job);
   }
 
   /** Queues the task of an attempt whose outcome is not known. */
   function dropAttempt(attempt: activeJob.Attempt): void {
-    const {owner, number: attemptNumber} = attempt;
+    const {task, number: attemptNumber} = attempt;
     parts.attempts.remove(attempt);
     removeLeavingWorker(attempt);
-    if (owner !== undefined) requeue(owner.stepRun, owner.index, attemptNumber);
+    if (task !== undefined) requeue(task.stepRun, task.index, attemptNumber);
   }
 
-  function queueCopy({phase, owner}: activeJob.Attempt): void {
-    if (phase === 'stopping' || owner === undefined) return;
-    const {stepRun, index} = owner;
+  function queueCopy({phase, task}: activeJob.Attempt): void {
+    if (phase === 'stopping' || task === undefined) return;
+    const {stepRun, index} = task;
     const {speculative, gang, longRunning} = stepRun.request;
     if (!speculative || gang || longRunning) return;
     // A copy of a task that crashes its workers would crash another worker.
@@ -238,26 +238,29 @@
     if (stepRun.state !== 'open') return;
     if (jobProgress.isOver(stepRun.job.phase)) return;
     const attemptsOfTask = [...stepRun.attempts].filter(
-      (attempt) => attempt.owner?.index === index,
+      (attempt) => attempt.task?.index === index,
     );
-    if (attemptsOfTask.length > 1 || stepRun.waiting.includes(index)) return;
-    stepRun.waiting.push(index);
+    if (attemptsOfTask.length > 1 || stepRun.waitingIndexes.includes(index))
+      return;
+    stepRun.waitingIndexes.push(index);
     updateWaiting(stepRun);
   }
 
   function findTask(taskId: types.ids.TaskId): TaskRef | undefined {
     const place = taskIds.parseTaskId(taskId);
     if (place === undefined) return undefined;
-    const occurrence = jobs.get(place.jobId)?.open.get(place.occurrence);
+    const occurrence = jobs
+      .get(place.jobId)
+      ?.openOccurrences.get(place.occurrence);
     const stepRun = occurrence?.steps[place.step];
     if (stepRun === undefined) return undefined;
     return {stepRun, index: place.index};
   }
 
   function dequeue(stepRun: activeJob.StepRun, index: number): void {
-    stepRun.waiting = stepRun.request.gang
+    stepRun.waitingIndexes = stepRun.request.gang
       ? []
-      : stepRun.waiting.filter((waitingIndex) => waitingIndex !== index);
+      : stepRun.waitingIndexes.filter((waitingIndex) => waitingIndex !== index);
     updateWaiting(stepRun);
   }
 
--- a/packages/gypsumwall-scheduling/src/job_request.ts
+++ b/packages/gypsumwall-scheduling/src/job_request.ts
@@ -86,7 +86,7 @@
 }
 
 /** Expected duration of the longest chain of steps, in milliseconds. */
-export function chainMs(request: JobRequest): number {
+export function expectedChainMs(request: JobRequest): number {
   const ends: number[] = [];
   request.steps.forEach((step, index) => {
     const before = step.after.map((earlier) => ends[earlier] ?? 0);
@@ -96,7 +96,7 @@
 }
 
 /** Returns a description of what is wrong with a request, or undefined. */
-export function faultOf(request: JobRequest): string | undefined {
+export function describeFault(request: JobRequest): string | undefined {
   if (request.steps.length === 0)
     return 'steps = []: a job needs at least one step';
   for (const [index, step] of request.steps.entries()) {
--- a/packages/gypsumwall-scheduling/src/job_steps.ts
+++ b/packages/gypsumwall-scheduling/src/job_steps.ts
@@ -8,7 +8,7 @@
 import type * as jobRequest from './job_request.js';
 
 /** How an attempt has ended, as reported by the worker. */
-export type RunEnd =
+export type AttemptOutcome =
   | 'done'
   /** It failed, through its own fault or that of the worker. */
   | 'failed'
@@ -43,7 +43,7 @@
     workers: new Map(progress.workers.map((id) => [id, 'recorded'])),
     failedOn: new Set(),
     unresolvedCrashes: new Set(),
-    open: new Map(),
+    openOccurrences: new Map(),
     finishedOccurrences: new Set(progress.finished),
   };
   for (const [number, steps] of Object.entries(progress.occurrences)) {
@@ -52,7 +52,7 @@
       Number(number),
       start.acceptedAt,
     );
-    job.open.set(occurrence.number, occurrence);
+    job.openOccurrences.set(occurrence.number, occurrence);
     steps.forEach((step, index) => restoreStep(occurrence.steps[index], step));
   }
   return job;
@@ -88,7 +88,8 @@
   const schedule = job.request.schedule;
   const total = schedule?.occurrences ?? 1;
   for (let number = 0; number < total; number++) {
-    if (job.finishedOccurrences.has(number) || job.open.has(number)) continue;
+    if (job.finishedOccurrences.has(number) || job.openOccurrences.has(number))
+      continue;
     const latenessMs =
       schedule === undefined ? 0 : latenessMsOf(schedule, number, wall);
     if (latenessMs < 0) break;
@@ -96,13 +97,14 @@
       schedule === undefined
         ? job.acceptedAt
         : types.clock.after(now, -latenessMs);
-    job.open.set(
+    job.openOccurrences.set(
       number,
       activeJob.createOccurrence(job, number, objectiveStartsAt),
     );
   }
   const opened: activeJob.StepRun[] = [];
-  for (const occurrence of job.open.values()) openSteps(occurrence, opened);
+  for (const occurrence of job.openOccurrences.values())
+    openSteps(occurrence, opened);
   return opened;
 }
 
@@ -125,7 +127,7 @@
     );
     if (!isReady) continue;
     stepRun.state = 'open';
-    stepRun.waiting = startableIndexes(stepRun);
+    stepRun.waitingIndexes = startableIndexes(stepRun);
     opened.push(stepRun);
   }
 }
@@ -138,7 +140,7 @@
   const {gang, taskCount} = stepRun.request;
   if (gang && stepRun.attempts.size > 0) return [];
   const running = new Set<number | undefined>();
-  for (const attempt of stepRun.attempts) running.add(attempt.owner?.index);
+  for (const attempt of stepRun.attempts) running.add(attempt.task?.index);
   const indexes: number[] = [];
   // Tasks are taken from the end of the list, so the first index starts first.
   for (let index = taskCount - 1; index >= 0; index--) {
@@ -152,11 +154,13 @@
 export function markDone(stepRun: activeJob.StepRun, index: number): void {
   if (stepRun.state === 'done') return;
   if (stepRun.request.gang) {
-    stepRun.waiting = [];
+    stepRun.waitingIndexes = [];
     stepRun.state = 'done';
   } else {
     stepRun.doneIndexes.add(index);
-    stepRun.waiting = stepRun.waiting.filter((waiting) => waiting !== index);
+    stepRun.waitingIndexes = stepRun.waitingIndexes.filter(
+      (waiting) => waiting !== index,
+    );
     if (stepRun.doneIndexes.size < stepRun.request.taskCount) return;
     stepRun.state = 'done';
   }
@@ -168,7 +172,7 @@
   job: activeJob.ActiveJob,
 ): void {
   if (!occurrence.steps.every((step) => step.state === 'done')) return;
-  job.open.delete(occurrence.number);
+  job.openOccurrences.delete(occurrence.number);
   job.finishedOccurrences.add(occurrence.number);
   const total = job.request.schedule?.occurrences ?? 1;
   if (
@@ -199,12 +203,13 @@
 export function requeue(stepRun: activeJob.StepRun, index: number): void {
   if (stepRun.state !== 'open' || jobProgress.isOver(stepRun.job.phase)) return;
   if (stepRun.request.gang) {
-    if (stepRun.attempts.size > 0 || stepRun.waiting.length > 0) return;
-    stepRun.waiting = startableIndexes(stepRun);
+    if (stepRun.attempts.size > 0 || stepRun.waitingIndexes.length > 0) return;
+    stepRun.waitingIndexes = startableIndexes(stepRun);
     return;
   }
-  if (stepRun.doneIndexes.has(index) || stepRun.waiting.includes(index)) return;
+  if (stepRun.doneIndexes.has(index) || stepRun.waitingIndexes.includes(index))
+    return;
   for (const attempt of stepRun.attempts)
-    if (attempt.owner?.index === index) return;
-  stepRun.waiting.push(index);
+    if (attempt.task?.index === index) return;
+  stepRun.waitingIndexes.push(index);
 }
--- a/packages/gypsumwall-scheduling/src/place_isolated.ts
+++ b/packages/gypsumwall-scheduling/src/place_isolated.ts
@@ -8,7 +8,7 @@
 /** Whether a queued task of a step needs isolation. */
 export function waitsForIsolation(stepRun: activeJob.StepRun): boolean {
   if (stepRun.crashes.size === 0) return false;
-  return stepRun.waiting.some((index) =>
+  return stepRun.waitingIndexes.some((index) =>
     crashRecords.needsIsolation(stepRun, index),
   );
 }
@@ -20,7 +20,7 @@
 } {
   const isolated: number[] = [];
   const others: number[] = [];
-  for (const index of stepRun.waiting) {
+  for (const index of stepRun.waitingIndexes) {
     const needsIsolation = crashRecords.needsIsolation(stepRun, index);
     (needsIsolation ? isolated : others).push(index);
   }
--- a/packages/gypsumwall-scheduling/src/place_step.ts
+++ b/packages/gypsumwall-scheduling/src/place_step.ts
@@ -27,10 +27,10 @@
   }
   if (stepRun.request.gang) return placeIsolatedGang(stepRun, context);
   const {isolated, others} = placeIsolated.splitWaiting(stepRun);
-  stepRun.waiting = others;
+  stepRun.waitingIndexes = others;
   const first = placeTogether(stepRun, context);
   const placed = placeIsolated.placeIsolated(stepRun, isolated, context);
-  stepRun.waiting.push(...isolated.slice(placed.length));
+  stepRun.waitingIndexes.push(...isolated.slice(placed.length));
   return [...first, ...placed];
 }
 
@@ -45,7 +45,7 @@
     const candidates = chooseWorker.findCandidates(stepRun, context);
     const rest = placeGang(stepRun, candidates, context, others);
     if (rest.length === others.length) {
-      stepRun.waiting = [];
+      stepRun.waitingIndexes = [];
       return [...first, ...rest];
     }
   }
@@ -72,7 +72,7 @@
   );
   const place = stepRun.request.gang ? placeWholeGang : placeTasks;
   const first = recorded.length > 0 ? place(stepRun, recorded, context) : [];
-  if (stepRun.waiting.length === 0) return first;
+  if (stepRun.waitingIndexes.length === 0) return first;
   return [...first, ...place(stepRun, candidates, context)];
 }
 
@@ -82,13 +82,13 @@
   context: chooseWorker.ChoiceContext,
 ): placements.Placement[] {
   const placed: placements.Placement[] = [];
-  while (stepRun.waiting.length > 0) {
-    const index = stepRun.waiting.at(-1)!;
+  while (stepRun.waitingIndexes.length > 0) {
+    const index = stepRun.waitingIndexes.at(-1)!;
     const isSuspected = stepRun.crashes.has(index);
     const choice = isSuspected ? {...context, isSuspected} : context;
     const worker = chooseWorker.chooseWorker(stepRun, candidates, choice);
     if (worker === undefined) break;
-    stepRun.waiting.pop();
+    stepRun.waitingIndexes.pop();
     placed.push(placements.reserve(stepRun, index, worker, context.registry));
     markSuspect(stepRun, index, worker, context);
   }
@@ -100,8 +100,13 @@
   candidates: readonly workerRegistry.RegisteredWorker[],
   context: chooseWorker.ChoiceContext,
 ): placements.Placement[] {
-  const placed = placeGang(stepRun, candidates, context, stepRun.waiting);
-  if (placed.length > 0) stepRun.waiting = [];
+  const placed = placeGang(
+    stepRun,
+    candidates,
+    context,
+    stepRun.waitingIndexes,
+  );
+  if (placed.length > 0) stepRun.waitingIndexes = [];
   return placed;
 }
 
--- a/packages/gypsumwall-scheduling/src/placements.ts
+++ b/packages/gypsumwall-scheduling/src/placements.ts
@@ -17,7 +17,11 @@
   worker: workerRegistry.RegisteredWorker,
   registry: workerRegistry.WorkerRegistry,
 ): Placement {
-  registry.book(worker.info.id, stepRun.id, chooseWorker.reservedSize(stepRun));
+  registry.reserve(
+    worker.info.id,
+    stepRun.id,
+    chooseWorker.reservedSize(stepRun),
+  );
   return {stepRun, index, worker};
 }
 
@@ -39,5 +43,5 @@
   registry: workerRegistry.WorkerRegistry,
 ): void {
   release(placement, registry);
-  placement.stepRun.waiting.push(placement.index);
+  placement.stepRun.waitingIndexes.push(placement.index);
 }
--- a/packages/gypsumwall-scheduling/src/plan_advice_calls.ts
+++ b/packages/gypsumwall-scheduling/src/plan_advice_calls.ts
@@ -128,7 +128,7 @@
   const renewalMs = policy.callMs + policy.perWorkerMs * MIN_NAMED_WORKERS;
   const freshUntil = types.clock.after(now, renewalMs);
   const {approvals, pendingWorkers} = stepRun.advice;
-  const wantedTasks = stepRun.waiting.length * SPARE_FACTOR;
+  const wantedTasks = stepRun.waitingIndexes.length * SPARE_FACTOR;
   const candidates: Candidate[] = [];
   let coveredTasks = 0;
   for (const candidate of allCandidates) {
@@ -181,14 +181,14 @@
   const candidates: Candidate[] = [];
   for (const worker of registry.workers.values()) {
     const {id} = worker.info;
-    if (!worker.usable || worker.info.draining) continue;
+    if (!worker.isUsable || worker.info.draining) continue;
     // Refusals are final.
     if (stepRun.advice.refused.has(id)) continue;
     if (!chooseWorker.isEligible(stepRun, worker)) continue;
     const fitting = Math.min(
       gangFit.tasksThatFit(size, worker.free),
       chooseWorker.remainingSlots(stepRun, worker),
-      stepRun.waiting.length,
+      stepRun.waitingIndexes.length,
     );
     const tasks = canUse(stepRun, id) ? Math.max(0, fitting) : 0;
     candidates.push({
--- a/packages/gypsumwall-scheduling/src/report_reader.ts
+++ b/packages/gypsumwall-scheduling/src/report_reader.ts
@@ -58,9 +58,9 @@
       worker: workerId,
       how: reported.how,
     });
-    const owner = attempt?.owner ?? jobRegistry.findTask(reported.taskId);
-    if (owner === undefined) return;
-    const {stepRun, index} = owner;
+    const task = attempt?.task ?? jobRegistry.findTask(reported.taskId);
+    if (task === undefined) return;
+    const {stepRun, index} = task;
     jobRegistry.markRunning(stepRun.job);
     saveCheckpoint(stepRun, index, reported.checkpoint);
     switch (reported.how) {
@@ -99,7 +99,7 @@
     for (const attempt of stepRun.attempts) {
       // Members of a gang end together by themselves; the copies of a task do
       // not.
-      if (!stepRun.request.gang && attempt.owner?.index === index)
+      if (!stepRun.request.gang && attempt.task?.index === index)
         jobRegistry.stop(attempt);
     }
     jobRegistry.dirty.add(job);
@@ -149,14 +149,14 @@
       attempt.percentChangedAt = now;
     }
     attempt.startedAt ??= now;
-    if (attempt.owner !== undefined) {
-      jobRegistry.markRunning(attempt.owner.stepRun.job);
+    if (attempt.task !== undefined) {
+      jobRegistry.markRunning(attempt.task.stepRun.job);
       saveCheckpoint(
-        attempt.owner.stepRun,
-        attempt.owner.index,
+        attempt.task.stepRun,
+        attempt.task.index,
         reported.checkpoint,
       );
-      clearCrashes(attempt.owner, now - attempt.startedAt);
+      clearCrashes(attempt.task, now - attempt.startedAt);
     }
   }
 
@@ -190,19 +190,19 @@
     reported: schedulerTypes.RunningAttempt,
     now: types.clock.MonotonicMs,
   ): void {
-    const owner = jobRegistry.findTask(reported.taskId);
-    const wanted = owner !== undefined && isWanted(owner, reported.attempt);
+    const task = jobRegistry.findTask(reported.taskId);
+    const wanted = task !== undefined && isWanted(task, reported.attempt);
     const worker = registry.workers.get(workerId);
     const size =
-      owner === undefined
+      task === undefined
         ? (worker?.info.capacity ?? types.resources.NO_RESOURCES)
-        : chooseWorker.reservedSize(owner.stepRun);
-    const stepRunId = owner?.stepRun.id ?? 'stray';
+        : chooseWorker.reservedSize(task.stepRun);
+    const stepRunId = task?.stepRun.id ?? 'stray';
     const attempt: activeJob.Attempt = {
       taskId: reported.taskId,
       number: reported.attempt,
       workerId,
-      owner,
+      task,
       size,
       stepRunId,
       phase: 'running',
@@ -212,15 +212,15 @@
       percentChangedAt: now,
     };
     attempts.add(attempt);
-    registry.book(workerId, stepRunId, size);
-    if (owner === undefined) {
+    registry.reserve(workerId, stepRunId, size);
+    if (task === undefined) {
       jobRegistry.stop(attempt);
       return;
     }
-    jobRegistry.markRunning(owner.stepRun.job);
-    recordAttemptNumber(owner.stepRun, owner.index, reported.attempt);
-    saveCheckpoint(owner.stepRun, owner.index, reported.checkpoint);
-    if (wanted) jobRegistry.dequeue(owner.stepRun, owner.index);
+    jobRegistry.markRunning(task.stepRun.job);
+    recordAttemptNumber(task.stepRun, task.index, reported.attempt);
+    saveCheckpoint(task.stepRun, task.index, reported.checkpoint);
+    if (wanted) jobRegistry.dequeue(task.stepRun, task.index);
     else jobRegistry.stop(attempt);
   }
 
@@ -230,16 +230,16 @@
    * started, and their last ends may not have been received here yet.
    */
   function isWanted(
-    owner: jobRegistries.TaskRef,
+    task: jobRegistries.TaskRef,
     attemptNumber: number,
   ): boolean {
-    const {stepRun, index} = owner;
+    const {stepRun, index} = task;
     if (stepRun.state === 'done' || stepRun.doneIndexes.has(index))
       return false;
     const {gang} = stepRun.request;
     for (const attempt of stepRun.attempts) {
       if (
-        gang ? attempt.number !== attemptNumber : attempt.owner?.index === index
+        gang ? attempt.number !== attemptNumber : attempt.task?.index === index
       ) {
         return false;
       }
--- a/packages/gypsumwall-scheduling/src/scheduler.ts
+++ b/packages/gypsumwall-scheduling/src/scheduler.ts
@@ -81,7 +81,7 @@
   let reservations: schedulingCycle.CycleResult['reservations'] = new Map();
 
   function waitsForIsolation(id: types.ids.JobId): boolean {
-    for (const {steps} of jobs.get(id)?.open.values() ?? []) {
+    for (const {steps} of jobs.get(id)?.openOccurrences.values() ?? []) {
       if (steps.some(placeIsolated.waitsForIsolation)) return true;
     }
     return false;
@@ -98,8 +98,8 @@
   ): void {
     switch (reason) {
       case 'bad_ticket':
-        if (attempt.owner === undefined) return;
-        attempt.owner.stepRun.advice.approvals.delete(attempt.workerId);
+        if (attempt.task === undefined) return;
+        attempt.task.stepRun.advice.approvals.delete(attempt.workerId);
         return;
       case 'no_room':
       case 'unhealthy':
@@ -209,7 +209,7 @@
   }
 
   return {
-    book: registry,
+    workerRegistry: registry,
     jobs,
     addJob(start, now, wall) {
       const job = jobSteps.createJob({...start, arrival: arrivals++});
@@ -227,36 +227,36 @@
       if (job !== undefined) jobRegistry.finishJob(job, 'cancelled');
     },
     putWorker: (info) => void registry.put(info),
-    workerGone(id, cause, now) {
+    removeWorker(id, cause, now) {
       if (cause === 'crashed') lossHandler.recordUnresolvedCrash(id);
       registry.remove(id);
       lossHandler.endAttempts(id, cause, now);
       losses.recordRemoval(id);
       health.forgetWorker(id);
     },
-    leasePassed: (id, now) => lossHandler.endAttempts(id, 'silent', now),
+    onLeaseExpired: (id, now) => lossHandler.endAttempts(id, 'silent', now),
     setUsable(id, usable, now) {
       if (!usable) lossHandler.onWorkerUnanswered(id, now);
       registry.setUsable(id, usable);
     },
-    outOfReach(id) {
+    onWorkerUnreachable(id) {
       for (const attempt of attempts.ofWorker(id))
         jobRegistry.queueCopy(attempt);
     },
     isIdle: (id) => attempts.ofWorker(id).size === 0,
-    runsLasting(id) {
-      for (const {owner} of attempts.ofWorker(id)) {
-        if (owner?.stepRun.request.longRunning === true) return true;
+    hostsLongRunningTasks(id) {
+      for (const {task} of attempts.ofWorker(id)) {
+        if (task?.stepRun.request.longRunning === true) return true;
       }
       return false;
     },
     evacuate(id) {
       for (const attempt of attempts.ofWorker(id)) jobRegistry.stop(attempt);
     },
-    workerAccounted() {
+    onWorkerReconciled() {
       for (const job of jobs.values()) {
         if (!job.isAwaitingReconciliation) continue;
-        if (![...job.workers.keys()].every(options.isAccounted)) continue;
+        if (![...job.workers.keys()].every(options.isReconciled)) continue;
         job.isAwaitingReconciliation = false;
         crashes.onJobReconciled(job);
         activeJob.markChanged(job);
@@ -268,7 +268,7 @@
         jobRegistry.openDue(job, now, wall);
         const total = job.request.schedule?.occurrences ?? 1;
         // Only jobs with occurrences to come are checked again.
-        if (job.finishedOccurrences.size + job.open.size >= total)
+        if (job.finishedOccurrences.size + job.openOccurrences.size >= total)
           jobsToOpen.delete(job);
       }
       const cycle = runCycle(now, capacity.needed);
@@ -279,7 +279,7 @@
       const advice = requestAdvice(cycle.awaitingAdvice, now, capacity);
       return {starts, advice};
     },
-    startAnswered(attempt, outcome, now) {
+    onStartAnswered(attempt, outcome, now) {
       if (!attempts.has(attempt)) return;
       switch (outcome.type) {
         case 'started':
@@ -290,9 +290,9 @@
             attempt.percentChangedAt = now;
             isolation.onStarted(attempt, now);
           }
-          if (attempt.owner !== undefined) {
-            refusalBackoff.resetRefusals(attempt.owner.stepRun);
-            jobRegistry.markRunning(attempt.owner.stepRun.job);
+          if (attempt.task !== undefined) {
+            refusalBackoff.resetRefusals(attempt.task.stepRun);
+            jobRegistry.markRunning(attempt.task.stepRun.job);
           }
           return;
         case 'unknown':
@@ -310,25 +310,25 @@
             reason: outcome.reason,
           });
           applyRefusal(attempt, outcome.reason, now);
-          if (attempt.owner !== undefined) {
-            const {stepRun} = attempt.owner;
+          if (attempt.task !== undefined) {
+            const {stepRun} = attempt.task;
             refusalBackoff.recordRefusal(stepRun, outcome.reason, now);
           }
           jobRegistry.dropAttempt(attempt);
           return;
       }
     },
-    stopAnswered(attempt, now) {
+    onStopAnswered(attempt, now) {
       attempt.confirmedAt = now;
     },
-    report(report, now) {
+    applyReport(report, now) {
       const info = registry.workers.get(report.workerId)?.info;
       if (info !== undefined) losses.recordAnswer(info, now);
       crashes.onWorkerAnswered(report.workerId);
       readReport(report, now);
       isolation.onAttemptsFound(report.workerId, now);
     },
-    adviceAnswered({stepRun, workers}, approved, validUntil) {
+    onAdviceAnswered({stepRun, workers}, approved, validUntil) {
       if (approved !== undefined) stepRun.hasChanged = true;
       stepAdvice.recordAnswer(stepRun.advice, workers, approved, validUntil);
     },
@@ -342,7 +342,7 @@
       dirty.clear();
       return taken;
     },
-    stored(stored) {
+    onStored(stored) {
       for (const {jobId, progress} of stored) {
         const job = jobs.get(jobId);
         if (job !== undefined) activeJob.markChanged(job);
--- a/packages/gypsumwall-scheduling/src/scheduler_types.ts
+++ b/packages/gypsumwall-scheduling/src/scheduler_types.ts
@@ -59,7 +59,7 @@
   readonly sequence: number;
   readonly taskId: types.ids.TaskId;
   readonly attempt: number;
-  readonly how: jobSteps.RunEnd;
+  readonly how: jobSteps.AttemptOutcome;
   readonly checkpoint: string;
 }
 
@@ -98,7 +98,7 @@
 
 /** The scheduler of one cell. */
 export interface Scheduler {
-  readonly book: workerRegistry.WorkerRegistry;
+  readonly workerRegistry: workerRegistry.WorkerRegistry;
   /** Jobs that are not over. */
   readonly jobs: ReadonlyMap<types.ids.JobId, activeJob.ActiveJob>;
   /** Adds a job. Its attempts are recognised in worker reports from then on. */
@@ -118,7 +118,7 @@
    * Removes a worker whose incarnation is certainly over: nothing runs on it
    * any more.
    */
-  workerGone(
+  removeWorker(
     id: types.ids.WorkerId,
     cause: WorkerLoss,
     now: types.clock.MonotonicMs,
@@ -127,7 +127,7 @@
    * The lease of a worker has certainly expired. The worker may answer again,
    * without any attempt running on it.
    */
-  leasePassed(id: types.ids.WorkerId, now: types.clock.MonotonicMs): void;
+  onLeaseExpired(id: types.ids.WorkerId, now: types.clock.MonotonicMs): void;
   /** Sets whether new tasks may be placed on a worker. */
   setUsable(
     id: types.ids.WorkerId,
@@ -138,17 +138,17 @@
    * A worker does not answer: a second attempt of each of its tasks is queued
    * where the step allows copies.
    */
-  outOfReach(id: types.ids.WorkerId): void;
+  onWorkerUnreachable(id: types.ids.WorkerId): void;
   /** Whether no attempt runs or may run on a worker. */
   isIdle(id: types.ids.WorkerId): boolean;
   /** Whether a long-running task runs or may run on a worker. */
-  runsLasting(id: types.ids.WorkerId): boolean;
+  hostsLongRunningTasks(id: types.ids.WorkerId): boolean;
   /** Stops all attempts on a worker that is about to leave. */
   evacuate(id: types.ids.WorkerId): void;
   /**
    * Resumes jobs whose workers of an earlier scheduler are all reconciled now.
    */
-  workerAccounted(): void;
+  onWorkerReconciled(): void;
   /**
    * Runs a scheduling cycle. Without `capacity`, calls to the adviser are not
    * limited.
@@ -158,14 +158,17 @@
     wall: types.clock.WallMs,
     capacity?: adviserPool.AdviceCapacity,
   ): Decisions;
-  startAnswered(
+  onStartAnswered(
     attempt: activeJob.Attempt,
     outcome: StartOutcome,
     now: types.clock.MonotonicMs,
   ): void;
-  stopAnswered(attempt: activeJob.Attempt, now: types.clock.MonotonicMs): void;
-  report(report: WorkerReport, now: types.clock.MonotonicMs): void;
-  adviceAnswered(
+  onStopAnswered(
+    attempt: activeJob.Attempt,
+    now: types.clock.MonotonicMs,
+  ): void;
+  applyReport(report: WorkerReport, now: types.clock.MonotonicMs): void;
+  onAdviceAnswered(
     request: AdviceRequest,
     approved: ReadonlyMap<types.ids.WorkerId, string> | undefined,
     validUntil: types.clock.MonotonicMs,
@@ -175,7 +178,7 @@
   /** Returns the jobs to store that were not returned before. */
   takeDirty(): DirtyJob[];
   /** The store has committed the progress of these jobs. */
-  stored(jobs: readonly DirtyJob[]): void;
+  onStored(jobs: readonly DirtyJob[]): void;
   counts(): SchedulerCounts;
 }
 
@@ -194,7 +197,7 @@
    * Whether a worker of an earlier scheduler is reconciled: it has answered
    * this scheduler, or nothing can run on it any more.
    */
-  readonly isAccounted: (worker: types.ids.WorkerId) => boolean;
+  readonly isReconciled: (worker: types.ids.WorkerId) => boolean;
   /** Receives each decision about a task, for the log. */
   readonly onEvent: (event: SchedulerEvent) => void;
 }
@@ -206,7 +209,7 @@
       readonly run: types.ids.TaskId;
       readonly attempt: number;
       readonly worker: types.ids.WorkerId;
-      readonly how: jobSteps.RunEnd | 'vanished' | 'refused' | 'lost';
+      readonly how: jobSteps.AttemptOutcome | 'vanished' | 'refused' | 'lost';
       readonly reason?: RefusalReason | WorkerLoss;
     }
   | {
--- a/packages/gypsumwall-scheduling/src/scheduling_cycle.ts
+++ b/packages/gypsumwall-scheduling/src/scheduling_cycle.ts
@@ -85,7 +85,7 @@
     const found = isTried ? placeStep.placeStep(stepRun, choice) : [];
     if (isWaitingGang(stepRun) && !isPaused) reservation.reserveFor(stepRun);
     const needsAdvice = stepRun.job.policy.advice !== undefined;
-    if (needsAdvice && stepRun.waiting.length > 0)
+    if (needsAdvice && stepRun.waitingIndexes.length > 0)
       result.awaitingAdvice.push(stepRun);
     const committed = committedOf(stepRun, found);
     result.placed.push(...committed);
@@ -133,8 +133,8 @@
   return false;
 }
 
-function isWaitingGang({request, waiting}: activeJob.StepRun): boolean {
-  return request.gang && waiting.length > 0;
+function isWaitingGang({request, waitingIndexes}: activeJob.StepRun): boolean {
+  return request.gang && waitingIndexes.length > 0;
 }
 
 /** Returns the placements that may start now: all or none for a gang. */
--- a/packages/gypsumwall-scheduling/src/stall_detector.ts
+++ b/packages/gypsumwall-scheduling/src/stall_detector.ts
@@ -31,8 +31,8 @@
  * and restarted just before its end on a day without faults. A member that
  * really stalls is detected by the members that stop before 100.
  */
-function waitsForGang({owner, percent}: activeJob.Attempt): boolean {
-  return owner?.stepRun.request.gang === true && percent >= DONE_PERCENT;
+function waitsForGang({task, percent}: activeJob.Attempt): boolean {
+  return task?.stepRun.request.gang === true && percent >= DONE_PERCENT;
 }
 
 /**
@@ -45,14 +45,14 @@
 ): Stall | undefined {
   const stalled: activeJob.Attempt[] = [];
   for (const attempt of attempts) {
-    if (attempt.owner?.stepRun.request.longRunning === true) continue;
+    if (attempt.task?.stepRun.request.longRunning === true) continue;
     if (attempt.phase !== 'running' || waitsForGang(attempt)) continue;
     if (now - attempt.percentChangedAt < STALLED_AFTER_MS) return undefined;
     stalled.push(attempt);
   }
   if (stalled.length === 0) return undefined;
   const blamesWorker = stalled.some(
-    (attempt) => attempt.owner?.stepRun.request.gang === false,
+    (attempt) => attempt.task?.stepRun.request.gang === false,
   );
   return {attempts: stalled, blamesWorker};
 }
--- a/packages/gypsumwall-scheduling/src/start_orders.ts
+++ b/packages/gypsumwall-scheduling/src/start_orders.ts
@@ -35,7 +35,7 @@
     taskId: taskIds.taskId(stepRun.id, index),
     number: stepRun.highestAttempts.get(key)!,
     workerId: worker.info.id,
-    owner: {stepRun, index},
+    task: {stepRun, index},
     size: chooseWorker.reservedSize(stepRun),
     stepRunId: stepRun.id,
     phase: 'starting',
--- a/packages/gypsumwall-scheduling/src/take_advice_requests.ts
+++ b/packages/gypsumwall-scheduling/src/take_advice_requests.ts
@@ -104,8 +104,8 @@
 }: planAdviceCalls.AdviceContext): workerRegistry.RegisteredWorker[] {
   const withCapacity: workerRegistry.RegisteredWorker[] = [];
   for (const worker of registry.workers.values()) {
-    const {free, info, usable} = worker;
-    if (!usable || info.draining) continue;
+    const {free, info, isUsable} = worker;
+    if (!isUsable || info.draining) continue;
     if (free.cpuMillis >= 0 && free.memoryMb > 0) withCapacity.push(worker);
   }
   return withCapacity;
@@ -120,9 +120,9 @@
   withCapacity: readonly workerRegistry.RegisteredWorker[],
   {canUse}: planAdviceCalls.AdviceContext,
 ): boolean {
-  const {advice, request, waiting} = stepRun;
+  const {advice, request, waitingIndexes} = stepRun;
   const size = chooseWorker.reservedSize(stepRun);
-  let missing = request.gang ? waiting.length : 1;
+  let missing = request.gang ? waitingIndexes.length : 1;
   for (const worker of withCapacity) {
     const {id} = worker.info;
     if (!types.resources.fits(size, worker.free)) continue;
--- a/packages/gypsumwall-scheduling/src/task_isolation.ts
+++ b/packages/gypsumwall-scheduling/src/task_isolation.ts
@@ -128,11 +128,11 @@
     holds.get(id)?.jobId === stepRun.job.id;
 
   function isSettled(
-    {owner, startedAt}: activeJob.Attempt,
+    {task, startedAt}: activeJob.Attempt,
     now: types.clock.MonotonicMs,
   ): boolean {
-    if (owner === undefined || startedAt === undefined) return false;
-    const {stepRun, index} = owner;
+    if (task === undefined || startedAt === undefined) return false;
+    const {stepRun, index} = task;
     const isSuspected = crashRecords.crashCount(stepRun, index) > 0;
     // A suspected task must have run for as long as its own isolation period
     // takes.
@@ -166,7 +166,7 @@
       return false;
     }
     for (const attempt of attempts.ofWorker(id)) {
-      if (attempt.owner?.stepRun.job === stepRun.job) continue;
+      if (attempt.task?.stepRun.job === stepRun.job) continue;
       if (!isSettled(attempt, now)) return false;
     }
     return true;
@@ -179,17 +179,17 @@
     const {job} = stepRun;
     for (const jobId of placedSuspects.get(id) ?? [])
       if (jobId !== job.id) return true;
-    for (const {owner} of attempts.ofWorker(id)) {
-      if (owner === undefined || owner.stepRun.job === job) continue;
-      if (crashRecords.crashCount(owner.stepRun, owner.index) > 0) return true;
+    for (const {task} of attempts.ofWorker(id)) {
+      if (task === undefined || task.stepRun.job === job) continue;
+      if (crashRecords.crashCount(task.stepRun, task.index) > 0) return true;
     }
     return false;
   }
 
   /** Whether the worker runs tasks of the same job only. */
-  function sharesOnlyWithOwnJob({owner, workerId}: activeJob.Attempt): boolean {
+  function sharesOnlyWithOwnJob({task, workerId}: activeJob.Attempt): boolean {
     for (const other of attempts.ofWorker(workerId)) {
-      if (other.owner?.stepRun.job !== owner?.stepRun.job) return false;
+      if (other.task?.stepRun.job !== task?.stepRun.job) return false;
     }
     return true;
   }
@@ -198,9 +198,9 @@
     id: types.ids.WorkerId,
     {jobId}: IsolationHold,
   ): boolean {
-    for (const {owner, isolatedUntil} of attempts.ofWorker(id)) {
+    for (const {task, isolatedUntil} of attempts.ofWorker(id)) {
       if (isolatedUntil === undefined) continue;
-      if (owner?.stepRun.job.id === jobId) return true;
+      if (task?.stepRun.job.id === jobId) return true;
     }
     return false;
   }
@@ -224,9 +224,9 @@
     slackMs: number,
     now: types.clock.MonotonicMs,
   ): void {
-    const {owner, workerId} = attempt;
-    if (owner === undefined) return;
-    const {stepRun, index} = owner;
+    const {task, workerId} = attempt;
+    if (task === undefined) return;
+    const {stepRun, index} = task;
     const spanMs = crashRecords.isolationPeriodMs(stepRun, index) + slackMs;
     const until = types.clock.after(now, spanMs);
     attempt.isolatedUntil = until;
@@ -269,9 +269,9 @@
       holds.set(id, {type: 'reserved', jobId, until});
     },
     onStartOrdered(attempt, now) {
-      const {owner} = attempt;
-      if (owner === undefined) return;
-      if (!crashRecords.needsIsolation(owner.stepRun, owner.index)) return;
+      const {task} = attempt;
+      if (task === undefined) return;
+      if (!crashRecords.needsIsolation(task.stepRun, task.index)) return;
       startIsolationPeriod(attempt, ORDER_SLACK_MS, now);
     },
     onStarted(attempt, now) {
@@ -281,9 +281,9 @@
     onAttemptsFound(worker, now) {
       if (holds.has(worker)) return;
       for (const attempt of attempts.ofWorker(worker)) {
-        const {owner, isolatedUntil} = attempt;
-        if (owner === undefined || isolatedUntil !== undefined) continue;
-        if (!crashRecords.needsIsolation(owner.stepRun, owner.index)) continue;
+        const {task, isolatedUntil} = attempt;
+        if (task === undefined || isolatedUntil !== undefined) continue;
+        if (!crashRecords.needsIsolation(task.stepRun, task.index)) continue;
         if (sharesOnlyWithOwnJob(attempt))
           startIsolationPeriod(attempt, 0, now);
       }
--- a/packages/gypsumwall-scheduling/src/wait_reasons.ts
+++ b/packages/gypsumwall-scheduling/src/wait_reasons.ts
@@ -54,7 +54,7 @@
   const {id, draining} = worker.info;
   const {advice, job} = stepRun;
   const needsAdvice = job.policy.advice !== undefined;
-  if (!worker.usable) return 'unusable';
+  if (!worker.isUsable) return 'unusable';
   if (draining) return 'draining';
   if (!chooseWorker.isEligible(stepRun, worker)) return 'other_kind';
   if (needsAdvice && advice.refused.has(id)) return 'refused';
--- a/packages/gypsumwall-scheduling/src/worker_losses.ts
+++ b/packages/gypsumwall-scheduling/src/worker_losses.ts
@@ -26,7 +26,7 @@
  * How long a loss is kept, in case it is proven to be a crash later;
  * milliseconds.
  */
-export const LATE_PROOF_MS = 60_000;
+export const LOSS_RETENTION_MS = 60_000;
 
 interface Incarnation {
   readonly info: workerRegistry.WorkerInfo;
@@ -133,7 +133,7 @@
       prune(now);
       const incarnation = incarnations.get(id);
       if (incarnation === undefined || incarnation.loss !== undefined) return;
-      const forgetAt = types.clock.after(now, LATE_PROOF_MS);
+      const forgetAt = types.clock.after(now, LOSS_RETENTION_MS);
       incarnation.loss = {at: now, isExplained, forgetAt};
     },
     recordRemoval(id) {
--- a/packages/gypsumwall-scheduling/src/worker_registry.ts
+++ b/packages/gypsumwall-scheduling/src/worker_registry.ts
@@ -29,7 +29,7 @@
   /**
    * Whether it has answered recently under the fencing token of this holder.
    */
-  usable: boolean;
+  isUsable: boolean;
   /** Number of tasks reserved here, by step run id. */
   readonly tasksByStep: Map<string, number>;
 }
@@ -40,7 +40,7 @@
   /** Adds a worker or updates it from the list. */
   put(info: WorkerInfo): RegisteredWorker;
   remove(id: types.ids.WorkerId): void;
-  book(
+  reserve(
     id: types.ids.WorkerId,
     stepRun: string,
     size: types.resources.Resources,
@@ -99,21 +99,21 @@
       const worker: RegisteredWorker = {
         info,
         free: info.capacity,
-        usable: false,
+        isUsable: false,
         tasksByStep: new Map(),
       };
       workers.set(info.id, worker);
       return worker;
     },
     remove: (id) => void workers.delete(id),
-    book: (id, stepRun, size) => adjust(id, stepRun, size, 1),
+    reserve: (id, stepRun, size) => adjust(id, stepRun, size, 1),
     release(id, stepRun, size) {
       adjust(id, stepRun, size, -1);
       freed.add(id);
     },
     setUsable(id, usable) {
       const worker = workers.get(id);
-      if (worker !== undefined) worker.usable = usable;
+      if (worker !== undefined) worker.isUsable = usable;
       freed.add(id);
     },
     markFreed: (id) => void freed.add(id),
