--- a/packages/gypsumwall-membership/src/__fixtures__/claim_exploration.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/claim_exploration.ts
@@ -29,7 +29,7 @@
 }
 
 /** How long a world goes on after its script, for late effects to show. */
-const REST_MS = 12 * TTL_MS;
+const SETTLE_MS = 12 * TTL_MS;
 
 /** Plays a script from a world whose claim is held. */
 export async function play(script: Script): Promise<Outcome> {
@@ -39,7 +39,7 @@
     await world.run(step.afterMs);
     world.inject(step.fault);
   }
-  await world.run(REST_MS);
+  await world.run(SETTLE_MS);
   const holders = world.holders();
   await world.stop();
   return {
@@ -51,7 +51,7 @@
 }
 
 /** Machines that scripts may name: one more than at the start can join. */
-export const MOST_MACHINES = 3;
+export const MAX_MACHINES = 3;
 
 const forMs = fastCheck.oneof(
   fastCheck.integer({min: 1, max: 4 * TTL_MS}),
@@ -106,33 +106,38 @@
 );
 
 /** Scripts of up to `mostSteps` faults in quick succession. */
-export function scripts(mostSteps: number): fastCheck.Arbitrary<Script> {
+export function scripts(maxSteps: number): fastCheck.Arbitrary<Script> {
   return fastCheck.record({
-    machines: fastCheck.integer({min: 1, max: MOST_MACHINES}),
+    machines: fastCheck.integer({min: 1, max: MAX_MACHINES}),
     seed: fastCheck.integer({min: 1, max: 1_000_000}),
     steps: fastCheck.array(
       fastCheck.record({
         afterMs,
         fault,
       }),
-      {minLength: 1, maxLength: mostSteps},
+      {minLength: 1, maxLength: maxSteps},
     ),
   });
 }
 
-const LONG_MS = 4 * TTL_MS;
+const LONG_FAULT_MS = 4 * TTL_MS;
 const PAUSE_MS = 1.3 * TTL_MS;
 
 /** One fault of each kind that the protocol has to meet. */
-const ALPHABET: readonly claimFaults.Fault[] = [
+const FAULT_KINDS: readonly claimFaults.Fault[] = [
   {type: 'pause', machine: 'holder', forMs: PAUSE_MS},
   {type: 'pause', machine: 'named', forMs: PAUSE_MS},
-  {type: 'log_down', forMs: LONG_MS},
+  {type: 'log_down', forMs: LONG_FAULT_MS},
   {type: 'answers_lost', forMs: TTL_MS},
   {type: 'appends_late', forMs: TTL_MS},
-  {type: 'cut_from_log', machine: 'holder', forMs: LONG_MS},
-  {type: 'cut_from_list', machine: 'holder', forMs: 2 * LONG_MS},
-  {type: 'cut_between', machine: 'holder', other: 'named', forMs: LONG_MS},
+  {type: 'cut_from_log', machine: 'holder', forMs: LONG_FAULT_MS},
+  {type: 'cut_from_list', machine: 'holder', forMs: 2 * LONG_FAULT_MS},
+  {
+    type: 'cut_between',
+    machine: 'holder',
+    other: 'named',
+    forMs: LONG_FAULT_MS,
+  },
   {type: 'kill', machine: 'holder'},
   {type: 'kill', machine: 'named'},
   {type: 'restart', machine: 'named'},
@@ -142,13 +147,13 @@
 
 /** Every sequence of `depth` faults, most of a ttl apart. */
 export function* allScripts(depth: number): Generator<Script> {
-  const total = ALPHABET.length ** depth;
+  const total = FAULT_KINDS.length ** depth;
   for (let number = 0; number < total; number++) {
     const steps: Step[] = [];
-    let rest = number;
+    let remaining = number;
     for (let step = 0; step < depth; step++) {
-      const fault = ALPHABET[rest % ALPHABET.length];
-      rest = Math.floor(rest / ALPHABET.length);
+      const fault = FAULT_KINDS[remaining % FAULT_KINDS.length];
+      remaining = Math.floor(remaining / FAULT_KINDS.length);
       if (fault !== undefined) steps.push({afterMs: 0.7 * TTL_MS, fault});
     }
     yield {machines: 2, seed: 1 + number, steps};
@@ -191,7 +196,11 @@
   steps: [
     {
       afterMs: 0,
-      fault: {type: 'cut_from_log', machine: 'holder', forMs: 5 * LONG_MS},
+      fault: {
+        type: 'cut_from_log',
+        machine: 'holder',
+        forMs: 5 * LONG_FAULT_MS,
+      },
     },
   ],
 };
--- a/packages/gypsumwall-membership/src/__fixtures__/claim_injection.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/claim_injection.ts
@@ -10,14 +10,14 @@
   readonly faults: claimFaults.LastingFaults;
   readonly list: fakeList.FakeList;
   readonly network: fakeNetwork.FakeNetwork;
-  readonly aim: (target: claimFaults.Target) => number;
+  readonly resolveTarget: (target: claimFaults.Target) => number;
   readonly isAlive: (machine: number) => boolean;
   readonly end: (machine: number) => void;
   readonly spawn: (machine: number) => void;
   readonly entryAt: (
     machine: number,
   ) =>
-    | {readonly process: virtualTime.VirtualProcess; releasing: boolean}
+    | {readonly process: virtualTime.VirtualProcess; isReleasing: boolean}
     | undefined;
 }
 
@@ -26,7 +26,7 @@
   options: InjectionOptions,
 ): (fault: claimFaults.Fault) => void {
   const {time, faults, list, network} = options;
-  const {aim, isAlive, end, spawn, entryAt} = options;
+  const {resolveTarget: aim, isAlive, end, spawn, entryAt} = options;
 
   function inject(fault: claimFaults.Fault) {
     switch (fault.type) {
@@ -60,7 +60,7 @@
         break;
       case 'lose_machine':
         end(aim(fault.machine));
-        network.lose(aim(fault.machine));
+        network.loseMachine(aim(fault.machine));
         break;
       case 'restart':
         end(aim(fault.machine));
@@ -70,7 +70,7 @@
         // A start still on its way could reach its worker after the next
         // entry has claimed, so all are answered first.
         const entry = entryAt(aim(fault.machine));
-        if (entry !== undefined) entry.releasing = true;
+        if (entry !== undefined) entry.isReleasing = true;
         break;
       }
     }
--- a/packages/gypsumwall-membership/src/__fixtures__/claim_scripts.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/claim_scripts.ts
@@ -8,7 +8,7 @@
 
 const {TTL_MS} = claimWorld;
 /** Longer than any script. */
-const FOR_GOOD_MS = 30 * TTL_MS;
+const PERMANENT_MS = 30 * TTL_MS;
 
 /** A script and what it is about. */
 export interface NamedScript {
@@ -26,10 +26,10 @@
 const holderCutFromLog = step(0, {
   type: 'cut_from_log',
   machine: 'holder',
-  forMs: FOR_GOOD_MS,
+  forMs: PERMANENT_MS,
 });
 
-const spareJoins = step(0, {type: 'restart', machine: 2});
+const spareRestarts = step(0, {type: 'restart', machine: 2});
 
 /** The holder, alone and unlisted for a while; a newcomer can't reach it. */
 function holderAlone(unlistedMs: number): claimExploration.Script {
@@ -43,10 +43,10 @@
         type: 'cut_between',
         machine: 'holder',
         other: 2,
-        forMs: FOR_GOOD_MS,
+        forMs: PERMANENT_MS,
       }),
       step(200, {type: 'kill', machine: 'named'}),
-      spareJoins,
+      spareRestarts,
     ],
   };
 }
@@ -79,7 +79,7 @@
       seed: 1,
       steps: [
         holderCutFromLog,
-        spareJoins,
+        spareRestarts,
         step(3 * TTL_MS, {type: 'restart', machine: 'named'}),
       ],
     },
@@ -101,7 +101,7 @@
     // No named peer lives, and nobody but the list tells the newcomer whether
     // the holder does. The holder must stop before the newcomer takes over.
     name: 'all named gone and the holder off the list',
-    script: holderAlone(FOR_GOOD_MS),
+    script: holderAlone(PERMANENT_MS),
   },
   {
     // As before, but the holder comes back on the list after the newcomer
@@ -119,8 +119,8 @@
       seed: 1,
       steps: [
         holderCutFromLog,
-        step(0, {type: 'cut_from_log', machine: 'named', forMs: FOR_GOOD_MS}),
-        spareJoins,
+        step(0, {type: 'cut_from_log', machine: 'named', forMs: PERMANENT_MS}),
+        spareRestarts,
         step(2 * TTL_MS, {
           type: 'pause',
           machine: 'holder',
@@ -137,11 +137,11 @@
       machines: 2,
       seed: 4,
       steps: [
-        spareJoins,
+        spareRestarts,
         step(200, {
           type: 'cut_from_log',
           machine: 'holder',
-          forMs: FOR_GOOD_MS,
+          forMs: PERMANENT_MS,
         }),
       ],
     },
@@ -159,13 +159,13 @@
           type: 'cut_between',
           machine: 0,
           other: 1,
-          forMs: FOR_GOOD_MS,
+          forMs: PERMANENT_MS,
         }),
-        spareJoins,
+        spareRestarts,
         step(515, {
           type: 'cut_from_log',
           machine: 'holder',
-          forMs: FOR_GOOD_MS,
+          forMs: PERMANENT_MS,
         }),
       ],
     },
@@ -194,7 +194,7 @@
           type: 'cut_between',
           machine: 0,
           other: 2,
-          forMs: 3 * FOR_GOOD_MS,
+          forMs: 3 * PERMANENT_MS,
         }),
         step(0, {type: 'cut_from_log', machine: 2, forMs: 8 * TTL_MS}),
         step(0, {type: 'restart', machine: 0}),
@@ -202,7 +202,7 @@
         step(5 * TTL_MS, {
           type: 'cut_from_log',
           machine: 0,
-          forMs: FOR_GOOD_MS,
+          forMs: PERMANENT_MS,
         }),
       ],
     },
--- a/packages/gypsumwall-membership/src/__fixtures__/claim_world.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/claim_world.ts
@@ -24,8 +24,8 @@
 const CALL_TIMEOUT_MS = 90;
 const LIST_POLL_MS = 60;
 const READ_POLL_MS = 40;
-const START_EVERY_MS = 50;
-const LONGEST_DELAY_MS = 40;
+const START_INTERVAL_MS = 50;
+const MAX_DELAY_MS = 40;
 const DOMAIN = types.ids.brand<types.ids.FailureDomain>('bole-hall');
 /** Clock rates in the world, within the drift that is allowed for. */
 const CLOCK_RATES = [1, 1.004, 0.996];
@@ -41,10 +41,10 @@
   nextOffset: number;
   /** Starts sent and not answered yet. */
   openStarts: number;
-  releasing: boolean;
+  isReleasing: boolean;
   listed: ReadonlySet<number>;
   /** Who last answered a heartbeat from each machine. */
-  readonly heard: Map<number, types.ids.EntryId>;
+  readonly lastAnsweredBy: Map<number, types.ids.EntryId>;
   listFetchedAt?: types.clock.MonotonicMs;
   selfListedAt?: types.clock.MonotonicMs;
   caughtUp: boolean;
@@ -70,29 +70,29 @@
   const time = virtualTime.createVirtualTime();
   const random = types.random.createRandom(seed);
   const entries = new Map<number, Entry>();
-  const found: string[] = [];
+  const violations: string[] = [];
   const counts = {claims: 0, starts: 0};
   const faults = claimFaults.createLastingFaults(time);
   const stream = fakeStream.createFakeStream({
     time,
     random,
     faults,
-    longestDelayMs: LONGEST_DELAY_MS,
+    maxDelayMs: MAX_DELAY_MS,
     timeoutMs: CALL_TIMEOUT_MS,
-    latestMs: 3 * TTL_MS,
+    maxLateMs: 3 * TTL_MS,
   });
   const list = fakeList.createFakeList(time, random, faults, LIST_LAG_MS);
   const worker = claimWorker.createClaimWorker(time, 0.998);
   const runs: Array<Promise<void>> = [];
   let lastHolder = 0;
-  let born = 0;
+  let spawnedCount = 0;
 
-  const delay = () => random.integer(0, LONGEST_DELAY_MS);
+  const delay = () => random.integer(0, MAX_DELAY_MS);
   const network = fakeNetwork.createFakeNetwork({
     time,
     random,
     faults,
-    longestDelayMs: LONGEST_DELAY_MS,
+    maxDelayMs: MAX_DELAY_MS,
     timeoutMs: CALL_TIMEOUT_MS,
   });
 
@@ -127,10 +127,11 @@
           peer?.process.isAlive() === true &&
           !peer.process.isPaused() &&
           network.reaches(entry.machine, machine);
-        if (answers) entry.heard.set(machine, peer.entryId);
+        if (answers) entry.lastAnsweredBy.set(machine, peer.entryId);
         return {
           entryId:
-            entry.heard.get(machine) ?? types.ids.brand<types.ids.EntryId>(''),
+            entry.lastAnsweredBy.get(machine) ??
+            types.ids.brand<types.ids.EntryId>(''),
           failureDomain: DOMAIN,
           address: String(machine),
           state: answers ? ('live' as const) : ('silent' as const),
@@ -179,7 +180,7 @@
   function startTasks(entry: Entry) {
     if (!entry.process.isAlive()) return;
     const state = entry.keeper.state();
-    if (state.type === 'held' && !entry.releasing) {
+    if (state.type === 'held' && !entry.isReleasing) {
       const leftMs = state.deadline - entry.process.clock.monotonic();
       const startBy = worker.now() + leftMs;
       // The start may be on its way, or its sender paused, for long.
@@ -189,30 +190,34 @@
         acceptStart(state.epoch, startBy);
         entry.openStarts--;
       });
-    } else if (entry.releasing && entry.openStarts === 0) {
+    } else if (entry.isReleasing && entry.openStarts === 0) {
       void entry.keeper.release();
       return;
     }
-    const nextAt = time.now() + START_EVERY_MS;
+    const nextAt = time.now() + START_INTERVAL_MS;
     entry.process.deliverAt(nextAt, () => startTasks(entry));
   }
 
   function acceptStart(epoch: number, startBy: number) {
     if (!worker.accepts(epoch, startBy)) return;
     counts.starts++;
-    const others = holding().filter((entry) => epochOf(entry) !== epoch);
+    const others = holdingEntries().filter(
+      (entry) => heldEpoch(entry) !== epoch,
+    );
     if (others.length === 0) return;
-    found.push(`${time.now()}: start of ${epoch} accepted beside a holder`);
+    violations.push(
+      `${time.now()}: start of ${epoch} accepted beside a holder`,
+    );
   }
 
-  function epochOf(entry: Entry): number | undefined {
+  function heldEpoch(entry: Entry): number | undefined {
     const state = entry.keeper.state();
     return state.type === 'held' ? state.epoch : undefined;
   }
 
-  function holding(): readonly Entry[] {
+  function holdingEntries(): readonly Entry[] {
     return [...entries.values()].filter(
-      (entry) => entry.process.isAlive() && epochOf(entry) !== undefined,
+      (entry) => entry.process.isAlive() && heldEpoch(entry) !== undefined,
     );
   }
 
@@ -221,7 +226,7 @@
   }
 
   /** The machine that a fault is aimed at. */
-  function aim(target: claimFaults.Target): number {
+  function resolveTarget(target: claimFaults.Target): number {
     if (typeof target === 'number') return target;
     const keeper = entries.get(lastHolder)?.keeper;
     const name = keeper?.newest()?.named[0]?.split('#')[0];
@@ -236,18 +241,20 @@
     }
   }
 
-  function check() {
-    const now = holding();
+  function recordViolations() {
+    const now = holdingEntries();
     lastHolder = now[0]?.machine ?? lastHolder;
     if (now.length < 2) return;
-    const text = now.map((entry) => `${entry.entryId} ${epochOf(entry)}`);
-    found.push(`${time.now()}: held by ${text.join(' and ')}`);
+    const text = now.map((entry) => `${entry.entryId} ${heldEpoch(entry)}`);
+    violations.push(`${time.now()}: held by ${text.join(' and ')}`);
   }
 
   function spawn(machine: number) {
-    const rate = CLOCK_RATES[born % CLOCK_RATES.length] ?? 1;
+    const rate = CLOCK_RATES[spawnedCount % CLOCK_RATES.length] ?? 1;
     const process = virtualTime.createVirtualProcess(time, rate);
-    const entryId = types.ids.brand<types.ids.EntryId>(`${machine}#${born++}`);
+    const entryId = types.ids.brand<types.ids.EntryId>(
+      `${machine}#${spawnedCount++}`,
+    );
     const stop = new AbortController();
     const keeper = claimKeeper.createClaimKeeper({
       self: entryId,
@@ -281,14 +288,14 @@
       stop,
       nextOffset: 0,
       openStarts: 0,
-      releasing: false,
+      isReleasing: false,
       listed: new Set(),
-      heard: new Map(),
+      lastAnsweredBy: new Map(),
       caughtUp: false,
     };
     entries.set(machine, entry);
     list.add(machine);
-    network.restore(machine);
+    network.restoreMachine(machine);
     process.deliverAt(time.now(), () => {
       fetchList(entry);
       readLog(entry);
@@ -308,7 +315,7 @@
     faults,
     list,
     network,
-    aim,
+    resolveTarget,
     isAlive,
     end,
     spawn,
@@ -320,11 +327,11 @@
     inject,
     counts,
     now: () => time.now(),
-    holders: () => holding().map((entry) => entry.machine),
-    violations: () => found,
+    holders: () => holdingEntries().map((entry) => entry.machine),
+    violations: () => violations,
     run: (forMs, afterEvent) =>
       time.advanceTo(time.now() + forMs, () => {
-        check();
+        recordViolations();
         afterEvent?.();
       }),
     stop: async () => {
--- a/packages/gypsumwall-membership/src/__fixtures__/fake_list.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/fake_list.ts
@@ -23,14 +23,17 @@
   lagMs: number,
 ): FakeList {
   const known = new Set<number>();
-  const goneAt = new Map<number, number>();
-  const someLag = () => random.integer(0, lagMs / 2);
+  const removedAtByMachine = new Map<number, number>();
+  const randomLag = () => random.integer(0, lagMs / 2);
   const isReached = (machine: number) =>
     !faults.isActive(`cut_from_list ${machine}`);
 
   function remove(machine: number) {
-    const removedAt = time.now() + someLag();
-    goneAt.set(machine, Math.min(goneAt.get(machine) ?? Infinity, removedAt));
+    const removedAt = time.now() + randomLag();
+    removedAtByMachine.set(
+      machine,
+      Math.min(removedAtByMachine.get(machine) ?? Infinity, removedAt),
+    );
   }
 
   return {
@@ -38,19 +41,19 @@
     remove,
     add: (machine) => {
       known.add(machine);
-      goneAt.delete(machine);
+      removedAtByMachine.delete(machine);
     },
     fetch: () => {
-      const asOf = time.now() - someLag();
+      const asOf = time.now() - randomLag();
       return [...known].filter(
-        (machine) => asOf < (goneAt.get(machine) ?? Infinity),
+        (machine) => asOf < (removedAtByMachine.get(machine) ?? Infinity),
       );
     },
     cutOff: (machine, forMs, isAlive) => {
       faults.extend(`cut_from_list ${machine}`, forMs);
       remove(machine);
       time.at(time.now() + forMs, () => {
-        if (isAlive() && isReached(machine)) goneAt.delete(machine);
+        if (isAlive() && isReached(machine)) removedAtByMachine.delete(machine);
       });
     },
   };
--- a/packages/gypsumwall-membership/src/__fixtures__/fake_network.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/fake_network.ts
@@ -26,8 +26,8 @@
   reaches(from: number, to: number): boolean;
   call<Reply>(call: FakeCall<Reply>): Promise<Reply>;
   /** From now on nothing answers at the machine's address. */
-  lose(machine: number): void;
-  restore(machine: number): void;
+  loseMachine(machine: number): void;
+  restoreMachine(machine: number): void;
 }
 
 /** Options of `createFakeNetwork`. */
@@ -35,7 +35,7 @@
   readonly time: virtualTime.VirtualTime;
   readonly random: types.random.Random;
   readonly faults: claimFaults.LastingFaults;
-  readonly longestDelayMs: number;
+  readonly maxDelayMs: number;
   readonly timeoutMs: number;
 }
 
@@ -43,7 +43,7 @@
 export function createFakeNetwork(options: FakeNetworkOptions): FakeNetwork {
   const {time, random, faults} = options;
   const lost = new Set<number>();
-  const delay = () => random.integer(0, options.longestDelayMs);
+  const delay = () => random.integer(0, options.maxDelayMs);
   const reaches = (from: number, to: number) =>
     !faults.isActive(`cut_between ${from} ${to}`);
 
@@ -54,8 +54,8 @@
         if (!reaches(from.machine, machine)) return;
         from.process.deliverAt(time.now() + delay(), () => resolve(value));
       };
-      const giveUpAt = time.now() + options.timeoutMs;
-      from.process.deliverAt(giveUpAt, () => resolve(call.silent));
+      const timeoutAt = time.now() + options.timeoutMs;
+      from.process.deliverAt(timeoutAt, () => resolve(call.silent));
       time.at(time.now() + delay(), () => {
         if (!reaches(from.machine, machine) || lost.has(machine)) return;
         const target = call.listener();
@@ -71,7 +71,7 @@
   return {
     reaches,
     call,
-    lose: (machine) => void lost.add(machine),
-    restore: (machine) => void lost.delete(machine),
+    loseMachine: (machine) => void lost.add(machine),
+    restoreMachine: (machine) => void lost.delete(machine),
   };
 }
--- a/packages/gypsumwall-membership/src/__fixtures__/fake_stream.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/fake_stream.ts
@@ -23,21 +23,21 @@
   readonly time: virtualTime.VirtualTime;
   readonly random: types.random.Random;
   readonly faults: claimFaults.LastingFaults;
-  readonly longestDelayMs: number;
+  readonly maxDelayMs: number;
   readonly timeoutMs: number;
   /** How late a late append takes effect at most. */
-  readonly latestMs: number;
+  readonly maxLateMs: number;
 }
 
 /** Makes an empty stream. */
 export function createFakeStream(options: FakeStreamOptions): FakeStream {
   const {time, random, faults} = options;
   const log: records.domainRecords.DomainRecord[] = [];
-  const delay = () => random.integer(0, options.longestDelayMs);
+  const delay = () => random.integer(0, options.maxDelayMs);
   const isReached = (machine: number) =>
     !faults.isActive('log_down') && !faults.isActive(`cut_from_log ${machine}`);
 
-  function land(record: records.domainRecords.DomainRecord): number {
+  function appendToLog(record: records.domainRecords.DomainRecord): number {
     log.push(record);
     return log.length - 1;
   }
@@ -50,18 +50,18 @@
         const answerAt = (moment: number, answer: AppendAnswer) =>
           process.deliverAt(moment, () => resolve(answer));
         time.at(time.now() + delay(), () => {
-          const giveUpAt = time.now() + options.timeoutMs;
+          const timeoutAt = time.now() + options.timeoutMs;
           if (!isReached(machine)) {
-            answerAt(giveUpAt, appendError('not_run'));
+            answerAt(timeoutAt, appendError('not_run'));
           } else if (faults.isActive('appends_late')) {
-            const lateAt = time.now() + random.integer(0, options.latestMs);
-            time.at(lateAt, () => void land(record));
-            answerAt(giveUpAt, appendError('unknown'));
+            const lateAt = time.now() + random.integer(0, options.maxLateMs);
+            time.at(lateAt, () => void appendToLog(record));
+            answerAt(timeoutAt, appendError('unknown'));
           } else if (faults.isActive('answers_lost')) {
-            land(record);
-            answerAt(giveUpAt, appendError('unknown'));
+            appendToLog(record);
+            answerAt(timeoutAt, appendError('unknown'));
           } else {
-            const offset = land(record);
+            const offset = appendToLog(record);
             answerAt(time.now() + delay(), result.ok({offset}));
           }
         });
--- a/packages/gypsumwall-membership/src/__fixtures__/peer_fixture.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/peer_fixture.ts
@@ -123,11 +123,11 @@
 const CONDITION_TIMEOUT_MS = 5_000;
 
 /** Waits for a condition; rejects with `what` if it doesn't come. */
-export async function until(what: string, holds: () => boolean) {
+export async function waitUntil(what: string, holds: () => boolean) {
   const clock = types.clock.createSystemClock();
-  const giveUpAt = types.clock.after(clock.monotonic(), CONDITION_TIMEOUT_MS);
+  const timeoutAt = types.clock.after(clock.monotonic(), CONDITION_TIMEOUT_MS);
   while (!holds()) {
-    if (clock.monotonic() > giveUpAt) throw new Error(`never: ${what}`);
+    if (clock.monotonic() > timeoutAt) throw new Error(`never: ${what}`);
     await clock.sleepUntil(types.clock.after(clock.monotonic(), 5));
   }
 }
--- a/packages/gypsumwall-membership/src/__fixtures__/virtual_time.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/virtual_time.ts
@@ -25,18 +25,18 @@
   let now = 0;
   let order = 0;
 
-  function takeDue(moment: number): Event | undefined {
-    let best = -1;
+  function removeNextDue(moment: number): Event | undefined {
+    let earliestIndex = -1;
     for (const [index, event] of events.entries()) {
       if (event.at > moment) continue;
-      const known = events[best];
+      const earliest = events[earliestIndex];
       const isEarlier =
-        known === undefined ||
-        event.at < known.at ||
-        (event.at === known.at && event.order < known.order);
-      if (isEarlier) best = index;
+        earliest === undefined ||
+        event.at < earliest.at ||
+        (event.at === earliest.at && event.order < earliest.order);
+      if (isEarlier) earliestIndex = index;
     }
-    return best < 0 ? undefined : events.splice(best, 1)[0];
+    return earliestIndex < 0 ? undefined : events.splice(earliestIndex, 1)[0];
   }
 
   return {
@@ -45,7 +45,7 @@
       events.push({at: Math.max(moment, now), order: order++, run});
     },
     advanceTo: async (moment, afterEach) => {
-      for (let due = takeDue(moment); due; due = takeDue(moment)) {
+      for (let due = removeNextDue(moment); due; due = removeNextDue(moment)) {
         now = due.at;
         due.run();
         // All promise callbacks run before the next turn of the event loop.
@@ -74,29 +74,29 @@
   time: VirtualTime,
   rate: number,
 ): VirtualProcess {
-  const bornAt = time.now();
-  let alive = true;
+  const startedAt = time.now();
+  let isRunning = true;
   let pausedUntil = 0;
 
   function deliverAt(moment: number, run: () => void) {
     time.at(moment, () => {
-      if (!alive) return;
+      if (!isRunning) return;
       if (time.now() < pausedUntil) deliverAt(pausedUntil, run);
       else run();
     });
   }
 
   const monotonic = () =>
-    ((time.now() - bornAt) * rate) as types.clock.MonotonicMs;
+    ((time.now() - startedAt) * rate) as types.clock.MonotonicMs;
   return {
     deliverAt,
-    isAlive: () => alive,
+    isAlive: () => isRunning,
     isPaused: () => time.now() < pausedUntil,
     pauseUntil: (moment) => {
       pausedUntil = Math.max(pausedUntil, moment);
     },
     kill: () => {
-      alive = false;
+      isRunning = false;
     },
     clock: {
       monotonic,
@@ -112,7 +112,7 @@
             resolve();
           };
           // Never before the deadline on this process's own clock.
-          deliverAt(Math.ceil(bornAt + deadline / rate) + 1, finish);
+          deliverAt(Math.ceil(startedAt + deadline / rate) + 1, finish);
           signal?.addEventListener('abort', finish, {once: true});
         }),
     },
--- a/packages/gypsumwall-membership/src/__tests__/claim_exploration.test.ts
+++ b/packages/gypsumwall-membership/src/__tests__/claim_exploration.test.ts
@@ -7,7 +7,7 @@
 /** Enough to find most removed safeguards; longer runs are made by hand. */
 const RUNS = 150;
 const SEED = 20_261_202;
-const MOST_STEPS = 8;
+const MAX_STEPS = 8;
 /** Depth 3 takes half a minute; it is run by hand. */
 const DEPTH = 2;
 /** Every event is tried by hand, every third in CI. */
@@ -27,7 +27,7 @@
   // a replaced holder beside the new one.
   await fastCheck.assert(
     fastCheck.asyncProperty(
-      claimExploration.scripts(MOST_STEPS),
+      claimExploration.scripts(MAX_STEPS),
       async (script) => {
         const outcome = await claimExploration.play(script);
         assert.deepEqual(outcome.violations, []);
--- a/packages/gypsumwall-membership/src/__tests__/domain_view_keeper.test.ts
+++ b/packages/gypsumwall-membership/src/__tests__/domain_view_keeper.test.ts
@@ -5,7 +5,7 @@
 import * as silentProxy from '../__fixtures__/silent_proxy.js';
 
 /** What `from` believes of the peer at an address. */
-function beliefOf(from: peerFixture.PeerFixture, address: string) {
+function peerAt(from: peerFixture.PeerFixture, address: string) {
   return from.view.current().peers.find((peer) => peer.address === address);
 }
 
@@ -16,12 +16,12 @@
   const shown = await peerFixture.startPeer('shown', list);
   const hidden = await peerFixture.startPeer('hidden', list);
   list.instances = [peerFixture.listedEntry(shown.address)];
-  await peerFixture.until('both live', () =>
-    [beliefOf(shown, hidden.address), beliefOf(hidden, shown.address)].every(
+  await peerFixture.waitUntil('both live', () =>
+    [peerAt(shown, hidden.address), peerAt(hidden, shown.address)].every(
       (peer) => peer?.state === 'live' && peer.configOffset === 3,
     ),
   );
-  assert.equal(beliefOf(shown, hidden.address)?.entryId, 'hidden');
+  assert.equal(peerAt(shown, hidden.address)?.entryId, 'hidden');
   await Promise.all([shown.stop(), hidden.stop()]);
 });
 
@@ -32,19 +32,19 @@
   const watcher = await peerFixture.startPeer('watcher', list);
   const first = await peerFixture.startPeer('first', list);
   list.instances = [peerFixture.listedEntry(first.address)];
-  await peerFixture.until(
+  await peerFixture.waitUntil(
     'first heard',
-    () => beliefOf(watcher, first.address)?.entryId === 'first',
+    () => peerAt(watcher, first.address)?.entryId === 'first',
   );
   await first.stop();
-  await peerFixture.until(
+  await peerFixture.waitUntil(
     'silent at once',
-    () => beliefOf(watcher, first.address)?.state === 'silent',
+    () => peerAt(watcher, first.address)?.state === 'silent',
   );
   const port = Number(new URL(first.address).port);
   const second = await peerFixture.startPeer('second', list, port);
-  await peerFixture.until('second heard', () => {
-    const peer = beliefOf(watcher, first.address);
+  await peerFixture.waitUntil('second heard', () => {
+    const peer = peerAt(watcher, first.address);
     return peer?.entryId === 'second' && peer.state === 'live';
   });
   await Promise.all([watcher.stop(), second.stop()]);
@@ -56,15 +56,15 @@
   const watcher = await peerFixture.startPeer('watcher', list);
   const leaver = await peerFixture.startPeer('leaver', list);
   list.instances = [peerFixture.listedEntry(leaver.address)];
-  await peerFixture.until(
+  await peerFixture.waitUntil(
     'heard',
-    () => beliefOf(watcher, leaver.address)?.state === 'live',
+    () => peerAt(watcher, leaver.address)?.state === 'live',
   );
   list.isDown = true;
   leaver.leaving = true;
-  await peerFixture.until(
+  await peerFixture.waitUntil(
     'leaving',
-    () => beliefOf(watcher, leaver.address)?.state === 'leaving',
+    () => peerAt(watcher, leaver.address)?.state === 'leaving',
   );
   await Promise.all([watcher.stop(), leaver.stop()]);
 });
@@ -79,11 +79,11 @@
   const proxy = await silentProxy.startSilentProxy(port);
   const watcher = await peerFixture.startPeer('watcher', list);
   list.instances = [peerFixture.listedEntry(proxy.address)];
-  const isLive = () => beliefOf(watcher, proxy.address)?.state === 'live';
-  await peerFixture.until('live', isLive);
+  const isLive = () => peerAt(watcher, proxy.address)?.state === 'live';
+  await peerFixture.waitUntil('live', isLive);
   const before = proxy.connections();
   proxy.silenceOpenConnections();
-  await peerFixture.until(
+  await peerFixture.waitUntil(
     'a new connection',
     () => proxy.connections() > before && isLive(),
   );
@@ -113,13 +113,13 @@
     list.instances = [peerFixture.listedEntry(cut.address), upstream];
     cutList.instances = [peerFixture.listedEntry(peer.address), upstream];
     const stateAtCut = () => cut.view.current().upstreams[0]?.state;
-    await peerFixture.until('both seen', () => stateAtCut() === 'live');
+    await peerFixture.waitUntil('both seen', () => stateAtCut() === 'live');
     cutList.isDown = true;
     list.instances = [
       peerFixture.listedEntry(cut.address),
       {...upstream, state: 'leaving'},
     ];
-    await peerFixture.until('told', () => stateAtCut() === 'leaving');
+    await peerFixture.waitUntil('told', () => stateAtCut() === 'leaving');
     await Promise.all([cut.stop(), peer.stop()]);
   },
 );
--- a/packages/gypsumwall-membership/src/__tests__/peer_choice.test.ts
+++ b/packages/gypsumwall-membership/src/__tests__/peer_choice.test.ts
@@ -50,7 +50,7 @@
 
 nodeTest.test('more peers of other domains cost no more heartbeats', () => {
   for (const peers of [1, 8, 9, 28, 118]) {
-    const rate = peers / peerChoice.slowdown(peers);
-    assert.ok(rate <= peerChoice.FULL_RATE_PEERS, `${peers} peers`);
+    const rate = peers / peerChoice.slowdownFactor(peers);
+    assert.ok(rate <= peerChoice.MAX_FULL_RATE_PEERS, `${peers} peers`);
   }
 });
--- a/packages/gypsumwall-membership/src/bin/handover_bench.ts
+++ b/packages/gypsumwall-membership/src/bin/handover_bench.ts
@@ -42,8 +42,8 @@
 }
 
 /** Runs at one time; they only wait. */
-const BATCH = 10;
-const ONE_WAY_MS = 1;
+const BATCH_SIZE = 10;
+const ONE_WAY_DELAY_MS = 1;
 const LOG_APPEND_MS = 3;
 const DOMAIN = types.ids.brand<types.ids.FailureDomain>('merkato-hall');
 
@@ -52,8 +52,8 @@
   options: HandoverOptions,
 ): Promise<Handovers> {
   const histogram = hdrHistogram.build();
-  for (let first = 0; first < options.runs; first += BATCH) {
-    const size = Math.min(BATCH, options.runs - first);
+  for (let first = 0; first < options.runs; first += BATCH_SIZE) {
+    const size = Math.min(BATCH_SIZE, options.runs - first);
     const spans = await Promise.all(
       Array.from({length: size}, (_, index) =>
         measureOne(options, options.seed + first + index),
@@ -70,12 +70,12 @@
     p50Ms,
     p99Ms,
     maxMs: histogram.maxValue,
-    p50Ttls: inTtls(p50Ms, options.ttlMs),
-    p99Ttls: inTtls(p99Ms, options.ttlMs),
+    p50Ttls: toTtls(p50Ms, options.ttlMs),
+    p99Ttls: toTtls(p99Ms, options.ttlMs),
   };
 }
 
-function inTtls(spanMs: number, ttlMs: number): number {
+function toTtls(spanMs: number, ttlMs: number): number {
   return Math.round((spanMs / ttlMs) * 100) / 100;
 }
 
@@ -83,7 +83,7 @@
   readonly entryId: types.ids.EntryId;
   readonly keeper: claimKeeper.ClaimKeeper;
   readonly stop: AbortController;
-  alive: boolean;
+  isAlive: boolean;
 }
 
 async function measureOne(
@@ -95,13 +95,13 @@
   const domain = startDomain(options, clock, random);
   const holder = await domain.holder(undefined);
   // Any moment between two renewals is as likely.
-  const restMs = options.ttlMs * (1 + random.next());
-  await clock.sleepUntil(types.clock.after(clock.monotonic(), restMs));
+  const delayMs = options.ttlMs * (1 + random.next());
+  await clock.sleepUntil(types.clock.after(clock.monotonic(), delayMs));
   const endedAt = clock.monotonic();
   if (options.ending === 'planned_stop') {
     await holder.keeper.release();
   } else {
-    holder.alive = false;
+    holder.isAlive = false;
     holder.stop.abort();
   }
   await domain.holder(holder);
@@ -125,8 +125,8 @@
     await wait(LOG_APPEND_MS);
     const offset = log.push(record) - 1;
     for (const member of members) {
-      void wait(ONE_WAY_MS).then(() => {
-        if (!member.alive) return;
+      void wait(ONE_WAY_DELAY_MS).then(() => {
+        if (!member.isAlive) return;
         member.keeper.apply(offset, record, clock.monotonic());
       });
     }
@@ -137,9 +137,9 @@
     peer: claimPeers.NamedPeer,
     answer: (keeper: claimKeeper.ClaimKeeper) => Reply,
   ): Promise<Reply | claimPeers.NoReply> {
-    await wait(2 * ONE_WAY_MS);
+    await wait(2 * ONE_WAY_DELAY_MS);
     const target = members.find((member) => member.entryId === peer.entryId);
-    if (target?.alive === true) return answer(target.keeper);
+    if (target?.isAlive === true) return answer(target.keeper);
     if (options.ending !== 'machine_lost') return {type: 'gone'};
     await wait(options.ttlMs / 6);
     return {type: 'silent'};
@@ -148,7 +148,7 @@
   function viewOf(self: types.ids.EntryId): domainView.DomainView {
     const now = clock.monotonic();
     const peers = members
-      .filter((member) => member.alive && member.entryId !== self)
+      .filter((member) => member.isAlive && member.entryId !== self)
       .map(({entryId}) => ({
         entryId,
         failureDomain: DOMAIN,
@@ -190,7 +190,7 @@
         if (state.type === 'held') onHeld?.();
       },
     });
-    members.push({entryId, keeper, stop, alive: true});
+    members.push({entryId, keeper, stop, isAlive: true});
     return keeper.run(stop.signal);
   }
 
@@ -199,7 +199,7 @@
     members.find(
       (member) =>
         member !== other &&
-        member.alive &&
+        member.isAlive &&
         member.keeper.state().type === 'held',
     );
   return {
--- a/packages/gypsumwall-membership/src/bin/heartbeat_bench.ts
+++ b/packages/gypsumwall-membership/src/bin/heartbeat_bench.ts
@@ -21,7 +21,7 @@
 const HOST = '127.0.0.1';
 const TIMEOUT_MS = 2_000;
 /** The same for all numbers of peers, so that only their number differs. */
-const HEARTBEATS_A_SECOND = 400;
+const HEARTBEATS_PER_SECOND = 400;
 const WARM_UP_HEARTBEATS = 1_600;
 const RELAYED_HEARTBEATS = 200;
 
@@ -39,7 +39,7 @@
   if (first === undefined) throw new Error(`peers is ${peers}, not 1 or more`);
   const relay = await startRelay(Number(new URL(first.address).port));
 
-  async function beat(address: string) {
+  async function sendHeartbeat(address: string) {
     const answer = await clients.at(address).heartbeat({
       entryId: 'entry-0123456789abcdef',
       failureDomain: 'merkato-hall',
@@ -53,9 +53,9 @@
   async function run(count: number) {
     const startedAt = clock.monotonic();
     const beats = Array.from({length: count}, async (_, index) => {
-      const offsetMs = (index * 1_000) / HEARTBEATS_A_SECOND;
+      const offsetMs = (index * 1_000) / HEARTBEATS_PER_SECOND;
       await clock.sleepUntil(types.clock.after(startedAt, offsetMs));
-      await beat(servers[index % peers]?.address ?? '');
+      await sendHeartbeat(servers[index % peers]?.address ?? '');
     });
     await Promise.all(beats);
   }
@@ -65,11 +65,11 @@
   await run(heartbeats);
   const used = process.cpuUsage(before);
   for (let count = 0; count < RELAYED_HEARTBEATS; count++) {
-    await beat(relay.address);
+    await sendHeartbeat(relay.address);
   }
   const bytesBefore = relay.bytes();
   for (let count = 0; count < RELAYED_HEARTBEATS; count++) {
-    await beat(relay.address);
+    await sendHeartbeat(relay.address);
   }
   const bytes = relay.bytes() - bytesBefore;
   clients.close();
--- a/packages/gypsumwall-membership/src/claim_calls.ts
+++ b/packages/gypsumwall-membership/src/claim_calls.ts
@@ -21,7 +21,7 @@
         },
         timeoutMs,
       );
-      return replyOf(peer, answer, (res) =>
+      return toReply(peer, answer, (res) =>
         res.promised
           ? {type: 'promised'}
           : {type: 'refused', reason: res.refusalReason},
@@ -37,7 +37,7 @@
         },
         timeoutMs,
       );
-      return replyOf(peer, answer, (res) =>
+      return toReply(peer, answer, (res) =>
         res.released
           ? {type: 'released'}
           : {type: 'wait', waitMs: Number(res.waitMs)},
@@ -51,14 +51,14 @@
  * the process ended, since a paused one's kernel still accepts; so does an
  * answer of another process. Any other failure proves nothing.
  */
-function replyOf<Response extends {readonly entryId: string}, Reply>(
+function toReply<Response extends {readonly entryId: string}, Reply>(
   peer: claimPeers.NamedPeer,
   answer: result.Result<Response, types.stepError.StepError>,
-  read: (res: Response) => Reply,
+  parse: (res: Response) => Reply,
 ): Reply | claimPeers.NoReply {
   if (answer.isOk) {
-    const isOther = answer.value.entryId !== peer.entryId;
-    return isOther ? {type: 'gone'} : read(answer.value);
+    const isOtherProcess = answer.value.entryId !== peer.entryId;
+    return isOtherProcess ? {type: 'gone'} : parse(answer.value);
   }
   return peerClient.isRefusedConnection(answer.error)
     ? {type: 'gone'}
--- a/packages/gypsumwall-membership/src/claim_fold.ts
+++ b/packages/gypsumwall-membership/src/claim_fold.ts
@@ -86,7 +86,7 @@
       };
     }
     case 'renew': {
-      if (newest === undefined || !isHolders(newest, record)) return newest;
+      if (newest === undefined || !isByHolder(newest, record)) return newest;
       if (record.seen !== newest.head) return newest;
       return {
         ...termsOf(record),
@@ -97,7 +97,7 @@
       };
     }
     case 'release': {
-      if (newest === undefined || !isHolders(newest, record)) return newest;
+      if (newest === undefined || !isByHolder(newest, record)) return newest;
       return {...newest, head: offset, released: true};
     }
     case 'job_accepted':
@@ -109,7 +109,7 @@
 }
 
 /** A renewal or release counts only from the newest claim's own holder. */
-function isHolders(
+function isByHolder(
   newest: NewestClaim,
   record: {readonly epoch: number; readonly holder: types.ids.EntryId},
 ): boolean {
--- a/packages/gypsumwall-membership/src/claim_holder.ts
+++ b/packages/gypsumwall-membership/src/claim_holder.ts
@@ -9,10 +9,10 @@
 import * as claimTiming from './claim_timing.js';
 import type * as domainView from './domain_view.js';
 import type * as claimPeers from './claim_peers.js';
-import type * as wakeUp from './wake_up.js';
+import type * as loopTrigger from './loop_trigger.js';
 
 /** Most peers named on a claim; each one can block a renewal by silence. */
-export const MOST_NAMED = 4;
+export const MAX_NAMED_PEERS = 4;
 
 /** Keeps this entry's claim alive. */
 export interface ClaimHolder {
@@ -26,11 +26,11 @@
   /** Renews once. Ends within the patience for log and peers. */
   renew(newest: claimFold.NewestClaim): Promise<void>;
   /** To be called whenever the newest claim changed. */
-  noteNewest(newest: claimFold.NewestClaim): void;
+  onNewestClaim(newest: claimFold.NewestClaim): void;
 }
 
 /** A renewal sent through the log of which it isn't known if it counts. */
-interface Doubt {
+interface UnconfirmedRenewal {
   readonly seen: number;
   readonly peers: readonly claimPeers.NamedPeer[];
 }
@@ -39,18 +39,19 @@
 export function createClaimHolder(
   options: claimKeeperOptions.ClaimKeeperOptions,
   fold: claimFold.ClaimFold,
-  wake: wakeUp.WakeUp,
+  loop: loopTrigger.LoopTrigger,
 ): ClaimHolder {
   const {clock, self, logger, ttlMs} = options;
-  const patienceMs = ttlMs / claimTiming.PATIENCE_PER_TTL;
-  const allGoneMs = options.allGoneMs ?? ttlMs * claimTiming.ALL_GONE_TTLS;
+  const callTimeoutMs = ttlMs / claimTiming.CALL_TIMEOUTS_PER_TTL;
+  const allGoneMs =
+    options.allGoneMs ?? ttlMs * claimTiming.DEFAULT_ALL_GONE_TTLS;
   const sentAtByOffset = new Map<number, types.clock.MonotonicMs>();
   /**
    * Named peers that ended before they could let anyone take the claim. One
    * found gone after the deadline may have taken the claim itself before it
    * ended, and this process, cut off from the log, would hold beside the next.
    */
-  const gone = new Set<types.ids.EntryId>();
+  const endedPeers = new Set<types.ids.EntryId>();
   let held: {epoch: number; deadline: types.clock.MonotonicMs} | undefined;
   /**
    * Named peers can't stop a taker whose witness is `all_gone`: to it this
@@ -59,13 +60,13 @@
    * keeps proving that the platform sees it.
    */
   let unconfirmedUntil: types.clock.MonotonicMs | undefined;
-  let doubts: Doubt[] = [];
-  let appending = false;
+  let unconfirmedRenewals: UnconfirmedRenewal[] = [];
+  let isAppending = false;
 
-  function extend(epoch: number, deadline: types.clock.MonotonicMs) {
+  function extendDeadline(epoch: number, deadline: types.clock.MonotonicMs) {
     if (held?.epoch === epoch && held.deadline >= deadline) return;
     held = {epoch, deadline};
-    wake.wake();
+    loop.trigger();
   }
 
   /**
@@ -73,8 +74,10 @@
    * known once the log has been read up to it: a taker's claim may stand
    * before it, and a holder that trusted the answer would hold beside it.
    */
-  function noteNewest(newest: claimFold.NewestClaim) {
-    doubts = doubts.filter((doubt) => doubt.seen === newest.head);
+  function onNewestClaim(newest: claimFold.NewestClaim) {
+    unconfirmedRenewals = unconfirmedRenewals.filter(
+      (renewal) => renewal.seen === newest.head,
+    );
     if (newest.holder !== self) return;
     const sentAt = sentAtByOffset.get(newest.head);
     if (sentAt === undefined) return;
@@ -86,7 +89,10 @@
     for (const offset of sentAtByOffset.keys()) {
       if (offset < newest.head) sentAtByOffset.delete(offset);
     }
-    extend(newest.epoch, claimTiming.holderDeadline(sentAt, newest.ttlMs));
+    extendDeadline(
+      newest.epoch,
+      claimTiming.holderDeadline(sentAt, newest.ttlMs),
+    );
   }
 
   /** Returns whether the record is in the log or may still appear there. */
@@ -102,11 +108,11 @@
     }
     sentAtByOffset.set(answer.value.offset, sentAt);
     const newest = fold.newest();
-    if (newest !== undefined) noteNewest(newest);
+    if (newest !== undefined) onNewestClaim(newest);
     return true;
   }
 
-  function peersToName(): readonly claimPeers.NamedPeer[] {
+  function selectPeersToName(): readonly claimPeers.NamedPeer[] {
     return options
       .view()
       .peers.filter(
@@ -118,24 +124,27 @@
       )
       .map(({entryId, address}) => ({entryId, address}))
       .sort((left, right) => (left.entryId < right.entryId ? -1 : 1))
-      .slice(0, MOST_NAMED);
+      .slice(0, MAX_NAMED_PEERS);
   }
 
   async function renewByLog(newest: claimFold.NewestClaim) {
-    const peers = peersToName();
+    const peers = selectPeersToName();
     // From here on a taker may have read this renewal and go by its names,
     // so they are asked too until the log shows whether it counts.
     const doubt = {seen: newest.head, peers};
-    doubts.push(doubt);
-    appending = true;
+    unconfirmedRenewals.push(doubt);
+    isAppending = true;
     const mayAppear = await append({
       type: 'renew',
       epoch: newest.epoch,
       seen: newest.head,
       ...termsFor(peers),
     });
-    appending = false;
-    if (!mayAppear) doubts = doubts.filter((other) => other !== doubt);
+    isAppending = false;
+    if (!mayAppear)
+      unconfirmedRenewals = unconfirmedRenewals.filter(
+        (other) => other !== doubt,
+      );
   }
 
   function termsFor(peers: readonly claimPeers.NamedPeer[]) {
@@ -151,54 +160,57 @@
   }
 
   /** Whether the deadline already counts from `since` or later. */
-  function renewedSince(epoch: number, since: types.clock.MonotonicMs) {
-    const wanted = claimTiming.holderDeadline(since, ttlMs);
-    return held?.epoch === epoch && held.deadline >= wanted;
+  function isRenewedSince(epoch: number, since: types.clock.MonotonicMs) {
+    const requiredDeadline = claimTiming.holderDeadline(since, ttlMs);
+    return held?.epoch === epoch && held.deadline >= requiredDeadline;
   }
 
   async function renewByPromises(newest: claimFold.NewestClaim) {
     const sentAt = clock.monotonic();
     const asked = [
-      ...namedPeers(newest, options.view()),
-      ...doubts.flatMap((doubt) => doubt.peers),
+      ...resolveNamedPeers(newest, options.view()),
+      ...unconfirmedRenewals.flatMap((doubt) => doubt.peers),
     ].filter(
       (peer, index, all) =>
-        !gone.has(peer.entryId) &&
+        !endedPeers.has(peer.entryId) &&
         all.findIndex((other) => other.entryId === peer.entryId) === index,
     );
-    const ask = {
+    const req = {
       holder: self,
       epoch: newest.epoch,
       seen: newest.head,
       promiseMs: newest.ttlMs,
     };
-    const replies = await Promise.all(
+    const confirmations = await Promise.all(
       asked.map(async (peer) => {
-        const reply = await options.peers.promise(peer, ask, patienceMs);
+        const reply = await options.peers.promise(peer, req, callTimeoutMs);
         if (reply.type === 'gone' && isHeld(newest.epoch)) {
-          gone.add(peer.entryId);
+          endedPeers.add(peer.entryId);
         }
-        return reply.type === 'promised' || gone.has(peer.entryId);
+        return reply.type === 'promised' || endedPeers.has(peer.entryId);
       }),
     );
     const now = fold.newest();
     if (now?.epoch !== newest.epoch || now.released) return;
-    if (!replies.every((safe) => safe)) {
+    if (!confirmations.every((safe) => safe)) {
       logger.warn('claim_promise_missing', {
         epoch: newest.epoch,
         asked: asked.length,
-        missing: replies.filter((safe) => !safe).length,
+        missing: confirmations.filter((safe) => !safe).length,
       });
       return;
     }
-    const promised = claimTiming.holderDeadline(sentAt, newest.ttlMs);
-    const cap = goOnUntil(newest);
-    if (cap === undefined) return;
-    extend(newest.epoch, promised < cap ? promised : cap);
+    const promisedDeadline = claimTiming.holderDeadline(sentAt, newest.ttlMs);
+    const limit = promiseRenewalLimit(newest);
+    if (limit === undefined) return;
+    extendDeadline(
+      newest.epoch,
+      promisedDeadline < limit ? promisedDeadline : limit,
+    );
   }
 
   /** Takes the list into account; returns when promises end to suffice. */
-  function goOnUntil(newest: claimFold.NewestClaim) {
+  function promiseRenewalLimit(newest: claimFold.NewestClaim) {
     const {selfListedAt} = options.view();
     if (unconfirmedUntil === undefined || selfListedAt === undefined) {
       return unconfirmedUntil;
@@ -216,48 +228,48 @@
   }
 
   return {
-    noteNewest,
+    onNewestClaim,
     claim: async (replaced, witness) => {
       await append({
         type: 'claim',
         replaces: replaced?.epoch ?? null,
         seen: replaced?.head ?? null,
         witness,
-        ...termsFor(peersToName()),
+        ...termsFor(selectPeersToName()),
       });
     },
     deadline: (newest) =>
       held?.epoch === newest.epoch ? held.deadline : undefined,
     renew: async (newest) => {
       const startedAt = clock.monotonic();
-      if (!appending) void renewByLog(newest);
-      await wake.waitUntil(types.clock.after(startedAt, patienceMs), () =>
-        renewedSince(newest.epoch, startedAt),
+      if (!isAppending) void renewByLog(newest);
+      await loop.waitUntil(types.clock.after(startedAt, callTimeoutMs), () =>
+        isRenewedSince(newest.epoch, startedAt),
       );
-      if (renewedSince(newest.epoch, startedAt)) return;
+      if (isRenewedSince(newest.epoch, startedAt)) return;
       await renewByPromises(newest);
     },
   };
 }
 
 /** The peers that a claim names, with their addresses. */
-export function namedPeers(
+export function resolveNamedPeers(
   newest: claimFold.NewestClaim,
   view: domainView.DomainView,
 ): readonly claimPeers.NamedPeer[] {
-  return newest.named.map((entryId) => peerOf(newest, entryId, view));
+  return newest.named.map((entryId) => resolvePeer(newest, entryId, view));
 }
 
 /**
  * The holder or a named peer of a claim. Where it was heard comes before what
  * the claim says: addresses may be translated on the way.
  */
-export function peerOf(
+export function resolvePeer(
   newest: claimFold.NewestClaim,
   entryId: types.ids.EntryId,
   view: domainView.DomainView,
 ): claimPeers.NamedPeer {
-  const heard = view.peers.find((peer) => peer.entryId === entryId);
-  const address = heard?.address ?? newest.addresses[entryId] ?? '';
+  const knownPeer = view.peers.find((peer) => peer.entryId === entryId);
+  const address = knownPeer?.address ?? newest.addresses[entryId] ?? '';
   return {entryId, address};
 }
--- a/packages/gypsumwall-membership/src/claim_keeper.ts
+++ b/packages/gypsumwall-membership/src/claim_keeper.ts
@@ -13,7 +13,7 @@
 import * as claimTaker from './claim_taker.js';
 import * as claimTiming from './claim_timing.js';
 import type * as domainClaim from './domain_claim.js';
-import * as wakeUp from './wake_up.js';
+import * as loopTrigger from './loop_trigger.js';
 
 /** An entry's part in its domain's claim. */
 export interface ClaimKeeper {
@@ -42,8 +42,8 @@
    * that this process holds nothing.
    */
   release(): Promise<result.Result<void, types.stepError.StepError>>;
-  answerPromise(ask: claimPeers.PromiseAsk): claimPeers.PromiseReply;
-  answerWitness(ask: claimPeers.WitnessAsk): claimPeers.WitnessReply;
+  answerPromise(ask: claimPeers.PromiseRequest): claimPeers.PromiseReply;
+  answerWitness(ask: claimPeers.WitnessRequest): claimPeers.WitnessReply;
 }
 
 /** Makes a keeper; nothing happens before `run`. */
@@ -51,14 +51,14 @@
   options: claimKeeperOptions.ClaimKeeperOptions,
 ): ClaimKeeper {
   const {clock, self, logger, ttlMs} = options;
-  const patienceMs = ttlMs / claimTiming.PATIENCE_PER_TTL;
+  const callTimeoutMs = ttlMs / claimTiming.CALL_TIMEOUTS_PER_TTL;
   const fold = claimFold.createClaimFold();
-  const wake = wakeUp.createWakeUp(clock);
+  const loop = loopTrigger.createLoopTrigger(clock);
   const promises = claimPromises.createClaimPromises(clock);
-  const holder = claimHolder.createClaimHolder(options, fold, wake);
+  const holder = claimHolder.createClaimHolder(options, fold, loop);
   const taker = claimTaker.createClaimTaker(options, fold, promises);
-  let givenUp = false;
-  let announced = 'none';
+  let hasReleased = false;
+  let announcedState = 'none';
 
   function state(): domainClaim.ClaimState {
     const newest = fold.newest();
@@ -68,33 +68,37 @@
       return {type: 'held_by_other', epoch, holder: newest.holder};
     }
     const deadline = holder.deadline(newest);
-    if (givenUp || deadline === undefined || clock.monotonic() >= deadline) {
+    if (
+      hasReleased ||
+      deadline === undefined ||
+      clock.monotonic() >= deadline
+    ) {
       return {type: 'lapsed', epoch};
     }
     return {type: 'held', epoch, deadline};
   }
 
-  function announce() {
+  function announceState() {
     const now = state();
     const text = now.type === 'none' ? 'none' : `${now.type} ${now.epoch}`;
-    if (text === announced) return;
-    logger.info('claim_changed', {from: announced, to: text});
-    announced = text;
+    if (text === announcedState) return;
+    logger.info('claim_changed', {from: announcedState, to: text});
+    announcedState = text;
     options.onChange?.(now);
   }
 
-  function noteNewest() {
+  function onNewestClaim() {
     const newest = fold.newest();
     if (newest !== undefined) {
       promises.forgetBefore(newest.epoch);
-      holder.noteNewest(newest);
+      holder.onNewestClaim(newest);
     }
-    wake.wake();
-    announce();
+    loop.trigger();
+    announceState();
   }
 
   /** Returns when to look again. */
-  async function holdOn(
+  async function renewClaim(
     newest: claimFold.NewestClaim,
   ): Promise<types.clock.MonotonicMs> {
     const startedAt = clock.monotonic();
@@ -103,45 +107,45 @@
   }
 
   /** Returns when to look again. */
-  async function tryToTake(): Promise<types.clock.MonotonicMs> {
+  async function tryTakeover(): Promise<types.clock.MonotonicMs> {
     const turnAt = taker.turnAt();
-    const lookAgainAt = types.clock.after(clock.monotonic(), patienceMs);
+    const nextCheckAt = types.clock.after(clock.monotonic(), callTimeoutMs);
     if (clock.monotonic() < turnAt) {
-      return turnAt < lookAgainAt ? turnAt : lookAgainAt;
+      return turnAt < nextCheckAt ? turnAt : nextCheckAt;
     }
-    if (!options.caughtUp()) return lookAgainAt;
+    if (!options.caughtUp()) return nextCheckAt;
     const before = fold.newest();
     const witness = await taker.findWitness();
     // Asking took time: the holder's renewal may have come in meanwhile.
-    if (witness === undefined || fold.newest() !== before) return lookAgainAt;
-    if (givenUp) return lookAgainAt;
+    if (witness === undefined || fold.newest() !== before) return nextCheckAt;
+    if (hasReleased) return nextCheckAt;
     await holder.claim(before, witness);
-    const spreadMs = patienceMs * options.random.next();
+    const spreadMs = callTimeoutMs * options.random.next();
     return types.clock.after(clock.monotonic(), spreadMs);
   }
 
   async function run(signal: AbortSignal) {
-    signal.addEventListener('abort', () => wake.wake(), {once: true});
-    while (!signal.aborted && !givenUp) {
-      taker.lookAtList();
+    signal.addEventListener('abort', () => loop.trigger(), {once: true});
+    while (!signal.aborted && !hasReleased) {
+      taker.checkList();
       const newest = fold.newest();
       const isOwn = newest?.holder === self && !newest.released;
-      const nextAt = isOwn ? await holdOn(newest) : await tryToTake();
-      announce();
-      const seen = fold.newest();
-      await wake.waitUntil(
+      const nextAt = isOwn ? await renewClaim(newest) : await tryTakeover();
+      announceState();
+      const newestSeen = fold.newest();
+      await loop.waitUntil(
         nextAt,
-        () => signal.aborted || givenUp || fold.newest() !== seen,
+        () => signal.aborted || hasReleased || fold.newest() !== newestSeen,
       );
     }
-    announce();
+    announceState();
   }
 
   async function release() {
     // First of all, so that no renewal under way can bring the claim back.
-    givenUp = true;
-    wake.wake();
-    announce();
+    hasReleased = true;
+    loop.trigger();
+    announceState();
     const newest = fold.newest();
     if (newest?.holder !== self || newest.released) {
       return result.ok<void, types.stepError.StepError>(undefined);
@@ -162,11 +166,11 @@
     answerPromise: (ask) => promises.answerPromise(ask),
     answerWitness: (ask) => promises.answerWitness(ask),
     apply: (offset, record, readAt) => {
-      if (fold.apply(offset, record, readAt)) noteNewest();
+      if (fold.apply(offset, record, readAt)) onNewestClaim();
     },
     restore: (newest, readAt) => {
       fold.restore(newest, readAt);
-      noteNewest();
+      onNewestClaim();
     },
   };
 }
--- a/packages/gypsumwall-membership/src/claim_peers.ts
+++ b/packages/gypsumwall-membership/src/claim_peers.ts
@@ -8,7 +8,7 @@
 }
 
 /** A holder asks a named peer not to let its claim be taken for a while. */
-export interface PromiseAsk {
+export interface PromiseRequest {
   readonly holder: types.ids.EntryId;
   readonly epoch: number;
   /** Offset of the newest renewal that the holder knows. */
@@ -17,7 +17,7 @@
 }
 
 /** A taker asks a named peer whether the claim may be taken. */
-export interface WitnessAsk {
+export interface WitnessRequest {
   readonly taker: types.ids.EntryId;
   readonly epoch: number;
   /** Offset of the newest renewal that the taker read. */
@@ -46,12 +46,12 @@
 export interface ClaimPeers {
   promise(
     peer: NamedPeer,
-    ask: PromiseAsk,
+    ask: PromiseRequest,
     timeoutMs: number,
   ): Promise<PromiseReply | NoReply>;
   witness(
     peer: NamedPeer,
-    ask: WitnessAsk,
+    ask: WitnessRequest,
     timeoutMs: number,
   ): Promise<WitnessReply | NoReply>;
 }
--- a/packages/gypsumwall-membership/src/claim_promises.ts
+++ b/packages/gypsumwall-membership/src/claim_promises.ts
@@ -9,14 +9,14 @@
 
 /** A named peer's promises. */
 export interface ClaimPromises {
-  answerPromise(ask: claimPeers.PromiseAsk): claimPeers.PromiseReply;
-  answerWitness(ask: claimPeers.WitnessAsk): claimPeers.WitnessReply;
+  answerPromise(ask: claimPeers.PromiseRequest): claimPeers.PromiseReply;
+  answerWitness(ask: claimPeers.WitnessRequest): claimPeers.WitnessReply;
   /** Forgets claims older than the newest; they can't be asked about. */
   forgetBefore(epoch: number): void;
 }
 
 /** What was said about one claim. */
-interface Word {
+interface PromiseState {
   /** No release before it. */
   promisedUntil: types.clock.MonotonicMs;
   /** No promise any more to a holder that knows only this or older. */
@@ -27,16 +27,16 @@
 
 /** Makes the promises of a process that has given none. */
 export function createClaimPromises(clock: types.clock.Clock): ClaimPromises {
-  const words = new Map<number, Word>();
+  const stateByEpoch = new Map<number, PromiseState>();
   let oldestEpoch = 0;
 
-  function wordOn(epoch: number): Word {
-    const word = words.get(epoch) ?? {
+  function stateOf(epoch: number): PromiseState {
+    const state = stateByEpoch.get(epoch) ?? {
       promisedUntil: clock.monotonic(),
       releasedSeen: NEVER_RELEASED,
     };
-    words.set(epoch, word);
-    return word;
+    stateByEpoch.set(epoch, state);
+    return state;
   }
 
   return {
@@ -44,29 +44,29 @@
       if (ask.epoch < oldestEpoch) {
         return {type: 'refused', reason: `claim ${oldestEpoch} is newer`};
       }
-      const word = wordOn(ask.epoch);
+      const state = stateOf(ask.epoch);
       // The taker that was released may claim at any later moment. Only a
       // renewal in the log after what it saw can make that claim not count.
-      if (ask.seen <= word.releasedSeen) {
-        return {type: 'refused', reason: `released at ${word.releasedSeen}`};
+      if (ask.seen <= state.releasedSeen) {
+        return {type: 'refused', reason: `released at ${state.releasedSeen}`};
       }
       const until = types.clock.after(clock.monotonic(), ask.promiseMs);
-      if (until > word.promisedUntil) word.promisedUntil = until;
+      if (until > state.promisedUntil) state.promisedUntil = until;
       return {type: 'promised'};
     },
     answerWitness: (ask) => {
-      const word = wordOn(ask.epoch);
-      const waitMs = word.promisedUntil - clock.monotonic();
+      const state = stateOf(ask.epoch);
+      const waitMs = state.promisedUntil - clock.monotonic();
       // A promise holds for every renewal of the claim: the holder may not
       // know that its last one reached the log.
       if (waitMs > 0) return {type: 'wait', waitMs};
-      word.releasedSeen = Math.max(word.releasedSeen, ask.seen);
+      state.releasedSeen = Math.max(state.releasedSeen, ask.seen);
       return {type: 'released'};
     },
     forgetBefore: (epoch) => {
       oldestEpoch = Math.max(oldestEpoch, epoch);
-      for (const known of words.keys()) {
-        if (known < oldestEpoch) words.delete(known);
+      for (const knownEpoch of stateByEpoch.keys()) {
+        if (knownEpoch < oldestEpoch) stateByEpoch.delete(knownEpoch);
       }
     },
   };
--- a/packages/gypsumwall-membership/src/claim_taker.ts
+++ b/packages/gypsumwall-membership/src/claim_taker.ts
@@ -19,11 +19,11 @@
   /** Undefined while the claim may still be held. */
   findWitness(): Promise<records.domainRecords.Witness | undefined>;
   /** To be called regularly, so that it sees who is off the list. */
-  lookAtList(): void;
+  checkList(): void;
 }
 
 /** Something seen of a claim, and when first. */
-interface Sighting {
+interface Observation {
   readonly epoch: number;
   readonly at: types.clock.MonotonicMs;
 }
@@ -35,10 +35,10 @@
   promises: claimPromises.ClaimPromises,
 ): ClaimTaker {
   const {clock, self} = options;
-  const patienceMs = options.ttlMs / claimTiming.PATIENCE_PER_TTL;
+  const callTimeoutMs = options.ttlMs / claimTiming.CALL_TIMEOUTS_PER_TTL;
   const startedAt = clock.monotonic();
-  let allGoneSince: Sighting | undefined;
-  let holderGone: Sighting | undefined;
+  let allGoneObserved: Observation | undefined;
+  let holderGoneObserved: Observation | undefined;
 
   function domainPeers(): readonly domainView.PeerEntry[] {
     return options
@@ -46,17 +46,17 @@
       .peers.filter((peer) => peer.failureDomain === options.failureDomain);
   }
 
-  function lookAtList() {
+  function checkList() {
     const newest = fold.newest();
-    if (newest === undefined || !listSaysAllGone(newest)) {
-      allGoneSince = undefined;
-    } else if (allGoneSince?.epoch !== newest.epoch) {
-      allGoneSince = {epoch: newest.epoch, at: clock.monotonic()};
+    if (newest === undefined || !isAllGoneByList(newest)) {
+      allGoneObserved = undefined;
+    } else if (allGoneObserved?.epoch !== newest.epoch) {
+      allGoneObserved = {epoch: newest.epoch, at: clock.monotonic()};
     }
   }
 
   /** Whether everyone listed in the domain answers and is somebody else. */
-  function listSaysAllGone(newest: claimFold.NewestClaim): boolean {
+  function isAllGoneByList(newest: claimFold.NewestClaim): boolean {
     const fetchedAt = options.view().listFetchedAt;
     if (fetchedAt === undefined) return false;
     const staleAt = types.clock.after(fetchedAt, options.listLagMs);
@@ -70,10 +70,10 @@
     );
   }
 
-  function goneLongEnough(newest: claimFold.NewestClaim): boolean {
-    if (allGoneSince?.epoch !== newest.epoch) return false;
+  function isAllGoneWaitOver(newest: claimFold.NewestClaim): boolean {
+    if (allGoneObserved?.epoch !== newest.epoch) return false;
     const from = Math.max(
-      allGoneSince.at,
+      allGoneObserved.at,
       fold.headReadAt(),
     ) as types.clock.MonotonicMs;
     return clock.monotonic() >= types.clock.after(from, newest.allGoneMs);
@@ -84,19 +84,20 @@
   > {
     const newest = fold.newest();
     if (newest === undefined || newest.released) return {type: 'vacant'};
-    const ask = {taker: self, epoch: newest.epoch, seen: newest.head};
+    const req = {taker: self, epoch: newest.epoch, seen: newest.head};
     if (newest.named.includes(self)) {
-      const own = promises.answerWitness(ask);
-      if (own.type === 'released') return {type: 'named_peer', entryId: self};
+      const ownReply = promises.answerWitness(req);
+      if (ownReply.type === 'released')
+        return {type: 'named_peer', entryId: self};
     }
     const view = options.view();
-    const holder = claimHolder.peerOf(newest, newest.holder, view);
+    const holder = claimHolder.resolvePeer(newest, newest.holder, view);
     const named = claimHolder
-      .namedPeers(newest, view)
+      .resolveNamedPeers(newest, view)
       .filter((peer) => peer.entryId !== self);
     const [holderReply, ...replies] = await Promise.all(
       [holder, ...named].map((peer) =>
-        options.peers.witness(peer, ask, patienceMs),
+        options.peers.witness(peer, req, callTimeoutMs),
       ),
     );
     const witness = named.find(
@@ -105,30 +106,33 @@
     if (witness !== undefined) {
       return {type: 'named_peer', entryId: witness.entryId};
     }
-    if (holderReply?.type === 'gone' && holderLongGone(newest)) {
+    if (holderReply?.type === 'gone' && isHolderGoneWaitOver(newest)) {
       return {type: 'holder_gone'};
     }
-    return goneLongEnough(newest) ? {type: 'all_gone'} : undefined;
+    return isAllGoneWaitOver(newest) ? {type: 'all_gone'} : undefined;
   }
 
   /**
    * The holder may have renewed by promises till it ended, and starts that it
    * sent may still be on their way; none is accepted later than a ttl after.
    */
-  function holderLongGone(newest: claimFold.NewestClaim): boolean {
-    if (holderGone?.epoch !== newest.epoch) {
-      holderGone = {epoch: newest.epoch, at: clock.monotonic()};
+  function isHolderGoneWaitOver(newest: claimFold.NewestClaim): boolean {
+    if (holderGoneObserved?.epoch !== newest.epoch) {
+      holderGoneObserved = {epoch: newest.epoch, at: clock.monotonic()};
     }
-    const acceptedUntil = types.clock.after(holderGone.at, newest.ttlMs);
+    const acceptedUntil = types.clock.after(
+      holderGoneObserved.at,
+      newest.ttlMs,
+    );
     return clock.monotonic() >= acceptedUntil;
   }
 
   return {
     findWitness,
-    lookAtList,
+    checkList,
     turnAt: () => {
       const newest = fold.newest();
-      const opensAt =
+      const takeoverPossibleAt =
         newest === undefined
           ? startedAt
           : newest.released
@@ -138,15 +142,15 @@
         .filter((peer) => peer.state === 'live' && peer.entryId !== '')
         .map((peer) => peer.entryId)
         .filter((entryId) => entryId !== newest?.holder);
-      const turn = turnOf(self, candidates, `${newest?.head ?? 'none'}`);
+      const turn = takeoverTurn(self, candidates, `${newest?.head ?? 'none'}`);
       const stepMs = options.ttlMs / claimTiming.RENEWALS_PER_TTL;
-      return types.clock.after(opensAt, turn * stepMs);
+      return types.clock.after(takeoverPossibleAt, turn * stepMs);
     },
   };
 }
 
 /** How many of the candidates come before this entry: rendezvous order. */
-function turnOf(
+function takeoverTurn(
   self: types.ids.EntryId,
   candidates: readonly types.ids.EntryId[],
   key: string,
--- a/packages/gypsumwall-membership/src/claim_timing.ts
+++ b/packages/gypsumwall-membership/src/claim_timing.ts
@@ -16,10 +16,10 @@
 export const RENEWALS_PER_TTL = 3;
 
 /** How long, as a share of the ttl, an append or a peer is waited for. */
-export const PATIENCE_PER_TTL = 6;
+export const CALL_TIMEOUTS_PER_TTL = 6;
 
 /** Default of `allGoneMs`, as a multiple of the ttl. */
-export const ALL_GONE_TTLS = 50;
+export const DEFAULT_ALL_GONE_TTLS = 50;
 
 /** The deadline a holder gives itself for a span that others count too. */
 export function holderDeadline(
@@ -35,7 +35,7 @@
  * the taker's list may lack it that long after it came back, and the taker's
  * list may have been fetched that long ago.
  */
-const ALL_GONE_MARGIN_LAGS = 3;
+const ALL_GONE_MARGIN_LIST_LAGS = 3;
 
 /**
  * Until when a holder may go on by promises after the log or the list last
@@ -46,6 +46,6 @@
   allGoneMs: number,
   listLagMs: number,
 ): types.clock.MonotonicMs {
-  const spanMs = allGoneMs - ALL_GONE_MARGIN_LAGS * listLagMs;
+  const spanMs = allGoneMs - ALL_GONE_MARGIN_LIST_LAGS * listLagMs;
   return holderDeadline(provedAt, Math.max(0, spanMs));
 }
--- a/packages/gypsumwall-membership/src/domain_view_keeper.ts
+++ b/packages/gypsumwall-membership/src/domain_view_keeper.ts
@@ -60,24 +60,29 @@
   const {clock, logger, failureDomain, listLagMs} = options;
   const corrections = listCorrections.createListCorrections(clock, listLagMs);
   const tracked = new Map<string, TrackedPeer>();
-  const loops = new Set<Promise<void>>();
-  let listed: readonly platform.instanceList.ListedInstance[] = [];
-  let lastInstances: readonly platform.instanceList.ListedInstance[] = [];
-  let corrected: readonly platform.instanceList.ListedInstance[] = [];
+  const heartbeatLoops = new Set<Promise<void>>();
+  let ownDomainInstances: readonly platform.instanceList.ListedInstance[] = [];
+  let lastFetchedInstances: readonly platform.instanceList.ListedInstance[] =
+    [];
+  let correctedInstances: readonly platform.instanceList.ListedInstance[] = [];
   let listFetchedAt: types.clock.MonotonicMs | undefined;
   let selfListedAt: types.clock.MonotonicMs | undefined;
   let selfListed = false;
-  let running: AbortSignal | undefined;
+  let runSignal: AbortSignal | undefined;
   /** Peers of other domains that are kept in touch with. */
-  let othersTracked = 0;
+  let trackedOtherDomainPeers = 0;
 
   function current(): domainView.DomainView {
     return {
       peers: [...tracked.values()]
         .map(({link}) => link.peer())
         .filter(({entryId}) => entryId !== options.self),
-      workers: corrected.filter((instance) => instance.kind === 'worker'),
-      upstreams: corrected.filter((instance) => instance.kind === 'upstream'),
+      workers: correctedInstances.filter(
+        (instance) => instance.kind === 'worker',
+      ),
+      upstreams: correctedInstances.filter(
+        (instance) => instance.kind === 'upstream',
+      ),
       listFetchedAt,
       selfListedAt,
       selfListed,
@@ -92,17 +97,17 @@
    * An entry that is cut off from the platform would go on sending work to an
    * upstream that leaves; a peer that still reads the list tells it.
    */
-  function noteLeaving(ids: readonly string[]) {
+  function onLeavingInstances(ids: readonly string[]) {
     if (ids.length === 0) return;
-    ids.forEach((id) => corrections.noteLeaving(id));
-    corrected = corrections.correct(listed);
+    ids.forEach((id) => corrections.markLeaving(id));
+    correctedInstances = corrections.correct(ownDomainInstances);
   }
 
-  function track(
+  function trackPeer(
     address: string,
     domain: types.ids.FailureDomain,
   ): TrackedPeer | undefined {
-    if (address === options.address || running?.aborted !== false) {
+    if (address === options.address || runSignal?.aborted !== false) {
       return undefined;
     }
     const known = tracked.get(address);
@@ -123,8 +128,10 @@
       heartbeatMs: options.heartbeatMs,
       silenceMs: options.silenceMs,
       listLagMs,
-      slowdown: () =>
-        domain === failureDomain ? 1 : peerChoice.slowdown(othersTracked),
+      slowdownFactor: () =>
+        domain === failureDomain
+          ? 1
+          : peerChoice.slowdownFactor(trackedOtherDomainPeers),
       ownHeartbeat: () => ({
         entryId: options.self,
         failureDomain,
@@ -133,18 +140,18 @@
         leaving: options.ownState().leaving,
       }),
       onChange: announce,
-      onLeavingInstances: noteLeaving,
+      onLeavingInstances,
     });
     const peer: TrackedPeer = {link, stop: new AbortController()};
     tracked.set(address, peer);
-    const loop = link.run(AbortSignal.any([peer.stop.signal, running]));
-    loops.add(loop);
-    void loop.finally(() => loops.delete(loop));
+    const loop = link.run(AbortSignal.any([peer.stop.signal, runSignal]));
+    heartbeatLoops.add(loop);
+    void loop.finally(() => heartbeatLoops.delete(loop));
     logger.info('peer_found', {peer: address, domain});
     return peer;
   }
 
-  function choose(
+  function chooseAddresses(
     entries: readonly platform.instanceList.ListedEntry[],
   ): ReadonlySet<string> {
     const candidates = entries
@@ -157,7 +164,7 @@
     return peerChoice.choosePeers(options, candidates);
   }
 
-  function noteList(
+  function applyList(
     instances: readonly platform.instanceList.ListedInstance[],
     askedAt: types.clock.MonotonicMs,
   ) {
@@ -166,29 +173,29 @@
       (instance) => instance.failureDomain === failureDomain,
     );
     const changed =
-      instances !== lastInstances &&
-      JSON.stringify(own) !== JSON.stringify(listed);
-    lastInstances = instances;
-    listed = own;
-    corrected = corrections.correct(own);
+      instances !== lastFetchedInstances &&
+      JSON.stringify(own) !== JSON.stringify(ownDomainInstances);
+    lastFetchedInstances = instances;
+    ownDomainInstances = own;
+    correctedInstances = corrections.correct(own);
     listFetchedAt = clock.monotonic();
     selfListed = instances.some(
       (one) => one.kind === 'entry' && one.address === options.address,
     );
     const entries = instances.filter((instance) => instance.kind === 'entry');
-    const chosen = choose(entries);
+    const chosen = chooseAddresses(entries);
     for (const entry of entries) {
       if (entry.address === options.address) selfListedAt = askedAt;
       if (!chosen.has(entry.address)) continue;
-      const peer = track(entry.address, entry.failureDomain);
+      const peer = trackPeer(entry.address, entry.failureDomain);
       if (peer === undefined) continue;
       // Behind an address translation the list's address isn't the own one.
       if (peer.link.peer().entryId === options.self) selfListedAt = askedAt;
       delete peer.unlistedAt;
-      peer.link.noteListed(entry.state);
+      peer.link.onListed(entry.state);
     }
     dropUnchosen(chosen);
-    othersTracked = [...tracked.values()].filter(
+    trackedOtherDomainPeers = [...tracked.values()].filter(
       ({link}) => link.peer().failureDomain !== failureDomain,
     ).length;
     if (changed) announce();
@@ -230,12 +237,12 @@
       const askedAt = clock.monotonic();
       const answer = await options.list.fetch();
       if (answer.isOk) {
-        noteList(answer.value, askedAt);
+        applyList(answer.value, askedAt);
       } else {
         // The last view stays: a list that is down says nothing of anybody.
         const error = types.stepError.describeError(answer.error);
         logger.warn('list_unavailable', {error});
-        corrected = corrections.correct(listed);
+        correctedInstances = corrections.correct(ownDomainInstances);
       }
       const nextAt = types.clock.after(askedAt, options.listPollMs);
       await clock.sleepUntil(nextAt, signal);
@@ -247,20 +254,22 @@
     // Not what peers told: two cut-off entries would tell it to each other
     // for ever.
     listedLeaving: () =>
-      listed.filter(({state}) => state === 'leaving').map(({id}) => id),
+      ownDomainInstances
+        .filter(({state}) => state === 'leaving')
+        .map(({id}) => id),
     noteGone: (id) => {
-      corrections.noteGone(id);
-      corrected = corrections.correct(listed);
+      corrections.markRemoved(id);
+      correctedInstances = corrections.correct(ownDomainInstances);
     },
     noteHeartbeat: (req) => {
       if (req.failureDomain !== failureDomain) return;
       if (isListed(req.entryId)) return;
-      track(req.address, types.ids.brand(req.failureDomain));
+      trackPeer(req.address, types.ids.brand(req.failureDomain));
     },
     run: async (signal) => {
-      running = signal;
+      runSignal = signal;
       await pollList(signal);
-      await Promise.all(loops);
+      await Promise.all(heartbeatLoops);
     },
   };
 }
--- a/packages/gypsumwall-membership/src/list_corrections.ts
+++ b/packages/gypsumwall-membership/src/list_corrections.ts
@@ -9,9 +9,9 @@
 /** Corrections by instance id. */
 export interface ListCorrections {
   /** Direct evidence that an instance is gone, such as a refusal. */
-  noteGone(id: string): void;
+  markRemoved(id: string): void;
   /** A peer's list shows the instance as leaving. */
-  noteLeaving(id: string): void;
+  markLeaving(id: string): void;
   /** The list as it should be read. */
   correct(
     instances: readonly platform.instanceList.ListedInstance[],
@@ -23,25 +23,25 @@
   clock: types.clock.Clock,
   listLagMs: number,
 ): ListCorrections {
-  const goneUntil = new Map<string, types.clock.MonotonicMs>();
+  const removedUntil = new Map<string, types.clock.MonotonicMs>();
   const leavingUntil = new Map<string, types.clock.MonotonicMs>();
 
-  function holds(
-    until: Map<string, types.clock.MonotonicMs>,
+  function isInForce(
+    deadlines: Map<string, types.clock.MonotonicMs>,
     id: string,
   ): boolean {
-    const deadline = until.get(id);
+    const deadline = deadlines.get(id);
     if (deadline === undefined) return false;
     if (clock.monotonic() < deadline) return true;
-    until.delete(id);
+    deadlines.delete(id);
     return false;
   }
 
   return {
-    noteGone: (id) => {
-      goneUntil.set(id, types.clock.after(clock.monotonic(), listLagMs));
+    markRemoved: (id) => {
+      removedUntil.set(id, types.clock.after(clock.monotonic(), listLagMs));
     },
-    noteLeaving: (id) => {
+    markLeaving: (id) => {
       leavingUntil.set(id, types.clock.after(clock.monotonic(), listLagMs));
     },
     correct: (instances) => {
@@ -50,9 +50,9 @@
         if (state === 'leaving') leavingUntil.set(id, staleAt);
       }
       return instances
-        .filter(({id}) => !holds(goneUntil, id))
+        .filter(({id}) => !isInForce(removedUntil, id))
         .map((instance) =>
-          holds(leavingUntil, instance.id)
+          isInForce(leavingUntil, instance.id)
             ? {...instance, state: 'leaving' as const}
             : instance,
         );
--- a/packages/gypsumwall-membership/src/peer_choice.ts
+++ b/packages/gypsumwall-membership/src/peer_choice.ts
@@ -8,17 +8,17 @@
 import type * as types from '@gypsumwall/types';
 
 /** Entries of another domain that are kept in touch with, if so many live. */
-export const REPRESENTATIVES = 2;
+export const REPRESENTATIVES_PER_DOMAIN = 2;
 
 /**
  * Peers of other domains that are called at the full rate; with more of them,
  * each is called more seldom, so that their cost stays the same.
  */
-export const FULL_RATE_PEERS = 8;
+export const MAX_FULL_RATE_PEERS = 8;
 
 /** How many times as long a heartbeat to another domain takes its turn. */
-export function slowdown(peersOfOtherDomains: number): number {
-  return Math.max(1, Math.ceil(peersOfOtherDomains / FULL_RATE_PEERS));
+export function slowdownFactor(peersOfOtherDomains: number): number {
+  return Math.max(1, Math.ceil(peersOfOtherDomains / MAX_FULL_RATE_PEERS));
 }
 
 /** An entry that could be kept in touch with. */
@@ -55,14 +55,14 @@
     others.set(candidate.failureDomain, [...known, candidate]);
   }
   for (const domain of others.values()) {
-    for (const {address} of representatives(chooser, domain)) {
+    for (const {address} of chooseRepresentatives(chooser, domain)) {
       chosen.add(address);
     }
   }
   return chosen;
 }
 
-function representatives(
+function chooseRepresentatives(
   chooser: Chooser,
   domain: readonly Candidate[],
 ): readonly Candidate[] {
@@ -71,11 +71,11 @@
     .sort((left, right) => (left.rank < right.rank ? -1 : 1))
     .map(({candidate}) => candidate);
   const chosen: Candidate[] = [];
-  let answering = 0;
+  let answeringCount = 0;
   for (const candidate of ranked) {
-    if (answering === REPRESENTATIVES) break;
+    if (answeringCount === REPRESENTATIVES_PER_DOMAIN) break;
     chosen.push(candidate);
-    if (!candidate.isSilent) answering++;
+    if (!candidate.isSilent) answeringCount++;
   }
   return chosen;
 }
--- a/packages/gypsumwall-membership/src/peer_client.ts
+++ b/packages/gypsumwall-membership/src/peer_client.ts
@@ -22,7 +22,7 @@
   /** For all calls that aren't given a time of their own. */
   readonly timeoutMs: number;
   /** How long calls on a replaced connection may go on. */
-  readonly retireMs?: number;
+  readonly retirementMs?: number;
 }
 
 /** One peer, as this process calls it. */
@@ -52,7 +52,7 @@
   close(): void;
 }
 
-const DEFAULT_RETIRE_MS = 30_000;
+const DEFAULT_RETIREMENT_MS = 30_000;
 const CONNECTION_REFUSED = 'ECONNREFUSED';
 
 interface Connection {
@@ -63,11 +63,11 @@
 /** Makes a client; it connects with its first call. */
 export function createPeerClient(options: PeerClientOptions): PeerClient {
   const {address} = options;
-  const retireMs = options.retireMs ?? DEFAULT_RETIRE_MS;
+  const retirementMs = options.retirementMs ?? DEFAULT_RETIREMENT_MS;
   const retiring = new Map<guardedSession.GuardedSession, NodeJS.Timeout>();
-  let connection = open();
+  let connection = openConnection();
 
-  function open(): Connection {
+  function openConnection(): Connection {
     const session = guardedSession.createGuardedSession(address);
     const transport = connectNode.createConnectTransport({
       baseUrl: address,
@@ -81,10 +81,10 @@
 
   async function call<Value>(
     step: string,
-    run: () => Promise<Value>,
+    send: () => Promise<Value>,
   ): Answer<Value> {
     try {
-      return result.ok(await run());
+      return result.ok(await send());
     } catch (thrown) {
       return result.err(peerError(step, address, thrown));
     }
@@ -93,34 +93,37 @@
   return {
     heartbeat: (req, timeoutMs = options.timeoutMs) =>
       call('peer.heartbeat', () =>
-        connection.service.heartbeat(req, within(timeoutMs)),
+        connection.service.heartbeat(req, callOptions(timeoutMs)),
       ),
     promiseClaim: (req, timeoutMs = options.timeoutMs) =>
       call('peer.promise_claim', () =>
-        connection.service.promiseClaim(req, within(timeoutMs)),
+        connection.service.promiseClaim(req, callOptions(timeoutMs)),
       ),
     witnessTakeover: (req, timeoutMs = options.timeoutMs) =>
       call('peer.witness_takeover', () =>
-        connection.service.witnessTakeover(req, within(timeoutMs)),
+        connection.service.witnessTakeover(req, callOptions(timeoutMs)),
       ),
     forward: (req, forwardTimeoutMs, signal) =>
       call('peer.forward', () =>
-        connection.service.forward(req, {...within(forwardTimeoutMs), signal}),
+        connection.service.forward(req, {
+          ...callOptions(forwardTimeoutMs),
+          signal,
+        }),
       ),
     readState: (req) =>
       call('peer.read_state', () =>
-        connection.service.readState(req, within(options.timeoutMs)),
+        connection.service.readState(req, callOptions(options.timeoutMs)),
       ),
     // Something between the ends can lose track of a connection: it stays
     // open and every call on it times out, while new ones would work. The old
     // one is not cut at once, since a slow peer may still be answering on it.
     replaceConnection: () => {
       const {session} = connection;
-      connection = open();
+      connection = openConnection();
       const timer = setTimeout(() => {
         retiring.delete(session);
         session.abort();
-      }, retireMs);
+      }, retirementMs);
       timer.unref();
       retiring.set(session, timer);
     },
@@ -140,7 +143,7 @@
  * of a millisecond would have the peer refuse every call as malformed, and
  * each peer would look silent to the others.
  */
-function within(timeoutMs: number): {timeoutMs: number} {
+function callOptions(timeoutMs: number): {timeoutMs: number} {
   return {timeoutMs: Math.max(1, Math.floor(timeoutMs))};
 }
 
--- a/packages/gypsumwall-membership/src/peer_link.ts
+++ b/packages/gypsumwall-membership/src/peer_link.ts
@@ -17,7 +17,7 @@
   readonly silenceMs: number;
   readonly listLagMs: number;
   /** Factor on both spans now; 1 or more. */
-  slowdown(): number;
+  slowdownFactor(): number;
   /** What this process says of itself. */
   ownHeartbeat(): Parameters<peerClient.PeerClient['heartbeat']>[0];
   onChange(): void;
@@ -31,32 +31,32 @@
   run(signal: AbortSignal): Promise<void>;
   peer(): domainView.PeerEntry;
   /** The list's word, to be repeated with each list; leaving beats live. */
-  noteListed(state: 'live' | 'leaving'): void;
+  onListed(state: 'live' | 'leaving'): void;
   /** Silent though it was called; false before the first answer is due. */
   isUnanswered(): boolean;
 }
 
-const HEARTBEATS_IN_SILENCE = 3;
+const HEARTBEAT_TIMEOUTS_PER_SILENCE = 3;
 
 /** Makes a link that has not heard its peer yet. */
 export function createPeerLink(options: PeerLinkOptions): PeerLink {
   const {address, failureDomain, client, clock} = options;
   // Short enough that a silent connection is replaced, and the next heartbeat
   // answered on a new one, before the peer itself counts as silent.
-  const timeoutMs = options.silenceMs / HEARTBEATS_IN_SILENCE;
+  const timeoutMs = options.silenceMs / HEARTBEAT_TIMEOUTS_PER_SILENCE;
   let entryId = types.ids.brand<types.ids.EntryId>('');
   let configOffset = 0;
-  let leaving = false;
+  let isLeaving = false;
   let listedLeavingUntil: types.clock.MonotonicMs | undefined;
-  let heardAt: types.clock.MonotonicMs | undefined;
-  let wasCalled = false;
-  let told = '';
+  let lastAnswerAt: types.clock.MonotonicMs | undefined;
+  let hasBeenCalled = false;
+  let announcedState = '';
 
   function state(): domainView.PeerEntry['state'] {
-    if (leaving || isListedLeaving()) return 'leaving';
-    if (heardAt === undefined) return 'silent';
-    const silenceMs = options.silenceMs * options.slowdown();
-    const silentAt = types.clock.after(heardAt, silenceMs);
+    if (isLeaving || isListedLeaving()) return 'leaving';
+    if (lastAnswerAt === undefined) return 'silent';
+    const silenceMs = options.silenceMs * options.slowdownFactor();
+    const silentAt = types.clock.after(lastAnswerAt, silenceMs);
     return clock.monotonic() < silentAt ? 'live' : 'silent';
   }
 
@@ -66,41 +66,41 @@
     return clock.monotonic() < listedLeavingUntil;
   }
 
-  function announce() {
+  function announceState() {
     const now = `${entryId} ${state()}`;
-    if (now === told) return;
-    told = now;
+    if (now === announcedState) return;
+    announcedState = now;
     options.onChange();
   }
 
-  function noteAnswer(res: protocol.peer.HeartbeatResponse) {
+  function applyAnswer(res: protocol.peer.HeartbeatResponse) {
     // Another id at the same address is a new process: nothing that was said
     // of the old one holds for it.
-    if (res.entryId !== entryId) leaving = false;
+    if (res.entryId !== entryId) isLeaving = false;
     entryId = types.ids.brand(res.entryId);
     configOffset = Number(res.configOffset);
-    leaving ||= res.leaving;
-    heardAt = clock.monotonic();
+    isLeaving ||= res.leaving;
+    lastAnswerAt = clock.monotonic();
     options.onLeavingInstances(res.leavingInstances);
   }
 
-  async function beat() {
+  async function sendHeartbeat() {
     const req = options.ownHeartbeat();
     const answer = await client.heartbeat(req, timeoutMs);
-    wasCalled = true;
+    hasBeenCalled = true;
     if (answer.isOk) {
-      noteAnswer(answer.value);
+      applyAnswer(answer.value);
     } else if (answer.error.effect === 'unknown') {
       client.replaceConnection();
     } else {
       // Refused: the process is gone, and silent from now on.
-      heardAt = undefined;
+      lastAnswerAt = undefined;
     }
-    announce();
+    announceState();
   }
 
   return {
-    isUnanswered: () => wasCalled && state() === 'silent',
+    isUnanswered: () => hasBeenCalled && state() === 'silent',
     peer: () => ({
       entryId,
       failureDomain,
@@ -108,18 +108,18 @@
       state: state(),
       configOffset,
     }),
-    noteListed: (listed) => {
+    onListed: (listed) => {
       if (listed === 'leaving') {
         const now = clock.monotonic();
         listedLeavingUntil = types.clock.after(now, options.listLagMs);
       }
-      announce();
+      announceState();
     },
     run: async (signal) => {
       while (!signal.aborted) {
         const sentAt = clock.monotonic();
-        await beat();
-        const spanMs = options.heartbeatMs * options.slowdown();
+        await sendHeartbeat();
+        const spanMs = options.heartbeatMs * options.slowdownFactor();
         const nextAt = types.clock.after(sentAt, spanMs);
         await clock.sleepUntil(nextAt, signal);
       }
