--- a/packages/gypsumwall-membership/src/__fixtures__/claim_world.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/claim_world.ts
@@ -271,10 +271,10 @@
       caughtUp: () => entry.caughtUp,
       view: () => viewOf(entry),
       peers: {
-        promise: (peer, ask) =>
-          call(entry, peer, (target) => target.answerPromise(ask)),
-        witness: (peer, ask) =>
-          call(entry, peer, (target) => target.answerWitness(ask)),
+        requestPromise: (peer, req) =>
+          call(entry, peer, (target) => target.answerPromise(req)),
+        requestWitness: (peer, req) =>
+          call(entry, peer, (target) => target.answerWitness(req)),
       },
       onChange: (state) => {
         if (state.type === 'held') counts.claims++;
--- a/packages/gypsumwall-membership/src/__tests__/claim_calls.test.ts
+++ b/packages/gypsumwall-membership/src/__tests__/claim_calls.test.ts
@@ -8,29 +8,32 @@
 const TIMEOUT_MS = 200;
 const holder = types.ids.brand<types.ids.EntryId>('holder');
 const taker = types.ids.brand<types.ids.EntryId>('taker');
-const ask = {holder, epoch: 4, seen: 9, promiseMs: 60_000};
+const promiseRequest = {holder, epoch: 4, seen: 9, promiseMs: 60_000};
 
 nodeTest.test('a promise blocks a witness until it runs out', async () => {
   const peer = await peerFixture.startPeer('p', peerFixture.createFakeList());
   const calls = claimCalls.createClaimCalls(peer.clients);
-  assert.deepEqual(await calls.promise(peer, ask, TIMEOUT_MS), {
-    type: 'promised',
-  });
-  const early = await calls.witness(
+  assert.deepEqual(
+    await calls.requestPromise(peer, promiseRequest, TIMEOUT_MS),
+    {
+      type: 'promised',
+    },
+  );
+  const early = await calls.requestWitness(
     peer,
     {taker, epoch: 4, seen: 9},
     TIMEOUT_MS,
   );
   assert.equal(early.type, 'wait');
-  const free = await calls.witness(
+  const free = await calls.requestWitness(
     peer,
     {taker, epoch: 2, seen: 3},
     TIMEOUT_MS,
   );
   assert.deepEqual(free, {type: 'released'});
-  const late = await calls.promise(
+  const late = await calls.requestPromise(
     peer,
-    {...ask, epoch: 2, seen: 3},
+    {...promiseRequest, epoch: 2, seen: 3},
     TIMEOUT_MS,
   );
   assert.equal(late.type, 'refused');
@@ -50,21 +53,34 @@
   const {address} = peer;
   const former = types.ids.brand<types.ids.EntryId>('former');
   assert.deepEqual(
-    await calls.promise({entryId: former, address}, ask, TIMEOUT_MS),
+    await calls.requestPromise(
+      {entryId: former, address},
+      promiseRequest,
+      TIMEOUT_MS,
+    ),
     {
       type: 'gone',
     },
   );
   const proxied = {entryId: peer.entryId, address: proxy.address};
-  assert.deepEqual(await calls.promise(proxied, ask, TIMEOUT_MS), {
-    type: 'promised',
-  });
+  assert.deepEqual(
+    await calls.requestPromise(proxied, promiseRequest, TIMEOUT_MS),
+    {
+      type: 'promised',
+    },
+  );
   proxy.silenceOpenConnections();
-  assert.deepEqual(await calls.promise(proxied, ask, TIMEOUT_MS), {
-    type: 'silent',
-  });
+  assert.deepEqual(
+    await calls.requestPromise(proxied, promiseRequest, TIMEOUT_MS),
+    {
+      type: 'silent',
+    },
+  );
   await peer.stop();
-  assert.deepEqual(await calls.promise(peer, ask, TIMEOUT_MS), {type: 'gone'});
+  assert.deepEqual(
+    await calls.requestPromise(peer, promiseRequest, TIMEOUT_MS),
+    {type: 'gone'},
+  );
   await caller.stop();
   await proxy.close();
 });
--- a/packages/gypsumwall-membership/src/bin/handover_bench.ts
+++ b/packages/gypsumwall-membership/src/bin/handover_bench.ts
@@ -181,10 +181,10 @@
       caughtUp: () => true,
       view: () => viewOf(entryId),
       peers: {
-        promise: (peer, ask) =>
-          call(peer, (target) => target.answerPromise(ask)),
-        witness: (peer, ask) =>
-          call(peer, (target) => target.answerWitness(ask)),
+        requestPromise: (peer, req) =>
+          call(peer, (target) => target.answerPromise(req)),
+        requestWitness: (peer, req) =>
+          call(peer, (target) => target.answerWitness(req)),
       },
       onChange: (state: domainClaim.ClaimState) => {
         if (state.type === 'held') onHeld?.();
--- a/packages/gypsumwall-membership/src/claim_calls.ts
+++ b/packages/gypsumwall-membership/src/claim_calls.ts
@@ -1,23 +1,23 @@
-/** Asks the peers named on a claim over the peer service. */
+/** Calls the peers named on a claim over the peer service. */
 import type * as result from 'true-myth/result';
 import type * as types from '@gypsumwall/types';
 import type * as claimPeers from './claim_peers.js';
 import * as peerClient from './peer_client.js';
 import type * as peerClients from './peer_clients.js';
 
-/** Makes the calls. */
+/** Creates the calls on the given clients. */
 export function createClaimCalls(
   clients: peerClients.PeerClients,
 ): claimPeers.ClaimPeers {
   return {
-    promise: async (peer, ask, timeoutMs) => {
+    requestPromise: async (peer, req, timeoutMs) => {
       if (peer.address === '') return {type: 'silent'};
       const answer = await clients.at(peer.address).promiseClaim(
         {
-          holder: ask.holder,
-          epoch: BigInt(ask.epoch),
-          seen: BigInt(ask.seen),
-          promiseMs: BigInt(Math.ceil(ask.promiseMs)),
+          holder: req.holder,
+          epoch: BigInt(req.epoch),
+          seen: BigInt(req.seen),
+          promiseMs: BigInt(Math.ceil(req.promiseMs)),
         },
         timeoutMs,
       );
@@ -27,13 +27,13 @@
           : {type: 'refused', reason: res.refusalReason},
       );
     },
-    witness: async (peer, ask, timeoutMs) => {
+    requestWitness: async (peer, req, timeoutMs) => {
       if (peer.address === '') return {type: 'silent'};
       const answer = await clients.at(peer.address).witnessTakeover(
         {
-          taker: ask.taker,
-          epoch: BigInt(ask.epoch),
-          seen: BigInt(ask.seen),
+          taker: req.taker,
+          epoch: BigInt(req.epoch),
+          seen: BigInt(req.seen),
         },
         timeoutMs,
       );
@@ -47,9 +47,10 @@
 }
 
 /**
- * The peer's reply, or what its lack means. A refused connection proves that
- * the process ended, since a paused one's kernel still accepts; so does an
- * answer of another process. Any other failure proves nothing.
+ * The peer's reply, or what a missing reply means. A refused connection proves
+ * that the process ended, since the kernel still accepts connections for a
+ * paused process. An answer of another process proves it too. Any other failure
+ * proves nothing.
  */
 function toReply<Response extends {readonly entryId: string}, Reply>(
   peer: claimPeers.NamedPeer,
--- a/packages/gypsumwall-membership/src/claim_fold.ts
+++ b/packages/gypsumwall-membership/src/claim_fold.ts
@@ -1,18 +1,19 @@
 /**
- * Folds the claim records of a domain's stream. Which record counts depends
- * on the records before it alone, so all readers agree on the newest claim.
+ * Folds the claim records of a domain's stream into the newest claim. Whether
+ * a record is valid depends only on the records before it, so all readers
+ * agree on the newest claim.
  *
- * The fold must see the stream from its first record on, or be restored from
- * a snapshot: readers that start in different places don't agree.
+ * The fold must read the stream from its first record, or be restored from a
+ * snapshot: readers that start at other offsets would not agree.
  */
 import type * as records from '@gypsumwall/records';
 import type * as types from '@gypsumwall/types';
 
-/** The newest claim that counts, as its newest renewal states it. */
+/** The newest valid claim, with the terms of its newest valid renewal. */
 export interface NewestClaim {
   /** Offset of the claim's record. */
   readonly epoch: number;
-  /** Offset of its newest record that counts: claim, renewal or release. */
+  /** Offset of its newest valid record: claim, renewal or release. */
   readonly head: number;
   readonly holder: types.ids.EntryId;
   readonly named: readonly types.ids.EntryId[];
@@ -20,16 +21,16 @@
   readonly ttlMs: number;
   readonly allGoneMs: number;
   readonly released: boolean;
-  /** The claim before it; null for a domain's first. */
+  /** Epoch of the claim that it replaced; null for a domain's first claim. */
   readonly replaces: number | null;
 }
 
-/** Follows a domain's claim. */
+/** Tracks the newest claim of one domain. */
 export interface ClaimFold {
   /**
-   * Takes the next record; returns whether it changed the newest claim.
-   * `readAt` is a moment after the record's page had arrived: too late a
-   * moment only makes this entry wait longer.
+   * Applies the next record; returns whether it changed the newest claim.
+   * `readAt` is a moment after the record's page arrived. A moment that is too
+   * late only makes this entry wait longer.
    */
   apply(
     offset: number,
@@ -37,16 +38,16 @@
     readAt: types.clock.MonotonicMs,
   ): boolean;
   newest(): NewestClaim | undefined;
-  /** When the newest claim's head was read here. */
+  /** When this process read the newest claim's head. */
   headReadAt(): types.clock.MonotonicMs;
-  /** Puts a snapshot's claim in place of all records before it. */
+  /** Replaces the state by the claim that a snapshot holds. */
   restore(
     newest: NewestClaim | undefined,
     readAt: types.clock.MonotonicMs,
   ): void;
 }
 
-/** Makes a fold that has read nothing yet. */
+/** Creates a fold that has read no records yet. */
 export function createClaimFold(): ClaimFold {
   let newest: NewestClaim | undefined;
   let headReadAt = 0 as types.clock.MonotonicMs;
@@ -67,7 +68,7 @@
   };
 }
 
-/** The newest claim after one more record; the same object if unchanged. */
+/** The newest claim after the record; the same object if it is unchanged. */
 function nextClaim(
   newest: NewestClaim | undefined,
   offset: number,
@@ -108,7 +109,7 @@
   }
 }
 
-/** A renewal or release counts only from the newest claim's own holder. */
+/** Whether a renewal or release comes from the holder of the newest claim. */
 function isByHolder(
   newest: NewestClaim,
   record: {readonly epoch: number; readonly holder: types.ids.EntryId},
--- a/packages/gypsumwall-membership/src/claim_holder.ts
+++ b/packages/gypsumwall-membership/src/claim_holder.ts
@@ -1,6 +1,7 @@
 /**
- * The holder's part: it renews its claim through the log and, when the log
- * doesn't answer, by the promises of every peer named on the claim.
+ * The holder's part of the claim protocol. The holder renews its claim through
+ * the log or, while the log doesn't answer, by promises of all peers named on
+ * the claim.
  */
 import type * as records from '@gypsumwall/records';
 import * as types from '@gypsumwall/types';
@@ -11,31 +12,31 @@
 import type * as claimPeers from './claim_peers.js';
 import type * as loopTrigger from './loop_trigger.js';
 
-/** Most peers named on a claim; each one can block a renewal by silence. */
+/** Each named peer that doesn't answer blocks a renewal by promises. */
 export const MAX_NAMED_PEERS = 4;
 
-/** Keeps this entry's claim alive. */
+/** Appends and renews this entry's claim. */
 export interface ClaimHolder {
-  /** Until when the claim is surely this entry's; undefined if it isn't. */
+  /** Until when this entry holds the claim; undefined if it doesn't hold it. */
   deadline(newest: claimFold.NewestClaim): types.clock.MonotonicMs | undefined;
-  /** Appends a claim; it's held once the log has been read up to it. */
+  /** Appends a claim, which is held once it was read back from the log. */
   claim(
     replaced: claimFold.NewestClaim | undefined,
     witness: records.domainRecords.Witness,
   ): Promise<void>;
-  /** Renews once. Ends within the patience for log and peers. */
+  /** Renews once; ends within the timeouts of the log and of the peers. */
   renew(newest: claimFold.NewestClaim): Promise<void>;
-  /** To be called whenever the newest claim changed. */
+  /** Must be called after each change of the newest claim. */
   onNewestClaim(newest: claimFold.NewestClaim): void;
 }
 
-/** A renewal sent through the log of which it isn't known if it counts. */
+/** A renewal that was sent to the log and may or may not be valid there. */
 interface UnconfirmedRenewal {
   readonly seen: number;
   readonly peers: readonly claimPeers.NamedPeer[];
 }
 
-/** Makes the holder's part of a keeper. */
+/** Creates the holder's part of a keeper. */
 export function createClaimHolder(
   options: claimKeeperOptions.ClaimKeeperOptions,
   fold: claimFold.ClaimFold,
@@ -47,17 +48,20 @@
     options.allGoneMs ?? ttlMs * claimTiming.DEFAULT_ALL_GONE_TTLS;
   const sentAtByOffset = new Map<number, types.clock.MonotonicMs>();
   /**
-   * Named peers that ended before they could let anyone take the claim. One
-   * found gone after the deadline may have taken the claim itself before it
-   * ended, and this process, cut off from the log, would hold beside the next.
+   * Named peers whose processes ended before they could release the claim to a
+   * taker. Only peers found ended before the deadline are added: one that is
+   * found later may have taken over the claim before it ended. This process,
+   * cut off from the log, would then hold the claim at the same time as the
+   * next holder.
    */
   const endedPeers = new Set<types.ids.EntryId>();
   let held: {epoch: number; deadline: types.clock.MonotonicMs} | undefined;
   /**
-   * Named peers can't stop a taker whose witness is `all_gone`: to it this
-   * process and they have long been off the list, though they are only cut
-   * off. So a holder goes on by promises only as long as the log or the list
-   * keeps proving that the platform sees it.
+   * Named peers can't stop a taker whose witness is `all_gone`: that taker has
+   * not seen this process and the named peers on the list for a long time,
+   * although they may only be cut off from the platform. A holder therefore
+   * renews by promises only while the log or the list proves that the platform
+   * sees it.
    */
   let unconfirmedUntil: types.clock.MonotonicMs | undefined;
   let unconfirmedRenewals: UnconfirmedRenewal[] = [];
@@ -70,9 +74,10 @@
   }
 
   /**
-   * An append's answer only tells the offset. Whether the record counts is
-   * known once the log has been read up to it: a taker's claim may stand
-   * before it, and a holder that trusted the answer would hold beside it.
+   * The answer to an append contains only the offset. Whether the record is
+   * valid is known once the log was read up to it: a taker's claim may precede
+   * it, and a holder that relied on the answer would hold the claim at the same
+   * time as that taker.
    */
   function onNewestClaim(newest: claimFold.NewestClaim) {
     unconfirmedRenewals = unconfirmedRenewals.filter(
@@ -95,7 +100,7 @@
     );
   }
 
-  /** Returns whether the record is in the log or may still appear there. */
+  /** Returns whether the record is in the log or may still appear in it. */
   async function append(record: records.domainRecords.DomainRecord) {
     const sentAt = clock.monotonic();
     const answer = await options.appendRecord(record);
@@ -129,8 +134,9 @@
 
   async function renewByLog(newest: claimFold.NewestClaim) {
     const peers = selectPeersToName();
-    // From here on a taker may have read this renewal and go by its names,
-    // so they are asked too until the log shows whether it counts.
+    // From now on a taker may read this renewal and call the peers that it
+    // names. Promises of these peers are therefore required too, until the log
+    // shows whether the renewal is valid.
     const doubt = {seen: newest.head, peers};
     unconfirmedRenewals.push(doubt);
     isAppending = true;
@@ -159,7 +165,7 @@
     return held?.epoch === epoch && clock.monotonic() < held.deadline;
   }
 
-  /** Whether the deadline already counts from `since` or later. */
+  /** Whether the deadline results from a renewal sent at `since` or later. */
   function isRenewedSince(epoch: number, since: types.clock.MonotonicMs) {
     const requiredDeadline = claimTiming.holderDeadline(since, ttlMs);
     return held?.epoch === epoch && held.deadline >= requiredDeadline;
@@ -167,7 +173,7 @@
 
   async function renewByPromises(newest: claimFold.NewestClaim) {
     const sentAt = clock.monotonic();
-    const asked = [
+    const requiredPeers = [
       ...resolveNamedPeers(newest, options.view()),
       ...unconfirmedRenewals.flatMap((doubt) => doubt.peers),
     ].filter(
@@ -182,21 +188,25 @@
       promiseMs: newest.ttlMs,
     };
     const confirmations = await Promise.all(
-      asked.map(async (peer) => {
-        const reply = await options.peers.promise(peer, req, callTimeoutMs);
+      requiredPeers.map(async (peer) => {
+        const reply = await options.peers.requestPromise(
+          peer,
+          req,
+          callTimeoutMs,
+        );
         if (reply.type === 'gone' && isHeld(newest.epoch)) {
           endedPeers.add(peer.entryId);
         }
         return reply.type === 'promised' || endedPeers.has(peer.entryId);
       }),
     );
-    const now = fold.newest();
-    if (now?.epoch !== newest.epoch || now.released) return;
-    if (!confirmations.every((safe) => safe)) {
+    const current = fold.newest();
+    if (current?.epoch !== newest.epoch || current.released) return;
+    if (!confirmations.every((isConfirmed) => isConfirmed)) {
       logger.warn('claim_promise_missing', {
         epoch: newest.epoch,
-        asked: asked.length,
-        missing: confirmations.filter((safe) => !safe).length,
+        asked: requiredPeers.length,
+        missing: confirmations.filter((isConfirmed) => !isConfirmed).length,
       });
       return;
     }
@@ -209,21 +219,24 @@
     );
   }
 
-  /** Takes the list into account; returns when promises end to suffice. */
+  /**
+   * Until when promises suffice for a renewal. Extends that moment if the list
+   * has shown this process in time.
+   */
   function promiseRenewalLimit(newest: claimFold.NewestClaim) {
     const {selfListedAt} = options.view();
     if (unconfirmedUntil === undefined || selfListedAt === undefined) {
       return unconfirmedUntil;
     }
-    const until = claimTiming.unconfirmedDeadline(
+    const confirmedUntil = claimTiming.unconfirmedDeadline(
       selfListedAt,
       newest.allGoneMs,
       options.listLagMs,
     );
-    // A gap in the proofs can't be mended by a later list: in the gap a taker
-    // may have sent its claim, which may reach the log at any later moment.
+    // A later list can't close a gap between two proofs: during the gap a taker
+    // may have sent its claim, which can reach the log at any later moment.
     if (selfListedAt >= unconfirmedUntil) return unconfirmedUntil;
-    if (until > unconfirmedUntil) unconfirmedUntil = until;
+    if (confirmedUntil > unconfirmedUntil) unconfirmedUntil = confirmedUntil;
     return unconfirmedUntil;
   }
 
@@ -252,7 +265,7 @@
   };
 }
 
-/** The peers that a claim names, with their addresses. */
+/** The peers named on a claim, with their addresses. */
 export function resolveNamedPeers(
   newest: claimFold.NewestClaim,
   view: domainView.DomainView,
@@ -261,8 +274,9 @@
 }
 
 /**
- * The holder or a named peer of a claim. Where it was heard comes before what
- * the claim says: addresses may be translated on the way.
+ * The holder or a named peer of a claim. The address at which this process
+ * reaches it takes precedence over the one on the claim, since addresses may be
+ * translated between the two.
  */
 export function resolvePeer(
   newest: claimFold.NewestClaim,
--- a/packages/gypsumwall-membership/src/claim_keeper.ts
+++ b/packages/gypsumwall-membership/src/claim_keeper.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps an entry's part in the claim on its failure domain: holds it, or
- * waits to take it, and answers as a peer named on it.
+ * Runs an entry's part of the claim protocol of its failure domain: holds the
+ * claim or waits to take it over, and answers as a peer named on it.
  */
 import * as result from 'true-myth/result';
 import type * as records from '@gypsumwall/records';
@@ -15,38 +15,38 @@
 import type * as domainClaim from './domain_claim.js';
 import * as loopTrigger from './loop_trigger.js';
 
-/** An entry's part in its domain's claim. */
+/** An entry's part of the claim protocol of its domain. */
 export interface ClaimKeeper {
-  /** The one loop: renews or waits to take, until `signal` aborts. */
+  /** Renews the claim or waits to take it over, until `signal` aborts. */
   run(signal: AbortSignal): Promise<void>;
-  /** Takes a record of the domain's stream; see `ClaimFold.apply`. */
+  /** Applies a record of the domain's stream; see `ClaimFold.apply`. */
   apply(
     offset: number,
     record: records.domainRecords.DomainRecord,
     readAt: types.clock.MonotonicMs,
   ): void;
-  /** For a snapshot of the stream. */
+  /** The newest claim, to be stored in a snapshot of the stream. */
   newest(): claimFold.NewestClaim | undefined;
-  /** Takes a snapshot's claim; see `ClaimFold.restore`. */
+  /** Restores a snapshot's claim; see `ClaimFold.restore`. */
   restore(
     newest: claimFold.NewestClaim | undefined,
     readAt: types.clock.MonotonicMs,
   ): void;
-  /** Looks at the clock: a process that was paused finds its claim lapsed. */
+  /** Reads the clock, so that a paused process finds its claim lapsed. */
   state(): domainClaim.ClaimState;
   /**
-   * Gives the claim up for good and lets the next entry claim at once. Call
-   * it when every start has been answered or its `startBy` has passed: a
-   * start still on its way would reach its worker beside the next holder's.
-   * And call it before the peer service closes: a closed port is the proof
-   * that this process holds nothing.
+   * Releases the claim for the rest of this process's life, so that the next
+   * entry can claim at once. Call it only after every start was answered or
+   * its `startBy` has passed: a start still in flight could reach its worker
+   * together with a start of the next holder. Call it before the peer service
+   * closes: peers take a closed port as proof that this process holds no claim.
    */
   release(): Promise<result.Result<void, types.stepError.StepError>>;
-  answerPromise(ask: claimPeers.PromiseRequest): claimPeers.PromiseReply;
-  answerWitness(ask: claimPeers.WitnessRequest): claimPeers.WitnessReply;
+  answerPromise(req: claimPeers.PromiseRequest): claimPeers.PromiseReply;
+  answerWitness(req: claimPeers.WitnessRequest): claimPeers.WitnessReply;
 }
 
-/** Makes a keeper; nothing happens before `run`. */
+/** Creates a keeper; it does nothing before `run`. */
 export function createClaimKeeper(
   options: claimKeeperOptions.ClaimKeeperOptions,
 ): ClaimKeeper {
@@ -58,7 +58,7 @@
   const holder = claimHolder.createClaimHolder(options, fold, loop);
   const taker = claimTaker.createClaimTaker(options, fold, promises);
   let hasReleased = false;
-  let announcedState = 'none';
+  let reportedState = 'none';
 
   function state(): domainClaim.ClaimState {
     const newest = fold.newest();
@@ -78,13 +78,14 @@
     return {type: 'held', epoch, deadline};
   }
 
-  function announceState() {
-    const now = state();
-    const text = now.type === 'none' ? 'none' : `${now.type} ${now.epoch}`;
-    if (text === announcedState) return;
-    logger.info('claim_changed', {from: announcedState, to: text});
-    announcedState = text;
-    options.onChange?.(now);
+  function reportState() {
+    const current = state();
+    const stateText =
+      current.type === 'none' ? 'none' : `${current.type} ${current.epoch}`;
+    if (stateText === reportedState) return;
+    logger.info('claim_changed', {from: reportedState, to: stateText});
+    reportedState = stateText;
+    options.onChange?.(current);
   }
 
   function onNewestClaim() {
@@ -94,10 +95,10 @@
       holder.onNewestClaim(newest);
     }
     loop.trigger();
-    announceState();
+    reportState();
   }
 
-  /** Returns when to look again. */
+  /** Returns when to run the next iteration. */
   async function renewClaim(
     newest: claimFold.NewestClaim,
   ): Promise<types.clock.MonotonicMs> {
@@ -106,7 +107,7 @@
     return types.clock.after(startedAt, ttlMs / claimTiming.RENEWALS_PER_TTL);
   }
 
-  /** Returns when to look again. */
+  /** Returns when to run the next iteration. */
   async function tryTakeover(): Promise<types.clock.MonotonicMs> {
     const turnAt = taker.turnAt();
     const nextCheckAt = types.clock.after(clock.monotonic(), callTimeoutMs);
@@ -116,7 +117,7 @@
     if (!options.caughtUp()) return nextCheckAt;
     const before = fold.newest();
     const witness = await taker.findWitness();
-    // Asking took time: the holder's renewal may have come in meanwhile.
+    // The holder's renewal may have arrived during the calls to the peers.
     if (witness === undefined || fold.newest() !== before) return nextCheckAt;
     if (hasReleased) return nextCheckAt;
     await holder.claim(before, witness);
@@ -131,21 +132,22 @@
       const newest = fold.newest();
       const isOwn = newest?.holder === self && !newest.released;
       const nextAt = isOwn ? await renewClaim(newest) : await tryTakeover();
-      announceState();
+      reportState();
       const newestSeen = fold.newest();
       await loop.waitUntil(
         nextAt,
         () => signal.aborted || hasReleased || fold.newest() !== newestSeen,
       );
     }
-    announceState();
+    reportState();
   }
 
   async function release() {
-    // First of all, so that no renewal under way can bring the claim back.
+    // Set before anything else, so that a renewal in flight can't restore the
+    // claim.
     hasReleased = true;
     loop.trigger();
-    announceState();
+    reportState();
     const newest = fold.newest();
     if (newest?.holder !== self || newest.released) {
       return result.ok<void, types.stepError.StepError>(undefined);
@@ -163,8 +165,8 @@
     state,
     release,
     newest: () => fold.newest(),
-    answerPromise: (ask) => promises.answerPromise(ask),
-    answerWitness: (ask) => promises.answerWitness(ask),
+    answerPromise: (req) => promises.answerPromise(req),
+    answerWitness: (req) => promises.answerWitness(req),
     apply: (offset, record, readAt) => {
       if (fold.apply(offset, record, readAt)) onNewestClaim();
     },
--- a/packages/gypsumwall-membership/src/claim_keeper_options.ts
+++ b/packages/gypsumwall-membership/src/claim_keeper_options.ts
@@ -1,4 +1,4 @@
-/** What the parts of a claim keeper are given. */
+/** Options that the parts of a claim keeper share. */
 import type * as result from 'true-myth/result';
 import type * as records from '@gypsumwall/records';
 import type * as telemetry from '@gypsumwall/telemetry';
@@ -11,27 +11,28 @@
 export interface ClaimKeeperOptions {
   readonly self: types.ids.EntryId;
   readonly failureDomain: types.ids.FailureDomain;
-  /** Address of this process's peer service, as peers reach it. */
+  /** Address at which peers reach this process's peer service. */
   readonly address: string;
   readonly clock: types.clock.Clock;
   readonly random: types.random.Random;
   readonly logger: telemetry.logger.Logger;
   readonly ttlMs: number;
-  /** How old the instance list may be at worst. */
+  /** Maximum age of the instance list. */
   readonly listLagMs: number;
-  /** See `ClaimTerms.allGoneMs`; `ALL_GONE_TTLS` ttls when absent. */
+  /** See `ClaimTerms.allGoneMs`; default `DEFAULT_ALL_GONE_TTLS` ttls. */
   readonly allGoneMs?: number;
   /**
-   * Appends to the domain's stream. Resolves a lost answer by reading back.
-   * An error's effect is `not_run` only if the record never can appear.
+   * Appends to the domain's stream. If the answer is lost, it reads the stream
+   * to find out whether the record was written. An error's effect is `not_run`
+   * only if the record can never appear.
    */
   appendRecord(
     record: records.domainRecords.DomainRecord,
   ): Promise<result.Result<{offset: number}, types.stepError.StepError>>;
-  /** Whether the stream has lately been read up to its end. */
+  /** Whether the stream was recently read up to its end. */
   caughtUp(): boolean;
   view(): domainView.DomainView;
   readonly peers: claimPeers.ClaimPeers;
-  /** Called when the state's type or epoch has changed. */
+  /** Called after the state's type or epoch changed. */
   onChange?(state: domainClaim.ClaimState): void;
 }
--- a/packages/gypsumwall-membership/src/claim_peers.ts
+++ b/packages/gypsumwall-membership/src/claim_peers.ts
@@ -1,57 +1,57 @@
-/** What holder, named peers and takers of a claim say to each other. */
+/** Requests and replies between holder, named peers and takers of a claim. */
 import type * as types from '@gypsumwall/types';
 
-/** A process named on a claim, and where it was when it was named. */
+/** A process named on a claim, and its address. */
 export interface NamedPeer {
   readonly entryId: types.ids.EntryId;
   readonly address: string;
 }
 
-/** A holder asks a named peer not to let its claim be taken for a while. */
+/** Asks a named peer to block takeovers of the holder's claim for some time. */
 export interface PromiseRequest {
   readonly holder: types.ids.EntryId;
   readonly epoch: number;
-  /** Offset of the newest renewal that the holder knows. */
+  /** Offset of the newest renewal that the holder has read. */
   readonly seen: number;
   readonly promiseMs: number;
 }
 
-/** A taker asks a named peer whether the claim may be taken. */
+/** Asks a named peer whether a taker may take over the claim. */
 export interface WitnessRequest {
   readonly taker: types.ids.EntryId;
   readonly epoch: number;
-  /** Offset of the newest renewal that the taker read. */
+  /** Offset of the newest renewal that the taker has read. */
   readonly seen: number;
 }
 
-/** The named peer's own answer to a holder. */
+/** A named peer's reply to a holder. */
 export type PromiseReply =
   | {readonly type: 'promised'}
   | {readonly type: 'refused'; readonly reason: string};
 
-/** The named peer's own answer to a taker. */
+/** A named peer's reply to a taker. */
 export type WitnessReply =
   | {readonly type: 'released'}
   | {readonly type: 'wait'; readonly waitMs: number};
 
 /**
- * What became of asking a peer, beside its own answer.
- * - `gone`: the process has ended for sure: its address refuses connections,
- *   or another process answers there. Ids are never used twice.
- * - `silent`: anything else; the peer may live and may have acted.
+ * The outcome of a call that the peer didn't answer.
+ * - `gone`: the process has certainly ended, because its address refuses
+ *   connections or another process answers there. Ids are never reused.
+ * - `silent`: any other failure. The peer may be alive and may have acted.
  */
 export type NoReply = {readonly type: 'gone'} | {readonly type: 'silent'};
 
-/** Asks named peers. Neither call throws; both end within `timeoutMs`. */
+/** Calls to named peers. They never reject, and end within `timeoutMs`. */
 export interface ClaimPeers {
-  promise(
+  requestPromise(
     peer: NamedPeer,
-    ask: PromiseRequest,
+    req: PromiseRequest,
     timeoutMs: number,
   ): Promise<PromiseReply | NoReply>;
-  witness(
+  requestWitness(
     peer: NamedPeer,
-    ask: WitnessRequest,
+    req: WitnessRequest,
     timeoutMs: number,
   ): Promise<WitnessReply | NoReply>;
 }
--- a/packages/gypsumwall-membership/src/claim_promises.ts
+++ b/packages/gypsumwall-membership/src/claim_promises.ts
@@ -1,31 +1,31 @@
 /**
- * The part of a peer named on a claim: it promises a holder to let nobody
- * take the claim for a while, and tells a taker once no promise is left.
- * It remembers this in memory only: a process that restarts has a new id,
- * and the word of an id that nobody named counts for nothing.
+ * The part of a peer named on a claim. It promises the holder not to let any
+ * taker have the claim for some time, and releases the claim to a taker once no
+ * promise is in force. The state is only in memory: a restarted process has a
+ * new id, and promises and releases of an id that no claim names have no effect.
  */
 import * as types from '@gypsumwall/types';
 import type * as claimPeers from './claim_peers.js';
 
-/** A named peer's promises. */
+/** The promises and releases of a named peer. */
 export interface ClaimPromises {
-  answerPromise(ask: claimPeers.PromiseRequest): claimPeers.PromiseReply;
-  answerWitness(ask: claimPeers.WitnessRequest): claimPeers.WitnessReply;
-  /** Forgets claims older than the newest; they can't be asked about. */
+  answerPromise(req: claimPeers.PromiseRequest): claimPeers.PromiseReply;
+  answerWitness(req: claimPeers.WitnessRequest): claimPeers.WitnessReply;
+  /** Removes the state of claims that are older than the newest one. */
   forgetBefore(epoch: number): void;
 }
 
-/** What was said about one claim. */
+/** What this peer promised and released for one claim. */
 interface PromiseState {
-  /** No release before it. */
+  /** The claim isn't released to a taker before this moment. */
   promisedUntil: types.clock.MonotonicMs;
-  /** No promise any more to a holder that knows only this or older. */
+  /** A holder that has seen only this offset or a lower one gets no promise. */
   releasedSeen: number;
 }
 
 const NEVER_RELEASED = -1;
 
-/** Makes the promises of a process that has given none. */
+/** Creates the state of a process that has promised nothing yet. */
 export function createClaimPromises(clock: types.clock.Clock): ClaimPromises {
   const stateByEpoch = new Map<number, PromiseState>();
   let oldestEpoch = 0;
@@ -40,27 +40,28 @@
   }
 
   return {
-    answerPromise: (ask) => {
-      if (ask.epoch < oldestEpoch) {
+    answerPromise: (req) => {
+      if (req.epoch < oldestEpoch) {
         return {type: 'refused', reason: `claim ${oldestEpoch} is newer`};
       }
-      const state = stateOf(ask.epoch);
-      // The taker that was released may claim at any later moment. Only a
-      // renewal in the log after what it saw can make that claim not count.
-      if (ask.seen <= state.releasedSeen) {
+      const state = stateOf(req.epoch);
+      // A taker that got a release may claim at any later moment. Only a
+      // renewal in the log after the offset that the taker saw invalidates that
+      // claim.
+      if (req.seen <= state.releasedSeen) {
         return {type: 'refused', reason: `released at ${state.releasedSeen}`};
       }
-      const until = types.clock.after(clock.monotonic(), ask.promiseMs);
+      const until = types.clock.after(clock.monotonic(), req.promiseMs);
       if (until > state.promisedUntil) state.promisedUntil = until;
       return {type: 'promised'};
     },
-    answerWitness: (ask) => {
-      const state = stateOf(ask.epoch);
+    answerWitness: (req) => {
+      const state = stateOf(req.epoch);
       const waitMs = state.promisedUntil - clock.monotonic();
-      // A promise holds for every renewal of the claim: the holder may not
-      // know that its last one reached the log.
+      // A promise covers every renewal of the claim, since the holder may not
+      // know that its last renewal reached the log.
       if (waitMs > 0) return {type: 'wait', waitMs};
-      state.releasedSeen = Math.max(state.releasedSeen, ask.seen);
+      state.releasedSeen = Math.max(state.releasedSeen, req.seen);
       return {type: 'released'};
     },
     forgetBefore: (epoch) => {
--- a/packages/gypsumwall-membership/src/claim_taker.ts
+++ b/packages/gypsumwall-membership/src/claim_taker.ts
@@ -1,6 +1,6 @@
 /**
- * The taker's part: finds out whether the domain's claim may be taken over,
- * and by what witness. It never holds anything itself.
+ * The taker's part of the claim protocol: finds out whether the domain's claim
+ * may be taken over, and which witness proves it. It appends nothing itself.
  */
 import * as crypto from 'node:crypto';
 import type * as records from '@gypsumwall/records';
@@ -14,21 +14,21 @@
 
 /** Finds a witness for a takeover. */
 export interface ClaimTaker {
-  /** When this entry's turn to take comes; takers come one after another. */
+  /** When this entry may try a takeover; the takers try one after another. */
   turnAt(): types.clock.MonotonicMs;
-  /** Undefined while the claim may still be held. */
+  /** The witness for a takeover; undefined while the claim may be held. */
   findWitness(): Promise<records.domainRecords.Witness | undefined>;
-  /** To be called regularly, so that it sees who is off the list. */
+  /** Must be called regularly; observes whether all members left the list. */
   checkList(): void;
 }
 
-/** Something seen of a claim, and when first. */
+/** When this entry first observed a condition of the claim with an epoch. */
 interface Observation {
   readonly epoch: number;
   readonly at: types.clock.MonotonicMs;
 }
 
-/** Makes the taker's part of a keeper. */
+/** Creates the taker's part of a keeper. */
 export function createClaimTaker(
   options: claimKeeperOptions.ClaimKeeperOptions,
   fold: claimFold.ClaimFold,
@@ -37,8 +37,8 @@
   const {clock, self} = options;
   const callTimeoutMs = options.ttlMs / claimTiming.CALL_TIMEOUTS_PER_TTL;
   const startedAt = clock.monotonic();
-  let allGoneObserved: Observation | undefined;
-  let holderGoneObserved: Observation | undefined;
+  let allGoneObservation: Observation | undefined;
+  let holderGoneObservation: Observation | undefined;
 
   function domainPeers(): readonly domainView.PeerEntry[] {
     return options
@@ -49,13 +49,16 @@
   function checkList() {
     const newest = fold.newest();
     if (newest === undefined || !isAllGoneByList(newest)) {
-      allGoneObserved = undefined;
-    } else if (allGoneObserved?.epoch !== newest.epoch) {
-      allGoneObserved = {epoch: newest.epoch, at: clock.monotonic()};
+      allGoneObservation = undefined;
+    } else if (allGoneObservation?.epoch !== newest.epoch) {
+      allGoneObservation = {epoch: newest.epoch, at: clock.monotonic()};
     }
   }
 
-  /** Whether everyone listed in the domain answers and is somebody else. */
+  /**
+   * Whether the list is current and all entries of the domain in the view
+   * answer and are neither the holder nor a named peer.
+   */
   function isAllGoneByList(newest: claimFold.NewestClaim): boolean {
     const fetchedAt = options.view().listFetchedAt;
     if (fetchedAt === undefined) return false;
@@ -71,9 +74,9 @@
   }
 
   function isAllGoneWaitOver(newest: claimFold.NewestClaim): boolean {
-    if (allGoneObserved?.epoch !== newest.epoch) return false;
+    if (allGoneObservation?.epoch !== newest.epoch) return false;
     const from = Math.max(
-      allGoneObserved.at,
+      allGoneObservation.at,
       fold.headReadAt(),
     ) as types.clock.MonotonicMs;
     return clock.monotonic() >= types.clock.after(from, newest.allGoneMs);
@@ -97,7 +100,7 @@
       .filter((peer) => peer.entryId !== self);
     const [holderReply, ...replies] = await Promise.all(
       [holder, ...named].map((peer) =>
-        options.peers.witness(peer, req, callTimeoutMs),
+        options.peers.requestWitness(peer, req, callTimeoutMs),
       ),
     );
     const witness = named.find(
@@ -113,15 +116,16 @@
   }
 
   /**
-   * The holder may have renewed by promises till it ended, and starts that it
-   * sent may still be on their way; none is accepted later than a ttl after.
+   * Whether a ttl has passed since the holder was first found ended. It may
+   * have renewed by promises until its end, and its last starts may still be in
+   * flight; workers accept none of them later than a ttl after the end.
    */
   function isHolderGoneWaitOver(newest: claimFold.NewestClaim): boolean {
-    if (holderGoneObserved?.epoch !== newest.epoch) {
-      holderGoneObserved = {epoch: newest.epoch, at: clock.monotonic()};
+    if (holderGoneObservation?.epoch !== newest.epoch) {
+      holderGoneObservation = {epoch: newest.epoch, at: clock.monotonic()};
     }
     const acceptedUntil = types.clock.after(
-      holderGoneObserved.at,
+      holderGoneObservation.at,
       newest.ttlMs,
     );
     return clock.monotonic() >= acceptedUntil;
@@ -149,7 +153,7 @@
   };
 }
 
-/** How many of the candidates come before this entry: rendezvous order. */
+/** How many candidates come before this entry in rendezvous order. */
 function takeoverTurn(
   self: types.ids.EntryId,
   candidates: readonly types.ids.EntryId[],
--- a/packages/gypsumwall-membership/src/domain_claim.ts
+++ b/packages/gypsumwall-membership/src/domain_claim.ts
@@ -1,10 +1,11 @@
 /**
- * The claim on a failure domain: its one holder places the domain's tasks.
- * See docs/design/001-decisions.md for the protocol and what it survives.
+ * State of the claim on a failure domain. The one holder of the claim places
+ * the domain's tasks. docs/design/001-decisions.md describes the protocol and
+ * the failures that it tolerates.
  */
 import type * as types from '@gypsumwall/types';
 
-/** What this entry believes about the claim on its domain. */
+/** State of the claim on this entry's domain, as this entry knows it. */
 export type ClaimState =
   | {readonly type: 'none'}
   | {
@@ -12,11 +13,11 @@
       readonly epoch: number;
       readonly holder: types.ids.EntryId;
     }
-  /** This entry's own claim, past its deadline: it may start nothing. */
+  /** This entry's own claim after its deadline; it may start no tasks. */
   | {readonly type: 'lapsed'; readonly epoch: number}
   | {
       readonly type: 'held';
       readonly epoch: number;
-      /** No effect may be started after it. */
+      /** The holder may start no effect after this moment. */
       readonly deadline: types.clock.MonotonicMs;
     };
--- a/packages/gypsumwall-membership/src/domain_view.ts
+++ b/packages/gypsumwall-membership/src/domain_view.ts
@@ -1,22 +1,22 @@
 /**
- * What an entry believes about the instances around it: the platform's
- * lagging list, corrected by what it heard itself.
+ * An entry's view of the instances around it: the platform's list, which lags,
+ * corrected by what the entry and its peers observed.
  */
 import type * as platform from '@gypsumwall/platform';
 import type * as types from '@gypsumwall/types';
 
-/** An entry process that was heard of. */
+/** An entry process that is listed or has sent a heartbeat. */
 export interface PeerEntry {
-  /** Id of the process; empty until its first heartbeat was answered. */
+  /** Id of the process; empty until it answered a heartbeat. */
   readonly entryId: types.ids.EntryId;
   readonly failureDomain: types.ids.FailureDomain;
-  /** Address of its peer service, as the list gives it. */
+  /** Address of its peer service, from the list or from its heartbeat. */
   readonly address: string;
   readonly state: 'live' | 'silent' | 'leaving';
   readonly configOffset: number;
 }
 
-/** A moment's belief. */
+/** The view at one moment. */
 export interface DomainView {
   /** Other entries, of all domains. */
   readonly peers: readonly PeerEntry[];
@@ -24,10 +24,10 @@
   readonly workers: readonly platform.instanceList.ListedWorker[];
   /** Upstreams of this entry's own domain. */
   readonly upstreams: readonly platform.instanceList.ListedUpstream[];
-  /** When the list was last fetched; undefined before the first time. */
+  /** When the list was last fetched; undefined before the first fetch. */
   readonly listFetchedAt?: types.clock.MonotonicMs;
-  /** When a list that shows this process was last asked for. */
+  /** When the last list that shows this process was requested. */
   readonly selfListedAt?: types.clock.MonotonicMs;
-  /** Whether the latest list that was fetched shows this process. */
+  /** Whether the most recently fetched list shows this process. */
   readonly selfListed?: boolean;
 }
--- a/packages/gypsumwall-membership/src/domain_view_keeper.ts
+++ b/packages/gypsumwall-membership/src/domain_view_keeper.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the view of the instances around this entry: polls the platform's
- * list, and runs one loop of heartbeats for each peer on it.
+ * Maintains the view of the instances around this entry: polls the platform's
+ * list and runs one heartbeat loop for each tracked peer.
  */
 import type * as platform from '@gypsumwall/platform';
 import type * as protocol from '@gypsumwall/protocol';
@@ -17,7 +17,7 @@
 export interface DomainViewKeeperOptions {
   readonly self: types.ids.EntryId;
   readonly failureDomain: types.ids.FailureDomain;
-  /** Address of this process's peer service, as the list gives it. */
+  /** Address of this process's peer service, as the list shows it. */
   readonly address: string;
   readonly clock: types.clock.Clock;
   readonly logger: telemetry.logger.Logger;
@@ -28,32 +28,32 @@
   readonly heartbeatMs: number;
   readonly silenceMs: number;
   ownState(): peerServer.OwnState;
-  /** Called when a peer's state, or the list, has changed. */
+  /** Called after a peer's state or the own domain's part of the list changed. */
   onChange?(view: domainView.DomainView): void;
 }
 
-/** Keeps the view. */
+/** Maintains the view. */
 export interface DomainViewKeeper {
   /** Polls and sends heartbeats until `signal` aborts. */
   run(signal: AbortSignal): Promise<void>;
-  /** The view at this moment; peers fall silent by the clock. */
+  /** The current view; reads the clock to find silent peers. */
   current(): domainView.DomainView;
-  /** A heartbeat came in; the sender may not be on the list yet. */
+  /** Handles a received heartbeat; the sender may not be listed yet. */
   noteHeartbeat(req: protocol.peer.HeartbeatRequest): void;
-  /** Instances of the own domain that the list itself shows as leaving. */
+  /** Instances of the own domain that the platform's list shows as leaving. */
   listedLeaving(): readonly string[];
-  /** Direct evidence that a worker or upstream is gone. */
+  /** Hides a worker or upstream that is known to have ended. */
   noteGone(id: string): void;
 }
 
 interface TrackedPeer {
   readonly link: peerLink.PeerLink;
   readonly stop: AbortController;
-  /** Off the list, or not chosen, since; undefined otherwise. */
+  /** Since when it is unlisted or not chosen; undefined while it is chosen. */
   unlistedAt?: types.clock.MonotonicMs;
 }
 
-/** Makes a keeper; nothing happens before `run`. */
+/** Creates a keeper; it does nothing before `run`. */
 export function createDomainViewKeeper(
   options: DomainViewKeeperOptions,
 ): DomainViewKeeper {
@@ -69,7 +69,7 @@
   let selfListedAt: types.clock.MonotonicMs | undefined;
   let selfListed = false;
   let runSignal: AbortSignal | undefined;
-  /** Peers of other domains that are kept in touch with. */
+  /** Number of tracked peers of other domains. */
   let trackedOtherDomainPeers = 0;
 
   function current(): domainView.DomainView {
@@ -89,13 +89,14 @@
     };
   }
 
-  function announce() {
+  function reportView() {
     options.onChange?.(current());
   }
 
   /**
-   * An entry that is cut off from the platform would go on sending work to an
-   * upstream that leaves; a peer that still reads the list tells it.
+   * Applies the leaving instances that a peer reports. Without the report, an
+   * entry that is cut off from the platform would continue to send work to a
+   * leaving upstream.
    */
   function onLeavingInstances(ids: readonly string[]) {
     if (ids.length === 0) return;
@@ -112,7 +113,7 @@
     }
     const known = tracked.get(address);
     if (known !== undefined) return known;
-    // Neither a peer nor the list can end this process by a bad address.
+    // An invalid address from a peer or the list must not end this process.
     if (!URL.canParse(address)) {
       logger.warn('peer_address_invalid', {
         address,
@@ -139,7 +140,7 @@
         configOffset: BigInt(options.ownState().configOffset),
         leaving: options.ownState().leaving,
       }),
-      onChange: announce,
+      onChange: reportView,
       onLeavingInstances,
     });
     const peer: TrackedPeer = {link, stop: new AbortController()};
@@ -168,7 +169,8 @@
     instances: readonly platform.instanceList.ListedInstance[],
     askedAt: types.clock.MonotonicMs,
   ) {
-    // Instances of other domains are most of a large cell's list.
+    // In a large cell most of the list is instances of other domains, so only
+    // the own domain's instances are compared.
     const own = instances.filter(
       (instance) => instance.failureDomain === failureDomain,
     );
@@ -189,7 +191,9 @@
       if (!chosen.has(entry.address)) continue;
       const peer = trackPeer(entry.address, entry.failureDomain);
       if (peer === undefined) continue;
-      // Behind an address translation the list's address isn't the own one.
+      // With address translation the list shows this process at an address that
+      // it doesn't know as its own; the id in the heartbeat's answer identifies
+      // it.
       if (peer.link.peer().entryId === options.self) selfListedAt = askedAt;
       delete peer.unlistedAt;
       peer.link.onListed(entry.state);
@@ -198,12 +202,13 @@
     trackedOtherDomainPeers = [...tracked.values()].filter(
       ({link}) => link.peer().failureDomain !== failureDomain,
     ).length;
-    if (changed) announce();
+    if (changed) reportView();
   }
 
   /**
-   * A peer that is off the list but answers is kept as long as the list may
-   * lag: a new entry makes itself heard before the list shows it.
+   * Stops tracking peers that are not chosen. A peer that answers is kept for
+   * one list lag, because a new entry sends heartbeats before the list shows
+   * it.
    */
   function dropUnchosen(chosen: ReadonlySet<string>) {
     const now = clock.monotonic();
@@ -216,14 +221,15 @@
       tracked.delete(address);
       options.clients.drop(address);
       logger.info('peer_dropped', {peer: address});
-      announce();
+      reportView();
     }
   }
 
   /**
-   * A peer may listen on another address than the list gives for it, as
-   * behind an address translation. Tracked under both it would count twice,
-   * and stay in reach by the one while the other is cut.
+   * Whether a tracked and listed peer has the id. With address translation a
+   * peer may report another address than the list shows. If it were tracked at
+   * both, it would count twice, and remain reachable at one address while the
+   * other is cut off.
    */
   function isListed(entryId: string): boolean {
     return [...tracked.values()].some(
@@ -239,7 +245,8 @@
       if (answer.isOk) {
         applyList(answer.value, askedAt);
       } else {
-        // The last view stays: a list that is down says nothing of anybody.
+        // The last list stays in use: its unavailability proves nothing about the
+        // instances.
         const error = types.stepError.describeError(answer.error);
         logger.warn('list_unavailable', {error});
         correctedInstances = corrections.correct(ownDomainInstances);
@@ -251,8 +258,8 @@
 
   return {
     current,
-    // Not what peers told: two cut-off entries would tell it to each other
-    // for ever.
+    // Doesn't include instances that peers reported: two cut-off entries would
+    // repeat them to each other forever.
     listedLeaving: () =>
       ownDomainInstances
         .filter(({state}) => state === 'leaving')
--- a/packages/gypsumwall-membership/src/guarded_session.ts
+++ b/packages/gypsumwall-membership/src/guarded_session.ts
@@ -1,4 +1,4 @@
-/** The HTTP/2 session of a peer client, whose late errors end no process. */
+/** The HTTP/2 session of a peer client; its late errors don't end the process. */
 import type * as http2 from 'node:http2';
 import * as connectNode from '@connectrpc/connect-node';
 
@@ -11,17 +11,17 @@
 
 /** A session manager that can be closed. */
 export interface GuardedSession extends SessionManager {
-  /** Cuts the connection and all calls on it. */
+  /** Closes the connection and aborts all calls on it. */
   abort(): void;
 }
 
 /**
- * Makes a session that connects with its first call. When a peer that stops
- * sends GOAWAY, connect-node destroys the session with an error, and Node
- * emits that error only after the socket closed. Should the manager have left
- * the session by then, nobody listens any more and the process would end by
- * an uncaught error. A listener that stays for the session's life suffices:
- * calls learn of the error by their own streams.
+ * Creates a session that connects with its first call. When a stopping peer
+ * sends GOAWAY, connect-node destroys the session with an error, and Node emits
+ * that error only after the socket has closed. If the manager has removed its
+ * listeners from the session before, the uncaught error would end the process.
+ * An empty listener for the session's lifetime prevents this; calls get the
+ * error from their own streams.
  */
 export function createGuardedSession(address: string): GuardedSession {
   const manager = new connectNode.Http2SessionManager(address);
--- a/packages/gypsumwall-membership/src/list_corrections.ts
+++ b/packages/gypsumwall-membership/src/list_corrections.ts
@@ -1,24 +1,24 @@
 /**
- * Corrects the platform's lagging list by what this process knows better.
- * Evidence beats the list only as long as the list may lag: after that the
- * list has had the time to show the same, and it is the one to believe.
+ * Corrects the platform's lagging list by direct evidence. Evidence overrides
+ * the list only for one list lag. After that the list has had time to show the
+ * same state and is authoritative again.
  */
 import * as types from '@gypsumwall/types';
 import type * as platform from '@gypsumwall/platform';
 
-/** Corrections by instance id. */
+/** Corrections, keyed by instance id. */
 export interface ListCorrections {
-  /** Direct evidence that an instance is gone, such as a refusal. */
+  /** Hides an instance that is known to have ended, such as by a refusal. */
   markRemoved(id: string): void;
-  /** A peer's list shows the instance as leaving. */
+  /** Marks an instance that a peer's list shows as leaving. */
   markLeaving(id: string): void;
-  /** The list as it should be read. */
+  /** The list with all corrections that are in force. */
   correct(
     instances: readonly platform.instanceList.ListedInstance[],
   ): readonly platform.instanceList.ListedInstance[];
 }
 
-/** Makes an empty set of corrections. */
+/** Creates an empty set of corrections. */
 export function createListCorrections(
   clock: types.clock.Clock,
   listLagMs: number,
--- a/packages/gypsumwall-membership/src/loop_trigger.ts
+++ b/packages/gypsumwall-membership/src/loop_trigger.ts
@@ -1,19 +1,20 @@
-/** Lets one loop sleep until a deadline or until something has happened. */
+/** Lets a loop wait for a deadline or for a trigger, whichever is first. */
 import type * as types from '@gypsumwall/types';
 
-/** A sleep that others can end. */
+/** A wait that other code can end. */
 export interface LoopTrigger {
+  /** Ends all current waits, or makes them check their condition. */
   trigger(): void;
-  /** Ends at the deadline, or as soon as `done` holds after a wake. */
+  /** Resolves at the deadline, or when `done` is true after a trigger. */
   waitUntil(
     deadline: types.clock.MonotonicMs,
     done: () => boolean,
   ): Promise<void>;
-  /** Ends at the deadline or at the next wake. */
+  /** Resolves at the deadline or at the next trigger. */
   waitForTrigger(deadline: types.clock.MonotonicMs): Promise<void>;
 }
 
-/** Makes one; all waits end at once when `signal` aborts. */
+/** Creates a trigger whose deadlines are moments of the clock. */
 export function createLoopTrigger(clock: types.clock.Clock): LoopTrigger {
   let waiters = new AbortController();
 
--- a/packages/gypsumwall-membership/src/peer_choice.ts
+++ b/packages/gypsumwall-membership/src/peer_choice.ts
@@ -1,44 +1,44 @@
 /**
- * Which entries this one sends heartbeats to. Claims and slot shares need
- * every entry of the own domain; of each other domain a few suffice, to hand
- * calls to and to learn settings from. A mesh of all entries would cost each
- * of them processor time in proportion to their number.
+ * Chooses the entries that this entry sends heartbeats to. Claims and slot
+ * shares need every entry of the own domain. Of each other domain a few entries
+ * suffice, to forward calls to and to get settings from. In a full mesh the
+ * processor time of each entry would grow with the number of entries.
  */
 import * as crypto from 'node:crypto';
 import type * as types from '@gypsumwall/types';
 
-/** Entries of another domain that are kept in touch with, if so many live. */
+/** How many answering entries are chosen of each other domain, if it has them. */
 export const REPRESENTATIVES_PER_DOMAIN = 2;
 
 /**
- * Peers of other domains that are called at the full rate; with more of them,
- * each is called more seldom, so that their cost stays the same.
+ * Up to this many peers of other domains get heartbeats at the full rate. With
+ * more peers the interval grows, so that the total cost stays the same.
  */
 export const MAX_FULL_RATE_PEERS = 8;
 
-/** How many times as long a heartbeat to another domain takes its turn. */
+/** Factor on the heartbeat interval for peers of other domains; 1 or more. */
 export function slowdownFactor(peersOfOtherDomains: number): number {
   return Math.max(1, Math.ceil(peersOfOtherDomains / MAX_FULL_RATE_PEERS));
 }
 
-/** An entry that could be kept in touch with. */
+/** An entry that can be chosen. */
 export interface Candidate {
   readonly address: string;
   readonly failureDomain: types.ids.FailureDomain;
-  /** Heartbeats to it have gone unanswered; false if none was sent. */
+  /** Whether its heartbeats are unanswered; false if none was sent yet. */
   readonly isSilent: boolean;
 }
 
-/** Whose point of view it is. */
+/** The entry that chooses its peers. */
 export interface Chooser {
   readonly address: string;
   readonly failureDomain: types.ids.FailureDomain;
 }
 
 /**
- * The addresses to keep in touch with. Each entry ranks another domain's
- * entries in an order of its own, so that they are chosen evenly. A silent
- * one stays chosen, so that its return is noticed, and another is added.
+ * The addresses of the chosen peers. Each entry ranks the entries of another
+ * domain in its own order, so that they are chosen evenly. A silent peer stays
+ * chosen, so that its return is detected, and another peer is added.
  */
 export function choosePeers(
   chooser: Chooser,
--- a/packages/gypsumwall-membership/src/peer_client.ts
+++ b/packages/gypsumwall-membership/src/peer_client.ts
@@ -1,6 +1,6 @@
 /**
- * Calls to one entry's peer service, over one HTTP/2 connection that is
- * replaced when it goes silent.
+ * Calls to the peer service of one entry over one HTTP/2 connection, which can
+ * be replaced when it stops answering.
  */
 import * as bufbuild from '@bufbuild/protobuf';
 import * as connect from '@connectrpc/connect';
@@ -15,17 +15,17 @@
 type Init<Schema extends bufbuild.DescMessage> =
   bufbuild.MessageInitShape<Schema>;
 
-/** Where the peer is, and how long it may take. */
+/** Address and timeouts of a peer. */
 export interface PeerClientOptions {
   /** `http://ip:port` */
   readonly address: string;
-  /** For all calls that aren't given a time of their own. */
+  /** Timeout of calls that have no timeout of their own. */
   readonly timeoutMs: number;
-  /** How long calls on a replaced connection may go on. */
+  /** How long calls on a replaced connection may continue. */
   readonly retirementMs?: number;
 }
 
-/** One peer, as this process calls it. */
+/** The calls to one peer. */
 export interface PeerClient {
   heartbeat(
     req: Init<typeof protocol.peer.HeartbeatRequestSchema>,
@@ -47,7 +47,7 @@
   readState(
     req: Init<typeof protocol.peer.ReadStateRequestSchema>,
   ): Answer<protocol.peer.ReadStateResponse>;
-  /** New calls use a new connection; running ones may still end. */
+  /** Uses a new connection for new calls; calls in flight may still finish. */
   replaceConnection(): void;
   close(): void;
 }
@@ -60,7 +60,7 @@
   readonly service: connect.Client<typeof protocol.peer.PeerService>;
 }
 
-/** Makes a client; it connects with its first call. */
+/** Creates a client; it connects with its first call. */
 export function createPeerClient(options: PeerClientOptions): PeerClient {
   const {address} = options;
   const retirementMs = options.retirementMs ?? DEFAULT_RETIREMENT_MS;
@@ -114,9 +114,10 @@
       call('peer.read_state', () =>
         connection.service.readState(req, callOptions(options.timeoutMs)),
       ),
-    // Something between the ends can lose track of a connection: it stays
-    // open and every call on it times out, while new ones would work. The old
-    // one is not cut at once, since a slow peer may still be answering on it.
+    // A device between the two ends can lose the state of a connection. The
+    // connection then stays open but every call on it times out, while a new
+    // connection would work. The old one isn't closed at once, since a slow peer
+    // may still answer on it.
     replaceConnection: () => {
       const {session} = connection;
       connection = openConnection();
@@ -139,15 +140,15 @@
 }
 
 /**
- * Connect sends the timeout as a header that must be a whole number. A part
- * of a millisecond would have the peer refuse every call as malformed, and
- * each peer would look silent to the others.
+ * Rounds the timeout down to a whole number, at least 1. Connect sends it in a
+ * header that must be a whole number of milliseconds. With a fraction, peers
+ * would refuse every call as malformed and would look silent to each other.
  */
 function callOptions(timeoutMs: number): {timeoutMs: number} {
   return {timeoutMs: Math.max(1, Math.floor(timeoutMs))};
 }
 
-/** Whether nothing listens at the address, though its machine is up. */
+/** Whether the machine is up but no process listens at the address. */
 export function isRefusedConnection(err: types.stepError.StepError): boolean {
   return err.kind === 'unreachable' && err.message.includes(CONNECTION_REFUSED);
 }
@@ -160,13 +161,13 @@
   if (!(thrown instanceof connect.ConnectError)) {
     return platform.httpCall.transportError({step, peer}, thrown);
   }
-  // The cause, not the text, tells whether anything was sent.
+  // Only the cause, not the message, shows whether the request was sent.
   if (platform.httpCall.codeOf(thrown.cause) !== '') {
     return platform.httpCall.transportError({step, peer}, thrown.cause);
   }
-  // Nothing else proves that the call had no effect: an answer that can't be
-  // read gets the same codes here as a request that the peer couldn't read,
-  // and a caller told `not_run` would send again what has run.
+  // No status code proves that the call had no effect: an answer that can't be
+  // parsed here has the same codes as a request that the peer couldn't parse.
+  // If the effect were `not_run`, the caller would repeat a call that has run.
   const {message} = thrown;
   return {kind: kindOf(thrown.code), step, peer, effect: 'unknown', message};
 }
--- a/packages/gypsumwall-membership/src/peer_clients.ts
+++ b/packages/gypsumwall-membership/src/peer_clients.ts
@@ -1,15 +1,15 @@
-/** One client for each peer address, made when first asked for. */
+/** One client for each peer address, created on its first use. */
 import * as peerClient from './peer_client.js';
 
-/** This process's clients. */
+/** The peer clients of this process. */
 export interface PeerClients {
   at(address: string): peerClient.PeerClient;
-  /** Closes the client of an address that is no peer any more. */
+  /** Closes the client of an address that is no longer a peer's. */
   drop(address: string): void;
   close(): void;
 }
 
-/** Makes an empty set; all clients share the timeout, in milliseconds. */
+/** Creates an empty set; all clients have the same default timeout. */
 export function createPeerClients(timeoutMs: number): PeerClients {
   const clients = new Map<string, peerClient.PeerClient>();
   return {
--- a/packages/gypsumwall-membership/src/peer_link.ts
+++ b/packages/gypsumwall-membership/src/peer_link.ts
@@ -1,6 +1,6 @@
 /**
- * One peer and the loop of heartbeats to it. What the peer itself says beats
- * what the list says about it.
+ * One peer and the heartbeat loop to it. The peer's own answers take precedence
+ * over the list.
  */
 import type * as protocol from '@gypsumwall/protocol';
 import * as types from '@gypsumwall/types';
@@ -16,33 +16,33 @@
   readonly heartbeatMs: number;
   readonly silenceMs: number;
   readonly listLagMs: number;
-  /** Factor on both spans now; 1 or more. */
+  /** Current factor on the heartbeat interval and on `silenceMs`; 1 or more. */
   slowdownFactor(): number;
-  /** What this process says of itself. */
+  /** The heartbeat request that describes this process. */
   ownHeartbeat(): Parameters<peerClient.PeerClient['heartbeat']>[0];
   onChange(): void;
-  /** Instances that the peer's list shows as leaving. */
+  /** Called with the instances that the peer's list shows as leaving. */
   onLeavingInstances(ids: readonly string[]): void;
 }
 
-/** A peer, as it was last heard. */
+/** A peer and its state. */
 export interface PeerLink {
   /** Sends heartbeats until `signal` aborts. */
   run(signal: AbortSignal): Promise<void>;
   peer(): domainView.PeerEntry;
-  /** The list's word, to be repeated with each list; leaving beats live. */
+  /** Must be called with each list that shows the peer; `leaving` overrides live. */
   onListed(state: 'live' | 'leaving'): void;
-  /** Silent though it was called; false before the first answer is due. */
+  /** Whether it is silent; false before the end of the first heartbeat. */
   isUnanswered(): boolean;
 }
 
 const HEARTBEAT_TIMEOUTS_PER_SILENCE = 3;
 
-/** Makes a link that has not heard its peer yet. */
+/** Creates a link to a peer that has not answered yet. */
 export function createPeerLink(options: PeerLinkOptions): PeerLink {
   const {address, failureDomain, client, clock} = options;
-  // Short enough that a silent connection is replaced, and the next heartbeat
-  // answered on a new one, before the peer itself counts as silent.
+  // Short enough to replace a silent connection and to get the next heartbeat
+  // answered on the new one before the peer counts as silent.
   const timeoutMs = options.silenceMs / HEARTBEAT_TIMEOUTS_PER_SILENCE;
   let entryId = types.ids.brand<types.ids.EntryId>('');
   let configOffset = 0;
@@ -50,7 +50,7 @@
   let listedLeavingUntil: types.clock.MonotonicMs | undefined;
   let lastAnswerAt: types.clock.MonotonicMs | undefined;
   let hasBeenCalled = false;
-  let announcedState = '';
+  let reportedState = '';
 
   function state(): domainView.PeerEntry['state'] {
     if (isLeaving || isListedLeaving()) return 'leaving';
@@ -60,22 +60,25 @@
     return clock.monotonic() < silentAt ? 'live' : 'silent';
   }
 
-  /** A list that lags may say so of the process before this one. */
+  /**
+   * Whether the list shows the peer as leaving. This expires after one list
+   * lag, since the list may mean the former process at the address.
+   */
   function isListedLeaving(): boolean {
     if (listedLeavingUntil === undefined) return false;
     return clock.monotonic() < listedLeavingUntil;
   }
 
-  function announceState() {
+  function reportState() {
     const now = `${entryId} ${state()}`;
-    if (now === announcedState) return;
-    announcedState = now;
+    if (now === reportedState) return;
+    reportedState = now;
     options.onChange();
   }
 
   function applyAnswer(res: protocol.peer.HeartbeatResponse) {
-    // Another id at the same address is a new process: nothing that was said
-    // of the old one holds for it.
+    // Another id at the same address is a new process; the state of the former
+    // one doesn't apply to it.
     if (res.entryId !== entryId) isLeaving = false;
     entryId = types.ids.brand(res.entryId);
     configOffset = Number(res.configOffset);
@@ -93,10 +96,11 @@
     } else if (answer.error.effect === 'unknown') {
       client.replaceConnection();
     } else {
-      // Refused: the process is gone, and silent from now on.
+      // The connection was refused, so the process has ended and is silent from
+      // now on.
       lastAnswerAt = undefined;
     }
-    announceState();
+    reportState();
   }
 
   return {
@@ -113,7 +117,7 @@
         const now = clock.monotonic();
         listedLeavingUntil = types.clock.after(now, options.listLagMs);
       }
-      announceState();
+      reportState();
     },
     run: async (signal) => {
       while (!signal.aborted) {
--- a/packages/gypsumwall-membership/src/peer_server.ts
+++ b/packages/gypsumwall-membership/src/peer_server.ts
@@ -1,4 +1,4 @@
-/** This entry's peer service. */
+/** The peer service of this entry. */
 import * as http2 from 'node:http2';
 import type * as net from 'node:net';
 import type * as bufbuild from '@bufbuild/protobuf';
@@ -10,14 +10,14 @@
 type Init<Schema extends bufbuild.DescMessage> =
   bufbuild.MessageInitShape<Schema>;
 
-/** What this entry tells about itself with each heartbeat. */
+/** The state of this entry that heartbeats and their answers carry. */
 export interface OwnState {
   readonly configOffset: number;
   readonly leaving: boolean;
   readonly heldEpoch?: number;
 }
 
-/** What the service answers with. */
+/** Handlers of the service's calls. */
 export interface PeerHandlers {
   readonly claim: Pick<
     claimKeeper.ClaimKeeper,
@@ -26,7 +26,7 @@
   ownState(): OwnState;
   /** Instances of the own domain that the list shows as leaving. */
   leavingInstances(): readonly string[];
-  /** A peer has made itself heard. */
+  /** Called for each heartbeat received from a peer. */
   onHeartbeat(req: protocol.peer.HeartbeatRequest): void;
   forward(
     req: protocol.peer.ForwardRequest,
@@ -43,7 +43,7 @@
   readonly failureDomain: types.ids.FailureDomain;
   readonly handlers: PeerHandlers;
   readonly host: string;
-  /** 0 lets the kernel choose. */
+  /** 0 lets the kernel choose a port. */
   readonly port: number;
 }
 
@@ -52,13 +52,14 @@
   /** `http://ip:port` */
   readonly address: string;
   /**
-   * Lets running calls end for at most `graceMs`. Release the claim first:
-   * peers take the closed port as proof that this process holds nothing.
+   * Closes the port and waits at most `graceMs` for calls in flight. Release
+   * the claim first: peers take the closed port as proof that this process
+   * holds no claim.
    */
   close(graceMs: number): Promise<void>;
 }
 
-/** Listens; rejects if the port can't be had. */
+/** Starts the service; rejects if it can't listen on the port. */
 export async function createPeerServer(
   options: PeerServerOptions,
 ): Promise<PeerServer> {
@@ -68,7 +69,8 @@
   server.on('session', (session) => {
     sessions.add(session);
     session.once('close', () => sessions.delete(session));
-    // A peer that dies resets its connection; its own heartbeats tell that.
+    // A peer that ends abruptly resets its connection. This entry detects its
+    // end by the heartbeats that it sends, so the error only closes the session.
     session.on('error', () => session.destroy());
   });
   server.on('connection', (socket: net.Socket) => {
@@ -91,8 +93,9 @@
       });
       for (const session of sessions) session.close();
       const timer = setTimeout(() => {
-        // A destroyed session still waits for its socket to flush, which a
-        // silent connection never does; the server would not close.
+        // Destroying the sessions isn't enough: they wait for their sockets to
+        // flush, which never happens on a silent connection, and the server
+        // would not close.
         for (const socket of sockets) socket.destroy();
       }, graceMs);
       await closed;
