--- a/packages/gypsumwall-membership/src/__fixtures__/claim_exploration.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/claim_exploration.ts
@@ -1,26 +1,26 @@
-/** Plays scripts of faults in a claim world. */
+/** Runs scripts of faults in a claim world. */
 import * as fastCheck from 'fast-check';
 import type * as claimFaults from './claim_faults.js';
 import * as claimWorld from './claim_world.js';
 
 const {TTL_MS} = claimWorld;
 
-/** A fault, and how long after the one before it comes. */
+/** A fault and its delay after the previous one. */
 export interface Step {
   readonly afterMs: number;
   readonly fault: claimFaults.Fault;
 }
 
-/** One run: it repeats exactly. */
+/** A script of faults; each run of it has the same outcome. */
 export interface Script {
-  /** Machines there at the start. */
+  /** Number of machines at the start. */
   readonly machines: number;
-  /** Of clocks, delays and the protocol's own random numbers. */
+  /** Seed of the delays and of the protocol's own random numbers. */
   readonly seed: number;
   readonly steps: readonly Step[];
 }
 
-/** What a run showed. */
+/** The outcome of a run. */
 export interface Outcome {
   readonly violations: readonly string[];
   readonly holders: readonly number[];
@@ -28,11 +28,11 @@
   readonly starts: number;
 }
 
-/** How long a world goes on after its script, for late effects to show. */
+/** How long a world runs on after its script, to observe late effects. */
 const SETTLE_MS = 12 * TTL_MS;
 
-/** Plays a script from a world whose claim is held. */
-export async function play(script: Script): Promise<Outcome> {
+/** Runs a script in a world whose claim is held. */
+export async function runScript(script: Script): Promise<Outcome> {
   const world = claimWorld.createClaimWorld(script.machines, script.seed);
   await world.run(1.5 * TTL_MS);
   for (const step of script.steps) {
@@ -50,7 +50,10 @@
   };
 }
 
-/** Machines that scripts may name: one more than at the start can join. */
+/**
+ * Maximum number of machines at the start of a random script. With fewer, a
+ * restart of `spare` can add one.
+ */
 export const MAX_MACHINES = 3;
 
 const forMs = fastCheck.oneof(
@@ -61,7 +64,7 @@
   fastCheck.integer({min: 0, max: 2 * TTL_MS}),
   fastCheck.constantFrom(0, TTL_MS / 3, 1.2 * TTL_MS, 5 * TTL_MS),
 );
-/** By part rather than by number: most faults that matter hit the holder. */
+/** Targets by role, not by number, since most relevant faults hit the holder. */
 const machine = fastCheck.constantFrom(
   'holder' as const,
   'named' as const,
@@ -105,8 +108,8 @@
   }),
 );
 
-/** Scripts of up to `mostSteps` faults in quick succession. */
-export function scripts(maxSteps: number): fastCheck.Arbitrary<Script> {
+/** Random scripts of up to `maxSteps` faults in quick succession. */
+export function randomScripts(maxSteps: number): fastCheck.Arbitrary<Script> {
   return fastCheck.record({
     machines: fastCheck.integer({min: 1, max: MAX_MACHINES}),
     seed: fastCheck.integer({min: 1, max: 1_000_000}),
@@ -123,7 +126,7 @@
 const LONG_FAULT_MS = 4 * TTL_MS;
 const PAUSE_MS = 1.3 * TTL_MS;
 
-/** One fault of each kind that the protocol has to meet. */
+/** One fault of each kind that the protocol must tolerate. */
 const FAULT_KINDS: readonly claimFaults.Fault[] = [
   {type: 'pause', machine: 'holder', forMs: PAUSE_MS},
   {type: 'pause', machine: 'named', forMs: PAUSE_MS},
@@ -145,7 +148,7 @@
   {type: 'release', machine: 'holder'},
 ];
 
-/** Every sequence of `depth` faults, most of a ttl apart. */
+/** Every sequence of `depth` faults, 0.7 ttl apart. */
 export function* allScripts(depth: number): Generator<Script> {
   const total = FAULT_KINDS.length ** depth;
   for (let number = 0; number < total; number++) {
@@ -161,11 +164,12 @@
 }
 
 /**
- * Plays a script and pauses one process between two events, the `event`th
- * and the next after the script's last fault: every await of the code under
- * test ends at an event. Undefined when there are fewer events.
+ * Runs a script and pauses one process right after the event with the index
+ * `event`, counted from the script's last fault. Every await of the code under
+ * test ends at an event, so this covers a pause at any await. Undefined if
+ * there are fewer events.
  */
-export async function playWithPauseAt(
+export async function runScriptWithPauseAt(
   script: Script,
   event: number,
   machine: claimFaults.Target,
@@ -189,8 +193,8 @@
   return events <= event ? undefined : {violations, holders, claims, starts};
 }
 
-/** The holder renews by promises, its named peer reads the log. */
-export const HOLDER_CUT_OFF: Script = {
+/** The holder renews by promises while its named peer reads the log. */
+export const HOLDER_CUT_FROM_LOG: Script = {
   machines: 2,
   seed: 5,
   steps: [
--- a/packages/gypsumwall-membership/src/__fixtures__/claim_faults.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/claim_faults.ts
@@ -1,16 +1,16 @@
-/** Faults of a claim world, and which of them last at a moment. */
+/** Faults of a claim world, and which lasting faults are active. */
 import type * as virtualTime from './virtual_time.js';
 
-/** A machine by its number, or by its part in the newest claim. */
+/** A machine by its number, or by its role in the newest claim. */
 export type Target = number | 'holder' | 'named' | 'spare';
 
-/** What may go wrong, each until a moment of true time. */
+/** A fault; `forMs` is its duration in virtual time. */
 export type Fault =
   | {readonly type: 'pause'; readonly machine: Target; readonly forMs: number}
   | {readonly type: 'log_down'; readonly forMs: number}
-  /** Appends take effect, their answers don't arrive. */
+  /** Appends take effect, but their answers are lost. */
   | {readonly type: 'answers_lost'; readonly forMs: number}
-  /** Appends fail at the caller and take effect later. */
+  /** Appends time out for the caller and take effect later. */
   | {readonly type: 'appends_late'; readonly forMs: number}
   | {
       readonly type: 'cut_from_log' | 'cut_from_list';
@@ -25,19 +25,19 @@
     }
   /** The process ends; its address refuses connections. */
   | {readonly type: 'kill'; readonly machine: Target}
-  /** The machine ends: nothing answers at its address any more. */
+  /** The machine ends; calls to its address time out. */
   | {readonly type: 'lose_machine'; readonly machine: Target}
-  /** A new process that remembers nothing, at the same address. */
+  /** The process is replaced by a new one without state at the same address. */
   | {readonly type: 'restart'; readonly machine: Target}
   | {readonly type: 'release'; readonly machine: Target};
 
-/** Faults that last. */
+/** Faults that last for some time. */
 export interface LastingFaults {
   isActive(name: string): boolean;
   extend(name: string, forMs: number): void;
 }
 
-/** Makes a world without lasting faults. */
+/** Creates a table without active faults. */
 export function createLastingFaults(
   time: virtualTime.VirtualTime,
 ): LastingFaults {
--- a/packages/gypsumwall-membership/src/__fixtures__/claim_injection.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/claim_injection.ts
@@ -1,10 +1,10 @@
-/** Turns a fault into what it does to a claim world. */
+/** Applies faults to a claim world. */
 import type * as claimFaults from './claim_faults.js';
 import type * as fakeList from './fake_list.js';
 import type * as fakeNetwork from './fake_network.js';
 import type * as virtualTime from './virtual_time.js';
 
-/** The parts of a world that faults touch. */
+/** The parts of a world that faults change. */
 export interface InjectionOptions {
   readonly time: virtualTime.VirtualTime;
   readonly faults: claimFaults.LastingFaults;
@@ -12,7 +12,7 @@
   readonly network: fakeNetwork.FakeNetwork;
   readonly resolveTarget: (target: claimFaults.Target) => number;
   readonly isAlive: (machine: number) => boolean;
-  readonly end: (machine: number) => void;
+  readonly endProcess: (machine: number) => void;
   readonly spawn: (machine: number) => void;
   readonly entryAt: (
     machine: number,
@@ -21,12 +21,18 @@
     | undefined;
 }
 
-/** Makes the function that injects. */
+/** Creates the function that injects a fault. */
 export function createInjection(
   options: InjectionOptions,
 ): (fault: claimFaults.Fault) => void {
   const {time, faults, list, network} = options;
-  const {resolveTarget: aim, isAlive, end, spawn, entryAt} = options;
+  const {
+    resolveTarget: aim,
+    isAlive,
+    endProcess: end,
+    spawn,
+    entryAt,
+  } = options;
 
   function inject(fault: claimFaults.Fault) {
     switch (fault.type) {
@@ -67,8 +73,8 @@
         spawn(aim(fault.machine));
         break;
       case 'release': {
-        // A start still on its way could reach its worker after the next
-        // entry has claimed, so all are answered first.
+        // A start in flight could reach its worker after the next entry has
+        // claimed, so the entry waits for all answers before it releases.
         const entry = entryAt(aim(fault.machine));
         if (entry !== undefined) entry.isReleasing = true;
         break;
--- a/packages/gypsumwall-membership/src/__fixtures__/claim_scripts.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/claim_scripts.ts
@@ -1,16 +1,16 @@
 /**
- * Scripts of faults that found a hole, or that find one as soon as a certain
- * safeguard is taken out. Each must play without a violation.
+ * Scripts of faults that found a defect, or that find one when a certain
+ * safeguard is removed. Each must run without a violation.
  */
 import type * as claimExploration from './claim_exploration.js';
 import type * as claimFaults from './claim_faults.js';
 import * as claimWorld from './claim_world.js';
 
 const {TTL_MS} = claimWorld;
-/** Longer than any script. */
+/** Longer than any script runs. */
 const PERMANENT_MS = 30 * TTL_MS;
 
-/** A script and what it is about. */
+/** A script and the situation that it tests. */
 export interface NamedScript {
   readonly name: string;
   readonly script: claimExploration.Script;
@@ -29,9 +29,9 @@
   forMs: PERMANENT_MS,
 });
 
-const spareRestarts = step(0, {type: 'restart', machine: 2});
+const newEntryJoins = step(0, {type: 'restart', machine: 2});
 
-/** The holder, alone and unlisted for a while; a newcomer can't reach it. */
+/** The holder is alone and unlisted for a time; a new entry can't reach it. */
 function holderAlone(unlistedMs: number): claimExploration.Script {
   return {
     machines: 2,
@@ -46,17 +46,17 @@
         forMs: PERMANENT_MS,
       }),
       step(200, {type: 'kill', machine: 'named'}),
-      spareRestarts,
+      newEntryJoins,
     ],
   };
 }
 
-/** The scripts; the comment of each tells what would go wrong. */
+/** The scripts; each comment describes the failure that it guards against. */
 export const FIXED_SCRIPTS: readonly NamedScript[] = [
   {
-    // Found by exploration. A named peer takes the claim over, holds it, and
-    // ends. The old holder, cut off from the log, finds that peer's port
-    // closed and must not count it as one that took nothing.
+    // Found by exploration. A named peer takes over the claim and ends. The old
+    // holder, cut off from the log, finds that peer's port closed. It must not
+    // take this as proof that the peer never held the claim.
     name: 'a named peer that ended after it took the claim',
     script: {
       machines: 3,
@@ -71,23 +71,23 @@
     },
   },
   {
-    // The named peer promised, ended, and a new process answers in its place.
-    // Its word that no promise is left must not count for a taker.
-    name: 'a named peer replaced by a process that remembers nothing',
+    // The named peer promises and ends, and a new process answers at its
+    // address. A release by the new process must not count for a taker.
+    name: 'a named peer replaced by a process without state',
     script: {
       machines: 2,
       seed: 1,
       steps: [
         holderCutFromLog,
-        spareRestarts,
+        newEntryJoins,
         step(3 * TTL_MS, {type: 'restart', machine: 'named'}),
       ],
     },
   },
   {
-    // The holder renewed by promises until it was killed. Its last starts are
-    // still on their way when a taker finds its port closed.
-    name: 'a holder that ended with starts on their way',
+    // The holder renews by promises until it is killed. Its last starts are
+    // still in flight when a taker finds its port closed.
+    name: 'a holder that ended with starts in flight',
     script: {
       machines: 2,
       seed: 1,
@@ -98,29 +98,29 @@
     },
   },
   {
-    // No named peer lives, and nobody but the list tells the newcomer whether
-    // the holder does. The holder must stop before the newcomer takes over.
-    name: 'all named gone and the holder off the list',
+    // No named peer is alive, and only the list shows the new entry whether the
+    // holder is. The holder must stop before the new entry takes over.
+    name: 'all named peers ended and the holder off the list',
     script: holderAlone(PERMANENT_MS),
   },
   {
-    // As before, but the holder comes back on the list after the newcomer
-    // took over; that proves nothing for the time between.
-    name: 'all named gone and the holder back on the list',
+    // As before, but the holder returns to the list after the new entry took
+    // over; that proves nothing about the time between.
+    name: 'all named peers ended and the holder back on the list',
     script: holderAlone(8 * TTL_MS),
   },
   {
-    // A taker that isn't named has the named peer's release and its claim is
-    // under way when the holder's pause ends. Peer and holder can't read the
-    // log; the peer must refuse the holder's next ask.
-    name: 'a promise asked after a release',
+    // A taker that isn't named has got the named peer's release, and its claim
+    // is in flight when the holder's pause ends. Peer and holder can't read the
+    // log, so the peer must refuse the holder's next promise request.
+    name: 'a promise requested after a release',
     script: {
       machines: 2,
       seed: 1,
       steps: [
         holderCutFromLog,
         step(0, {type: 'cut_from_log', machine: 'named', forMs: PERMANENT_MS}),
-        spareRestarts,
+        newEntryJoins,
         step(2 * TTL_MS, {
           type: 'pause',
           machine: 'holder',
@@ -130,14 +130,14 @@
     },
   },
   {
-    // A renewal that names the newcomer too reaches the log, and the holder
-    // is cut off before it reads it. The newcomer's promise is needed.
-    name: 'a renewal with more names in doubt',
+    // A renewal that also names the new entry reaches the log, and the holder is
+    // cut off before it reads it. It needs the new entry's promise too.
+    name: 'an unconfirmed renewal that names more peers',
     script: {
       machines: 2,
       seed: 4,
       steps: [
-        spareRestarts,
+        newEntryJoins,
         step(200, {
           type: 'cut_from_log',
           machine: 'holder',
@@ -148,8 +148,9 @@
   },
   {
     // A renewal that names the old peer takes effect after one that names the
-    // new. If it counted, the old peer could take over unasked.
-    name: 'a late renewal with other names',
+    // new peer. If it were valid, the old peer could take over although the
+    // holder has not requested its promise.
+    name: 'a late renewal that names other peers',
     script: {
       machines: 2,
       seed: 3,
@@ -161,7 +162,7 @@
           other: 1,
           forMs: PERMANENT_MS,
         }),
-        spareRestarts,
+        newEntryJoins,
         step(515, {
           type: 'cut_from_log',
           machine: 'holder',
@@ -171,7 +172,7 @@
     },
   },
   {
-    // The holder is paused between its release and reading it in the log.
+    // The holder is paused after its release, before it reads it in the log.
     name: 'a holder paused right after its release',
     script: {
       machines: 2,
@@ -183,9 +184,10 @@
     },
   },
   {
-    // A taker last heard another process at the address where the holder now
-    // is, cut off from it and the log. Not hearing must not count as proof.
-    name: 'a holder at an address where another was heard',
+    // At the holder's address the taker last got an answer from another process.
+    // It is cut off from that address and from the log. A missing answer must not
+    // count as proof that the holder ended.
+    name: 'a holder at the former address of another process',
     script: {
       machines: 3,
       seed: 1,
--- a/packages/gypsumwall-membership/src/__fixtures__/claim_worker.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/claim_worker.ts
@@ -1,15 +1,15 @@
-/** The part of a worker that guards its starts. */
+/** The part of a worker that accepts or refuses starts. */
 import * as virtualTime from './virtual_time.js';
 
 /** A worker on virtual time. */
 export interface ClaimWorker {
-  /** Now, on the worker's own clock. */
+  /** The current time of the worker's own clock. */
   now(): number;
-  /** Fences by epoch and refuses what comes too late. */
+  /** Whether the start is accepted: its epoch isn't fenced, and it isn't late. */
   accepts(epoch: number, startBy: number): boolean;
 }
 
-/** Makes a worker that has seen no epoch yet. */
+/** Creates a worker that has seen no epoch yet. */
 export function createClaimWorker(
   time: virtualTime.VirtualTime,
   clockRate: number,
--- a/packages/gypsumwall-membership/src/__fixtures__/claim_world.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/claim_world.ts
@@ -1,8 +1,8 @@
 /**
- * A failure domain's entries, its log stream, the platform's list and a
- * worker on virtual time, all of which fail on command. The claim keepers in
- * it are the real ones; what is under test is whether two of them can hold
- * the claim at one moment, or a start of a replaced holder gets through.
+ * Simulates the entries of a failure domain, its log stream, the platform's list
+ * and a worker on virtual time, with injected faults. The claim keepers are the
+ * real ones. The tests check that two of them never hold the claim at the same
+ * time, and that a worker accepts no start of a replaced holder.
  */
 import * as telemetry from '@gypsumwall/telemetry';
 import * as types from '@gypsumwall/types';
@@ -17,7 +17,7 @@
 import * as fakeStream from './fake_stream.js';
 import * as virtualTime from './virtual_time.js';
 
-/** Spans of the world, in true milliseconds. */
+/** Durations in the world, in milliseconds of virtual time. */
 export const TTL_MS = 600;
 export const LIST_LAG_MS = 300;
 export const ALL_GONE_MS = 2_400;
@@ -27,7 +27,7 @@
 const START_INTERVAL_MS = 50;
 const MAX_DELAY_MS = 40;
 const DOMAIN = types.ids.brand<types.ids.FailureDomain>('bole-hall');
-/** Clock rates in the world, within the drift that is allowed for. */
+/** Clock rates of the processes, within the drift that the protocol allows. */
 const CLOCK_RATES = [1, 1.004, 0.996];
 const silentLogger = telemetry.logger.createLogger('silent');
 
@@ -43,23 +43,23 @@
   openStarts: number;
   isReleasing: boolean;
   listed: ReadonlySet<number>;
-  /** Who last answered a heartbeat from each machine. */
+  /** Id of the process that last answered a heartbeat, by machine. */
   readonly lastAnsweredBy: Map<number, types.ids.EntryId>;
   listFetchedAt?: types.clock.MonotonicMs;
   selfListedAt?: types.clock.MonotonicMs;
   caughtUp: boolean;
 }
 
-/** The world. */
+/** The simulated world. */
 export interface ClaimWorld {
   inject(fault: claimFaults.Fault): void;
-  /** `afterEvent` may inject between any two events. */
+  /** Advances time; `afterEvent` may inject faults between any two events. */
   run(forMs: number, afterEvent?: () => void): Promise<void>;
   /** Machines whose process holds the claim now. */
   holders(): readonly number[];
-  /** What must never happen and did; empty when all is well. */
+  /** Observed violations of the protocol's guarantees; empty if there are none. */
   violations(): readonly string[];
-  /** How often a claim changed hands. */
+  /** How often a claim was taken, and how many starts the worker accepted. */
   readonly counts: {claims: number; starts: number};
   now(): number;
   stop(): Promise<void>;
@@ -83,7 +83,7 @@
   });
   const list = fakeList.createFakeList(time, random, faults, LIST_LAG_MS);
   const worker = claimWorker.createClaimWorker(time, 0.998);
-  const runs: Array<Promise<void>> = [];
+  const keeperRuns: Array<Promise<void>> = [];
   let lastHolder = 0;
   let spawnedCount = 0;
 
@@ -96,7 +96,7 @@
     timeoutMs: CALL_TIMEOUT_MS,
   });
 
-  /** Sends a call to an address; whoever listens there answers. */
+  /** Sends a call to an address; the process that listens there answers. */
   function call<Reply>(
     from: Entry,
     peer: claimPeers.NamedPeer,
@@ -144,13 +144,13 @@
 
   function fetchList(entry: Entry) {
     if (!entry.process.isAlive()) return;
-    const askedAt = entry.process.clock.monotonic();
+    const requestedAt = entry.process.clock.monotonic();
     if (list.isReached(entry.machine)) {
       const listed = list.fetch();
       entry.process.deliverAt(time.now() + delay(), () => {
         entry.listed = new Set(listed);
         entry.listFetchedAt = entry.process.clock.monotonic();
-        if (listed.includes(entry.machine)) entry.selfListedAt = askedAt;
+        if (listed.includes(entry.machine)) entry.selfListedAt = requestedAt;
       });
     }
     const nextAt = time.now() + LIST_POLL_MS;
@@ -176,14 +176,14 @@
     entry.process.deliverAt(nextAt, () => readLog(entry));
   }
 
-  /** What a holder does: checks its claim, then starts at the worker. */
+  /** Acts as a holder: checks its claim, then sends a start to the worker. */
   function startTasks(entry: Entry) {
     if (!entry.process.isAlive()) return;
     const state = entry.keeper.state();
     if (state.type === 'held' && !entry.isReleasing) {
       const leftMs = state.deadline - entry.process.clock.monotonic();
       const startBy = worker.now() + leftMs;
-      // The start may be on its way, or its sender paused, for long.
+      // The start may be in flight, or its sender may be paused, for long.
       const arrivesAt = time.now() + random.integer(0, TTL_MS);
       entry.openStarts++;
       time.at(arrivesAt, () => {
@@ -225,7 +225,7 @@
     return entries.get(machine)?.process.isAlive() === true;
   }
 
-  /** The machine that a fault is aimed at. */
+  /** The number of the machine that a fault's target means. */
   function resolveTarget(target: claimFaults.Target): number {
     if (typeof target === 'number') return target;
     const keeper = entries.get(lastHolder)?.keeper;
@@ -300,11 +300,11 @@
       fetchList(entry);
       readLog(entry);
       startTasks(entry);
-      runs.push(keeper.run(stop.signal));
+      keeperRuns.push(keeper.run(stop.signal));
     });
   }
 
-  function end(machine: number) {
+  function endProcess(machine: number) {
     entries.get(machine)?.process.kill();
     entries.get(machine)?.stop.abort();
     list.remove(machine);
@@ -317,7 +317,7 @@
     network,
     resolveTarget,
     isAlive,
-    end,
+    endProcess,
     spawn,
     entryAt: (machine) => entries.get(machine),
   });
--- a/packages/gypsumwall-membership/src/__fixtures__/fake_list.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/fake_list.ts
@@ -1,21 +1,21 @@
-/** Which machines the platform lists, on virtual time and with a lag. */
+/** The platform's list of machines on virtual time, with a lag. */
 import type * as types from '@gypsumwall/types';
 import type * as claimFaults from './claim_faults.js';
 import type * as virtualTime from './virtual_time.js';
 
-/** The platform's list; `cut_from_list` applies. */
+/** The platform's list; the fault `cut_from_list` applies to it. */
 export interface FakeList {
   isReached(machine: number): boolean;
-  /** What a fetch shows now: the truth of a while ago. */
+  /** The machines as they were up to half the lag ago. */
   fetch(): readonly number[];
   add(machine: number): void;
-  /** Its process has ended. */
+  /** Removes a machine whose process has ended. */
   remove(machine: number): void;
-  /** The platform may take a cut-off instance for a dead one. */
+  /** Cuts a machine off; the list may show it as ended meanwhile. */
   cutOff(machine: number, forMs: number, isAlive: () => boolean): void;
 }
 
-/** Makes an empty list that is at most `lagMs` old. */
+/** Creates an empty list that is at most `lagMs` old. */
 export function createFakeList(
   time: virtualTime.VirtualTime,
   random: types.random.Random,
--- a/packages/gypsumwall-membership/src/__fixtures__/fake_network.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/fake_network.ts
@@ -1,4 +1,4 @@
-/** Calls between machines on virtual time, which faults lose. */
+/** Calls between machines on virtual time, which faults can drop. */
 import type * as types from '@gypsumwall/types';
 import type * as claimFaults from './claim_faults.js';
 import type * as virtualTime from './virtual_time.js';
@@ -8,24 +8,24 @@
   readonly process: virtualTime.VirtualProcess;
 }
 
-/** One call to whoever listens on a machine. */
+/** One call to the process that listens on a machine. */
 export interface FakeCall<Reply> {
   readonly from: Endpoint;
   readonly machine: number;
-  /** What the caller gets when no answer comes in time. */
+  /** The reply when no answer arrives within the timeout. */
   readonly silent: Reply;
-  /** What it gets when the machine is up and nobody listens. */
+  /** The reply when the machine is up but no process listens. */
   readonly refused: Reply;
   listener(): Endpoint | undefined;
-  /** Runs in the listener. */
+  /** Computes the answer, in the listener's process. */
   answer(): Reply;
 }
 
-/** The network; `cut_between` applies, each way on its own. */
+/** The network; the fault `cut_between` applies to each direction separately. */
 export interface FakeNetwork {
   reaches(from: number, to: number): boolean;
   call<Reply>(call: FakeCall<Reply>): Promise<Reply>;
-  /** From now on nothing answers at the machine's address. */
+  /** Makes all calls to the machine's address time out. */
   loseMachine(machine: number): void;
   restoreMachine(machine: number): void;
 }
@@ -39,7 +39,7 @@
   readonly timeoutMs: number;
 }
 
-/** Makes a network on which everybody reaches everybody. */
+/** Creates a network on which all machines reach each other. */
 export function createFakeNetwork(options: FakeNetworkOptions): FakeNetwork {
   const {time, random, faults} = options;
   const lost = new Set<number>();
--- a/packages/gypsumwall-membership/src/__fixtures__/fake_stream.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/fake_stream.ts
@@ -1,4 +1,4 @@
-/** A domain's log stream on virtual time, whose appends fail on command. */
+/** A domain's log stream on virtual time; faults make its appends fail. */
 import * as result from 'true-myth/result';
 import type * as records from '@gypsumwall/records';
 import type * as types from '@gypsumwall/types';
@@ -7,7 +7,10 @@
 
 type AppendAnswer = result.Result<{offset: number}, types.stepError.StepError>;
 
-/** The stream; `log_down`, `answers_lost` and `appends_late` apply. */
+/**
+ * The stream. The faults `log_down`, `cut_from_log`, `answers_lost` and
+ * `appends_late` apply to it.
+ */
 export interface FakeStream {
   isReached(machine: number): boolean;
   append(
@@ -25,11 +28,11 @@
   readonly faults: claimFaults.LastingFaults;
   readonly maxDelayMs: number;
   readonly timeoutMs: number;
-  /** How late a late append takes effect at most. */
+  /** Maximum delay of an append that takes effect late. */
   readonly maxLateMs: number;
 }
 
-/** Makes an empty stream. */
+/** Creates an empty stream. */
 export function createFakeStream(options: FakeStreamOptions): FakeStream {
   const {time, random, faults} = options;
   const log: records.domainRecords.DomainRecord[] = [];
@@ -75,6 +78,6 @@
     step: 'log.append',
     peer: 'log',
     effect,
-    message: 'the log is out of reach',
+    message: 'the log is unreachable',
   });
 }
--- a/packages/gypsumwall-membership/src/__fixtures__/peer_fixture.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/peer_fixture.ts
@@ -1,4 +1,4 @@
-/** An entry's peer service, view and clients on real sockets. */
+/** Runs an entry's peer service, view and clients on real sockets. */
 import * as result from 'true-myth/result';
 import type * as platform from '@gypsumwall/platform';
 import * as telemetry from '@gypsumwall/telemetry';
@@ -11,13 +11,13 @@
 const HOST = '127.0.0.1';
 export const LIST_LAG_MS = 1_000;
 
-/** A list that tests write. */
+/** An instance list whose content the test sets. */
 export interface FakeList extends platform.instanceList.InstanceList {
   instances: platform.instanceList.ListedInstance[];
   isDown: boolean;
 }
 
-/** Makes an empty list. */
+/** Creates an empty list. */
 export function createFakeList(): FakeList {
   const list: FakeList = {
     instances: [],
@@ -30,7 +30,7 @@
               step: 'list.fetch',
               peer: 'list',
               effect: 'not_run',
-              message: 'down',
+              message: 'the list is unavailable',
             })
           : result.ok(list.instances),
       ),
@@ -38,14 +38,14 @@
   return list;
 }
 
-/** A running entry, as far as its peers see it. */
+/** The parts of a running entry that its peers interact with. */
 export interface PeerFixture {
   readonly entryId: types.ids.EntryId;
   readonly address: string;
   readonly view: domainViewKeeper.DomainViewKeeper;
   readonly clients: peerClients.PeerClients;
   leaving: boolean;
-  /** Ends it; its port refuses connections afterwards. */
+  /** Stops the entry; its port refuses connections afterwards. */
   stop(): Promise<void>;
 }
 
@@ -122,12 +122,13 @@
 
 const CONDITION_TIMEOUT_MS = 5_000;
 
-/** Waits for a condition; rejects with `what` if it doesn't come. */
-export async function waitUntil(what: string, holds: () => boolean) {
+/** Waits until the condition is true; rejects with `what` at the timeout. */
+export async function waitUntil(what: string, isMet: () => boolean) {
   const clock = types.clock.createSystemClock();
   const timeoutAt = types.clock.after(clock.monotonic(), CONDITION_TIMEOUT_MS);
-  while (!holds()) {
-    if (clock.monotonic() > timeoutAt) throw new Error(`never: ${what}`);
+  while (!isMet()) {
+    if (clock.monotonic() > timeoutAt)
+      throw new Error(`timed out waiting for: ${what}`);
     await clock.sleepUntil(types.clock.after(clock.monotonic(), 5));
   }
 }
--- a/packages/gypsumwall-membership/src/__fixtures__/silent_proxy.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/silent_proxy.ts
@@ -1,16 +1,17 @@
-/** A TCP relay whose open connections can be made to go silent for good. */
+/** A TCP relay that can permanently stop forwarding on its open connections. */
 import * as net from 'node:net';
 
 /** The relay. */
 export interface SilentProxy {
   readonly address: string;
-  /** Open connections pass nothing any more; new ones work. */
+  /** Stops forwarding on open connections; new connections work. */
   silenceOpenConnections(): void;
+  /** Number of connections accepted so far. */
   connections(): number;
   close(): Promise<void>;
 }
 
-/** Relays to a port of this machine. */
+/** Starts a relay to a port of this machine. */
 export async function startSilentProxy(port: number): Promise<SilentProxy> {
   const sockets = new Set<net.Socket>();
   let opened = 0;
--- a/packages/gypsumwall-membership/src/__fixtures__/virtual_time.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/virtual_time.ts
@@ -1,7 +1,7 @@
 /**
- * Time that jumps from event to event, so that hours of a protocol run in
- * milliseconds and a run repeats exactly. Processes have clocks of their own
- * rate on it, and can be paused: what reaches them meanwhile waits.
+ * Virtual time that advances from event to event, so that hours of a protocol
+ * run in milliseconds and each run is reproducible. Processes have clocks with
+ * their own rates. A paused process gets its events after the pause.
  */
 import * as types from '@gypsumwall/types';
 
@@ -11,15 +11,15 @@
   readonly run: () => void;
 }
 
-/** True time, in milliseconds; no process can read it. */
+/** The world's time in milliseconds; processes read only their own clocks. */
 export interface VirtualTime {
   now(): number;
   at(moment: number, run: () => void): void;
-  /** Runs all events up to the moment; `afterEach` sees each one's outcome. */
+  /** Runs all events up to the moment, and `afterEach` after each of them. */
   advanceTo(moment: number, afterEach: () => void): Promise<void>;
 }
 
-/** Makes a time that starts at 0. */
+/** Creates a time that starts at 0. */
 export function createVirtualTime(): VirtualTime {
   const events: Event[] = [];
   let now = 0;
@@ -60,16 +60,16 @@
 /** A process on virtual time. */
 export interface VirtualProcess {
   readonly clock: types.clock.Clock;
-  /** Runs `run` in the process at the moment, or when its pause is over. */
+  /** Runs `run` in the process at the moment, or after the process's pause. */
   deliverAt(moment: number, run: () => void): void;
-  /** Stops it for a while; its clock goes on. */
+  /** Pauses the process; its clock continues. */
   pauseUntil(moment: number): void;
   kill(): void;
   isAlive(): boolean;
   isPaused(): boolean;
 }
 
-/** Starts a process whose clock runs `rate` times as fast as true time. */
+/** Starts a process whose clock runs `rate` times as fast as virtual time. */
 export function createVirtualProcess(
   time: VirtualTime,
   rate: number,
@@ -111,7 +111,7 @@
             signal?.removeEventListener('abort', finish);
             resolve();
           };
-          // Never before the deadline on this process's own clock.
+          // Not before the deadline on this process's own clock.
           deliverAt(Math.ceil(startedAt + deadline / rate) + 1, finish);
           signal?.addEventListener('abort', finish, {once: true});
         }),
--- a/packages/gypsumwall-membership/src/__tests__/claim_calls.test.ts
+++ b/packages/gypsumwall-membership/src/__tests__/claim_calls.test.ts
@@ -10,7 +10,7 @@
 const taker = types.ids.brand<types.ids.EntryId>('taker');
 const promiseRequest = {holder, epoch: 4, seen: 9, promiseMs: 60_000};
 
-nodeTest.test('a promise blocks a witness until it runs out', async () => {
+nodeTest.test('a promise blocks a release until it expires', async () => {
   const peer = await peerFixture.startPeer('p', peerFixture.createFakeList());
   const calls = claimCalls.createClaimCalls(peer.clients);
   assert.deepEqual(
@@ -19,31 +19,31 @@
       type: 'promised',
     },
   );
-  const early = await calls.requestWitness(
+  const blocked = await calls.requestWitness(
     peer,
     {taker, epoch: 4, seen: 9},
     TIMEOUT_MS,
   );
-  assert.equal(early.type, 'wait');
-  const free = await calls.requestWitness(
+  assert.equal(blocked.type, 'wait');
+  const unblocked = await calls.requestWitness(
     peer,
     {taker, epoch: 2, seen: 3},
     TIMEOUT_MS,
   );
-  assert.deepEqual(free, {type: 'released'});
-  const late = await calls.requestPromise(
+  assert.deepEqual(unblocked, {type: 'released'});
+  const afterRelease = await calls.requestPromise(
     peer,
     {...promiseRequest, epoch: 2, seen: 3},
     TIMEOUT_MS,
   );
-  assert.equal(late.type, 'refused');
+  assert.equal(afterRelease.type, 'refused');
   await peer.stop();
 });
 
-nodeTest.test('only proof makes a peer gone', async () => {
-  // Another process at the address, or a port that refuses, proves that the
-  // named process ended. A connection that swallows calls proves nothing: the
-  // peer may live, and may even have promised.
+nodeTest.test('only proof of its end makes a peer count as ended', async () => {
+  // Another process at the address, or a port that refuses connections, proves
+  // that the named process ended. A connection on which calls time out proves
+  // nothing: the peer may be alive and may even have promised.
   const list = peerFixture.createFakeList();
   const peer = await peerFixture.startPeer('p', list);
   const port = Number(new URL(peer.address).port);
--- a/packages/gypsumwall-membership/src/__tests__/claim_timing.test.ts
+++ b/packages/gypsumwall-membership/src/__tests__/claim_timing.test.ts
@@ -4,12 +4,12 @@
 import * as types from '@gypsumwall/types';
 import * as claimTiming from '../claim_timing.js';
 
-/** What docs/design/001-decisions.md promises to withstand. */
+/** The drift that docs/design/001-decisions.md promises to tolerate. */
 const PROMISED_DRIFT = 1.01;
 
-nodeTest.test('no clock within the drift outruns a holder', () => {
-  // Holder and taker count the same span on clocks of different rates, the
-  // taker from no earlier than the holder. The holder must end first.
+nodeTest.test('a holder ends first for all clocks within the drift', () => {
+  // Holder and taker count the same duration on clocks with different rates,
+  // and the taker doesn't begin before the holder. The holder must end first.
   const rate = fastCheck.double({
     min: 1,
     max: PROMISED_DRIFT,
--- a/packages/gypsumwall-membership/src/__tests__/domain_view_keeper.test.ts
+++ b/packages/gypsumwall-membership/src/__tests__/domain_view_keeper.test.ts
@@ -4,14 +4,14 @@
 import * as peerFixture from '../__fixtures__/peer_fixture.js';
 import * as silentProxy from '../__fixtures__/silent_proxy.js';
 
-/** What `from` believes of the peer at an address. */
+/** The peer at an address, in the view of `from`. */
 function peerAt(from: peerFixture.PeerFixture, address: string) {
   return from.view.current().peers.find((peer) => peer.address === address);
 }
 
-nodeTest.test('peers find each other, also off the list', async () => {
-  // The list shows only one of two entries. That one learns of the other by
-  // the heartbeat that comes in.
+nodeTest.test('peers find each other even if one is unlisted', async () => {
+  // The list shows only one of two entries. That one finds the other by the
+  // heartbeat that it receives.
   const list = peerFixture.createFakeList();
   const shown = await peerFixture.startPeer('shown', list);
   const hidden = await peerFixture.startPeer('hidden', list);
@@ -26,53 +26,57 @@
 });
 
 nodeTest.test('a new process at an old address has a new id', async () => {
-  // A peer ends and another process starts at its address, both within the
-  // list's lag: the list says nothing, the next heartbeat's answer does.
+  // A peer ends and another process starts at its address, both within one list
+  // lag. The list doesn't show the change; the next heartbeat's answer does.
   const list = peerFixture.createFakeList();
   const watcher = await peerFixture.startPeer('watcher', list);
   const first = await peerFixture.startPeer('first', list);
   list.instances = [peerFixture.listedEntry(first.address)];
   await peerFixture.waitUntil(
-    'first heard',
+    'the first process answers',
     () => peerAt(watcher, first.address)?.entryId === 'first',
   );
   await first.stop();
   await peerFixture.waitUntil(
-    'silent at once',
+    'the first process is silent',
     () => peerAt(watcher, first.address)?.state === 'silent',
   );
   const port = Number(new URL(first.address).port);
   const second = await peerFixture.startPeer('second', list, port);
-  await peerFixture.waitUntil('second heard', () => {
+  await peerFixture.waitUntil('the second process answers', () => {
     const peer = peerAt(watcher, first.address);
     return peer?.entryId === 'second' && peer.state === 'live';
   });
   await Promise.all([watcher.stop(), second.stop()]);
 });
 
-nodeTest.test('leaving beats live, and a list that is down', async () => {
-  // The peer says that it leaves while the list, down since, last said live.
-  const list = peerFixture.createFakeList();
-  const watcher = await peerFixture.startPeer('watcher', list);
-  const leaver = await peerFixture.startPeer('leaver', list);
-  list.instances = [peerFixture.listedEntry(leaver.address)];
-  await peerFixture.waitUntil(
-    'heard',
-    () => peerAt(watcher, leaver.address)?.state === 'live',
-  );
-  list.isDown = true;
-  leaver.leaving = true;
-  await peerFixture.waitUntil(
-    'leaving',
-    () => peerAt(watcher, leaver.address)?.state === 'leaving',
-  );
-  await Promise.all([watcher.stop(), leaver.stop()]);
-});
+nodeTest.test(
+  'a peer that reports leaving overrides a list that is down',
+  async () => {
+    // The list shows the peer as live and then becomes unavailable; after that the
+    // peer reports that it leaves.
+    const list = peerFixture.createFakeList();
+    const watcher = await peerFixture.startPeer('watcher', list);
+    const leaver = await peerFixture.startPeer('leaver', list);
+    list.instances = [peerFixture.listedEntry(leaver.address)];
+    await peerFixture.waitUntil(
+      'the peer is live',
+      () => peerAt(watcher, leaver.address)?.state === 'live',
+    );
+    list.isDown = true;
+    leaver.leaving = true;
+    await peerFixture.waitUntil(
+      'the peer is leaving',
+      () => peerAt(watcher, leaver.address)?.state === 'leaving',
+    );
+    await Promise.all([watcher.stop(), leaver.stop()]);
+  },
+);
 
-nodeTest.test('a silent connection is replaced, its peer kept', async () => {
-  // Something between the two ends loses track of the open connection: it
-  // stays open and passes nothing. The next heartbeat times out, a new
-  // connection is made, and the peer is live again without the list's help.
+nodeTest.test('a silent connection is replaced and its peer kept', async () => {
+  // A device between the two ends loses the state of the open connection, which
+  // stays open but forwards nothing. The next heartbeat times out, the client
+  // opens a new connection, and the peer is live again without the list.
   const list = peerFixture.createFakeList();
   const peer = await peerFixture.startPeer('peer', list);
   const port = Number(new URL(peer.address).port);
@@ -92,11 +96,11 @@
 });
 
 nodeTest.test(
-  'a peer tells what leaves to one cut off from the list',
+  'a peer reports leaving instances to one cut off from the list',
   async () => {
-    // An upstream that leaves gets nothing new, also from an entry that can't
-    // read the list any more. The entry's list fails, then a peer's list shows
-    // the upstream as leaving; the next heartbeat's answer brings it.
+    // A leaving upstream must get no new work, even from an entry that can no
+    // longer read the list. The entry's list fails, then a peer's list shows the
+    // upstream as leaving, and the answer to the next heartbeat reports it.
     const cutList = peerFixture.createFakeList();
     const list = peerFixture.createFakeList();
     const cut = await peerFixture.startPeer('cut', cutList);
@@ -113,13 +117,19 @@
     list.instances = [peerFixture.listedEntry(cut.address), upstream];
     cutList.instances = [peerFixture.listedEntry(peer.address), upstream];
     const stateAtCut = () => cut.view.current().upstreams[0]?.state;
-    await peerFixture.waitUntil('both seen', () => stateAtCut() === 'live');
+    await peerFixture.waitUntil(
+      'the upstream is live',
+      () => stateAtCut() === 'live',
+    );
     cutList.isDown = true;
     list.instances = [
       peerFixture.listedEntry(cut.address),
       {...upstream, state: 'leaving'},
     ];
-    await peerFixture.waitUntil('told', () => stateAtCut() === 'leaving');
+    await peerFixture.waitUntil(
+      'the upstream is leaving',
+      () => stateAtCut() === 'leaving',
+    );
     await Promise.all([cut.stop(), peer.stop()]);
   },
 );
--- a/packages/gypsumwall-membership/src/__tests__/peer_choice.test.ts
+++ b/packages/gypsumwall-membership/src/__tests__/peer_choice.test.ts
@@ -6,7 +6,9 @@
 const DOMAINS = 15;
 const ENTRIES_PER_DOMAIN = 4;
 
-function cell(isSilent: (address: string) => boolean = () => false) {
+function createCandidates(
+  isSilent: (address: string) => boolean = () => false,
+) {
   return Array.from({length: DOMAINS * ENTRIES_PER_DOMAIN}, (_, index) => ({
     address: `http://10.0.0.${index}:1`,
     failureDomain: types.ids.brand<types.ids.FailureDomain>(
@@ -16,8 +18,8 @@
   }));
 }
 
-nodeTest.test('all of the own domain, two of each other one', () => {
-  const entries = cell();
+nodeTest.test('all of the own domain and two of each other are chosen', () => {
+  const entries = createCandidates();
   const chosenBy = new Map<string, number>();
   for (const self of entries) {
     const others = entries.filter(({address}) => address !== self.address);
@@ -27,22 +29,24 @@
       chosenBy.set(address, (chosenBy.get(address) ?? 0) + 1);
     }
   }
-  // Nobody is left out, and nobody answers for everybody.
+  // Every entry is chosen by some entry, and none by all of them.
   assert.equal(chosenBy.size, entries.length);
   assert.ok(Math.max(...chosenBy.values()) < entries.length);
 });
 
 nodeTest.test('a silent representative is kept and another added', () => {
-  const [self, ...others] = cell();
+  const [self, ...others] = createCandidates();
   assert.ok(self !== undefined);
   const before = peerChoice.choosePeers(self, others);
-  const victim = [...before].find((address) =>
+  const silentAddress = [...before].find((address) =>
     others.some(
       (entry) =>
         entry.address === address && entry.failureDomain !== self.failureDomain,
     ),
   );
-  const later = cell((address) => address === victim).slice(1);
+  const later = createCandidates((address) => address === silentAddress).slice(
+    1,
+  );
   const after = peerChoice.choosePeers(self, later);
   assert.equal(after.size, before.size + 1);
   assert.ok([...before].every((address) => after.has(address)));
--- a/packages/gypsumwall-membership/src/__tests__/peer_client.test.ts
+++ b/packages/gypsumwall-membership/src/__tests__/peer_client.test.ts
@@ -5,11 +5,12 @@
 import * as peerFixture from '../__fixtures__/peer_fixture.js';
 import * as peerClient from '../peer_client.js';
 
-// The settings give a heartbeat 2000 / 3 ms. Connect sends that as a header,
-// and its peer refuses a part of a millisecond as malformed: every peer looked
-// silent, calls were not handed on, and claims could not outlive the log.
+// The settings result in a heartbeat timeout of 2000 / 3 ms. Connect sends the
+// timeout in a header, and a peer refuses a fraction of a millisecond as
+// malformed. Every peer then looked silent, calls were not forwarded, and
+// claims could not be renewed while the log was down.
 nodeTest.test(
-  'a timeout with a part of a millisecond is no fault',
+  'a timeout with a fraction of a millisecond is accepted',
   async () => {
     const list = peerFixture.createFakeList();
     const peer = await peerFixture.startPeer('bkk-a-1', list);
@@ -28,8 +29,8 @@
   },
 );
 
-/** A peer that runs the call and then answers with the given bytes. */
-async function startOddPeer(status: number, body: Buffer) {
+/** Starts a peer that takes the call, then answers with the given bytes. */
+async function startPeerAnswering(status: number, body: Buffer) {
   const sessions = new Set<http2.ServerHttp2Session>();
   const server = http2.createServer((req, res) => {
     req.resume();
@@ -50,18 +51,18 @@
   return {address: `http://127.0.0.1:${port}`, close};
 }
 
-/** Length-delimited field 3 that promises more bytes than come. */
+/** Length-delimited field 3 whose length exceeds the bytes that follow. */
 const TRUNCATED = Buffer.from([0x1a, 0x20, 0x01]);
 
 for (const [what, status, body] of [
   ['a truncated answer', 200, TRUNCATED],
   ['a refusal without a reason', 403, Buffer.alloc(0)],
-  ['an answer of no such route', 404, Buffer.alloc(0)],
+  ['an answer that the route is unknown', 404, Buffer.alloc(0)],
 ] as const) {
   nodeTest.test(`${what} is no proof that nothing ran`, async () => {
-    // The peer took a call that was handed on and ran it, but its answer
-    // can't be read. Told `not_run`, the caller would have it run twice.
-    const peer = await startOddPeer(status, body);
+    // The peer received a forwarded call and ran it, but its answer can't be
+    // parsed. If the effect were `not_run`, the caller would run it twice.
+    const peer = await startPeerAnswering(status, body);
     const client = peerClient.createPeerClient({
       address: peer.address,
       timeoutMs: 1_000,
--- a/packages/gypsumwall-membership/src/bin/handover_bench.ts
+++ b/packages/gypsumwall-membership/src/bin/handover_bench.ts
@@ -1,6 +1,7 @@
 /**
- * Measures how long a domain has no holder after its holder was killed or
- * stopped as planned: real keepers on the real clock, small fakes around.
+ * Measures how long a domain has no holder after its holder was killed, lost its
+ * machine or stopped as planned. Uses real keepers on the real clock, with a
+ * simulated log and network.
  */
 import * as hdrHistogram from 'hdr-histogram-js';
 import * as result from 'true-myth/result';
@@ -16,7 +17,7 @@
 export type Ending =
   /** Its port refuses connections afterwards. */
   | 'killed'
-  /** Its machine vanishes: calls to it time out. */
+  /** Its machine ends; calls to it time out. */
   | 'machine_lost'
   | 'planned_stop';
 
@@ -29,7 +30,7 @@
   readonly seed: number;
 }
 
-/** From the ending to the next holder's claim, in milliseconds. */
+/** Time from the ending to the next holder's claim. */
 export interface Handovers {
   readonly ending: Ending;
   readonly runs: number;
@@ -41,13 +42,13 @@
   readonly p99Ttls: number;
 }
 
-/** Runs at one time; they only wait. */
+/** Number of concurrent runs; they mostly wait. */
 const BATCH_SIZE = 10;
 const ONE_WAY_DELAY_MS = 1;
 const LOG_APPEND_MS = 3;
 const DOMAIN = types.ids.brand<types.ids.FailureDomain>('merkato-hall');
 
-/** Measures handovers one after another in small batches. */
+/** Measures handovers in small batches, one batch after another. */
 export async function measureHandovers(
   options: HandoverOptions,
 ): Promise<Handovers> {
@@ -94,7 +95,7 @@
   const random = types.random.createRandom(seed);
   const domain = startDomain(options, clock, random);
   const holder = await domain.holder(undefined);
-  // Any moment between two renewals is as likely.
+  // Every moment between two renewals is equally likely.
   const delayMs = options.ttlMs * (1 + random.next());
   await clock.sleepUntil(types.clock.after(clock.monotonic(), delayMs));
   const endedAt = clock.monotonic();
--- a/packages/gypsumwall-membership/src/bin/heartbeat_bench.ts
+++ b/packages/gypsumwall-membership/src/bin/heartbeat_bench.ts
@@ -1,6 +1,6 @@
 /**
- * Measures what heartbeats cost: processor time of both ends together, and
- * bytes on the wire, over real sockets of this machine.
+ * Measures the cost of heartbeats over real sockets of this machine: processor
+ * time of both ends together, and bytes on the wire.
  */
 import * as net from 'node:net';
 import * as types from '@gypsumwall/types';
@@ -8,24 +8,24 @@
 import * as peerClients from '../peer_clients.js';
 import * as peerServer from '../peer_server.js';
 
-/** Cost at one number of peers. */
+/** Cost of a heartbeat for one number of peers. */
 export interface HeartbeatCost {
   readonly peers: number;
   readonly heartbeats: number;
-  /** Of sender and answerer together. */
+  /** Processor time of sender and receiver together. */
   readonly cpuMicrosPerHeartbeat: number;
-  /** Of request and answer together, without TCP and IP headers. */
+  /** Bytes of request and answer together, without TCP and IP headers. */
   readonly bytesPerHeartbeat: number;
 }
 
 const HOST = '127.0.0.1';
 const TIMEOUT_MS = 2_000;
-/** The same for all numbers of peers, so that only their number differs. */
+/** The same rate for all peer counts, so that only the count differs. */
 const HEARTBEATS_PER_SECOND = 400;
 const WARM_UP_HEARTBEATS = 1_600;
 const RELAYED_HEARTBEATS = 200;
 
-/** Sends heartbeats to so many peers in turn, and counts. */
+/** Sends heartbeats to the peers in turn and measures their cost. */
 export async function measureHeartbeats(
   peers: number,
   heartbeats: number,
@@ -101,7 +101,7 @@
   });
 }
 
-/** Counts the bytes between one client and one server. */
+/** Starts a relay that counts the bytes between one client and one server. */
 async function startRelay(port: number) {
   const sockets: net.Socket[] = [];
   const server = net.createServer((socket) => {
--- a/packages/gypsumwall-membership/src/claim_holder.ts
+++ b/packages/gypsumwall-membership/src/claim_holder.ts
@@ -31,7 +31,7 @@
 }
 
 /** A renewal that was sent to the log and may or may not be valid there. */
-interface UnconfirmedRenewal {
+interface PendingRenewal {
   readonly seen: number;
   readonly peers: readonly claimPeers.NamedPeer[];
 }
@@ -64,7 +64,7 @@
    * sees it.
    */
   let unconfirmedUntil: types.clock.MonotonicMs | undefined;
-  let unconfirmedRenewals: UnconfirmedRenewal[] = [];
+  let pending: PendingRenewal[] = [];
   let isAppending = false;
 
   function extendDeadline(epoch: number, deadline: types.clock.MonotonicMs) {
@@ -80,9 +80,7 @@
    * time as that taker.
    */
   function onNewestClaim(newest: claimFold.NewestClaim) {
-    unconfirmedRenewals = unconfirmedRenewals.filter(
-      (renewal) => renewal.seen === newest.head,
-    );
+    pending = pending.filter((renewal) => renewal.seen === newest.head);
     if (newest.holder !== self) return;
     const sentAt = sentAtByOffset.get(newest.head);
     if (sentAt === undefined) return;
@@ -137,8 +135,8 @@
     // From now on a taker may read this renewal and call the peers that it
     // names. Promises of these peers are therefore required too, until the log
     // shows whether the renewal is valid.
-    const doubt = {seen: newest.head, peers};
-    unconfirmedRenewals.push(doubt);
+    const renewal = {seen: newest.head, peers};
+    pending.push(renewal);
     isAppending = true;
     const mayAppear = await append({
       type: 'renew',
@@ -147,10 +145,7 @@
       ...termsFor(peers),
     });
     isAppending = false;
-    if (!mayAppear)
-      unconfirmedRenewals = unconfirmedRenewals.filter(
-        (other) => other !== doubt,
-      );
+    if (!mayAppear) pending = pending.filter((other) => other !== renewal);
   }
 
   function termsFor(peers: readonly claimPeers.NamedPeer[]) {
@@ -175,7 +170,7 @@
     const sentAt = clock.monotonic();
     const requiredPeers = [
       ...resolveNamedPeers(newest, options.view()),
-      ...unconfirmedRenewals.flatMap((doubt) => doubt.peers),
+      ...pending.flatMap((renewal) => renewal.peers),
     ].filter(
       (peer, index, all) =>
         !endedPeers.has(peer.entryId) &&
--- a/packages/gypsumwall-membership/src/claim_keeper.ts
+++ b/packages/gypsumwall-membership/src/claim_keeper.ts
@@ -115,12 +115,13 @@
       return turnAt < nextCheckAt ? turnAt : nextCheckAt;
     }
     if (!options.caughtUp()) return nextCheckAt;
-    const before = fold.newest();
+    const newestBefore = fold.newest();
     const witness = await taker.findWitness();
     // The holder's renewal may have arrived during the calls to the peers.
-    if (witness === undefined || fold.newest() !== before) return nextCheckAt;
+    if (witness === undefined || fold.newest() !== newestBefore)
+      return nextCheckAt;
     if (hasReleased) return nextCheckAt;
-    await holder.claim(before, witness);
+    await holder.claim(newestBefore, witness);
     const spreadMs = callTimeoutMs * options.random.next();
     return types.clock.after(clock.monotonic(), spreadMs);
   }
--- a/packages/gypsumwall-membership/src/domain_view_keeper.ts
+++ b/packages/gypsumwall-membership/src/domain_view_keeper.ts
@@ -145,9 +145,11 @@
     });
     const peer: TrackedPeer = {link, stop: new AbortController()};
     tracked.set(address, peer);
-    const loop = link.run(AbortSignal.any([peer.stop.signal, runSignal]));
-    heartbeatLoops.add(loop);
-    void loop.finally(() => heartbeatLoops.delete(loop));
+    const heartbeatLoop = link.run(
+      AbortSignal.any([peer.stop.signal, runSignal]),
+    );
+    heartbeatLoops.add(heartbeatLoop);
+    void heartbeatLoop.finally(() => heartbeatLoops.delete(heartbeatLoop));
     logger.info('peer_found', {peer: address, domain});
     return peer;
   }
@@ -167,19 +169,19 @@
 
   function applyList(
     instances: readonly platform.instanceList.ListedInstance[],
-    askedAt: types.clock.MonotonicMs,
+    requestedAt: types.clock.MonotonicMs,
   ) {
     // In a large cell most of the list is instances of other domains, so only
     // the own domain's instances are compared.
-    const own = instances.filter(
+    const newOwnInstances = instances.filter(
       (instance) => instance.failureDomain === failureDomain,
     );
-    const changed =
+    const hasChanged =
       instances !== lastFetchedInstances &&
-      JSON.stringify(own) !== JSON.stringify(ownDomainInstances);
+      JSON.stringify(newOwnInstances) !== JSON.stringify(ownDomainInstances);
     lastFetchedInstances = instances;
-    ownDomainInstances = own;
-    correctedInstances = corrections.correct(own);
+    ownDomainInstances = newOwnInstances;
+    correctedInstances = corrections.correct(newOwnInstances);
     listFetchedAt = clock.monotonic();
     selfListed = instances.some(
       (one) => one.kind === 'entry' && one.address === options.address,
@@ -187,14 +189,14 @@
     const entries = instances.filter((instance) => instance.kind === 'entry');
     const chosen = chooseAddresses(entries);
     for (const entry of entries) {
-      if (entry.address === options.address) selfListedAt = askedAt;
+      if (entry.address === options.address) selfListedAt = requestedAt;
       if (!chosen.has(entry.address)) continue;
       const peer = trackPeer(entry.address, entry.failureDomain);
       if (peer === undefined) continue;
       // With address translation the list shows this process at an address that
       // it doesn't know as its own; the id in the heartbeat's answer identifies
       // it.
-      if (peer.link.peer().entryId === options.self) selfListedAt = askedAt;
+      if (peer.link.peer().entryId === options.self) selfListedAt = requestedAt;
       delete peer.unlistedAt;
       peer.link.onListed(entry.state);
     }
@@ -202,7 +204,7 @@
     trackedOtherDomainPeers = [...tracked.values()].filter(
       ({link}) => link.peer().failureDomain !== failureDomain,
     ).length;
-    if (changed) reportView();
+    if (hasChanged) reportView();
   }
 
   /**
@@ -240,10 +242,10 @@
 
   async function pollList(signal: AbortSignal) {
     while (!signal.aborted) {
-      const askedAt = clock.monotonic();
+      const requestedAt = clock.monotonic();
       const answer = await options.list.fetch();
       if (answer.isOk) {
-        applyList(answer.value, askedAt);
+        applyList(answer.value, requestedAt);
       } else {
         // The last list stays in use: its unavailability proves nothing about the
         // instances.
@@ -251,7 +253,7 @@
         logger.warn('list_unavailable', {error});
         correctedInstances = corrections.correct(ownDomainInstances);
       }
-      const nextAt = types.clock.after(askedAt, options.listPollMs);
+      const nextAt = types.clock.after(requestedAt, options.listPollMs);
       await clock.sleepUntil(nextAt, signal);
     }
   }
