--- a/packages/gypsumwall/src/__fixtures__/fake_entry.ts
+++ b/packages/gypsumwall/src/__fixtures__/fake_entry.ts
@@ -1,41 +1,41 @@
-/** Answers calls with what a test says, and remembers them. */
+/** An HTTP server that answers as the test defines and records the calls. */
 import * as http from 'node:http';
 import type * as net from 'node:net';
 
-/** A call as it came. */
-export interface SeenCall {
+/** A received call. */
+export interface ReceivedCall {
   readonly method: string;
   readonly path: string;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: string;
 }
 
-/** What to answer. */
+/** An answer that the test defines. */
 export interface FakeAnswer {
   readonly status?: number;
   readonly headers?: Record<string, string>;
-  /** JSON, or text as it is. */
+  /** A string is sent unchanged, any other value as JSON. */
   readonly body: unknown;
   /** Closes the connection after the body, before its declared end. */
-  readonly breakOff?: boolean;
+  readonly endsEarly?: boolean;
 }
 
-/** A server that stands for an entry. */
+/** A server in place of an entry. */
 export interface FakeEntry {
   readonly url: string;
-  readonly calls: SeenCall[];
+  readonly calls: ReceivedCall[];
   close(): void;
 }
 
-/** Listens on a port that the kernel gives. */
+/** Starts the server on a port that the kernel chooses. */
 export async function createFakeEntry(
-  answer: (call: SeenCall) => FakeAnswer,
+  answer: (call: ReceivedCall) => FakeAnswer,
 ): Promise<FakeEntry> {
-  const calls: SeenCall[] = [];
+  const calls: ReceivedCall[] = [];
   const server = http.createServer((req, res) => {
     req.setEncoding('utf8');
     let body = '';
-    req.on('data', (piece: string) => (body += piece));
+    req.on('data', (chunk: string) => (body += chunk));
     req.on('end', () => {
       const {method = '', url: path = '', headers} = req;
       const call = {method, path, headers, body};
@@ -57,24 +57,30 @@
   };
 }
 
-/** A refusal as an entry sends it. */
-export function problem(
+/** Creates a refusal in the form that an entry sends. */
+export function createProblem(
   status: number,
   reason: string,
-  more: Record<string, unknown> = {},
+  extraFields: Record<string, unknown> = {},
 ): FakeAnswer {
   const outcome = 'not_run';
   return {
     status,
     headers: {'gypsumwall-outcome': outcome},
-    body: {status, reason, outcome, detail: `because of ${reason}`, ...more},
+    body: {
+      status,
+      reason,
+      outcome,
+      detail: `because of ${reason}`,
+      ...extraFields,
+    },
   };
 }
 
 function send(res: http.ServerResponse, answer: FakeAnswer): void {
-  const {status = 200, headers = {}, body, breakOff = false} = answer;
+  const {status = 200, headers = {}, body, endsEarly = false} = answer;
   const text = typeof body === 'string' ? body : JSON.stringify(body);
-  const length = Buffer.byteLength(text) + (breakOff ? 1 : 0);
+  const length = Buffer.byteLength(text) + (endsEarly ? 1 : 0);
   res.writeHead(status, {...headers, 'content-length': String(length)});
-  res.write(text, () => (breakOff ? res.destroy() : res.end()));
+  res.write(text, () => (endsEarly ? res.destroy() : res.end()));
 }
--- a/packages/gypsumwall/src/__fixtures__/run_binary.ts
+++ b/packages/gypsumwall/src/__fixtures__/run_binary.ts
@@ -1,9 +1,9 @@
-/** Runs the compiled command line as a process of its own. */
+/** Runs the compiled command line in a separate process. */
 import * as childProcess from 'node:child_process';
 import * as url from 'node:url';
 
-/** What a command printed and how it ended. */
-export interface CommandRun {
+/** Output and exit code of a command. */
+export interface CommandResult {
   readonly code: number | null;
   readonly stdout: string;
   readonly stderr: string;
@@ -11,14 +11,14 @@
 
 const MAIN = url.fileURLToPath(new URL('../main.js', import.meta.url));
 
-/** Runs one command to its end. */
+/** Runs one command and waits for its end. */
 export function runBinary(
   args: readonly string[],
   options: {
     readonly env?: Readonly<Record<string, string>>;
     readonly input?: string;
   } = {},
-): Promise<CommandRun> {
+): Promise<CommandResult> {
   const child = childProcess.spawn(process.execPath, [MAIN, ...args], {
     env: {PATH: process.env['PATH'], ...options.env},
   });
--- a/packages/gypsumwall/src/__tests__/binary.test.ts
+++ b/packages/gypsumwall/src/__tests__/binary.test.ts
@@ -14,13 +14,13 @@
 
 const REPOSITORY = url.fileURLToPath(new URL('../../../..', import.meta.url));
 
-/** Runs the binary in a folder that holds nothing, with no environment. */
+/** Runs the binary in an empty folder, without environment variables. */
 function run(binary: string, emptyFolder: string, args: readonly string[]) {
   const options = {cwd: emptyFolder, env: {}, encoding: 'utf8'} as const;
   return childProcess.spawnSync(binary, args, options);
 }
 
-/** Settings of an entry whose platform is down. */
+/** Settings of an entry whose platform is unavailable. */
 const ENTRY = {
   id: 'bole-1',
   failureDomain: 'bole-hall',
@@ -29,9 +29,10 @@
   rootOperatorTokenHash: 'a'.repeat(64),
 };
 
-// The platform is down when an entry starts. It must still listen, so that an
-// operator can ask what it lacks; say that it is not ready, so that the
-// balancer sends nothing; and end with 0 on SIGTERM like any planned stop.
+// The platform is unavailable when an entry starts. The entry must still listen,
+// so that an operator can query what is missing. It must report that it isn't
+// ready, so that the balancer sends it no calls, and end with exit code 0 on
+// SIGTERM, as in any planned stop.
 async function startAndStop(binary: string, settings: string): Promise<void> {
   const child = childProcess.spawn(binary, ['entry', '--settings', settings], {
     stdio: ['ignore', 'pipe', 'ignore'],
@@ -49,8 +50,8 @@
 ): Promise<void> {
   const exited = events.EventEmitter.once(child, 'exit');
   const lines = readline.createInterface({input: child.stdout});
-  const first = await lines[Symbol.asyncIterator]().next();
-  const listening = JSON.parse(String(first.value)) as {address: string};
+  const firstLine = await lines[Symbol.asyncIterator]().next();
+  const listening = JSON.parse(String(firstLine.value)) as {address: string};
   const health = await undici.request(`${listening.address}/healthz`);
   assert.equal(health.statusCode, 200);
   await health.body.dump();
@@ -79,19 +80,19 @@
     assert.equal(version.stderr, '');
     assert.match(version.stdout, new RegExp(`/${product.PRODUCT.version} `));
 
-    const bad = path.join(folder, 'entry.jsonc');
-    fs.writeFileSync(bad, '{"id": "bole-1"}');
+    const invalidFile = path.join(folder, 'entry.jsonc');
+    fs.writeFileSync(invalidFile, '{"id": "bole-1"}');
     for (const command of [
-      ['settings', 'check', bad],
-      ['entry', '--settings', bad],
+      ['settings', 'check', invalidFile],
+      ['entry', '--settings', invalidFile],
     ]) {
       const refused = run(binary, emptyFolder, command);
       assert.equal(refused.status, exitCodes.EXIT_CODES.invalid);
       assert.match(refused.stderr, /failureDomain = \(absent\)/);
     }
-    const sound = path.join(folder, 'sound.jsonc');
-    fs.writeFileSync(sound, JSON.stringify(ENTRY));
-    await startAndStop(binary, sound);
+    const validFile = path.join(folder, 'valid.jsonc');
+    fs.writeFileSync(validFile, JSON.stringify(ENTRY));
+    await startAndStop(binary, validFile);
   } finally {
     fs.rmSync(folder, {recursive: true});
   }
--- a/packages/gypsumwall/src/__tests__/commands.test.ts
+++ b/packages/gypsumwall/src/__tests__/commands.test.ts
@@ -20,26 +20,29 @@
 const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'gypsumwall-cli-'));
 nodeTest.after(() => fs.rmSync(folder, {recursive: true}));
 
-/** Writes a file for one test; its path. */
-function write(name: string, value: unknown): string {
+/** Writes a file for one test; returns its path. */
+function writeTestFile(name: string, value: unknown): string {
   const file = path.join(folder, name);
   const text = typeof value === 'string' ? value : JSON.stringify(value);
   fs.writeFileSync(file, text);
   return file;
 }
 
-/** Runs a command against an entry that answers as the test says. */
+/** Runs a command against an entry that answers as the test defines. */
 async function run(
   args: readonly string[],
-  answer: (call: fakeEntry.SeenCall) => fakeEntry.FakeAnswer,
+  answer: (call: fakeEntry.ReceivedCall) => fakeEntry.FakeAnswer,
   input?: string,
 ) {
   const entry = await fakeEntry.createFakeEntry(answer);
   const env = {GYPSUMWALL_TOKEN: TOKEN, GYPSUMWALL_ENTRY: entry.url};
-  const ran = await runBinary.runBinary(args, {env, input});
+  const commandResult = await runBinary.runBinary(args, {env, input});
   entry.close();
-  assert.doesNotMatch(ran.stdout + ran.stderr, new RegExp(TOKEN));
-  return {...ran, calls: entry.calls};
+  assert.doesNotMatch(
+    commandResult.stdout + commandResult.stderr,
+    new RegExp(TOKEN),
+  );
+  return {...commandResult, calls: entry.calls};
 }
 
 nodeTest.test('every command has help with an example', async () => {
@@ -62,13 +65,19 @@
 });
 
 nodeTest.test(
-  'settings check tells place, path, value and remedy',
+  'settings check prints location, path, value and remedy',
   async () => {
-    const file = write('bad.jsonc', '{\n  // no id\n  "peerSilence": "2s"\n}');
-    const ran = await runBinary.runBinary(['settings', 'check', file]);
-    assert.equal(ran.code, EXIT.invalid);
-    assert.match(ran.stderr, /bad\.jsonc:3:3: peerSilence = "2s": the key is/);
-    assert.match(ran.stderr, /Did you mean peerSilenceMs/);
+    const file = writeTestFile(
+      'bad.jsonc',
+      '{\n  // no id\n  "peerSilence": "2s"\n}',
+    );
+    const result = await runBinary.runBinary(['settings', 'check', file]);
+    assert.equal(result.code, EXIT.invalid);
+    assert.match(
+      result.stderr,
+      /bad\.jsonc:3:3: peerSilence = "2s": the key is/,
+    );
+    assert.match(result.stderr, /Did you mean peerSilenceMs/);
     const json = ['settings', 'check', '--json', file];
     const problems = JSON.parse((await runBinary.runBinary(json)).stdout) as {
       problems: {line: number}[];
@@ -77,10 +86,13 @@
   },
 );
 
-nodeTest.test('settings check passes sound files of each kind', async () => {
+nodeTest.test('settings check accepts valid files of each kind', async () => {
   const cell = {name: 'addis', failureDomains: ['bole-hall']};
-  const tree = write('cell.jsonc', {cell, teams: {'night-plans': TEAM}});
-  const entry = write('entry.jsonc', {
+  const tree = writeTestFile('cell.jsonc', {
+    cell,
+    teams: {'night-plans': TEAM},
+  });
+  const entry = writeTestFile('entry.jsonc', {
     id: 'bole-1',
     failureDomain: 'bole-hall',
     logUrl: 'http://127.0.0.1:7000',
@@ -89,42 +101,45 @@
   });
   const files = await runBinary.runBinary(['settings', 'check', tree, entry]);
   assert.deepEqual([files.code, files.stderr], [EXIT.ok, '']);
-  const team = write('team.jsonc', TEAM);
+  const team = writeTestFile('team.jsonc', TEAM);
   const flags = ['--path', 'teams/night-plans', '--json'];
   const subtree = ['settings', 'check', ...flags, team];
   const checked = await runBinary.runBinary(subtree);
   assert.deepEqual(JSON.parse(checked.stdout), {problems: []});
 });
 
-// Two operators publish the same subtree. The entry tells the second one that
-// another revision is in force. The command must say so and end with the code
-// for a conflict, so that a script never takes it for a success.
-nodeTest.test('a lost publish race ends as a clear conflict', async () => {
-  const file = write('team.jsonc', TEAM);
+// Two operators publish the same subtree, and the entry answers the second one
+// that another revision is in force. The command must print this and end with
+// the exit code for a conflict, so that a script never takes it for a success.
+nodeTest.test('a publish after another one ends with a conflict', async () => {
+  const file = writeTestFile('team.jsonc', TEAM);
   const flags = ['--path', 'teams/night-plans', '--base', '4'];
-  const ran = await run(['settings', 'publish', file, ...flags], (call) =>
+  const result = await run(['settings', 'publish', file, ...flags], (call) =>
     call.method === 'PUT'
-      ? fakeEntry.problem(409, 'conflict')
+      ? fakeEntry.createProblem(409, 'conflict')
       : {body: {path: 'teams/night-plans', revision: 5, value: {}}},
   );
-  assert.equal(ran.code, EXIT.conflict);
-  assert.match(ran.stderr, /conflict: because of conflict\. Nothing ran/);
-  assert.equal(ran.calls.at(-1)?.headers['if-match'], '4');
+  assert.equal(result.code, EXIT.conflict);
+  assert.match(result.stderr, /conflict: because of conflict\. Nothing ran/);
+  assert.equal(result.calls.at(-1)?.headers['if-match'], '4');
 });
 
 nodeTest.test('publishing a tree sends only what differs', async () => {
   const cell = {name: 'addis', failureDomains: ['bole-hall']};
-  const file = write('cell.jsonc', {cell, teams: {'night-plans': TEAM}});
-  const answer = (call: fakeEntry.SeenCall): fakeEntry.FakeAnswer => {
+  const file = writeTestFile('cell.jsonc', {
+    cell,
+    teams: {'night-plans': TEAM},
+  });
+  const answer = (call: fakeEntry.ReceivedCall): fakeEntry.FakeAnswer => {
     if (call.method === 'PUT') return {body: {revision: 9}};
     return call.path === '/v1/settings/cell'
       ? {body: {path: 'cell', revision: 3, value: {...cell, operators: {}}}}
-      : fakeEntry.problem(404, 'not_found');
+      : fakeEntry.createProblem(404, 'not_found');
   };
-  const ran = await run(['settings', 'publish', file], answer);
-  assert.equal(ran.code, EXIT.ok, ran.stderr);
-  assert.equal(ran.stdout, 'teams/night-plans  revision 9\n');
-  const puts = ran.calls.filter((call) => call.method === 'PUT');
+  const result = await run(['settings', 'publish', file], answer);
+  assert.equal(result.code, EXIT.ok, result.stderr);
+  assert.equal(result.stdout, 'teams/night-plans  revision 9\n');
+  const puts = result.calls.filter((call) => call.method === 'PUT');
   assert.deepEqual(
     puts.map((call) => [call.path, call.headers['if-match']]),
     [['/v1/settings/teams/night-plans', '-1']],
@@ -137,58 +152,64 @@
 nodeTest.test('submit sends the job with a key and prints its id', async () => {
   const args = ['submit', '-', '--key', 'k-1'];
   const job = '{"jobClass": "plans" /* night */}';
-  const ran = await run(args, () => ({body: {jobId: 'bole-hall.1'}}), job);
-  assert.deepEqual([ran.code, ran.stdout], [EXIT.ok, 'bole-hall.1\n']);
-  assert.equal(ran.calls[0]?.headers['idempotency-key'], 'k-1');
-  assert.equal(ran.calls[0]?.headers.authorization, `Bearer ${TOKEN}`);
-  assert.equal(ran.calls[0]?.body, '{"jobClass":"plans"}');
+  const result = await run(args, () => ({body: {jobId: 'bole-hall.1'}}), job);
+  assert.deepEqual([result.code, result.stdout], [EXIT.ok, 'bole-hall.1\n']);
+  assert.equal(result.calls[0]?.headers['idempotency-key'], 'k-1');
+  assert.equal(result.calls[0]?.headers.authorization, `Bearer ${TOKEN}`);
+  assert.equal(result.calls[0]?.body, '{"jobClass":"plans"}');
 });
 
 nodeTest.test('a request streams its answer', async () => {
   const body = 'clear'.repeat(100_000);
-  const ran = await run(['request', 'airspace-check'], () => ({body}));
-  assert.equal(ran.code, EXIT.ok, ran.stderr);
-  assert.equal(ran.stdout, body);
+  const result = await run(['request', 'airspace-check'], () => ({body}));
+  assert.equal(result.code, EXIT.ok, result.stderr);
+  assert.equal(result.stdout, body);
 });
 
-nodeTest.test('an answer that breaks off is never a success', async () => {
-  const ran = await run(['request', 'file-plan', '--key', 'k'], () => ({
+nodeTest.test('an answer that ends early is never a success', async () => {
+  const result = await run(['request', 'file-plan', '--key', 'k'], () => ({
     body: 'half an ans',
-    breakOff: true,
+    endsEarly: true,
   }));
-  assert.equal(ran.code, EXIT.unknown);
-  assert.match(ran.stderr, /broke off/);
+  assert.equal(result.code, EXIT.unknown);
+  assert.match(result.stderr, /the answer ended early/);
 });
 
-nodeTest.test('outcomes have exit codes of their own', async () => {
+nodeTest.test('each outcome has its own exit code', async () => {
   const cases = [
-    [fakeEntry.problem(503, 'overloaded', {retryAfterMs: 900}), EXIT.notRun],
-    [fakeEntry.problem(502, 'x', {outcome: 'unknown'}), EXIT.unknown],
+    [
+      fakeEntry.createProblem(503, 'overloaded', {retryAfterMs: 900}),
+      EXIT.notRun,
+    ],
+    [fakeEntry.createProblem(502, 'x', {outcome: 'unknown'}), EXIT.unknown],
     [{status: 502, body: '<html>a balancer</html>'}, EXIT.unknown],
-    [fakeEntry.problem(401, 'unauthenticated'), EXIT.forbidden],
-    [fakeEntry.problem(404, 'not_found'), EXIT.notFound],
-    [fakeEntry.problem(400, 'invalid'), EXIT.invalid],
+    [fakeEntry.createProblem(401, 'unauthenticated'), EXIT.forbidden],
+    [fakeEntry.createProblem(404, 'not_found'), EXIT.notFound],
+    [fakeEntry.createProblem(400, 'invalid'), EXIT.invalid],
   ] as const;
   for (const [answer, code] of cases) {
-    const ran = await run(['request', 'airspace-check'], () => answer);
-    assert.equal(ran.code, code, ran.stderr);
+    const result = await run(['request', 'airspace-check'], () => answer);
+    assert.equal(result.code, code, result.stderr);
   }
 });
 
 nodeTest.test(
-  'a missing entry, a missing token and an entry that is gone are told',
+  'a missing entry, a missing token and an unreachable entry are reported',
   async () => {
     const noEntry = await runBinary.runBinary(['status']);
     assert.equal(noEntry.code, EXIT.usage);
     assert.match(noEntry.stderr, /--entry URL, or set GYPSUMWALL_ENTRY/);
-    const gone = {GYPSUMWALL_ENTRY: 'http://127.0.0.1:1'};
-    const noToken = await runBinary.runBinary(['status'], {env: gone});
+    const unreachable = {GYPSUMWALL_ENTRY: 'http://127.0.0.1:1'};
+    const noToken = await runBinary.runBinary(['status'], {env: unreachable});
     assert.equal(noToken.code, EXIT.forbidden);
     assert.match(noToken.stderr, /--token-file/);
-    const env = {...gone, GYPSUMWALL_TOKEN: TOKEN};
-    const ran = await runBinary.runBinary(['submit', '-'], {env, input: '{}'});
-    assert.equal(ran.code, EXIT.unreachable);
-    assert.match(ran.stderr, /Nothing ran/);
+    const env = {...unreachable, GYPSUMWALL_TOKEN: TOKEN};
+    const result = await runBinary.runBinary(['submit', '-'], {
+      env,
+      input: '{}',
+    });
+    assert.equal(result.code, EXIT.unreachable);
+    assert.match(result.stderr, /Nothing ran/);
   },
 );
 
@@ -212,8 +233,8 @@
   assert.equal(cancelled.calls[0]?.path, '/v1/jobs/a%2F1');
 });
 
-nodeTest.test('status prints each belief on a line', async () => {
+nodeTest.test('status prints each value on its own line', async () => {
   const body = {id: 'bole-1', list: {ageMs: 12, peers: []}};
-  const ran = await run(['status'], () => ({body}));
-  assert.equal(ran.stdout, 'id: bole-1\nlist.ageMs: 12\nlist.peers: none\n');
+  const result = await run(['status'], () => ({body}));
+  assert.equal(result.stdout, 'id: bole-1\nlist.ageMs: 12\nlist.peers: none\n');
 });
--- a/packages/gypsumwall/src/__tests__/docs.test.ts
+++ b/packages/gypsumwall/src/__tests__/docs.test.ts
@@ -7,12 +7,12 @@
 
 const REPOSITORY = url.fileURLToPath(new URL('../../../..', import.meta.url));
 
-function read(file: string): string {
+function readText(file: string): string {
   return fs.readFileSync(path.join(REPOSITORY, file), 'utf8');
 }
 
-/** All pages, as paths from the repository's root. */
-function pages(): string[] {
+/** Paths of all pages, relative to the repository's root. */
+function listPages(): string[] {
   const docs = fs.readdirSync(path.join(REPOSITORY, 'docs'), {
     recursive: true,
     encoding: 'utf8',
@@ -23,9 +23,9 @@
   ].filter((name) => name.endsWith('.md'));
 }
 
-nodeTest.test('every link between pages leads somewhere', () => {
-  for (const page of pages()) {
-    for (const [, target = ''] of read(page).matchAll(/\]\(([^)#]+)/g)) {
+nodeTest.test('every link between pages has an existing target', () => {
+  for (const page of listPages()) {
+    for (const [, target = ''] of readText(page).matchAll(/\]\(([^)#]+)/g)) {
       if (URL.canParse(target)) continue;
       const file = path.join(REPOSITORY, path.dirname(page), target);
       assert.ok(fs.existsSync(file), `${page}: ${target}`);
@@ -34,16 +34,18 @@
 });
 
 nodeTest.test('every npm command on a page exists', () => {
-  const {scripts} = JSON.parse(read('package.json')) as {scripts: object};
-  for (const page of pages()) {
-    for (const [, name = ''] of read(page).matchAll(/npm run ([a-z:]+)/g)) {
+  const {scripts} = JSON.parse(readText('package.json')) as {
+    scripts: object;
+  };
+  for (const page of listPages()) {
+    for (const [, name = ''] of readText(page).matchAll(/npm run ([a-z:]+)/g)) {
       assert.ok(name in scripts, `${page}: npm run ${name}`);
     }
   }
 });
 
 nodeTest.test('docs/ARCHITECTURE.md names every package', () => {
-  const page = read('docs/ARCHITECTURE.md');
+  const page = readText('docs/ARCHITECTURE.md');
   for (const name of fs.readdirSync(path.join(REPOSITORY, 'packages'))) {
     assert.match(page, new RegExp(`^\\| \`${name}\` +\\|`, 'm'));
   }
@@ -56,14 +58,14 @@
       encoding: 'utf8',
     })
     .filter((name) => /\/src\/[^/]+\.ts$/.test(name))
-    .map((name) => read(path.join('packages', name)))
+    .map((name) => readText(path.join('packages', name)))
     .join('\n');
-  const seen = read('docs/OPERATIONS.md')
+  const namedEvents = readText('docs/OPERATIONS.md')
     .split('- **Means:**')
     .flatMap((part) => part.split('- **See:**').slice(1))
     .flatMap((part) => [...part.matchAll(/`([a-z]+_[a-z_]+)`/g)]);
-  assert.notEqual(seen.length, 0);
-  for (const [, event = ''] of seen) {
+  assert.notEqual(namedEvents.length, 0);
+  for (const [, event = ''] of namedEvents) {
     assert.match(sources, new RegExp(`'${event}'|\\b${event}:`), event);
   }
 });
@@ -71,7 +73,7 @@
 nodeTest.test('the example cells pass settings check', () => {
   for (const name of fs.readdirSync(path.join(REPOSITORY, 'examples'))) {
     const file = path.join('examples', name, 'cell.jsonc');
-    const checked = settings.checkCellTree.checkCellTree(read(file), file);
+    const checked = settings.checkCellTree.checkCellTree(readText(file), file);
     assert.deepEqual(checked.isErr ? checked.error : [], []);
   }
 });
--- a/packages/gypsumwall/src/__tests__/lint_rules.test.ts
+++ b/packages/gypsumwall/src/__tests__/lint_rules.test.ts
@@ -6,7 +6,7 @@
 const REPOSITORY = url.fileURLToPath(new URL('../../../..', import.meta.url));
 const linter = new eslint.ESLint({cwd: REPOSITORY});
 
-/** A file of the lowest package, which may import no other. */
+/** A file of the lowest package, which may not import other packages. */
 const TYPES_FILE = 'packages/gypsumwall-types/src/clock.ts';
 const COMMAND_FILE = 'packages/gypsumwall/src/commands/entry_command.ts';
 
@@ -14,15 +14,15 @@
 declare const step: Step;
 `;
 
-/** Rules that the text breaks when it stands in the file. */
-async function brokenRules(file: string, text: string): Promise<string[]> {
+/** The lint rules that the text violates as the content of the file. */
+async function violatedRules(file: string, text: string): Promise<string[]> {
   const [report] = await linter.lintText(text, {filePath: file});
   const fatal = report!.messages.find((message) => message.fatal);
   assert.equal(fatal, undefined, fatal?.message);
   return report!.messages.map((message) => message.ruleId ?? '');
 }
 
-nodeTest.test('each barred form breaks its rule', async () => {
+nodeTest.test('each forbidden form violates its rule', async () => {
   const cases: [string, string][] = [
     ["import {readFileSync} from 'node:fs';", 'no-restricted-syntax'],
     ["import type {Stats} from 'node:fs';", 'no-restricted-syntax'],
@@ -59,17 +59,17 @@
     ],
   ];
   for (const [text, rule] of cases) {
-    const broken = await brokenRules(TYPES_FILE, text);
-    assert.ok(broken.includes(rule), `${text}: ${broken.join(', ')}`);
+    const violated = await violatedRules(TYPES_FILE, text);
+    assert.ok(violated.includes(rule), `${text}: ${violated.join(', ')}`);
   }
 });
 
-nodeTest.test('the allowed forms break none', async () => {
+nodeTest.test('the allowed forms violate no rule', async () => {
   const exhaustive = `${UNION}switch (step.type) { case 'go': case 'stop': break; }`;
   const namespace = "import * as fs from 'node:fs';\nexport const a = fs;";
   for (const text of [exhaustive, namespace]) {
-    assert.deepEqual(await brokenRules(TYPES_FILE, `${text}\n`), []);
+    assert.deepEqual(await violatedRules(TYPES_FILE, `${text}\n`), []);
   }
   const command = 'export class SomeCommand {}\n';
-  assert.deepEqual(await brokenRules(COMMAND_FILE, command), []);
+  assert.deepEqual(await violatedRules(COMMAND_FILE, command), []);
 });
--- a/packages/gypsumwall/src/__tests__/product.test.ts
+++ b/packages/gypsumwall/src/__tests__/product.test.ts
@@ -3,7 +3,7 @@
 import * as nodeTest from 'node:test';
 import * as product from '../product.js';
 
-nodeTest.test('the product is named as in its package.json', () => {
+nodeTest.test('name and version equal those in package.json', () => {
   const file = new URL('../../package.json', import.meta.url);
   const pjson = JSON.parse(fs.readFileSync(file, 'utf8')) as {
     name: string;
--- a/packages/gypsumwall/src/call_entry.ts
+++ b/packages/gypsumwall/src/call_entry.ts
@@ -1,10 +1,10 @@
-/** Turns what an entry answers into values, or ends the command. */
+/** Converts an entry's answers to values, or ends the command with an error. */
 import type * as result from 'true-myth/result';
 import type * as entryClient from './entry_client.js';
 import type * as exitCodes from './exit_codes.js';
 import * as fail from './fail.js';
 
-/** Body of a refusal (problem+json). */
+/** Body of an error response (problem+json). */
 interface ProblemBody {
   readonly detail?: string;
   readonly outcome?: string;
@@ -12,37 +12,37 @@
   readonly retryAfterMs?: number;
 }
 
-/** The JSON of a good answer; any other ends the command. */
+/** Returns the JSON of a success response; any other ends the command. */
 export async function callForJson(
   client: entryClient.EntryClient,
   call: entryClient.EntryCall,
 ): Promise<unknown> {
-  const answer = orFail(await client.call(call));
-  await failUnlessGood(answer);
-  return jsonOf(answer);
+  const answer = valueOrFail(await client.call(call));
+  await failUnlessOk(answer);
+  return readJson(answer);
 }
 
-/** The JSON body of an answer that is known to be good. */
-export async function jsonOf(
+/** Reads the JSON body of a response whose status was checked. */
+export async function readJson(
   answer: entryClient.EntryAnswer,
 ): Promise<unknown> {
-  return parseOrFail(orFail(await answer.text()));
+  return parseOrFail(valueOrFail(await answer.text()));
 }
 
-/** Ends the command unless the entry did what it was asked. */
-export async function failUnlessGood(
+/** Ends the command unless the status is a success. */
+export async function failUnlessOk(
   answer: entryClient.EntryAnswer,
 ): Promise<void> {
   if (answer.status < 300) return;
-  failWithProblem(answer.status, orFail(await answer.text()));
+  failWithProblem(answer.status, valueOrFail(await answer.text()));
 }
 
-/** The value, or the end of the command with the right exit code. */
-export function orFail<Value>(
-  called: result.Result<Value, entryClient.LostCall>,
+/** Returns the value; a failed call ends the command with its exit code. */
+export function valueOrFail<Value>(
+  outcome: result.Result<Value, entryClient.FailedCall>,
 ): Value {
-  if (called.isOk) return called.value;
-  const {effect, message} = called.error;
+  if (outcome.isOk) return outcome.value;
+  const {effect, message} = outcome.error;
   switch (effect) {
     case 'not_run':
       return fail.fail(
@@ -52,7 +52,7 @@
     case 'unknown':
       return fail.fail(
         'unknown',
-        `${message}. The call may have taken effect: read back before you repeat it, or repeat it with the same key.`,
+        `${message}. The call may have taken effect: check that before you repeat it, or repeat it with the same key.`,
       );
   }
 }
@@ -61,17 +61,20 @@
   try {
     return JSON.parse(text);
   } catch {
-    return fail.fail('failed', `the entry answered no JSON: ${cut(text)}`);
+    return fail.fail(
+      'failed',
+      `the entry's answer is not JSON: ${truncate(text)}`,
+    );
   }
 }
 
 function failWithProblem(status: number, text: string): never {
   const problem = readProblem(text);
   const reason = problem.reason ?? `status ${status}`;
-  const detail = problem.detail ?? cut(text);
+  const detail = problem.detail ?? truncate(text);
   return fail.fail(
-    exitReason(status, problem),
-    `${reason}: ${detail}. ${effectPhrase(problem)}`,
+    exitReasonOf(status, problem),
+    `${reason}: ${detail}. ${describeEffect(problem)}`,
   );
 }
 
@@ -84,8 +87,8 @@
   }
 }
 
-/** Reasons with an exit code of their own; all others end with notRun. */
-const EXIT_REASONS: Readonly<Record<string, exitCodes.ExitReason>> = {
+/** Exit reasons by problem reason; other reasons result in `notRun`. */
+const EXIT_REASON_BY_PROBLEM: Readonly<Record<string, exitCodes.ExitReason>> = {
   conflict: 'conflict',
   not_found: 'notFound',
   unauthenticated: 'forbidden',
@@ -93,24 +96,26 @@
   invalid: 'invalid',
 };
 
-/** An answer that isn't the entry's own proves nothing about the effect. */
-function exitReason(
+/** A response that an entry didn't send proves nothing about the effect. */
+function exitReasonOf(
   status: number,
   problem: ProblemBody,
 ): exitCodes.ExitReason {
   if (problem.outcome !== 'not_run') return 'unknown';
-  const reason = EXIT_REASONS[problem.reason ?? ''];
+  const reason = EXIT_REASON_BY_PROBLEM[problem.reason ?? ''];
   return reason ?? (status === 404 ? 'notFound' : 'notRun');
 }
 
-function effectPhrase(problem: ProblemBody): string {
+function describeEffect(problem: ProblemBody): string {
   if (problem.outcome !== 'not_run') return 'It may have run.';
   if (problem.retryAfterMs === undefined) return 'Nothing ran.';
   return `Nothing ran. Try again in ${problem.retryAfterMs} ms.`;
 }
 
-const LONGEST_CUT = 200;
+const MAX_QUOTED_LENGTH = 200;
 
-function cut(text: string): string {
-  return text.length <= LONGEST_CUT ? text : `${text.slice(0, LONGEST_CUT)}...`;
+function truncate(text: string): string {
+  return text.length <= MAX_QUOTED_LENGTH
+    ? text
+    : `${text.slice(0, MAX_QUOTED_LENGTH)}...`;
 }
--- a/packages/gypsumwall/src/call_flags.ts
+++ b/packages/gypsumwall/src/call_flags.ts
@@ -1,10 +1,10 @@
 /** Flags of the commands that call an entry. */
 import * as oclif from '@oclif/core';
 
-/** Longest time that an entry lets a call ask for, in milliseconds. */
-const LONGEST_TIMEOUT_MS = 600_000;
+/** Maximum timeout that an entry accepts for a call. */
+const MAX_TIMEOUT_MS = 600_000;
 
-/** How an entry is reached, and as whom. */
+/** Address of the entry, token of the caller and timeout of the call. */
 export const CALL_FLAGS = {
   entry: oclif.Flags.string({
     env: 'GYPSUMWALL_ENTRY',
@@ -17,33 +17,33 @@
   }),
   'timeout-ms': oclif.Flags.integer({
     min: 1,
-    max: LONGEST_TIMEOUT_MS,
+    max: MAX_TIMEOUT_MS,
     helpValue: 'MS',
     description: 'how long the call may take; else the settings say so',
   }),
 };
 
-/** For commands that take a tree or one of its subtrees. */
+/** Flag of commands that take a tree or one of its subtrees. */
 export const SUBTREE_FLAG = oclif.Flags.string({
   helpValue: 'PATH',
   description: 'the file holds one subtree: cell or teams/TEAM',
 });
 
-/** For commands that change something. */
+/** Flag of commands that change something. */
 export const KEY_FLAG = oclif.Flags.string({
   helpValue: 'KEY',
   description: 'idempotency key: a repeated call finds the first one',
 });
 
-/** For commands that read. */
+/** Flag of commands that can print JSON. */
 export const JSON_FLAG = oclif.Flags.boolean({description: 'print JSON'});
 
-/** The call flags as oclif parsed them. */
+/** Values of the call flags, as oclif parses them. */
 export interface CallFlags {
   readonly entry?: string;
   readonly 'token-file'?: string;
   readonly 'timeout-ms'?: number;
 }
 
-/** Prints one text to standard output. */
+/** Prints a text and a line break. */
 export type Print = (text: string) => void;
--- a/packages/gypsumwall/src/check_settings.ts
+++ b/packages/gypsumwall/src/check_settings.ts
@@ -1,4 +1,4 @@
-/** `settings check`: all problems of settings files. */
+/** Implements `settings check`, which prints all problems of settings files. */
 import type * as result from 'true-myth/result';
 import * as settings from '@gypsumwall/settings';
 import type * as callFlags from './call_flags.js';
@@ -7,15 +7,15 @@
 
 type Problems = settings.settingsProblem.SettingsProblem[];
 
-/** What to check, and how to tell. */
+/** Options of `checkSettings`. */
 export interface CheckOptions {
   readonly files: readonly string[];
-  /** Set where the files hold one subtree each. */
+  /** Path of the subtree, if each file holds one subtree. */
   readonly path?: string;
   readonly json: boolean;
 }
 
-/** Checks the files; ends the command if one has problems. */
+/** Checks the files; ends the command with an error if one has problems. */
 export function checkSettings(
   options: CheckOptions,
   print: callFlags.Print,
@@ -29,8 +29,11 @@
   }
   if (problems.length === 0) return;
   const count = `${problems.length} problem(s)`;
-  const lines = problems.map(settings.settingsProblem.describeProblem);
-  fail.fail('invalid', options.json ? count : [...lines, count].join('\n'));
+  const descriptions = problems.map(settings.settingsProblem.describeProblem);
+  fail.fail(
+    'invalid',
+    options.json ? count : [...descriptions, count].join('\n'),
+  );
 }
 
 function checkFile(file: string, path: string | undefined): Problems {
@@ -42,7 +45,7 @@
     const origin = {file, placeOf};
     return problemsOf(settings.checkSubtree.checkSubtree(path, value, origin));
   }
-  return isTree(value)
+  return isCellTree(value)
     ? problemsOf(settings.checkCellTree.checkCellTree(text, file))
     : problemsOf(settings.checkEntrySettings.checkEntrySettings(text, file));
 }
@@ -51,8 +54,8 @@
   return checked.isErr ? checked.error : [];
 }
 
-/** Only a tree has a cell or teams; any other file is an entry's. */
-function isTree(value: unknown): boolean {
+/** Whether it is a cell's tree; other files are settings of an entry. */
+function isCellTree(value: unknown): boolean {
   return (
     typeof value === 'object' &&
     value !== null &&
--- a/packages/gypsumwall/src/command_plugin.ts
+++ b/packages/gypsumwall/src/command_plugin.ts
@@ -1,11 +1,11 @@
 /**
- * Hands the commands to oclif as a plugin made in code. oclif would look for
- * them in files, and the single binary has none beside it.
+ * Gives the commands to oclif as a plugin that is defined in code. By default
+ * oclif searches for commands in files, and the single binary has none.
  */
 import type * as oclif from '@oclif/core';
 import * as product from './product.js';
 
-/** Commands by id; a colon parts topic and command. */
+/** Commands by id; a colon separates topic and command. */
 export type CommandTable = Readonly<Record<string, oclif.Command.Class>>;
 
 const TOPICS: oclif.Interfaces.Topic[] = [
@@ -13,7 +13,7 @@
   {name: 'job', description: 'Follow, cancel and list jobs.'},
 ];
 
-/** The root plugin that oclif runs with. */
+/** Creates the root plugin that oclif runs. */
 export function createCommandPlugin(
   root: string,
   table: CommandTable,
@@ -32,7 +32,7 @@
     alias: name,
     commandIDs: Object.keys(table),
     commands: Object.entries(table).map(([id, command]) =>
-      loadableOf(id, command),
+      toLoadable(id, command),
     ),
     commandsDir: undefined,
     findCommand: ((id: string) =>
@@ -53,7 +53,7 @@
   };
 }
 
-function loadableOf(
+function toLoadable(
   id: string,
   command: oclif.Command.Class,
 ): oclif.Command.Loadable {
@@ -62,8 +62,8 @@
     id,
     aliases: [],
     hiddenAliases: [],
-    args: withNames(command.args),
-    flags: withNames(command.flags),
+    args: addNames(command.args),
+    flags: addNames(command.flags),
     description: command.description,
     summary: command.summary,
     examples: command.examples,
@@ -74,8 +74,8 @@
   };
 }
 
-/** oclif's help reads the name of a flag off the flag itself. */
-function withNames<Described extends object>(
+/** Adds the names to the flags or arguments, where oclif's help reads them. */
+function addNames<Described extends object>(
   table: Readonly<Record<string, Described>>,
 ): Record<string, Described & {name: string}> {
   return Object.fromEntries(
--- a/packages/gypsumwall/src/command_table.ts
+++ b/packages/gypsumwall/src/command_table.ts
@@ -1,4 +1,4 @@
-/** Every command of the binary. */
+/** All commands of the binary. */
 import type * as commandPlugin from './command_plugin.js';
 import * as drainCommand from './commands/drain_command.js';
 import * as entryCommand from './commands/entry_command.js';
@@ -14,7 +14,7 @@
 import * as statusCommand from './commands/status_command.js';
 import * as submitCommand from './commands/submit_command.js';
 
-/** Commands by id; a colon parts topic and command. */
+/** Commands by id; a colon separates topic and command. */
 export const COMMAND_TABLE: commandPlugin.CommandTable = {
   entry: entryCommand.EntryCommand,
   'settings:check': settingsCheckCommand.SettingsCheckCommand,
--- a/packages/gypsumwall/src/commands/drain_command.ts
+++ b/packages/gypsumwall/src/commands/drain_command.ts
@@ -1,4 +1,4 @@
-/** `gypsumwall drain`. */
+/** The command `gypsumwall drain`. */
 import * as oclif from '@oclif/core';
 import * as callFlags from '../call_flags.js';
 
--- a/packages/gypsumwall/src/commands/entry_command.ts
+++ b/packages/gypsumwall/src/commands/entry_command.ts
@@ -1,7 +1,7 @@
-/** `gypsumwall entry`: runs one entry process until it is told to stop. */
+/** The command `gypsumwall entry`. */
 import * as oclif from '@oclif/core';
 
-/** Runs an entry process. */
+/** Runs an entry process until a stop signal. */
 export class EntryCommand extends oclif.Command {
   static override summary = 'Run one entry process.';
   static override description =
@@ -21,7 +21,7 @@
 
   override async run(): Promise<void> {
     const {flags} = await this.parse(EntryCommand);
-    // Loaded here, so that the light commands don't pay for it.
+    // Imported here, so that other commands don't load the entry's code.
     const {runEntry} = await import('../run_entry.js');
     await runEntry(flags.settings, (line) => this.log(line));
   }
--- a/packages/gypsumwall/src/commands/job_cancel_command.ts
+++ b/packages/gypsumwall/src/commands/job_cancel_command.ts
@@ -1,4 +1,4 @@
-/** `gypsumwall job cancel`. */
+/** The command `gypsumwall job cancel`. */
 import * as oclif from '@oclif/core';
 import * as callFlags from '../call_flags.js';
 
@@ -20,7 +20,7 @@
 
   override async run(): Promise<void> {
     const {args, flags} = await this.parse(JobCancelCommand);
-    const {cancelJob} = await import('../follow_job.js');
+    const {cancelJob} = await import('../job_operations.js');
     await cancelJob(args.job, flags, (text) => this.log(text));
   }
 }
--- a/packages/gypsumwall/src/commands/job_list_command.ts
+++ b/packages/gypsumwall/src/commands/job_list_command.ts
@@ -1,8 +1,8 @@
-/** `gypsumwall job list`. */
+/** The command `gypsumwall job list`. */
 import * as oclif from '@oclif/core';
 import * as callFlags from '../call_flags.js';
 
-/** Lists jobs. */
+/** Lists the jobs of the caller's team. */
 export class JobListCommand extends oclif.Command {
   static override summary = 'List the jobs of your team.';
   static override description =
@@ -15,7 +15,7 @@
 
   override async run(): Promise<void> {
     const {flags} = await this.parse(JobListCommand);
-    const {listJobs} = await import('../follow_job.js');
+    const {listJobs} = await import('../job_operations.js');
     await listJobs(flags, (text) => this.log(text));
   }
 }
--- a/packages/gypsumwall/src/commands/job_result_command.ts
+++ b/packages/gypsumwall/src/commands/job_result_command.ts
@@ -1,8 +1,8 @@
-/** `gypsumwall job result`. */
+/** The command `gypsumwall job result`. */
 import * as oclif from '@oclif/core';
 import * as callFlags from '../call_flags.js';
 
-/** Prints results. */
+/** Prints the results of a job. */
 export class JobResultCommand extends oclif.Command {
   static override summary = 'Print the results of a job, one task a line.';
   static override description =
@@ -26,7 +26,7 @@
 
   override async run(): Promise<void> {
     const {args, flags} = await this.parse(JobResultCommand);
-    const {printResults} = await import('../follow_job.js');
+    const {printResults} = await import('../job_operations.js');
     await printResults(args.job, flags, (text) => this.log(text));
   }
 }
--- a/packages/gypsumwall/src/commands/job_status_command.ts
+++ b/packages/gypsumwall/src/commands/job_status_command.ts
@@ -1,8 +1,8 @@
-/** `gypsumwall job status`. */
+/** The command `gypsumwall job status`. */
 import * as oclif from '@oclif/core';
 import * as callFlags from '../call_flags.js';
 
-/** Shows a job. */
+/** Shows the state of a job. */
 export class JobStatusCommand extends oclif.Command {
   static override summary = 'Show the state of a job.';
   static override description =
@@ -20,7 +20,7 @@
 
   override async run(): Promise<void> {
     const {args, flags} = await this.parse(JobStatusCommand);
-    const {showJob} = await import('../follow_job.js');
+    const {showJob} = await import('../job_operations.js');
     await showJob(args.job, flags, (text) => this.log(text));
   }
 }
--- a/packages/gypsumwall/src/commands/request_command.ts
+++ b/packages/gypsumwall/src/commands/request_command.ts
@@ -1,4 +1,4 @@
-/** `gypsumwall request`. */
+/** The command `gypsumwall request`. */
 import * as oclif from '@oclif/core';
 import * as callFlags from '../call_flags.js';
 
--- a/packages/gypsumwall/src/commands/settings_check_command.ts
+++ b/packages/gypsumwall/src/commands/settings_check_command.ts
@@ -1,4 +1,4 @@
-/** `gypsumwall settings check`. */
+/** The command `gypsumwall settings check`. */
 import * as oclif from '@oclif/core';
 import * as callFlags from '../call_flags.js';
 
--- a/packages/gypsumwall/src/commands/settings_diff_command.ts
+++ b/packages/gypsumwall/src/commands/settings_diff_command.ts
@@ -1,4 +1,4 @@
-/** `gypsumwall settings diff`. */
+/** The command `gypsumwall settings diff`. */
 import * as oclif from '@oclif/core';
 import * as callFlags from '../call_flags.js';
 import * as exitCodes from '../exit_codes.js';
--- a/packages/gypsumwall/src/commands/settings_get_command.ts
+++ b/packages/gypsumwall/src/commands/settings_get_command.ts
@@ -1,8 +1,8 @@
-/** `gypsumwall settings get`. */
+/** The command `gypsumwall settings get`. */
 import * as oclif from '@oclif/core';
 import * as callFlags from '../call_flags.js';
 
-/** Prints settings in force. */
+/** Prints the settings in force. */
 export class SettingsGetCommand extends oclif.Command {
   static override summary = 'Print a subtree in force, or list all.';
   static override description =
--- a/packages/gypsumwall/src/commands/settings_publish_command.ts
+++ b/packages/gypsumwall/src/commands/settings_publish_command.ts
@@ -1,4 +1,4 @@
-/** `gypsumwall settings publish`. */
+/** The command `gypsumwall settings publish`. */
 import * as oclif from '@oclif/core';
 import * as callFlags from '../call_flags.js';
 
--- a/packages/gypsumwall/src/commands/status_command.ts
+++ b/packages/gypsumwall/src/commands/status_command.ts
@@ -1,8 +1,8 @@
-/** `gypsumwall status`. */
+/** The command `gypsumwall status`. */
 import * as oclif from '@oclif/core';
 import * as callFlags from '../call_flags.js';
 
-/** Shows what an entry believes. */
+/** Shows an entry's view of the cell. */
 export class StatusCommand extends oclif.Command {
   static override summary = 'Show what an entry believes.';
   static override description =
--- a/packages/gypsumwall/src/commands/submit_command.ts
+++ b/packages/gypsumwall/src/commands/submit_command.ts
@@ -1,4 +1,4 @@
-/** `gypsumwall submit`. */
+/** The command `gypsumwall submit`. */
 import * as oclif from '@oclif/core';
 import * as callFlags from '../call_flags.js';
 
--- a/packages/gypsumwall/src/entry_client.ts
+++ b/packages/gypsumwall/src/entry_client.ts
@@ -6,7 +6,7 @@
 import * as fail from './fail.js';
 import * as readInput from './read_input.js';
 
-/** One call. */
+/** One call to an entry. */
 export interface EntryCall {
   readonly method: 'GET' | 'POST' | 'PUT' | 'DELETE';
   /** Path with a leading slash. */
@@ -15,39 +15,39 @@
   readonly body?: string | Uint8Array;
 }
 
-/** An answer whose head has arrived. */
+/** A response whose status and headers have arrived. */
 export interface EntryAnswer {
   readonly status: number;
   header(name: string): string | undefined;
-  /** The whole body. */
-  text(): Promise<result.Result<string, LostCall>>;
-  /** Hands on the body piece by piece. */
+  /** Reads the whole body. */
+  text(): Promise<result.Result<string, FailedCall>>;
+  /** Passes the chunks of the body to `write`, one after another. */
   pipe(
-    write: (piece: Uint8Array) => Promise<void>,
-  ): Promise<result.Result<void, LostCall>>;
+    write: (chunk: Uint8Array) => Promise<void>,
+  ): Promise<result.Result<void, FailedCall>>;
 }
 
-/** A call without a whole answer. */
-export interface LostCall {
-  /** Whether the entry may have got the call. */
+/** A call without a complete response. */
+export interface FailedCall {
+  /** Whether the call may have taken effect. */
   readonly effect: types.stepError.Effect;
   readonly message: string;
 }
 
-/** Calls one entry. */
+/** Client of one entry. */
 export interface EntryClient {
   /** Address of the entry. */
   readonly origin: string;
-  call(call: EntryCall): Promise<result.Result<EntryAnswer, LostCall>>;
+  call(call: EntryCall): Promise<result.Result<EntryAnswer, FailedCall>>;
 }
 
-/** How long a call without a limit of its own is waited for, in ms. */
-const DEFAULT_WAIT_MS = 60_000;
-/** Time beyond the caller's limit in which an entry can still answer, in ms. */
+/** Timeout of calls without `--timeout-ms`. */
+const DEFAULT_CALL_TIMEOUT_MS = 60_000;
+/** Extra wait after the call's timeout, for the entry's own timeout response. */
 const ANSWER_MARGIN_MS = 2_000;
 
-/** Faults of a connection that never came about: nothing was sent. */
-const CONNECT_FAULTS = new Set([
+/** Error codes of failed connection attempts; nothing was sent. */
+const CONNECT_ERROR_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
   'ENETUNREACH',
@@ -56,16 +56,16 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-/** A client for the entry and the token that the flags name. */
+/** Creates a client with the entry and the token that the flags name. */
 export function createEntryClient(flags: callFlags.CallFlags): EntryClient {
-  const origin = readOrigin(flags.entry);
+  const origin = parseOrigin(flags.entry);
   const token = readToken(flags['token-file']);
   const timeoutMs = flags['timeout-ms'];
   return {
     origin,
     call: async (call) => {
-      const waitMs = timeoutMs ?? DEFAULT_WAIT_MS;
-      const signal = AbortSignal.timeout(waitMs + ANSWER_MARGIN_MS);
+      const callTimeoutMs = timeoutMs ?? DEFAULT_CALL_TIMEOUT_MS;
+      const signal = AbortSignal.timeout(callTimeoutMs + ANSWER_MARGIN_MS);
       try {
         const res = await undici.request(`${origin}${call.path}`, {
           method: call.method,
@@ -77,15 +77,15 @@
           body: call.body,
           signal,
         });
-        return result.ok(answerOf(res));
+        return result.ok(toAnswer(res));
       } catch (thrown) {
-        return result.err(lostCall(origin, call, thrown));
+        return result.err(toFailedCall(origin, call, thrown));
       }
     },
   };
 }
 
-function answerOf(res: undici.Dispatcher.ResponseData): EntryAnswer {
+function toAnswer(res: undici.Dispatcher.ResponseData): EntryAnswer {
   return {
     status: res.statusCode,
     header: (name) => {
@@ -96,15 +96,15 @@
       try {
         return result.ok(await res.body.text());
       } catch (thrown) {
-        return result.err(brokenAnswer(thrown));
+        return result.err(toIncompleteAnswer(thrown));
       }
     },
     pipe: async (write) => {
       try {
-        for await (const piece of res.body) await write(piece as Uint8Array);
+        for await (const chunk of res.body) await write(chunk as Uint8Array);
         return result.ok(undefined);
       } catch (thrown) {
-        return result.err(brokenAnswer(thrown));
+        return result.err(toIncompleteAnswer(thrown));
       }
     },
   };
@@ -115,23 +115,30 @@
   return {'gypsumwall-timeout-ms': String(timeoutMs)};
 }
 
-/** A read changes nothing, whether the entry got it or not. */
-function lostCall(entry: string, call: EntryCall, thrown: unknown): LostCall {
+/**
+ * The failure of a call without a response. A GET never has an effect, whether
+ * the entry received it or not.
+ */
+function toFailedCall(
+  entry: string,
+  call: EntryCall,
+  thrown: unknown,
+): FailedCall {
   const code = String((thrown as {code?: unknown}).code);
-  const proved = call.method === 'GET' || CONNECT_FAULTS.has(code);
+  const hasNoEffect = call.method === 'GET' || CONNECT_ERROR_CODES.has(code);
   const cause = types.stepError.messageOf(thrown);
   return {
-    effect: proved ? 'not_run' : 'unknown',
+    effect: hasNoEffect ? 'not_run' : 'unknown',
     message: `no answer from ${entry}: ${cause}`,
   };
 }
 
-function brokenAnswer(thrown: unknown): LostCall {
+function toIncompleteAnswer(thrown: unknown): FailedCall {
   const cause = types.stepError.messageOf(thrown);
-  return {effect: 'unknown', message: `the answer broke off: ${cause}`};
+  return {effect: 'unknown', message: `the answer ended early: ${cause}`};
 }
 
-function readOrigin(entry: string | undefined): string {
+function parseOrigin(entry: string | undefined): string {
   if (entry === undefined) {
     return fail.fail(
       'usage',
@@ -144,7 +151,7 @@
   }
   return fail.fail(
     'usage',
-    `--entry ${entry} is no HTTP address. Write it as http://10.0.0.5:7000.`,
+    `--entry ${entry} is not an HTTP address. Use the form http://10.0.0.5:7000.`,
   );
 }
 
@@ -164,7 +171,7 @@
   if (!/^[\x21-\x7e]+$/.test(token)) {
     return fail.fail(
       'forbidden',
-      `the token in ${origin} has blanks or other signs that no token has. Keep one token and nothing else there.`,
+      `the token in ${origin} has blanks or other characters that a token can't have. It must hold one token and nothing else.`,
     );
   }
   return token;
--- a/packages/gypsumwall/src/exit_codes.ts
+++ b/packages/gypsumwall/src/exit_codes.ts
@@ -1,23 +1,23 @@
 /** Exit codes of every command; docs/CLI.md explains them to operators. */
 export const EXIT_CODES = {
   ok: 0,
-  /** A fault of the program or of its surroundings. */
+  /** An error of the program or of its environment. */
   failed: 1,
-  /** A flag or an argument is wrong. */
+  /** A flag or an argument is invalid. */
   usage: 2,
   /** A settings file or a job file has problems. */
   invalid: 3,
-  /** Refused, and proved not to have run. */
+  /** The call was refused, and it certainly did not run. */
   notRun: 4,
-  /** May have run. */
+  /** The call may have run. */
   unknown: 5,
-  /** Another publish came first. */
+  /** Another publish changed the revision first. */
   conflict: 6,
-  /** The entry can't be reached; nothing ran. */
+  /** The entry is unreachable; nothing ran. */
   unreachable: 7,
-  /** No such job or subtree, or not this team's. */
+  /** The job or subtree doesn't exist or belongs to another team. */
   notFound: 8,
-  /** The token is missing, unknown or not allowed. */
+  /** The token is missing, unknown or not authorised. */
   forbidden: 9,
   /** `settings diff` found differences. */
   differs: 10,
--- a/packages/gypsumwall/src/fail.ts
+++ b/packages/gypsumwall/src/fail.ts
@@ -1,4 +1,4 @@
-/** Ends a command with a message for a person and a documented exit code. */
+/** Ends a command with a readable message and a documented exit code. */
 import * as oclif from '@oclif/core';
 import * as exitCodes from './exit_codes.js';
 
@@ -13,13 +13,14 @@
 }
 
 /**
- * Prints what a command threw and sets the exit code. oclif would break long
- * lines, and a place such as `file:line:column` has to stay in one piece.
+ * Prints the error that a command threw and sets the exit code. Failures of
+ * `fail` are printed here because oclif wraps long lines, which would break a
+ * location such as `file:line:column`.
  */
 export async function reportFailure(thrown: unknown): Promise<void> {
-  const ours =
+  const isExpectedFailure =
     thrown instanceof oclif.Errors.CLIError && thrown.code === FAILURE_CODE;
-  if (!ours) return oclif.handle(thrown as Error);
+  if (!isExpectedFailure) return oclif.handle(thrown as Error);
   process.stderr.write(`error: ${thrown.message}\n`);
   process.exitCode = thrown.oclif.exit ?? exitCodes.EXIT_CODES.failed;
 }
--- a/packages/gypsumwall/src/follow_job.ts
+++ b/packages/gypsumwall/src/job_operations.ts
@@ -1,4 +1,4 @@
-/** `job status`, `result`, `cancel` and `list`. */
+/** Implements `job status`, `job result`, `job cancel` and `job list`. */
 import * as timers from 'node:timers/promises';
 import type * as types from '@gypsumwall/types';
 import * as callEntry from './call_entry.js';
@@ -13,8 +13,8 @@
   readonly json: boolean;
 }
 
-/** Time between two looks at a job that has not ended, in milliseconds. */
-const POLL_MS = 250;
+/** Interval at which `job result` polls a job that has not ended. */
+const POLL_INTERVAL_MS = 250;
 
 /** Prints the state of a job. */
 export async function showJob(
@@ -42,21 +42,21 @@
   body.jobs.forEach((view) => print(describeJob(view)));
 }
 
-/** Asks for a job to be cancelled; its tasks are stopped after that. */
+/** Requests the cancellation of a job; its tasks stop later. */
 export async function cancelJob(
   jobId: string,
   flags: JobFlags,
   print: callFlags.Print,
 ): Promise<void> {
   const client = entryClient.createEntryClient(flags);
-  await callEntry.callForJson(client, {method: 'DELETE', path: pathOf(jobId)});
-  const told = flags.json ? JSON.stringify({jobId}) : `${jobId}: cancelling`;
-  print(told);
+  await callEntry.callForJson(client, {method: 'DELETE', path: jobPath(jobId)});
+  const message = flags.json ? JSON.stringify({jobId}) : `${jobId}: cancelling`;
+  print(message);
 }
 
 /**
- * Prints the results of a job's tasks, one a line. Waits for its end for
- * `waitMs` at most; a job without results ends the command with an error.
+ * Prints the results of a job's tasks, one per line. Waits at most `wait-ms` for
+ * the end of the job. Unless the job is done, the command ends with an error.
  */
 export async function printResults(
   jobId: string,
@@ -66,23 +66,23 @@
   const client = entryClient.createEntryClient(flags);
   const waitUntil = performance.now() + flags['wait-ms'];
   let view = await readJob(client, jobId);
-  while (isOpen(view) && performance.now() < waitUntil) {
-    await timers.setTimeout(POLL_MS);
+  while (isUnfinished(view) && performance.now() < waitUntil) {
+    await timers.setTimeout(POLL_INTERVAL_MS);
     view = await readJob(client, jobId);
   }
   if (view.state !== 'done') return failWithoutResults(view);
   if (flags.json) return print(JSON.stringify(view.results, null, 2));
-  view.results.forEach((line) => print(line));
+  view.results.forEach((taskResult) => print(taskResult));
 }
 
 function failWithoutResults(view: JobView): never {
-  const remedy = isOpen(view)
+  const remedy = isUnfinished(view)
     ? 'Wait longer with --wait-ms.'
     : 'It has no results.';
   return fail.fail('failed', `${describeJob(view)}. ${remedy}`);
 }
 
-function isOpen(view: JobView): boolean {
+function isUnfinished(view: JobView): boolean {
   switch (view.state) {
     case 'queued':
     case 'running':
@@ -98,11 +98,11 @@
   client: entryClient.EntryClient,
   jobId: string,
 ): Promise<JobView> {
-  const call = {method: 'GET', path: pathOf(jobId)} as const;
+  const call = {method: 'GET', path: jobPath(jobId)} as const;
   return (await callEntry.callForJson(client, call)) as JobView;
 }
 
-function pathOf(jobId: string): string {
+function jobPath(jobId: string): string {
   return `/v1/jobs/${encodeURIComponent(jobId)}`;
 }
 
--- a/packages/gypsumwall/src/main.ts
+++ b/packages/gypsumwall/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Start of the binary. */
+/** Entry point of the binary. */
 import * as runCli from './run_cli.js';
 
 void runCli.runCli(process.argv.slice(2));
--- a/packages/gypsumwall/src/product.ts
+++ b/packages/gypsumwall/src/product.ts
@@ -1,6 +1,6 @@
 /**
- * Name and version of the product. The single binary has no package.json
- * beside it, so they are kept in code; a test holds them to package.json.
+ * Name and version of the product. They are in code because the single binary
+ * has no package.json; a test checks that they equal those in package.json.
  */
 export const PRODUCT = {
   name: 'gypsumwall',
--- a/packages/gypsumwall/src/published_settings.ts
+++ b/packages/gypsumwall/src/published_settings.ts
@@ -1,4 +1,4 @@
-/** `settings get`, `diff` and `publish`: the tree that is in force. */
+/** Implements `settings get`, `settings diff` and `settings publish`. */
 import * as settings from '@gypsumwall/settings';
 import * as callEntry from './call_entry.js';
 import type * as callFlags from './call_flags.js';
@@ -6,7 +6,7 @@
 import * as fail from './fail.js';
 import * as readSettings from './read_settings.js';
 
-/** Revision of a subtree that was never published. */
+/** Revision number for a subtree that was never published. */
 const NO_REVISION = -1;
 
 const NOT_FOUND = 404;
@@ -15,17 +15,17 @@
 interface PublishedSubtree {
   readonly path: string;
   readonly revision: number;
-  /** Undefined where nothing was published. */
+  /** Undefined if the subtree was never published. */
   readonly value: unknown;
 }
 
-/** Flags of a command that compares a file with what is in force. */
+/** Flags of a command that compares a file with the settings in force. */
 export interface FileFlags extends callFlags.CallFlags {
   readonly path?: string;
   readonly json: boolean;
 }
 
-/** Prints one subtree, or the list of all. */
+/** Prints one subtree, or the list of all published subtrees. */
 export async function getSettings(
   path: string | undefined,
   flags: callFlags.CallFlags & {readonly json: boolean},
@@ -36,16 +36,16 @@
   if (settings.subtreePath.parseSubtreePath(path) === undefined) {
     return fail.fail('usage', `no subtree ${path}. Use cell or teams/TEAM.`);
   }
-  const found = await readSubtree(client, path);
-  if (found.revision === NO_REVISION) {
+  const subtree = await readSubtree(client, path);
+  if (subtree.revision === NO_REVISION) {
     return fail.fail(
       'notFound',
-      `nothing is published at ${path}. List what is with: settings get`,
+      `nothing is published at ${path}. To list what is published, run: settings get`,
     );
   }
-  if (flags.json) return print(JSON.stringify(found, null, 2));
-  print(`// ${path}, revision ${found.revision}`);
-  print(JSON.stringify(found.value, null, 2));
+  if (flags.json) return print(JSON.stringify(subtree, null, 2));
+  print(`// ${path}, revision ${subtree.revision}`);
+  print(JSON.stringify(subtree.value, null, 2));
 }
 
 async function listSubtrees(
@@ -63,7 +63,7 @@
   }
 }
 
-/** Prints what publishing the file would change; whether it would at all. */
+/** Prints what publishing the file would change; returns whether it would. */
 export async function diffSettings(
   file: string,
   flags: FileFlags,
@@ -73,7 +73,7 @@
   const changes: settings.settingsDiff.SettingsChange[] = [];
   for (const {path, value} of readSettings.readSubtrees(file, flags.path)) {
     const inForce = await readSubtree(client, path);
-    changes.push(...changesOf(path, inForce.value, value));
+    changes.push(...diffSubtree(path, inForce.value, value));
   }
   if (flags.json) print(JSON.stringify({changes}, null, 2));
   else changes.forEach((change) => print(describeChange(change)));
@@ -96,7 +96,7 @@
   for (const subtree of readSettings.readSubtrees(file, flags.path)) {
     const inForce = await readSubtree(client, subtree.path);
     const base = flags.base ?? inForce.revision;
-    const changes = changesOf(subtree.path, inForce.value, subtree.value);
+    const changes = diffSubtree(subtree.path, inForce.value, subtree.value);
     if (flags.base === undefined && changes.length === 0) continue;
     const revision = await publishSubtree(client, subtree, base);
     published.push({path: subtree.path, revision});
@@ -120,8 +120,8 @@
   return body.revision;
 }
 
-/** What changes in effect: a default that is written out changes nothing. */
-function changesOf(
+/** Effective changes: writing out a default value isn't a change. */
+function diffSubtree(
   path: string,
   before: unknown,
   after: unknown,
@@ -133,7 +133,7 @@
   );
 }
 
-/** A value that this version can't check is compared as it stands. */
+/** The value with defaults, or unchanged if this version rejects it. */
 function withDefaults(path: string, value: unknown): unknown {
   const checked = settings.checkSubtree.checkSubtree(path, value);
   return checked.isOk ? checked.value.policy : value;
@@ -143,18 +143,18 @@
   client: entryClient.EntryClient,
   path: string,
 ): Promise<PublishedSubtree> {
-  const answer = callEntry.orFail(
+  const answer = callEntry.valueOrFail(
     await client.call({method: 'GET', path: `/v1/settings/${path}`}),
   );
   if (isUnpublished(answer)) {
-    callEntry.orFail(await answer.text());
+    callEntry.valueOrFail(await answer.text());
     return {path, revision: NO_REVISION, value: undefined};
   }
-  await callEntry.failUnlessGood(answer);
-  return (await callEntry.jsonOf(answer)) as PublishedSubtree;
+  await callEntry.failUnlessOk(answer);
+  return (await callEntry.readJson(answer)) as PublishedSubtree;
 }
 
-/** Only an entry's own 404 says so; a balancer's says nothing. */
+/** Whether an entry, and not a balancer, answered with status 404. */
 function isUnpublished(answer: entryClient.EntryAnswer): boolean {
   return (
     answer.status === NOT_FOUND &&
--- a/packages/gypsumwall/src/read_input.ts
+++ b/packages/gypsumwall/src/read_input.ts
@@ -1,9 +1,9 @@
-/** Reads the files that a command line names. */
+/** Reads files that are named on the command line. */
 import * as fs from 'node:fs';
 import * as types from '@gypsumwall/types';
 import * as fail from './fail.js';
 
-/** Text of a file, or of standard input for `-`. */
+/** Returns the text of a file, or of standard input for `-`. */
 export function readInput(file: string): string {
   try {
     return fs.readFileSync(file === '-' ? process.stdin.fd : file, 'utf8');
--- a/packages/gypsumwall/src/read_settings.ts
+++ b/packages/gypsumwall/src/read_settings.ts
@@ -1,9 +1,9 @@
-/** Reads settings files for the commands, or ends the command. */
+/** Reads settings files; invalid ones end the command with an error. */
 import * as settings from '@gypsumwall/settings';
 import * as fail from './fail.js';
 import * as readInput from './read_input.js';
 
-/** Checked settings of an entry process. */
+/** Reads and checks the settings of an entry process. */
 export function readEntrySettings(
   file: string,
 ): settings.entrySettings.EntrySettings {
@@ -14,15 +14,15 @@
   return checked.isOk ? checked.value : failWithProblems(checked.error);
 }
 
-/** A value of the tree, as its file holds it: nothing is filled in. */
+/** A subtree as the file holds it, without defaults. */
 export interface Subtree {
   readonly path: string;
   readonly value: unknown;
 }
 
 /**
- * The subtrees in a file that was checked: all of a tree, or the one at
- * `path` where the file holds nothing else.
+ * Checks a file and returns its subtrees: all subtrees of a tree or, if `path` is
+ * given, the one subtree that the file holds.
  */
 export function readSubtrees(file: string, path?: string): Subtree[] {
   const text = readInput.readInput(file);
@@ -32,7 +32,7 @@
   if (path === undefined) {
     const checked = settings.checkCellTree.checkCellTree(text, file);
     if (checked.isErr) return failWithProblems(checked.error);
-    return subtreesOf(value as RawTree);
+    return toSubtrees(value as RawTree);
   }
   const checked = settings.checkSubtree.checkSubtree(path, value, {
     file,
@@ -47,7 +47,7 @@
   readonly teams: Readonly<Record<string, unknown>>;
 }
 
-function subtreesOf(tree: RawTree): Subtree[] {
+function toSubtrees(tree: RawTree): Subtree[] {
   const teams = Object.entries(tree.teams).map(([team, value]) => ({
     path: `teams/${team}`,
     value,
@@ -55,7 +55,7 @@
   return [{path: 'cell', value: tree.cell}, ...teams];
 }
 
-/** Ends the command with one line for each problem. */
+/** Ends the command with an error that has one line for each problem. */
 export function failWithProblems(
   problems: readonly settings.settingsProblem.SettingsProblem[],
 ): never {
--- a/packages/gypsumwall/src/run_entry.ts
+++ b/packages/gypsumwall/src/run_entry.ts
@@ -1,4 +1,4 @@
-/** Runs an entry process from its settings file to its planned stop. */
+/** Implements `entry`: runs an entry process until its planned stop. */
 import * as nodeCrypto from 'node:crypto';
 import type * as entryPackage from '@gypsumwall/entry';
 import type * as settings from '@gypsumwall/settings';
@@ -10,14 +10,14 @@
 
 const STOP_SIGNALS = ['SIGTERM', 'SIGINT'] as const;
 
-/** Runs until a stop signal, then drains; settles when all is closed. */
+/** Runs until a stop signal, then drains; resolves when the entry is closed. */
 export async function runEntry(
   settingsFile: string,
   print: callFlags.Print,
 ): Promise<void> {
   const cfg = readSettings.readEntrySettings(settingsFile);
   const logger = telemetry.logger.createLogger(cfg.logLevel, {entry: cfg.id});
-  const stopSignal = nextSignal();
+  const stopSignal = waitForStopSignal();
   const entry = await startEntry(cfg, logger);
   const {address, peerAddress} = entry;
   print(JSON.stringify({event: 'listening', id: cfg.id, address, peerAddress}));
@@ -42,24 +42,27 @@
       logger,
     });
   } catch (thrown) {
-    return fail.fail('failed', startFault(cfg, thrown));
+    return fail.fail('failed', describeStartError(cfg, thrown));
   }
 }
 
-/** Most starts fail at an address that is taken or isn't this machine's. */
-function startFault(
+/**
+ * Describes why the entry can't start. Most failures are due to an address that
+ * is in use or doesn't belong to this machine, so the message names them.
+ */
+function describeStartError(
   cfg: settings.entrySettings.EntrySettings,
   thrown: unknown,
 ): string {
   const cause = types.stepError.messageOf(thrown);
   return (
-    `the entry can't start: ${cause}. If it is about an address, change ` +
+    `the entry can't start: ${cause}. If the cause is an address, change ` +
     `host = "${cfg.host}", port = ${cfg.port} or peerPort = ${cfg.peerPort}.`
   );
 }
 
-/** The first stop signal; later ones change nothing, as a drain has an end. */
-function nextSignal(): Promise<string> {
+/** Resolves with the first stop signal; later ones don't cut the drain short. */
+function waitForStopSignal(): Promise<string> {
   return new Promise((resolve) => {
     for (const signal of STOP_SIGNALS) process.on(signal, resolve);
   });
--- a/packages/gypsumwall/src/send_request.ts
+++ b/packages/gypsumwall/src/send_request.ts
@@ -1,4 +1,4 @@
-/** `request`: sends one request and prints its answer. */
+/** Implements `request`: sends one request and prints its answer. */
 import * as events from 'node:events';
 import * as callEntry from './call_entry.js';
 import type * as callFlags from './call_flags.js';
@@ -15,8 +15,8 @@
 }
 
 /**
- * Sends the request and streams the answer to standard output. An answer that
- * breaks off ends the command with an error, after the part that came.
+ * Sends the request and streams the answer to standard output. If the answer
+ * ends early, the received part is printed and the command ends with an error.
  */
 export async function sendRequest(
   operation: string,
@@ -24,7 +24,7 @@
   print: callFlags.Print,
 ): Promise<void> {
   const client = entryClient.createEntryClient(flags);
-  const answer = callEntry.orFail(
+  const answer = callEntry.valueOrFail(
     await client.call({
       method: 'POST',
       path: `/v1/requests/${encodeURIComponent(operation)}`,
@@ -32,9 +32,9 @@
       body: bodyOf(flags),
     }),
   );
-  await callEntry.failUnlessGood(answer);
+  await callEntry.failUnlessOk(answer);
   if (flags.json) return printAsJson(answer, print);
-  callEntry.orFail(await answer.pipe(writeOut));
+  callEntry.valueOrFail(await answer.pipe(writeToStdout));
 }
 
 function headersOf(flags: RequestFlags): Record<string, string> {
@@ -52,13 +52,13 @@
   answer: entryClient.EntryAnswer,
   print: callFlags.Print,
 ): Promise<void> {
-  const body = callEntry.orFail(await answer.text());
+  const body = callEntry.valueOrFail(await answer.text());
   const outcome = answer.header('gypsumwall-outcome');
   const requestId = answer.header('gypsumwall-request-id');
   print(JSON.stringify({outcome, requestId, body}, null, 2));
 }
 
-async function writeOut(piece: Uint8Array): Promise<void> {
-  if (process.stdout.write(piece)) return;
+async function writeToStdout(chunk: Uint8Array): Promise<void> {
+  if (process.stdout.write(chunk)) return;
   await events.EventEmitter.once(process.stdout, 'drain');
 }
--- a/packages/gypsumwall/src/show_status.ts
+++ b/packages/gypsumwall/src/show_status.ts
@@ -1,9 +1,9 @@
-/** `status` and `drain`: what an entry believes, and its planned stop. */
+/** Implements `status` and `drain`. */
 import * as callEntry from './call_entry.js';
 import type * as callFlags from './call_flags.js';
 import * as entryClient from './entry_client.js';
 
-/** Prints what the entry believes, and how old each belief is. */
+/** Prints the entry's view of the cell and the age of each part. */
 export async function showStatus(
   flags: callFlags.CallFlags & {readonly json: boolean},
   print: callFlags.Print,
@@ -12,7 +12,7 @@
   const call = {method: 'GET', path: '/v1/status'} as const;
   const status = await callEntry.callForJson(client, call);
   if (flags.json) return print(JSON.stringify(status, null, 2));
-  leavesOf(status, '').forEach((line) => print(line));
+  formatLeaves(status, '').forEach((line) => print(line));
 }
 
 /** Starts the planned stop of the entry. */
@@ -25,13 +25,13 @@
   print(`${client.origin}: draining`);
 }
 
-/** One line for each value: `claim.epoch: 7`. */
-function leavesOf(value: unknown, path: string): string[] {
+/** Formats one line for each value, such as `claim.epoch: 7`. */
+function formatLeaves(value: unknown, path: string): string[] {
   if (typeof value !== 'object' || value === null) {
     return [`${path}: ${String(value)}`];
   }
   const entries = Object.entries(value);
   if (entries.length === 0) return [`${path}: none`];
   const prefix = path === '' ? '' : `${path}.`;
-  return entries.flatMap(([key, below]) => leavesOf(below, prefix + key));
+  return entries.flatMap(([key, child]) => formatLeaves(child, prefix + key));
 }
--- a/packages/gypsumwall/src/submit_job.ts
+++ b/packages/gypsumwall/src/submit_job.ts
@@ -1,4 +1,4 @@
-/** `submit`: hands a job to an entry. */
+/** Implements `submit`: sends a job to an entry. */
 import * as nodeCrypto from 'node:crypto';
 import * as settings from '@gypsumwall/settings';
 import * as callEntry from './call_entry.js';
@@ -14,8 +14,9 @@
 }
 
 /**
- * Submits the job in `file` and prints its id. Where the answer is lost, the
- * same key finds the job that may have been accepted, so the key is told.
+ * Submits the job in `file` and prints its id. A generated key is printed first:
+ * if the answer is lost, a repeated call with the same key finds the job that may
+ * have been accepted.
  */
 export async function submitJob(
   file: string,
