--- a/packages/gypsumwall-membership/src/claim_fold.ts
+++ b/packages/gypsumwall-membership/src/claim_fold.ts
@@ -37,7 +37,7 @@
     record: records.domainRecords.DomainRecord,
     readAt: types.clock.MonotonicMs,
   ): boolean;
-  newest(): NewestClaim | undefined;
+  newestClaim(): NewestClaim | undefined;
   /** When this process read the newest claim's head. */
   headReadAt(): types.clock.MonotonicMs;
   /** Replaces the state by the claim that a snapshot holds. */
@@ -52,7 +52,7 @@
   let newest: NewestClaim | undefined;
   let headReadAt = 0 as types.clock.MonotonicMs;
   return {
-    newest: () => newest,
+    newestClaim: () => newest,
     headReadAt: () => headReadAt,
     restore: (claim, readAt) => {
       newest = claim;
--- a/packages/gypsumwall-membership/src/claim_keeper.ts
+++ b/packages/gypsumwall-membership/src/claim_keeper.ts
@@ -61,7 +61,7 @@
   let reportedState = 'none';
 
   function state(): domainClaim.ClaimState {
-    const newest = fold.newest();
+    const newest = fold.newestClaim();
     if (newest === undefined || newest.released) return {type: 'none'};
     const {epoch} = newest;
     if (newest.holder !== self) {
@@ -89,7 +89,7 @@
   }
 
   function onNewestClaim() {
-    const newest = fold.newest();
+    const newest = fold.newestClaim();
     if (newest !== undefined) {
       promises.forgetBefore(newest.epoch);
       holder.onNewestClaim(newest);
@@ -115,10 +115,10 @@
       return turnAt < nextCheckAt ? turnAt : nextCheckAt;
     }
     if (!options.caughtUp()) return nextCheckAt;
-    const newestBefore = fold.newest();
+    const newestBefore = fold.newestClaim();
     const witness = await taker.findWitness();
     // The holder's renewal may have arrived during the calls to the peers.
-    if (witness === undefined || fold.newest() !== newestBefore)
+    if (witness === undefined || fold.newestClaim() !== newestBefore)
       return nextCheckAt;
     if (hasReleased) return nextCheckAt;
     await holder.claim(newestBefore, witness);
@@ -130,14 +130,15 @@
     signal.addEventListener('abort', () => loop.trigger(), {once: true});
     while (!signal.aborted && !hasReleased) {
       taker.checkList();
-      const newest = fold.newest();
+      const newest = fold.newestClaim();
       const isOwn = newest?.holder === self && !newest.released;
       const nextAt = isOwn ? await renewClaim(newest) : await tryTakeover();
       reportState();
-      const newestSeen = fold.newest();
+      const newestSeen = fold.newestClaim();
       await loop.waitUntil(
         nextAt,
-        () => signal.aborted || hasReleased || fold.newest() !== newestSeen,
+        () =>
+          signal.aborted || hasReleased || fold.newestClaim() !== newestSeen,
       );
     }
     reportState();
@@ -149,7 +150,7 @@
     hasReleased = true;
     loop.trigger();
     reportState();
-    const newest = fold.newest();
+    const newest = fold.newestClaim();
     if (newest?.holder !== self || newest.released) {
       return result.ok<void, types.stepError.StepError>(undefined);
     }
@@ -165,7 +166,7 @@
     run,
     state,
     release,
-    newest: () => fold.newest(),
+    newest: () => fold.newestClaim(),
     answerPromise: (req) => promises.answerPromise(req),
     answerWitness: (req) => promises.answerWitness(req),
     apply: (offset, record, readAt) => {
--- a/packages/gypsumwall-membership/src/claim_taker.ts
+++ b/packages/gypsumwall-membership/src/claim_taker.ts
@@ -47,7 +47,7 @@
   }
 
   function checkList() {
-    const newest = fold.newest();
+    const newest = fold.newestClaim();
     if (newest === undefined || !isAllGoneByList(newest)) {
       allGoneObservation = undefined;
     } else if (allGoneObservation?.epoch !== newest.epoch) {
@@ -85,7 +85,7 @@
   async function findWitness(): Promise<
     records.domainRecords.Witness | undefined
   > {
-    const newest = fold.newest();
+    const newest = fold.newestClaim();
     if (newest === undefined || newest.released) return {type: 'vacant'};
     const req = {taker: self, epoch: newest.epoch, seen: newest.head};
     if (newest.named.includes(self)) {
@@ -135,7 +135,7 @@
     findWitness,
     checkList,
     turnAt: () => {
-      const newest = fold.newest();
+      const newest = fold.newestClaim();
       const takeoverPossibleAt =
         newest === undefined
           ? startedAt
--- a/packages/gypsumwall-membership/src/domain_view_keeper.ts
+++ b/packages/gypsumwall-membership/src/domain_view_keeper.ts
@@ -43,7 +43,7 @@
   /** Instances of the own domain that the platform's list shows as leaving. */
   listedLeaving(): readonly string[];
   /** Hides a worker or upstream that is known to have ended. */
-  noteGone(id: string): void;
+  markRemoved(id: string): void;
 }
 
 interface TrackedPeer {
@@ -221,7 +221,7 @@
       if (peer.link.peer().state !== 'silent' && now < dropAt) continue;
       peer.stop.abort();
       tracked.delete(address);
-      options.clients.drop(address);
+      options.clients.closeClient(address);
       logger.info('peer_dropped', {peer: address});
       reportView();
     }
@@ -266,7 +266,7 @@
       ownDomainInstances
         .filter(({state}) => state === 'leaving')
         .map(({id}) => id),
-    noteGone: (id) => {
+    markRemoved: (id) => {
       corrections.markRemoved(id);
       correctedInstances = corrections.correct(ownDomainInstances);
     },
--- a/packages/gypsumwall-membership/src/peer_clients.ts
+++ b/packages/gypsumwall-membership/src/peer_clients.ts
@@ -5,7 +5,7 @@
 export interface PeerClients {
   at(address: string): peerClient.PeerClient;
   /** Closes the client of an address that is no longer a peer's. */
-  drop(address: string): void;
+  closeClient(address: string): void;
   close(): void;
 }
 
@@ -20,7 +20,7 @@
       clients.set(address, client);
       return client;
     },
-    drop: (address) => {
+    closeClient: (address) => {
       clients.get(address)?.close();
       clients.delete(address);
     },
