--- a/packages/gypsumwall-membership/src/__fixtures__/claim_injection.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/claim_injection.ts
@@ -26,18 +26,12 @@
   options: InjectionOptions,
 ): (fault: claimFaults.Fault) => void {
   const {time, faults, list, network} = options;
-  const {
-    resolveTarget: aim,
-    isAlive,
-    endProcess: end,
-    spawn,
-    entryAt,
-  } = options;
+  const {resolveTarget, isAlive, endProcess, spawn, entryAt} = options;
 
   function inject(fault: claimFaults.Fault) {
     switch (fault.type) {
       case 'pause':
-        entryAt(aim(fault.machine))?.process.pauseUntil(
+        entryAt(resolveTarget(fault.machine))?.process.pauseUntil(
           time.now() + fault.forMs,
         );
         break;
@@ -47,35 +41,41 @@
         faults.extend(fault.type, fault.forMs);
         break;
       case 'cut_from_log':
-        faults.extend(`cut_from_log ${aim(fault.machine)}`, fault.forMs);
+        faults.extend(
+          `cut_from_log ${resolveTarget(fault.machine)}`,
+          fault.forMs,
+        );
         break;
       case 'cut_from_list': {
-        const machine = aim(fault.machine);
+        const machine = resolveTarget(fault.machine);
         list.cutOff(machine, fault.forMs, () => isAlive(machine));
         break;
       }
       case 'cut_between': {
-        const [one, other] = [aim(fault.machine), aim(fault.other)];
+        const [one, other] = [
+          resolveTarget(fault.machine),
+          resolveTarget(fault.other),
+        ];
         if (one === other) break;
         faults.extend(`cut_between ${one} ${other}`, fault.forMs);
         faults.extend(`cut_between ${other} ${one}`, fault.forMs);
         break;
       }
       case 'kill':
-        end(aim(fault.machine));
+        endProcess(resolveTarget(fault.machine));
         break;
       case 'lose_machine':
-        end(aim(fault.machine));
-        network.loseMachine(aim(fault.machine));
+        endProcess(resolveTarget(fault.machine));
+        network.loseMachine(resolveTarget(fault.machine));
         break;
       case 'restart':
-        end(aim(fault.machine));
-        spawn(aim(fault.machine));
+        endProcess(resolveTarget(fault.machine));
+        spawn(resolveTarget(fault.machine));
         break;
       case 'release': {
         // A start in flight could reach its worker after the next entry has
         // claimed, so the entry waits for all answers before it releases.
-        const entry = entryAt(aim(fault.machine));
+        const entry = entryAt(resolveTarget(fault.machine));
         if (entry !== undefined) entry.isReleasing = true;
         break;
       }
--- a/packages/gypsumwall-membership/src/__fixtures__/claim_scripts.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/claim_scripts.ts
@@ -185,8 +185,8 @@
   },
   {
     // At the holder's address the taker last got an answer from another process.
-    // It is cut off from that address and from the log. A missing answer must not
-    // count as proof that the holder ended.
+    // The taker is cut off from that address and from the log. A missing answer
+    // must not count as proof that the holder ended.
     name: 'a holder at the former address of another process',
     script: {
       machines: 3,
--- a/packages/gypsumwall-membership/src/__fixtures__/claim_world.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/claim_world.ts
@@ -123,18 +123,18 @@
       .filter((machine) => machine !== entry.machine)
       .map((machine) => {
         const peer = entries.get(machine);
-        const answers =
+        const isAnswering =
           peer?.process.isAlive() === true &&
           !peer.process.isPaused() &&
           network.reaches(entry.machine, machine);
-        if (answers) entry.lastAnsweredBy.set(machine, peer.entryId);
+        if (isAnswering) entry.lastAnsweredBy.set(machine, peer.entryId);
         return {
           entryId:
             entry.lastAnsweredBy.get(machine) ??
             types.ids.brand<types.ids.EntryId>(''),
           failureDomain: DOMAIN,
           address: String(machine),
-          state: answers ? ('live' as const) : ('silent' as const),
+          state: isAnswering ? ('live' as const) : ('silent' as const),
           configOffset: 0,
         };
       });
@@ -242,10 +242,10 @@
   }
 
   function recordViolations() {
-    const now = holdingEntries();
-    lastHolder = now[0]?.machine ?? lastHolder;
-    if (now.length < 2) return;
-    const text = now.map((entry) => `${entry.entryId} ${heldEpoch(entry)}`);
+    const holding = holdingEntries();
+    lastHolder = holding[0]?.machine ?? lastHolder;
+    if (holding.length < 2) return;
+    const text = holding.map((entry) => `${entry.entryId} ${heldEpoch(entry)}`);
     violations.push(`${time.now()}: held by ${text.join(' and ')}`);
   }
 
--- a/packages/gypsumwall-membership/src/__fixtures__/peer_fixture.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/peer_fixture.ts
@@ -127,8 +127,7 @@
   const clock = types.clock.createSystemClock();
   const timeoutAt = types.clock.after(clock.monotonic(), CONDITION_TIMEOUT_MS);
   while (!isMet()) {
-    if (clock.monotonic() > timeoutAt)
-      throw new Error(`timed out waiting for: ${what}`);
+    if (clock.monotonic() > timeoutAt) throw new Error(`timeout: ${what}`);
     await clock.sleepUntil(types.clock.after(clock.monotonic(), 5));
   }
 }
--- a/packages/gypsumwall-membership/src/claim_fold.ts
+++ b/packages/gypsumwall-membership/src/claim_fold.ts
@@ -37,7 +37,7 @@
     record: records.domainRecords.DomainRecord,
     readAt: types.clock.MonotonicMs,
   ): boolean;
-  newestClaim(): NewestClaim | undefined;
+  newest(): NewestClaim | undefined;
   /** When this process read the newest claim's head. */
   headReadAt(): types.clock.MonotonicMs;
   /** Replaces the state by the claim that a snapshot holds. */
@@ -52,7 +52,7 @@
   let newest: NewestClaim | undefined;
   let headReadAt = 0 as types.clock.MonotonicMs;
   return {
-    newestClaim: () => newest,
+    newest: () => newest,
     headReadAt: () => headReadAt,
     restore: (claim, readAt) => {
       newest = claim;
--- a/packages/gypsumwall-membership/src/claim_holder.ts
+++ b/packages/gypsumwall-membership/src/claim_holder.ts
@@ -110,7 +110,7 @@
       return answer.error.effect !== 'not_run';
     }
     sentAtByOffset.set(answer.value.offset, sentAt);
-    const newest = fold.newestClaim();
+    const newest = fold.newest();
     if (newest !== undefined) onNewestClaim(newest);
     return true;
   }
@@ -195,7 +195,7 @@
         return reply.type === 'promised' || endedPeers.has(peer.entryId);
       }),
     );
-    const current = fold.newestClaim();
+    const current = fold.newest();
     if (current?.epoch !== newest.epoch || current.released) return;
     if (!confirmations.every((isConfirmed) => isConfirmed)) {
       logger.warn('claim_promise_missing', {
--- a/packages/gypsumwall-membership/src/claim_keeper.ts
+++ b/packages/gypsumwall-membership/src/claim_keeper.ts
@@ -61,7 +61,7 @@
   let reportedState = 'none';
 
   function state(): domainClaim.ClaimState {
-    const newest = fold.newestClaim();
+    const newest = fold.newest();
     if (newest === undefined || newest.released) return {type: 'none'};
     const {epoch} = newest;
     if (newest.holder !== self) {
@@ -89,7 +89,7 @@
   }
 
   function onNewestClaim() {
-    const newest = fold.newestClaim();
+    const newest = fold.newest();
     if (newest !== undefined) {
       promises.forgetBefore(newest.epoch);
       holder.onNewestClaim(newest);
@@ -115,13 +115,12 @@
       return turnAt < nextCheckAt ? turnAt : nextCheckAt;
     }
     if (!options.caughtUp()) return nextCheckAt;
-    const newestBefore = fold.newestClaim();
+    const previous = fold.newest();
     const witness = await taker.findWitness();
     // The holder's renewal may have arrived during the calls to the peers.
-    if (witness === undefined || fold.newestClaim() !== newestBefore)
-      return nextCheckAt;
+    if (witness === undefined || fold.newest() !== previous) return nextCheckAt;
     if (hasReleased) return nextCheckAt;
-    await holder.claim(newestBefore, witness);
+    await holder.claim(previous, witness);
     const spreadMs = callTimeoutMs * options.random.next();
     return types.clock.after(clock.monotonic(), spreadMs);
   }
@@ -130,15 +129,14 @@
     signal.addEventListener('abort', () => loop.trigger(), {once: true});
     while (!signal.aborted && !hasReleased) {
       taker.checkList();
-      const newest = fold.newestClaim();
+      const newest = fold.newest();
       const isOwn = newest?.holder === self && !newest.released;
       const nextAt = isOwn ? await renewClaim(newest) : await tryTakeover();
       reportState();
-      const newestSeen = fold.newestClaim();
+      const newestSeen = fold.newest();
       await loop.waitUntil(
         nextAt,
-        () =>
-          signal.aborted || hasReleased || fold.newestClaim() !== newestSeen,
+        () => signal.aborted || hasReleased || fold.newest() !== newestSeen,
       );
     }
     reportState();
@@ -150,7 +148,7 @@
     hasReleased = true;
     loop.trigger();
     reportState();
-    const newest = fold.newestClaim();
+    const newest = fold.newest();
     if (newest?.holder !== self || newest.released) {
       return result.ok<void, types.stepError.StepError>(undefined);
     }
@@ -166,7 +164,7 @@
     run,
     state,
     release,
-    newest: () => fold.newestClaim(),
+    newest: () => fold.newest(),
     answerPromise: (req) => promises.answerPromise(req),
     answerWitness: (req) => promises.answerWitness(req),
     apply: (offset, record, readAt) => {
--- a/packages/gypsumwall-membership/src/claim_taker.ts
+++ b/packages/gypsumwall-membership/src/claim_taker.ts
@@ -47,8 +47,8 @@
   }
 
   function checkList() {
-    const newest = fold.newestClaim();
-    if (newest === undefined || !isAllGoneByList(newest)) {
+    const newest = fold.newest();
+    if (newest === undefined || !areMembersUnlisted(newest)) {
       allGoneObservation = undefined;
     } else if (allGoneObservation?.epoch !== newest.epoch) {
       allGoneObservation = {epoch: newest.epoch, at: clock.monotonic()};
@@ -56,10 +56,11 @@
   }
 
   /**
-   * Whether the list is current and all entries of the domain in the view
-   * answer and are neither the holder nor a named peer.
+   * Whether the members of the claim left the list: the list is current, and
+   * all entries of the domain in the view answer and are neither the holder nor
+   * a named peer.
    */
-  function isAllGoneByList(newest: claimFold.NewestClaim): boolean {
+  function areMembersUnlisted(newest: claimFold.NewestClaim): boolean {
     const fetchedAt = options.view().listFetchedAt;
     if (fetchedAt === undefined) return false;
     const staleAt = types.clock.after(fetchedAt, options.listLagMs);
@@ -73,25 +74,27 @@
     );
   }
 
+  /** Whether `allGoneMs` has passed since all members left the list. */
   function isAllGoneWaitOver(newest: claimFold.NewestClaim): boolean {
     if (allGoneObservation?.epoch !== newest.epoch) return false;
-    const from = Math.max(
+    const waitStartedAt = Math.max(
       allGoneObservation.at,
       fold.headReadAt(),
     ) as types.clock.MonotonicMs;
-    return clock.monotonic() >= types.clock.after(from, newest.allGoneMs);
+    return (
+      clock.monotonic() >= types.clock.after(waitStartedAt, newest.allGoneMs)
+    );
   }
 
   async function findWitness(): Promise<
     records.domainRecords.Witness | undefined
   > {
-    const newest = fold.newestClaim();
+    const newest = fold.newest();
     if (newest === undefined || newest.released) return {type: 'vacant'};
     const req = {taker: self, epoch: newest.epoch, seen: newest.head};
     if (newest.named.includes(self)) {
-      const ownReply = promises.answerWitness(req);
-      if (ownReply.type === 'released')
-        return {type: 'named_peer', entryId: self};
+      const reply = promises.answerWitness(req);
+      if (reply.type === 'released') return {type: 'named_peer', entryId: self};
     }
     const view = options.view();
     const holder = claimHolder.resolvePeer(newest, newest.holder, view);
@@ -135,7 +138,7 @@
     findWitness,
     checkList,
     turnAt: () => {
-      const newest = fold.newestClaim();
+      const newest = fold.newest();
       const takeoverPossibleAt =
         newest === undefined
           ? startedAt
--- a/packages/gypsumwall-membership/src/loop_trigger.ts
+++ b/packages/gypsumwall-membership/src/loop_trigger.ts
@@ -8,7 +8,7 @@
   /** Resolves at the deadline, or when `done` is true after a trigger. */
   waitUntil(
     deadline: types.clock.MonotonicMs,
-    done: () => boolean,
+    isDone: () => boolean,
   ): Promise<void>;
   /** Resolves at the deadline or at the next trigger. */
   waitForTrigger(deadline: types.clock.MonotonicMs): Promise<void>;
@@ -16,21 +16,21 @@
 
 /** Creates a trigger whose deadlines are moments of the clock. */
 export function createLoopTrigger(clock: types.clock.Clock): LoopTrigger {
-  let waiters = new AbortController();
+  let waitAbort = new AbortController();
 
   function waitForTrigger(deadline: types.clock.MonotonicMs) {
-    return clock.sleepUntil(deadline, waiters.signal);
+    return clock.sleepUntil(deadline, waitAbort.signal);
   }
 
   return {
     waitForTrigger,
     trigger: () => {
-      const triggered = waiters;
-      waiters = new AbortController();
-      triggered.abort();
+      const previousAbort = waitAbort;
+      waitAbort = new AbortController();
+      previousAbort.abort();
     },
-    waitUntil: async (deadline, done) => {
-      while (!done() && clock.monotonic() < deadline) {
+    waitUntil: async (deadline, isDone) => {
+      while (!isDone() && clock.monotonic() < deadline) {
         await waitForTrigger(deadline);
       }
     },
--- a/packages/gypsumwall-membership/src/peer_choice.ts
+++ b/packages/gypsumwall-membership/src/peer_choice.ts
@@ -45,16 +45,16 @@
   candidates: readonly Candidate[],
 ): ReadonlySet<string> {
   const chosen = new Set<string>();
-  const others = new Map<types.ids.FailureDomain, Candidate[]>();
+  const candidatesByDomain = new Map<types.ids.FailureDomain, Candidate[]>();
   for (const candidate of candidates) {
     if (candidate.failureDomain === chooser.failureDomain) {
       chosen.add(candidate.address);
       continue;
     }
-    const known = others.get(candidate.failureDomain) ?? [];
-    others.set(candidate.failureDomain, [...known, candidate]);
+    const sameDomain = candidatesByDomain.get(candidate.failureDomain) ?? [];
+    candidatesByDomain.set(candidate.failureDomain, [...sameDomain, candidate]);
   }
-  for (const domain of others.values()) {
+  for (const domain of candidatesByDomain.values()) {
     for (const {address} of chooseRepresentatives(chooser, domain)) {
       chosen.add(address);
     }
--- a/packages/gypsumwall-membership/src/peer_link.ts
+++ b/packages/gypsumwall-membership/src/peer_link.ts
@@ -70,9 +70,9 @@
   }
 
   function reportState() {
-    const now = `${entryId} ${state()}`;
-    if (now === reportedState) return;
-    reportedState = now;
+    const currentState = `${entryId} ${state()}`;
+    if (currentState === reportedState) return;
+    reportedState = currentState;
     options.onChange();
   }
 
