--- a/packages/gypsumwall-membership/src/__fixtures__/claim_world.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/claim_world.ts
@@ -206,7 +206,7 @@
     );
     if (others.length === 0) return;
     violations.push(
-      `${time.now()}: start of ${epoch} accepted beside a holder`,
+      `${time.now()}: start of ${epoch} accepted while another is held`,
     );
   }
 
--- a/packages/gypsumwall-membership/src/__tests__/claim_timing.test.ts
+++ b/packages/gypsumwall-membership/src/__tests__/claim_timing.test.ts
@@ -15,13 +15,13 @@
     max: PROMISED_DRIFT,
     noNaN: true,
   });
-  const span = fastCheck.integer({min: 1, max: 3_600_000});
+  const duration = fastCheck.integer({min: 1, max: 3_600_000});
   fastCheck.assert(
-    fastCheck.property(rate, span, (fasterBy, spanMs) => {
+    fastCheck.property(rate, duration, (clockRate, durationMs) => {
       const sentAt = 0 as types.clock.MonotonicMs;
-      const holderEnds = claimTiming.holderDeadline(sentAt, spanMs);
-      const takerBegins = spanMs / fasterBy;
-      assert.ok(holderEnds <= takerBegins);
+      const holderEndsAt = claimTiming.holderDeadline(sentAt, durationMs);
+      const takerStartsAt = durationMs / clockRate;
+      assert.ok(holderEndsAt <= takerStartsAt);
     }),
     {seed: 20_261_202},
   );
--- a/packages/gypsumwall-membership/src/bin/handover_bench.ts
+++ b/packages/gypsumwall-membership/src/bin/handover_bench.ts
@@ -55,12 +55,13 @@
   const histogram = hdrHistogram.build();
   for (let first = 0; first < options.runs; first += BATCH_SIZE) {
     const size = Math.min(BATCH_SIZE, options.runs - first);
-    const spans = await Promise.all(
+    const durations = await Promise.all(
       Array.from({length: size}, (_, index) =>
         measureOne(options, options.seed + first + index),
       ),
     );
-    for (const spanMs of spans) histogram.recordValue(Math.round(spanMs));
+    for (const durationMs of durations)
+      histogram.recordValue(Math.round(durationMs));
   }
   const p50Ms = histogram.getValueAtPercentile(50);
   const p99Ms = histogram.getValueAtPercentile(99);
@@ -76,8 +77,8 @@
   };
 }
 
-function toTtls(spanMs: number, ttlMs: number): number {
-  return Math.round((spanMs / ttlMs) * 100) / 100;
+function toTtls(durationMs: number, ttlMs: number): number {
+  return Math.round((durationMs / ttlMs) * 100) / 100;
 }
 
 interface Member {
@@ -106,9 +107,9 @@
     holder.stop.abort();
   }
   await domain.holder(holder);
-  const spanMs = clock.monotonic() - endedAt;
+  const durationMs = clock.monotonic() - endedAt;
   domain.stop();
-  return spanMs;
+  return durationMs;
 }
 
 function startDomain(
@@ -119,8 +120,8 @@
   const members: Member[] = [];
   const log: records.domainRecords.DomainRecord[] = [];
   let onHeld: (() => void) | undefined;
-  const wait = (spanMs: number) =>
-    clock.sleepUntil(types.clock.after(clock.monotonic(), spanMs));
+  const wait = (durationMs: number) =>
+    clock.sleepUntil(types.clock.after(clock.monotonic(), durationMs));
 
   async function append(record: records.domainRecords.DomainRecord) {
     await wait(LOG_APPEND_MS);
--- a/packages/gypsumwall-membership/src/claim_timing.ts
+++ b/packages/gypsumwall-membership/src/claim_timing.ts
@@ -25,9 +25,9 @@
 /** The holder's own deadline for a duration that other processes also count. */
 export function holderDeadline(
   sentAt: types.clock.MonotonicMs,
-  spanMs: number,
+  durationMs: number,
 ): types.clock.MonotonicMs {
-  return types.clock.after(sentAt, spanMs / CLOCK_DRIFT_FACTOR);
+  return types.clock.after(sentAt, durationMs / CLOCK_DRIFT_FACTOR);
 }
 
 /**
@@ -48,6 +48,6 @@
   allGoneMs: number,
   listLagMs: number,
 ): types.clock.MonotonicMs {
-  const spanMs = allGoneMs - ALL_GONE_MARGIN_LIST_LAGS * listLagMs;
-  return holderDeadline(provedAt, Math.max(0, spanMs));
+  const durationMs = allGoneMs - ALL_GONE_MARGIN_LIST_LAGS * listLagMs;
+  return holderDeadline(provedAt, Math.max(0, durationMs));
 }
--- a/packages/gypsumwall-membership/src/peer_link.ts
+++ b/packages/gypsumwall-membership/src/peer_link.ts
@@ -123,8 +123,8 @@
       while (!signal.aborted) {
         const sentAt = clock.monotonic();
         await sendHeartbeat();
-        const spanMs = options.heartbeatMs * options.slowdownFactor();
-        const nextAt = types.clock.after(sentAt, spanMs);
+        const intervalMs = options.heartbeatMs * options.slowdownFactor();
+        const nextAt = types.clock.after(sentAt, intervalMs);
         await clock.sleepUntil(nextAt, signal);
       }
     },
