--- a/packages/gypsumwall-membership/src/claim_taker.ts
+++ b/packages/gypsumwall-membership/src/claim_taker.ts
@@ -77,13 +77,11 @@
   /** Whether `allGoneMs` has passed since all members left the list. */
   function isAllGoneWaitOver(newest: claimFold.NewestClaim): boolean {
     if (allGoneObservation?.epoch !== newest.epoch) return false;
-    const waitStartedAt = Math.max(
+    const since = Math.max(
       allGoneObservation.at,
       fold.headReadAt(),
     ) as types.clock.MonotonicMs;
-    return (
-      clock.monotonic() >= types.clock.after(waitStartedAt, newest.allGoneMs)
-    );
+    return clock.monotonic() >= types.clock.after(since, newest.allGoneMs);
   }
 
   async function findWitness(): Promise<
--- a/packages/gypsumwall/src/__tests__/known_red.test.ts
+++ b/packages/gypsumwall/src/__tests__/known_red.test.ts
@@ -49,6 +49,9 @@
   const atLimit = ['a', 'b', 'c'].map((name) => ({...LISTED, name}));
   const names = atLimit.map(({name}) => name);
   assert.deepEqual(judgeRun([...atLimit, command, command], names, []), []);
-  const bare = {...command, issue: ''};
-  assert.match(judgeRun([bare], [], [])[0]!, /lacks its cause or its issue/);
+  const incomplete = {...command, issue: ''};
+  assert.match(
+    judgeRun([incomplete], [], [])[0]!,
+    /lacks its cause or its issue/,
+  );
 });
