--- a/packages/gypsumwall-bench/src/decision_bench.ts
+++ b/packages/gypsumwall-bench/src/decision_bench.ts
@@ -87,7 +87,7 @@
       spec,
       acceptedAt: now as types.clock.WallMs,
       waiting: Array.from(
-        {length: types.job.taskCount(spec.shape)},
+        {length: types.job.maxTaskCount(spec.shape)},
         (_, index) => index,
       ),
     });
--- a/packages/gypsumwall-bench/src/routing_fake_upstreams.ts
+++ b/packages/gypsumwall-bench/src/routing_fake_upstreams.ts
@@ -152,7 +152,7 @@
     record,
     make: (listed) => ({
       execute: makeOne(listed),
-      setConnections: () => undefined,
+      setMaxConnections: () => undefined,
       close: () => Promise.resolve(),
     }),
   };
--- a/packages/gypsumwall-bench/src/routing_slopes.ts
+++ b/packages/gypsumwall-bench/src/routing_slopes.ts
@@ -96,7 +96,7 @@
   const listed = routingRun.listAll({entries: 6, upstreams, slots: 8});
   const router = makeOne(clock, () => ({
     execute: () => new Promise(() => undefined),
-    setConnections: () => undefined,
+    setMaxConnections: () => undefined,
     close: () => Promise.resolve(),
   }));
   const entries = Array.from({length: 6}, (_, index) => `e${index}`);
@@ -134,7 +134,7 @@
   const listed = routingRun.listAll({entries: 1, upstreams: 1, slots: 1});
   const router = makeOne(clock, () => ({
     execute: () => new Promise(() => undefined),
-    setConnections: () => undefined,
+    setMaxConnections: () => undefined,
     close: () => Promise.resolve(),
   }));
   const view = {upstreams: listed, entries: ['e0']};
--- a/packages/gypsumwall-bench/src/virtual_cell.ts
+++ b/packages/gypsumwall-bench/src/virtual_cell.ts
@@ -205,7 +205,7 @@
   }
 
   function dropGivenUp(): void {
-    for (const {jobId} of placer.takeGivenUp()) {
+    for (const {jobId} of placer.takeAbandonedJobs()) {
       const job = jobs.get(jobId)!;
       // Its other tasks may still run, fail and have it given up again.
       if (!job.givenUp) measures.jobsGivenUp += 1;
@@ -219,7 +219,7 @@
     placer.enqueue({jobId, spec, acceptedAt, waiting: [index]});
   }
 
-  function relieve(relief: placement.placer.Relief): void {
+  function relieve(relief: placement.placer.PreemptionAction): void {
     const number = workerOf.get(relief.taskId);
     if (number === undefined) return;
     const worker = workers[number]!;
@@ -273,7 +273,7 @@
       measures.placements += decided.placements.length;
       if (decided.placements.length > 0) measures.decideNs.recordValue(spentNs);
       decided.placements.forEach(begin);
-      decided.reliefs.forEach(relieve);
+      decided.preemptions.forEach(relieve);
       if (decided.placements.length < DECIDE_LIMIT) return;
     }
   }
--- a/packages/gypsumwall-cell/src/__fixtures__/cell_world.ts
+++ b/packages/gypsumwall-cell/src/__fixtures__/cell_world.ts
@@ -123,7 +123,7 @@
         leaseMs,
         longestStopMs: 900,
         listExpiryMs: LIST_EXPIRY_MS,
-        keepOverMs: () => 60_000,
+        retentionMs: () => 60_000,
         clock,
         random: types.random.createRandom(processes),
         logger: telemetry.logger.createLogger('silent'),
--- a/packages/gypsumwall-cell/src/__fixtures__/fake_log.ts
+++ b/packages/gypsumwall-cell/src/__fixtures__/fake_log.ts
@@ -87,7 +87,7 @@
     appends: 0,
     mostInRead: Infinity,
     compact: () => void (firstOffset = records.length),
-    async append(entries, {onlyAt, fence, timeoutMs}) {
+    async append(entries, {expectedEndOffset: onlyAt, fence, timeoutMs}) {
       await Promise.resolve();
       log.appends++;
       if (log.trouble === 'silent') return silence('append', timeoutMs);
--- a/packages/gypsumwall-cell/src/__fixtures__/fake_worker.ts
+++ b/packages/gypsumwall-cell/src/__fixtures__/fake_worker.ts
@@ -32,7 +32,7 @@
   readonly running: Map<string, FakeRun>;
   /** Every start that was carried out. */
   readonly started: FakeRun[];
-  end(taskId: string, how: scheduling.jobSteps.RunEnd): void;
+  end(taskId: string, how: scheduling.jobSteps.AttemptOutcome): void;
 }
 
 /** Creates a worker with room for so many cores. */
@@ -74,7 +74,7 @@
     return false;
   }
 
-  function endRun(key: string, how: scheduling.jobSteps.RunEnd): void {
+  function endRun(key: string, how: scheduling.jobSteps.AttemptOutcome): void {
     const run = running.get(key);
     if (run === undefined) return;
     running.delete(key);
@@ -173,7 +173,7 @@
             percent: Math.floor(clockMs() / 100) % 100,
           })),
           ends: [...ends],
-          moreEnds: false,
+          hasMoreEnds: false,
         });
       },
       close() {},
--- a/packages/gypsumwall-cell/src/__tests__/holder_probe.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/holder_probe.test.ts
@@ -26,7 +26,7 @@
   void probe.run(stopping.signal);
   const end = types.clock.after(clock.monotonic(), 250);
   while (!probe.isLost() && clock.monotonic() < end) {
-    await types.clock.pause(clock, 5);
+    await types.clock.sleepFor(clock, 5);
   }
   stopping.abort();
   return {lost: probe.isLost(), asked};
--- a/packages/gypsumwall-cell/src/__tests__/lost_peers.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/lost_peers.test.ts
@@ -75,7 +75,7 @@
   const caller = adviceCallers.createAdviceCaller({
     scheduler: scheduling.scheduler.createScheduler({
       attemptBase: 0,
-      isAccounted: () => true,
+      isReconciled: () => true,
       onEvent: () => {},
     }),
     advisers: () =>
--- a/packages/gypsumwall-cell/src/__tests__/slow_store.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/slow_store.test.ts
@@ -33,7 +33,7 @@
 const clock = types.virtualClock.createVirtualClock();
 const logger = telemetry.logger.createLogger('silent');
 
-const pause = (spanMs: number) => types.clock.pause(clock, spanMs);
+const pause = (spanMs: number) => types.clock.sleepFor(clock, spanMs);
 
 /** A log in front of which appends stand in line; counts those refused. */
 function createSlowLog() {
--- a/packages/gypsumwall-cell/src/advice_caller.ts
+++ b/packages/gypsumwall-cell/src/advice_caller.ts
@@ -43,20 +43,20 @@
   ): Promise<void> {
     const {stepRun, workers, callMs, needed} = wish;
     const advisers = parts.advisers();
-    const lane = lanes.take([...advisers.keys()], callMs, needed);
+    const lane = lanes.acquire([...advisers.keys()], callMs, needed);
     const adviser = lane === undefined ? undefined : advisers.get(lane);
     if (lane === undefined || adviser === undefined) {
       const never = 0 as types.clock.MonotonicMs;
-      scheduler.adviceAnswered(wish, undefined, never);
+      scheduler.onAdviceAnswered(wish, undefined, never);
       return;
     }
     const askedAt = clock.monotonic();
-    const timeoutMs = lanes.lineMs(lane) * PATIENCE_FACTOR + ADVICE_SLACK_MS;
+    const timeoutMs = lanes.queuedMs(lane) * PATIENCE_FACTOR + ADVICE_SLACK_MS;
     const answer = await adviser.ask(stepRun.id, workers, timeoutMs);
-    lanes.finish(lane, callMs);
+    lanes.release(lane, callMs);
     const now = clock.monotonic();
     const validMs = stepRun.job.policy.advice?.validMs ?? 0;
-    scheduler.adviceAnswered(
+    scheduler.onAdviceAnswered(
       wish,
       result.isOk(answer) ? answer.value : undefined,
       types.clock.after(now, validMs - ADVICE_TRANSIT_MS),
--- a/packages/gypsumwall-cell/src/cell_entry.ts
+++ b/packages/gypsumwall-cell/src/cell_entry.ts
@@ -337,7 +337,7 @@
         },
         stopping.signal,
       );
-      const {keepOverMs} = options;
+      const {retentionMs: keepOverMs} = options;
       const held = () => holder;
       void retention.runRetention(
         {jobsLog: logs.jobs, jobs, holder: held, keepOverMs, clock, logger},
@@ -362,7 +362,7 @@
       holdsCell: holder !== undefined,
       configVersion: configs.config()?.version,
       storeReachable: jobsFollower.reachableSince() !== undefined,
-      copyAgeMs: copyAgeMs(),
+      replicaAgeMs: copyAgeMs(),
       scheduler: holder?.counts(),
     }),
   };
--- a/packages/gypsumwall-cell/src/cell_entry_types.ts
+++ b/packages/gypsumwall-cell/src/cell_entry_types.ts
@@ -35,7 +35,7 @@
   /** Silence after which the list drops a worker; milliseconds, if known. */
   readonly listExpiryMs: number | undefined;
   /** How long the state of a job that is over can be asked for. */
-  readonly keepOverMs: () => number;
+  readonly retentionMs: () => number;
   readonly clock: types.clock.Clock;
   readonly random: types.random.Random;
   readonly logger: telemetry.logger.Logger;
@@ -64,6 +64,6 @@
   readonly configVersion: number | undefined;
   readonly storeReachable: boolean;
   /** How old its copy of the logs is at most; infinite if nothing is sure. */
-  readonly copyAgeMs: number;
+  readonly replicaAgeMs: number;
   readonly scheduler: scheduling.schedulerTypes.SchedulerCounts | undefined;
 }
--- a/packages/gypsumwall-cell/src/cell_holder.ts
+++ b/packages/gypsumwall-cell/src/cell_holder.ts
@@ -64,7 +64,7 @@
   const stopping = new AbortController();
   const scheduler = scheduling.scheduler.createScheduler({
     attemptBase: claim.generation * ATTEMPTS_PER_GENERATION,
-    isAccounted: (worker) => gate.isAccounted(worker),
+    isReconciled: (worker) => gate.isAccounted(worker),
     onEvent: (event) => logger.info(event.type, {...event, type: undefined}),
   });
   const writer = cellWriter.createCellWriter({
@@ -99,7 +99,7 @@
       afterMajorityMs: MAJORITY_LOST_MS + options.leaseMs * SLOW_CLOCK_FACTOR,
     },
     () => {
-      scheduler.workerAccounted();
+      scheduler.onWorkerReconciled();
       if (gate.unaccounted() > 0) return;
       roster.forgetSilent();
       logger.info('takeover_complete', {
@@ -179,8 +179,9 @@
   function leaseMsOn(id: types.ids.WorkerId): number {
     return leaseLength.leaseLength({
       longestMs: options.leaseMs,
-      runsLasting: scheduler.runsLasting(id),
-      isLeaving: scheduler.book.workers.get(id)?.info.draining ?? false,
+      runsLasting: scheduler.hostsLongRunningTasks(id),
+      isLeaving:
+        scheduler.workerRegistry.workers.get(id)?.info.draining ?? false,
     });
   }
 
@@ -200,7 +201,7 @@
       ...job,
     }));
     lastWrite = writer.write(records).then(() => {
-      scheduler.stored(dirty);
+      scheduler.onStored(dirty);
       for (const {jobId, progress} of dirty) {
         if (scheduling.jobProgress.isOver(progress.phase)) over.push(jobId);
       }
@@ -253,7 +254,7 @@
     const session = roster.session(order.attempt.workerId);
     if (session === undefined) {
       const refused = {type: 'refused', reason: 'other'} as const;
-      scheduler.startAnswered(order.attempt, refused, clock.monotonic());
+      scheduler.onStartAnswered(order.attempt, refused, clock.monotonic());
       return;
     }
     ordersOnTheirWay++;
@@ -301,11 +302,11 @@
       void writer.run();
       // Everything that was accepted before the claim has to be known.
       while (!stopping.signal.aborted && !(await options.catchUpJobs())) {
-        await types.clock.pause(clock, TICK_MS, stopping.signal);
+        await types.clock.sleepFor(clock, TICK_MS, stopping.signal);
       }
       if (stopping.signal.aborted) return;
       for (const job of jobs.all()) takeUp(job, true);
-      scheduler.workerAccounted();
+      scheduler.onWorkerReconciled();
       deciding = true;
       roster.inherit(options.state.usedWorkers.values());
       void workerFollower.run();
@@ -348,7 +349,7 @@
       deciding = false;
       const until = types.clock.after(clock.monotonic(), HAND_OVER_WAIT_MS);
       while (ordersOnTheirWay > 0 && clock.monotonic() < until) {
-        await types.clock.pause(clock, ORDERS_LOOK_MS);
+        await types.clock.sleepFor(clock, ORDERS_LOOK_MS);
       }
       const released: storeRecords.ClaimRecord = {
         holder: claim.holder,
@@ -361,7 +362,7 @@
           flush(),
           writer.write([{kind: 'claim', claim: released}]),
         ]),
-        types.clock.pause(clock, HAND_OVER_WAIT_MS),
+        types.clock.sleepFor(clock, HAND_OVER_WAIT_MS),
       ]);
       stop();
     },
--- a/packages/gypsumwall-cell/src/cell_writer.ts
+++ b/packages/gypsumwall-cell/src/cell_writer.ts
@@ -127,7 +127,7 @@
   }
 
   const pause = (spanMs: number) =>
-    types.clock.pause(clock, spanMs, stopping.signal);
+    types.clock.sleepFor(clock, spanMs, stopping.signal);
 
   /** Waits for something to write, a heartbeat's span at most. */
   async function waitForWork(): Promise<void> {
--- a/packages/gypsumwall-cell/src/election.ts
+++ b/packages/gypsumwall-cell/src/election.ts
@@ -67,7 +67,7 @@
 ): Promise<void> {
   const {self, follower, clock, logger} = parts;
 
-  const pause = (spanMs: number) => types.clock.pause(clock, spanMs, signal);
+  const pause = (spanMs: number) => types.clock.sleepFor(clock, spanMs, signal);
 
   function vacancy(): failoverPolicy.Vacancy | undefined {
     if (parts.isHolder()) return undefined;
@@ -116,7 +116,7 @@
     const answer = await parts.cellLog.append(
       [storeRecords.encode({kind: 'claim', claim})],
       {
-        onlyAt: position,
+        expectedEndOffset: position,
         fence: {epoch: position + 1, sequence: 0},
         timeoutMs: CLAIM_TIMEOUT_MS,
       },
--- a/packages/gypsumwall-cell/src/entry_registration.ts
+++ b/packages/gypsumwall-cell/src/entry_registration.ts
@@ -34,6 +34,6 @@
     logger.warn('register_failed', {
       error: types.stepError.describeError(answer.error),
     });
-    await types.clock.pause(clock, REGISTER_RETRY_MS, signal);
+    await types.clock.sleepFor(clock, REGISTER_RETRY_MS, signal);
   }
 }
--- a/packages/gypsumwall-cell/src/hedge.ts
+++ b/packages/gypsumwall-cell/src/hedge.ts
@@ -111,7 +111,7 @@
         if (isHopeless?.() === true) break;
         if (race.open() > 0) continue;
         if (race.isRefused() && endsOnRefusal?.() === true) break;
-        await types.clock.pause(clock, REFUSED_PAUSE_MS, signal);
+        await types.clock.sleepFor(clock, REFUSED_PAUSE_MS, signal);
       }
       signal?.removeEventListener('abort', giveUp);
       return race.outcome();
--- a/packages/gypsumwall-cell/src/holder_probe.ts
+++ b/packages/gypsumwall-cell/src/holder_probe.ts
@@ -53,7 +53,7 @@
     async run(signal) {
       while (!signal.aborted) {
         const pauseMs = parts.isStandby() ? PAUSE_MS : OBSERVER_PAUSE_MS;
-        await types.clock.pause(clock, pauseMs, signal);
+        await types.clock.sleepFor(clock, pauseMs, signal);
         const instance = parts.isStandby() ? suspect() : undefined;
         if (instance === undefined) {
           unanswered = 0;
--- a/packages/gypsumwall-cell/src/http_client.ts
+++ b/packages/gypsumwall-cell/src/http_client.ts
@@ -24,7 +24,7 @@
    * may need longer for them than an answer is waited for, and one that still
    * arrives shows that the other end lives.
    */
-  readonly pieceTimeoutMs?: number;
+  readonly chunkTimeoutMs?: number;
 }
 
 /** An answer, whatever its status. */
@@ -82,7 +82,7 @@
         else socket.once('connect', () => (sent = true));
       });
       req.on('error', fail);
-      const {pieceTimeoutMs} = call;
+      const {chunkTimeoutMs: pieceTimeoutMs} = call;
       req.on('response', (res) => {
         const chunks: Buffer[] = [];
         res.on('data', (chunk: Buffer) => {
@@ -170,7 +170,7 @@
 ): types.stepError.StepError {
   const {sent = true, code} = thrown as {sent?: boolean; code?: string};
   const refused = code === 'ECONNREFUSED';
-  return types.stepError.stepError({
+  return types.stepError.createStepError({
     kind: refused ? 'unreachable' : 'timeout',
     step: call.step,
     peer,
@@ -194,7 +194,7 @@
     return result.ok(decode(answer.body));
   } catch (thrown) {
     return result.err(
-      types.stepError.stepError({
+      types.stepError.createStepError({
         kind: 'invalid',
         step,
         peer,
@@ -211,7 +211,7 @@
   peer: string,
   answer: HttpAnswer,
 ): types.stepError.StepError {
-  return types.stepError.stepError({
+  return types.stepError.createStepError({
     kind: 'refused',
     step,
     peer,
--- a/packages/gypsumwall-cell/src/job_service.ts
+++ b/packages/gypsumwall-cell/src/job_service.ts
@@ -159,7 +159,7 @@
   async function readIfOverdue(appended: Promise<unknown>): Promise<void> {
     const answered = new AbortController();
     void appended.then(() => answered.abort());
-    await types.clock.pause(clock, SUSPECT_STORE_MS, answered.signal);
+    await types.clock.sleepFor(clock, SUSPECT_STORE_MS, answered.signal);
     if (!answered.signal.aborted) await follower.catchUp();
   }
 
@@ -194,7 +194,7 @@
   }
 
   async function outOfPatience(patienceMs: number): Promise<false> {
-    await types.clock.pause(clock, patienceMs);
+    await types.clock.sleepFor(clock, patienceMs);
     return false;
   }
 
@@ -256,7 +256,7 @@
   return {
     async submit(id, policy, request) {
       if (jobs.get(id) !== undefined) return {type: 'ok', value: undefined};
-      const fault = scheduling.jobRequest.faultOf(request);
+      const fault = scheduling.jobRequest.describeFault(request);
       if (fault !== undefined) return {type: 'invalid', message: fault};
       const tooLarge = tooLargeStep(policy.pool, request);
       if (tooLarge !== undefined) {
--- a/packages/gypsumwall-cell/src/log_follower.ts
+++ b/packages/gypsumwall-cell/src/log_follower.ts
@@ -278,12 +278,12 @@
         if (ok) {
           failurePauseMs = FIRST_PAUSE_MS;
           const spanMs = isBehind() ? 0 : options.pauseMs();
-          await types.clock.pause(clock, spanMs, stopping.signal);
+          await types.clock.sleepFor(clock, spanMs, stopping.signal);
           continue;
         }
         // Reading while the store is away has paused already.
         if (reachableSince !== undefined) {
-          await types.clock.pause(clock, failurePauseMs, stopping.signal);
+          await types.clock.sleepFor(clock, failurePauseMs, stopping.signal);
         }
         failurePauseMs = Math.min(LONGEST_PAUSE_MS, failurePauseMs * 2);
       }
--- a/packages/gypsumwall-cell/src/poll_retry.ts
+++ b/packages/gypsumwall-cell/src/poll_retry.ts
@@ -33,7 +33,7 @@
   const first = pollOnce(link, call, clock);
   void first.then(() => answered.abort());
   const overdueMs = call.waitMs + OVERDUE_AFTER_MS;
-  await types.clock.pause(clock, overdueMs, answered.signal);
+  await types.clock.sleepFor(clock, overdueMs, answered.signal);
   const timeoutMs = giveUpAt - clock.monotonic();
   if (answered.signal.aborted || timeoutMs <= 0) return first;
   const second = pollOnce(link, {...call, waitMs: 0, timeoutMs}, clock);
--- a/packages/gypsumwall-cell/src/ports.ts
+++ b/packages/gypsumwall-cell/src/ports.ts
@@ -26,7 +26,7 @@
 /** How records are to be appended. */
 export interface AppendOptions {
   /** Only if the log ends at this offset. */
-  readonly onlyAt?: number;
+  readonly expectedEndOffset?: number;
   /** Refuses earlier epochs from then on, and drops repeats of a sequence. */
   readonly fence?: {readonly epoch: number; readonly sequence: number};
 }
@@ -111,7 +111,7 @@
       readonly running: readonly scheduling.schedulerTypes.RunningAttempt[];
       readonly ends: readonly scheduling.schedulerTypes.AttemptEnd[];
       /** Whether there may be more ends than were listed. */
-      readonly moreEnds: boolean;
+      readonly hasMoreEnds: boolean;
     }
   | {readonly type: 'fenced'}
   | {readonly type: 'gone'};
--- a/packages/gypsumwall-cell/src/retention.ts
+++ b/packages/gypsumwall-cell/src/retention.ts
@@ -45,7 +45,7 @@
 
   async function run(): Promise<void> {
     while (!signal.aborted) {
-      await types.clock.pause(clock, TIDY_MS, signal);
+      await types.clock.sleepFor(clock, TIDY_MS, signal);
       const holder = parts.holder();
       if (holder === undefined) continue;
       const before = types.clock.after(clock.monotonic(), -parts.keepOverMs());
--- a/packages/gypsumwall-cell/src/store_probe.ts
+++ b/packages/gypsumwall-cell/src/store_probe.ts
@@ -55,7 +55,7 @@
   let away = false;
   while (!signal.aborted) {
     const pauseMs = away ? LOOK_PAUSE_MS : CHECK_PAUSE_MS;
-    await types.clock.pause(clock, pauseMs, signal);
+    await types.clock.sleepFor(clock, pauseMs, signal);
     away = follower.reachableSince() === undefined;
     if (!away) answeredAt = clock.monotonic();
     const position = follower.position();
--- a/packages/gypsumwall-cell/src/worker_roster.ts
+++ b/packages/gypsumwall-cell/src/worker_roster.ts
@@ -122,7 +122,7 @@
   ): Entry {
     const crashed = silent.takeRestarted(info);
     if (crashed !== undefined) {
-      scheduler.workerGone(crashed, 'crashed', clock.monotonic());
+      scheduler.removeWorker(crashed, 'crashed', clock.monotonic());
     }
     const session = options.openSession(info);
     const entry: Entry = {info, listed, session, evacuating: false};
@@ -236,7 +236,7 @@
     entries.delete(id);
     entry.session.close();
     if (cause === 'silent') silent.note(entry.info);
-    scheduler.workerGone(id, cause, clock.monotonic());
+    scheduler.removeWorker(id, cause, clock.monotonic());
     // A successor that doesn't find the worker must find what its crash means.
     void options.flush();
     void options.write([
@@ -286,7 +286,7 @@
         forget(id, 'silent', 'off the list, and its lease has passed');
         return;
       }
-      scheduler.leasePassed(id, clock.monotonic());
+      scheduler.onLeaseExpired(id, clock.monotonic());
       options.onChange();
     },
     tick(now) {
--- a/packages/gypsumwall-cell/src/worker_session.ts
+++ b/packages/gypsumwall-cell/src/worker_session.ts
@@ -158,7 +158,7 @@
 
   async function lookFailed(err: types.stepError.StepError): Promise<void> {
     setReachable(false, types.stepError.describeError(err));
-    scheduler.outOfReach(worker.id);
+    scheduler.onWorkerUnreachable(worker.id);
     // A successor may have renewed a lease that passes after that.
     if (reported && workerClock.leasePassed(options.confirmedAt())) {
       options.onLeasePassed();
@@ -182,9 +182,9 @@
     }
     const ends = report.ends.filter((end) => end.sequence > lastSequence);
     for (const end of ends) lastSequence = Math.max(lastSequence, end.sequence);
-    const complete = !report.moreEnds;
+    const complete = !report.hasMoreEnds;
     const {running} = report;
-    scheduler.report(
+    scheduler.applyReport(
       {workerId: worker.id, askedAt, running, ends, complete},
       now,
     );
@@ -209,7 +209,7 @@
   }
 
   const pause = (spanMs: number) =>
-    types.clock.pause(clock, spanMs, closing.signal);
+    types.clock.sleepFor(clock, spanMs, closing.signal);
 
   function startOutcome(
     answer: result.Result<ports.OrderAnswer, types.stepError.StepError>,
@@ -250,7 +250,7 @@
       const leaseUntil = nextLease();
       if (leaseUntil === undefined) {
         const refused = {type: 'refused', reason: 'other'} as const;
-        scheduler.startAnswered(run, refused, clock.monotonic());
+        scheduler.onStartAnswered(run, refused, clock.monotonic());
         return;
       }
       const sentAt = clock.monotonic();
@@ -266,7 +266,7 @@
       });
       if (closing.signal.aborted) return;
       const outcome = startOutcome(answer);
-      scheduler.startAnswered(run, outcome, clock.monotonic());
+      scheduler.onStartAnswered(run, outcome, clock.monotonic());
       logger.info('start_answered', {
         task: run.taskId,
         attempt: run.number,
@@ -286,7 +286,7 @@
         const answer = await link.stop({taskId, attempt, token, timeoutMs});
         if (result.isOk(answer)) {
           if (answer.value.type === 'accepted') {
-            scheduler.stopAnswered(run, clock.monotonic());
+            scheduler.onStopAnswered(run, clock.monotonic());
             await settle(run);
             return;
           }
--- a/packages/gypsumwall-emulator/src/__tests__/crashing_tasks.test.ts
+++ b/packages/gypsumwall-emulator/src/__tests__/crashing_tasks.test.ts
@@ -58,7 +58,7 @@
 ): Promise<void> {
   const deadline = types.clock.after(cell.clock.monotonic(), withinMs);
   while (!(await isDone()) && cell.clock.monotonic() < deadline) {
-    await types.clock.pause(cell.clock, POLL_MS);
+    await types.clock.sleepFor(cell.clock, POLL_MS);
   }
 }
 
@@ -108,7 +108,7 @@
     const holder = await cell.findHolder();
     cell.model.history.record({type: 'disruption', what: 'holder killed'});
     holder?.kill();
-    await types.clock.pause(cell.clock, 5_000);
+    await types.clock.sleepFor(cell.clock, 5_000);
     return jobs;
   });
   assert.deepEqual(findings, []);
@@ -126,7 +126,7 @@
     }
     const over = new AbortController();
     const filling = jobTraffic.sendEvery(cell, makeFilling(), POLL_MS, over);
-    await types.clock.pause(cell.clock, 6_000);
+    await types.clock.sleepFor(cell.clock, 6_000);
     over.abort();
     for (const machine of machines) machine.setCapacity(capacity);
     for (let nth = 0; nth < 3; nth++) {
@@ -135,7 +135,7 @@
       for (const machine of machines) {
         if (machine.name.includes(zone)) void machine.crash();
       }
-      await types.clock.pause(cell.clock, 4_000);
+      await types.clock.sleepFor(cell.clock, 4_000);
     }
     return filling;
   });
--- a/packages/gypsumwall-emulator/src/demo/job_traffic.ts
+++ b/packages/gypsumwall-emulator/src/demo/job_traffic.ts
@@ -19,7 +19,7 @@
     const job = make();
     sent.push(job);
     open.push(cell.callers.submit(job));
-    await types.clock.pause(cell.clock, everyMs, over.signal);
+    await types.clock.sleepFor(cell.clock, everyMs, over.signal);
   }
   await Promise.all(open);
   return sent;
@@ -46,7 +46,7 @@
       open.map((job) => cell.callers.stateOf(job)),
     );
     open = open.filter((job, nth) => !hasSettled(job, states[nth]));
-    if (open.length > 0) await types.clock.pause(cell.clock, POLL_MS);
+    if (open.length > 0) await types.clock.sleepFor(cell.clock, POLL_MS);
   }
 }
 
--- a/packages/gypsumwall-emulator/src/demo/run_demo.ts
+++ b/packages/gypsumwall-emulator/src/demo/run_demo.ts
@@ -99,19 +99,19 @@
       over,
     ),
   ];
-  await types.clock.pause(clock, spans.beforeLeavingMs);
+  await types.clock.sleepFor(clock, spans.beforeLeavingMs);
 
   const leaver = machineOf(cell, lasting);
   say(`${leaver.name} announces that it leaves.`);
   await leaver.leave();
   say(`${leaver.name} has left.`);
-  await types.clock.pause(clock, spans.beforeKillMs);
+  await types.clock.sleepFor(clock, spans.beforeKillMs);
 
   const killed = (await cell.findHolder()) ?? holder;
   model.history.record({type: 'disruption', what: `${killed.name} killed`});
   killed.kill();
   say(`${killed.name}, which placed the work, is killed.`);
-  await types.clock.pause(clock, spans.afterKillMs);
+  await types.clock.sleepFor(clock, spans.afterKillMs);
   over.abort();
   const sent = [lasting, ...(await Promise.all(streams)).flat()];
   say(`${sent.length} jobs were sent; waiting for the accepted ones.`);
@@ -128,7 +128,7 @@
     if (cell.clock.monotonic() >= deadline) {
       throw new Error('no entry places work');
     }
-    await types.clock.pause(cell.clock, POLL_MS);
+    await types.clock.sleepFor(cell.clock, POLL_MS);
   }
 }
 
--- a/packages/gypsumwall-emulator/src/model/adviser.ts
+++ b/packages/gypsumwall-emulator/src/model/adviser.ts
@@ -83,7 +83,7 @@
     lines.set(caller, line);
     if (line.waiting >= MOST_WAITING) return false;
     line.waiting += 1;
-    const mine = line.last.then(() => types.clock.pause(clock, spanMs));
+    const mine = line.last.then(() => types.clock.sleepFor(clock, spanMs));
     line.last = mine;
     await mine;
     line.waiting -= 1;
--- a/packages/gypsumwall-emulator/src/model/balancer.ts
+++ b/packages/gypsumwall-emulator/src/model/balancer.ts
@@ -34,7 +34,7 @@
   async function askAll(): Promise<void> {
     while (!stopped.signal.aborted) {
       await Promise.all(entries.map(ask));
-      await types.clock.pause(clock, ASK_EVERY_MS, stopped.signal);
+      await types.clock.sleepFor(clock, ASK_EVERY_MS, stopped.signal);
     }
   }
 
--- a/packages/gypsumwall-emulator/src/model/caller.ts
+++ b/packages/gypsumwall-emulator/src/model/caller.ts
@@ -69,7 +69,7 @@
       const answer = await options.send(entry, kind, job, timeoutMs);
       answers.push(answer);
       if (answer.type === 'ok' || answer.type === 'absent') break;
-      await types.clock.pause(clock, options.retryPauseMs);
+      await types.clock.sleepFor(clock, options.retryPauseMs);
     }
     return answers;
   }
--- a/packages/gypsumwall-emulator/src/model/store.ts
+++ b/packages/gypsumwall-emulator/src/model/store.ts
@@ -129,7 +129,7 @@
       case 'silent':
         return {type: 'lost'};
       case 'slow':
-        await types.clock.pause(clock, fault.addedMs);
+        await types.clock.sleepFor(clock, fault.addedMs);
         break;
       case 'none':
       case 'lossy':
@@ -147,7 +147,7 @@
     if (fault.type !== 'lossy') return {type: 'answer', value: run()};
     const draw = random.next();
     if (draw < fault.lateShare) {
-      await types.clock.pause(clock, random.integer(0, fault.latestMs));
+      await types.clock.sleepFor(clock, random.integer(0, fault.latestMs));
       run();
       return {type: 'lost'};
     }
--- a/packages/gypsumwall-emulator/src/model/worker.ts
+++ b/packages/gypsumwall-emulator/src/model/worker.ts
@@ -174,7 +174,7 @@
     {index, afterMs}: NonNullable<jobCatalog.StepSpec['crash']>,
   ): Promise<void> {
     if (!taskId.endsWith(`.${index}`)) return;
-    await types.clock.pause(clock, afterMs, gone.signal);
+    await types.clock.sleepFor(clock, afterMs, gone.signal);
     if (runs.has(keyOf({taskId, attempt}))) options.onCrash(taskId);
   }
 
--- a/packages/gypsumwall-emulator/src/model/worker_list.ts
+++ b/packages/gypsumwall-emulator/src/model/worker_list.ts
@@ -52,7 +52,7 @@
 
   async function expire(): Promise<void> {
     while (!stopped.signal.aborted) {
-      await types.clock.pause(clock, options.heartbeatMs, stopped.signal);
+      await types.clock.sleepFor(clock, options.heartbeatMs, stopped.signal);
       for (const [workerId, at] of [...expiresAt]) {
         if (at <= clock.monotonic()) remove(workerId);
       }
--- a/packages/gypsumwall-emulator/src/model/worker_machine.ts
+++ b/packages/gypsumwall-emulator/src/model/worker_machine.ts
@@ -82,7 +82,7 @@
     for (let sequence = 1; current === life; sequence++) {
       if (stopped.signal.aborted) return;
       announce(life, sequence);
-      await types.clock.pause(clock, options.heartbeatMs, stopped.signal);
+      await types.clock.sleepFor(clock, options.heartbeatMs, stopped.signal);
     }
   }
 
@@ -119,7 +119,7 @@
     const life = endLife();
     if (life === undefined) return;
     history.record({type: 'worker_crashed', workerId: life.id, culprit});
-    await types.clock.pause(clock, options.restartMs, stopped.signal);
+    await types.clock.sleepFor(clock, options.restartMs, stopped.signal);
     if (!stopped.signal.aborted) beginLife();
   }
 
--- a/packages/gypsumwall-emulator/src/model/worker_run.ts
+++ b/packages/gypsumwall-emulator/src/model/worker_run.ts
@@ -109,7 +109,7 @@
       const pace = host.pace();
       const leftMs = pace > 0 ? (fate.afterMs - progressMs) / pace : Infinity;
       const sliceMs = Math.min(SLICE_MS, leftMs);
-      await types.clock.pause(clock, sliceMs, over.signal);
+      await types.clock.sleepFor(clock, sliceMs, over.signal);
       progressMs += sliceMs * pace;
       if (progressMs - savedMs >= durations.checkpointMs) save();
     }
@@ -118,7 +118,7 @@
   async function live(): Promise<void> {
     const resumes = request.resumesAtMs !== undefined;
     const startMs = durations.startupMs + (resumes ? durations.restoreMs : 0);
-    await types.clock.pause(clock, startMs, over.signal);
+    await types.clock.sleepFor(clock, startMs, over.signal);
     if (!(await assemble())) return end('alone');
     if (over.signal.aborted) return;
     atWork = true;
@@ -131,7 +131,7 @@
   }
 
   async function stopLater(): Promise<void> {
-    await types.clock.pause(clock, durations.stopMs, over.signal);
+    await types.clock.sleepFor(clock, durations.stopMs, over.signal);
     if (over.signal.aborted) return;
     save();
     end('stopped');
--- a/packages/gypsumwall-emulator/src/rig/emulated_cell.ts
+++ b/packages/gypsumwall-emulator/src/rig/emulated_cell.ts
@@ -155,7 +155,7 @@
           const ready = balancer.ready().join(', ') || 'none';
           throw new Error(`entries in rotation: ${ready}; logs in ${folder}`);
         }
-        await types.clock.pause(clock, POLL_MS);
+        await types.clock.sleepFor(clock, POLL_MS);
       }
     },
     async findHolder() {
--- a/packages/gypsumwall-emulator/src/rig/entry_machine.ts
+++ b/packages/gypsumwall-emulator/src/rig/entry_machine.ts
@@ -73,7 +73,7 @@
   }
 
   async function startAgain(): Promise<void> {
-    await types.clock.pause(clock, options.restartMs, stopped.signal);
+    await types.clock.sleepFor(clock, options.restartMs, stopped.signal);
     if (!stopped.signal.aborted) start();
   }
 
--- a/packages/gypsumwall-emulator/src/wire/worker_server.ts
+++ b/packages/gypsumwall-emulator/src/wire/worker_server.ts
@@ -84,7 +84,7 @@
       case 'unhealthy':
         return res.code(503).send({});
       case 'late_orders':
-        await types.clock.pause(clock, random.integer(0, fault.latestMs));
+        await types.clock.sleepFor(clock, random.integer(0, fault.latestMs));
         if (machine?.worker() === life) order(life);
         return httpServer.leaveUnanswered(res);
     }
--- a/packages/gypsumwall-entry/src/domain_scheduler.ts
+++ b/packages/gypsumwall-entry/src/domain_scheduler.ts
@@ -69,7 +69,7 @@
     mustRunOnce: (taskId) => tracker.mustRunOnce(taskId),
     sessionEventsOf,
     onUnschedulable: (id) => {
-      placer.closeWorker(id);
+      placer.cordonWorker(id);
       evacuate(id);
     },
     onSchedulable: updatePlacerWorker,
@@ -111,8 +111,8 @@
       options.metrics.observe('placementTime', decisionMs / decidedCount);
     }
     decisions.placements.forEach(startTask);
-    decisions.reliefs.forEach(applyRelief);
-    placer.takeGivenUp().forEach(giveUpJob);
+    decisions.preemptions.forEach(applyRelief);
+    placer.takeAbandonedJobs().forEach(giveUpJob);
     if (decidedCount >= MAX_DECISIONS_PER_CYCLE) requestCycle();
   }
 
@@ -142,7 +142,7 @@
     });
   }
 
-  function applyRelief(relief: placement.placer.Relief): void {
+  function applyRelief(relief: placement.placer.PreemptionAction): void {
     const task = tasks.get(relief.taskId);
     const session = task && pool.session(task.workerId);
     if (task === undefined || session === undefined) return;
@@ -187,26 +187,27 @@
   /** Tracks a task that a worker reports as running, or stops it. */
   function reconcileRunningTask(
     workerId: types.ids.WorkerId,
-    running: platform.worker.RunningTask,
+    activeTaskCount: platform.worker.RunningTask,
   ): void {
-    const tracked = tasks.get(running.taskId);
-    if (tracked?.attempt === running.attempt) {
+    const tracked = tasks.get(activeTaskCount.taskId);
+    if (tracked?.attempt === activeTaskCount.attempt) {
       // The phase `stopping` of a cancelled task must not change back.
       if (tracked.phase === 'starting') tracked.phase = 'running';
       return;
     }
-    const job = tracker.jobOf(running.taskId);
-    const isNeeded = tracked === undefined && tracker.isNeeded(running.taskId);
+    const job = tracker.jobOf(activeTaskCount.taskId);
+    const isNeeded =
+      tracked === undefined && tracker.isNeeded(activeTaskCount.taskId);
     if (job === undefined || !isNeeded) {
-      pool.session(workerId)?.stop(running);
+      pool.session(workerId)?.stop(activeTaskCount);
       return;
     }
-    tracker.track(running, workerId, job, clock.monotonic());
+    tracker.track(activeTaskCount, workerId, job, clock.monotonic());
   }
 
   function onAttached(
     id: types.ids.WorkerId,
-    answer: platform.worker.Attached,
+    answer: platform.worker.AttachAnswer,
   ): void {
     fencedWorkers.add(id);
     capacities.set(id, answer.capacity);
@@ -231,7 +232,7 @@
     const capacity = capacities.get(id);
     if (listed === undefined || capacity === undefined) return;
     placer.setWorker({id, rack: listed.rack, capacity});
-    if (listed.state === 'leaving') placer.closeWorker(id);
+    if (listed.state === 'leaving') placer.cordonWorker(id);
   }
 
   /**
@@ -271,7 +272,7 @@
       usage: (usage) => {
         for (const {taskId, used} of usage) placer.reportUsage(taskId, used);
       },
-      silent: () => placer.closeWorker(id),
+      silent: () => placer.cordonWorker(id),
       lapsed: () => {
         for (const task of tasks.onWorker(id))
           tracker.release(task, {type: 'stopped'});
@@ -321,7 +322,7 @@
     onJobChange: handleJobChange,
     activeTaskCount: (jobId) => tasks.ofJob(jobId).length,
     failedAttempts: (jobId) => tracker.failedAttempts(jobId),
-    explain: (jobId) => placer.explain(jobId),
+    explain: (jobId) => placer.explainWait(jobId),
     admit: (spec) => placer.admit(spec, clock.wall()),
     status: () => ({
       epoch,
--- a/packages/gypsumwall-entry/src/entry_telemetry.ts
+++ b/packages/gypsumwall-entry/src/entry_telemetry.ts
@@ -21,7 +21,7 @@
   cfg: settings.entrySettings.EntrySettings,
   logger: telemetry.logger.Logger,
 ): telemetry.metrics.Metrics {
-  if (cfg.statsd === undefined) return telemetry.metrics.createSilentMetrics();
+  if (cfg.statsd === undefined) return telemetry.metrics.createNoopMetrics();
   return telemetry.metrics.createMetrics({
     ...cfg.statsd,
     tags: {entry: cfg.id, failure_domain: cfg.failureDomain},
--- a/packages/gypsumwall-entry/src/job_routes.ts
+++ b/packages/gypsumwall-entry/src/job_routes.ts
@@ -176,7 +176,7 @@
   context: entryContext.EntryContext,
   jobId: types.ids.JobId,
 ): forwardCall.PeerChoice {
-  const home = types.ids.homeOfJob(jobId);
+  const home = types.ids.homeDomainOfJob(jobId);
   if (home !== context.failureDomain) {
     return forwardCall.peersOfDomain(context, home);
   }
@@ -206,13 +206,13 @@
   context: entryContext.EntryContext,
   jobId: types.ids.JobId,
 ): boolean {
-  const home = types.ids.homeOfJob(jobId);
+  const home = types.ids.homeDomainOfJob(jobId);
   const domains = context.config.cell()?.failureDomains ?? [];
   return home !== context.failureDomain && domains.includes(home);
 }
 
 function homeUnreachable(jobId: types.ids.JobId): problem.Problem {
-  return domainUnreachable(types.ids.homeOfJob(jobId));
+  return domainUnreachable(types.ids.homeDomainOfJob(jobId));
 }
 
 function domainUnreachable(home: types.ids.FailureDomain): problem.Problem {
@@ -265,7 +265,7 @@
   if (checked.isErr) return problem.send(res, checked.error);
   const {team, deadline} = checked.value;
   const jobId = types.ids.brand<types.ids.JobId>(req.params.jobId);
-  if (types.ids.homeOfJob(jobId) !== context.failureDomain) {
+  if (types.ids.homeDomainOfJob(jobId) !== context.failureDomain) {
     const forwarded = await forwardToHome(context, req, res, deadline);
     if (forwarded.type === 'answered') return forwarded.reply;
     if (isHomeElsewhere(context, jobId)) {
--- a/packages/gypsumwall-entry/src/job_service.ts
+++ b/packages/gypsumwall-entry/src/job_service.ts
@@ -200,7 +200,7 @@
     team: job.spec.team,
     state: stateOf(job.phase, running),
     kind: job.spec.shape.kind,
-    tasks: types.job.taskCount(job.spec.shape),
+    tasks: types.job.maxTaskCount(job.spec.shape),
     finished: job.results.size,
     failed: scheduler?.failedAttempts(job.jobId) ?? 0,
     running,
--- a/packages/gypsumwall-entry/src/task_end_handler.ts
+++ b/packages/gypsumwall-entry/src/task_end_handler.ts
@@ -82,7 +82,7 @@
   ): void {
     if (task?.phase === 'recording') return;
     if (task !== undefined) task.phase = 'recording';
-    const report: placement.placer.RunReport = {
+    const report: placement.placer.AttemptReport = {
       type: 'done',
       ranMs: ranMs(task),
     };
@@ -107,7 +107,7 @@
 function reportOf(
   end: types.job.TaskEnd,
   ranMs: number,
-): placement.placer.RunReport {
+): placement.placer.AttemptReport {
   switch (end.type) {
     case 'done':
       return {type: 'done', ranMs};
--- a/packages/gypsumwall-entry/src/task_tracker.ts
+++ b/packages/gypsumwall-entry/src/task_tracker.ts
@@ -32,7 +32,10 @@
     startedAt: types.clock.MonotonicMs,
   ): taskTable.ActiveTask;
   /** Frees a task's resources; queues it again if it is still needed. */
-  release(task: taskTable.ActiveTask, report: placement.placer.RunReport): void;
+  release(
+    task: taskTable.ActiveTask,
+    report: placement.placer.AttemptReport,
+  ): void;
   /** Number of the job's attempts that failed in this epoch. */
   failedAttempts(jobId: types.ids.JobId): number;
   /** Number of jobs from before this epoch that are held back. */
@@ -61,13 +64,13 @@
     const job = jobOf(taskId);
     if (job?.phase.type !== 'open') return false;
     const {index} = types.ids.splitTaskId(taskId);
-    const count = types.job.taskCount(job.spec.shape);
+    const count = types.job.maxTaskCount(job.spec.shape);
     return index < count && !job.results.has(index);
   }
 
   function indexesToQueue(job: JobState): number[] {
     const waiting: number[] = [];
-    const count = types.job.taskCount(job.spec.shape);
+    const count = types.job.maxTaskCount(job.spec.shape);
     for (let index = 0; index < count; index++) {
       if (job.results.has(index)) continue;
       const taskId = types.ids.makeTaskId(job.jobId, index);
@@ -85,7 +88,7 @@
 
   function release(
     task: taskTable.ActiveTask,
-    report: placement.placer.RunReport,
+    report: placement.placer.AttemptReport,
   ): void {
     tasks.remove(task);
     placer.release(task.taskId, report);
--- a/packages/gypsumwall-entry/src/worker_attachment.ts
+++ b/packages/gypsumwall-entry/src/worker_attachment.ts
@@ -18,7 +18,7 @@
 
 /** Creates the state from an answer to `attach` that arrived at `now`. */
 export function createAttachment(
-  answer: platform.worker.Attached,
+  answer: platform.worker.AttachAnswer,
   epoch: number,
   now: MonotonicMs,
   mustRunOnce: (taskId: types.ids.TaskId) => boolean,
--- a/packages/gypsumwall-entry/src/worker_session.ts
+++ b/packages/gypsumwall-entry/src/worker_session.ts
@@ -15,7 +15,7 @@
 /** Callbacks of a session, implemented by the scheduler. */
 export interface SessionEvents {
   /** The answer lists all attempts that run or have ended on the worker. */
-  attached(answer: platform.worker.Attached): void;
+  attached(answer: platform.worker.AttachAnswer): void;
   started(order: startOrder.StartOrder): void;
   /** It is certain that the attempt does not run and never will. */
   notStarted(order: startOrder.StartOrder, message: string): void;
--- a/packages/gypsumwall-membership/src/peer_client.ts
+++ b/packages/gypsumwall-membership/src/peer_client.ts
@@ -159,11 +159,11 @@
   thrown: unknown,
 ): types.stepError.StepError {
   if (!(thrown instanceof connect.ConnectError)) {
-    return platform.httpCall.transportError({step, peer}, thrown);
+    return platform.httpCall.createTransportError({step, peer}, thrown);
   }
   // Only the cause, not the message, shows whether the request was sent.
-  if (platform.httpCall.codeOf(thrown.cause) !== '') {
-    return platform.httpCall.transportError({step, peer}, thrown.cause);
+  if (platform.httpCall.findErrorCode(thrown.cause) !== '') {
+    return platform.httpCall.createTransportError({step, peer}, thrown.cause);
   }
   // No status code proves that the call had no effect: an answer that can't be
   // parsed here has the same codes as a request that the peer couldn't parse.
--- a/packages/gypsumwall-placement/src/__fixtures__/specs.ts
+++ b/packages/gypsumwall-placement/src/__fixtures__/specs.ts
@@ -64,7 +64,7 @@
   jobSpec = spec(),
   acceptedAt = 0,
 ): placer.QueuedJob {
-  const count = types.job.taskCount(jobSpec.shape);
+  const count = types.job.maxTaskCount(jobSpec.shape);
   return {
     jobId: types.ids.brand(name),
     spec: jobSpec,
--- a/packages/gypsumwall-placement/src/__tests__/create_baseline_placer.test.ts
+++ b/packages/gypsumwall-placement/src/__tests__/create_baseline_placer.test.ts
@@ -38,8 +38,8 @@
     placer.enqueue(specs.queued('a.1', two));
     const placed = placer.decide(specs.at(0), 10).placements;
     assert.equal(placed.length, 1);
-    assert.match(placer.explain(specs.queued('a.1').jobId), /quota/);
-    placer.closeWorker(specs.worker(0).id);
+    assert.match(placer.explainWait(specs.queued('a.1').jobId), /quota/);
+    placer.cordonWorker(specs.worker(0).id);
     placer.release(placed[0]!.taskId, {type: 'done', ranMs: 5});
     assert.equal(placer.decide(specs.at(1), 10).placements.length, 0);
   });
--- a/packages/gypsumwall-placement/src/__tests__/create_placer.test.ts
+++ b/packages/gypsumwall-placement/src/__tests__/create_placer.test.ts
@@ -70,7 +70,7 @@
     policy.enqueue(specs.queued('a.1', three));
     const placed = decide(policy, 0);
     assert.equal(placed.length, 2);
-    assert.match(policy.explain(specs.queued('a.1').jobId), /quota/);
+    assert.match(policy.explainWait(specs.queued('a.1').jobId), /quota/);
     policy.release(placed[0]!.taskId, {type: 'done', ranMs: 1});
     assert.equal(decide(policy, 1).length, 1);
   });
@@ -206,10 +206,10 @@
         policy.release(each.taskId, {type: 'failed', message: 'exit 3'});
       }
     }
-    const [given] = policy.takeGivenUp();
+    const [given] = policy.takeAbandonedJobs();
     assert.equal(given?.jobId, 'a.1');
     assert.match(given?.message ?? '', /3 times.*exit 3/);
-    assert.equal(policy.takeGivenUp().length, 0);
+    assert.equal(policy.takeAbandonedJobs().length, 0);
   });
 
   nodeTest.it('keeps a sound job whose tasks fail on one bad worker', () => {
@@ -233,7 +233,7 @@
         policy.enqueue({...job, waiting: [index]});
       }
     }
-    assert.deepEqual(policy.takeGivenUp(), []);
+    assert.deepEqual(policy.takeAbandonedJobs(), []);
     assert.equal(done, 16);
   });
 
@@ -247,7 +247,7 @@
         runs += 1;
         policy.release(each.taskId, {type: 'failed', message: 'exit 3'});
       }
-      if (policy.takeGivenUp().length > 0) break;
+      if (policy.takeAbandonedJobs().length > 0) break;
     }
     assert.equal(runs, 6);
   });
@@ -288,7 +288,7 @@
     assert.equal(decide(policy, 0).length, 8);
     policy.enqueue(specs.queued('a.now', specs.spec({urgency: 'urgent'}), 10));
     decide(policy, 10);
-    const {reliefs} = policy.decide(specs.at(300), 10);
+    const {preemptions: reliefs} = policy.decide(specs.at(300), 10);
     assert.equal(reliefs.length, 1);
     assert.equal(reliefs[0]?.type, 'checkpoint');
     policy.release(reliefs[0].taskId, {type: 'stopped'});
@@ -303,12 +303,12 @@
     const placed = decide(policy, 0);
     for (const each of placed)
       policy.reportUsage(each.taskId, specs.room(3, 1024));
-    const {reliefs} = policy.decide(specs.at(1), 10);
+    const {preemptions: reliefs} = policy.decide(specs.at(1), 10);
     assert.deepEqual(reliefs, [
       {type: 'throttle', taskId: 'a.night/0', cpuMillis: 1000},
     ]);
     policy.release(types.ids.brand('a.day/0'), {type: 'done', ranMs: 1});
-    const lifted = policy.decide(specs.at(2), 10).reliefs;
+    const lifted = policy.decide(specs.at(2), 10).preemptions;
     assert.deepEqual(lifted, [
       {type: 'throttle', taskId: 'a.night/0', cpuMillis: 0},
     ]);
--- a/packages/gypsumwall-placement/src/__tests__/placer_invariants.test.ts
+++ b/packages/gypsumwall-placement/src/__tests__/placer_invariants.test.ts
@@ -18,7 +18,7 @@
 type Step =
   | {type: 'enqueue'; spec: types.job.JobSpec}
   | {type: 'decide'; limit: number; passMs: number}
-  | {type: 'release'; pick: number; how: placer.RunReport['type']}
+  | {type: 'release'; pick: number; how: placer.AttemptReport['type']}
   | {type: 'usage'; pick: number; factor: number}
   | {type: 'close' | 'open'; worker: number}
   | {type: 'cancel'; pick: number}
@@ -88,7 +88,7 @@
   });
 }
 
-function reportOf(how: placer.RunReport['type']): placer.RunReport {
+function reportOf(how: placer.AttemptReport['type']): placer.AttemptReport {
   switch (how) {
     case 'done':
       return {type: 'done', ranMs: 500};
@@ -107,7 +107,7 @@
   steps: readonly Step[],
 ): void {
   const policy = make();
-  const running = new Map<types.ids.TaskId, placer.HeldTask>();
+  const running = new Map<types.ids.TaskId, placer.RunningTask>();
   const waiting = new Map<types.ids.JobId, types.job.JobSpec>();
   const closed = new Set<types.ids.WorkerId>();
   let now = 0;
@@ -153,7 +153,7 @@
       }
       case 'close':
         closed.add(specs.worker(step.worker).id);
-        policy.closeWorker(specs.worker(step.worker).id);
+        policy.cordonWorker(specs.worker(step.worker).id);
         break;
       case 'open':
         closed.delete(specs.worker(step.worker).id);
@@ -173,7 +173,7 @@
 function adopt(
   policy: placer.Placer,
   step: {worker: number; cores: number},
-  running: Map<types.ids.TaskId, placer.HeldTask>,
+  running: Map<types.ids.TaskId, placer.RunningTask>,
   n: number,
 ): void {
   const workerId = specs.worker(step.worker).id;
@@ -191,7 +191,7 @@
 /** A task that didn't finish waits again, as its holder would have it. */
 function queueAgain(
   policy: placer.Placer,
-  task: placer.HeldTask,
+  task: placer.RunningTask,
   waiting: ReadonlyMap<types.ids.JobId, types.job.JobSpec>,
 ): void {
   const {jobId, index} = types.ids.splitTaskId(task.taskId);
@@ -204,7 +204,7 @@
 function takePlacements(
   placements: readonly placer.Placement[],
   waiting: ReadonlyMap<types.ids.JobId, types.job.JobSpec>,
-  running: Map<types.ids.TaskId, placer.HeldTask>,
+  running: Map<types.ids.TaskId, placer.RunningTask>,
   closed: ReadonlySet<types.ids.WorkerId>,
 ): void {
   const gangs = new Map<types.ids.JobId, number>();
@@ -221,12 +221,15 @@
   }
   for (const [jobId, count] of gangs) {
     const shape = waiting.get(jobId)?.shape;
-    assert.equal(count, shape === undefined ? 0 : types.job.taskCount(shape));
+    assert.equal(
+      count,
+      shape === undefined ? 0 : types.job.maxTaskCount(shape),
+    );
   }
 }
 
 function checkWorkers(
-  running: ReadonlyMap<types.ids.TaskId, placer.HeldTask>,
+  running: ReadonlyMap<types.ids.TaskId, placer.RunningTask>,
   held: (used: number, quota: number) => void,
 ): void {
   const sums = new Map<string, types.resources.Resources>();
--- a/packages/gypsumwall-placement/src/admission.ts
+++ b/packages/gypsumwall-placement/src/admission.ts
@@ -62,7 +62,7 @@
 
 /** Tasks that must run at the same time. */
 function tasksAtOnce(shape: types.job.JobShape): number {
-  return shape.kind === 'batch' ? 1 : types.job.taskCount(shape);
+  return shape.kind === 'batch' ? 1 : types.job.maxTaskCount(shape);
 }
 
 function refuseByQuota(
@@ -71,7 +71,7 @@
 ): placer.PlacementRefusal | undefined {
   const {quota} = view.books.teams.team(spec.team);
   const tasks = tasksAtOnce(spec.shape);
-  const need = types.resources.times(spec.size, tasks);
+  const need = types.resources.multiply(spec.size, tasks);
   if (types.resources.fits(need, quota)) return undefined;
   return {
     reason: 'over_quota',
@@ -159,7 +159,7 @@
       message: `a run takes about ${Math.round(typicalMs)} ms, the deadline is ${deadline - now} ms away; send a later one`,
     };
   }
-  const tasks = types.job.taskCount(spec.shape);
+  const tasks = types.job.maxTaskCount(spec.shape);
   const work = (tasks * typicalMs * size.cpuMillis) / 1000;
   const {cpuMillis} = view.books.total;
   if (view.demand.accepts(deadline, work, now, cpuMillis)) return undefined;
--- a/packages/gypsumwall-placement/src/books.ts
+++ b/packages/gypsumwall-placement/src/books.ts
@@ -26,7 +26,7 @@
   setWorker(worker: placer.PlacerWorker): bookRecords.WorkerRecord;
   setOpen(worker: bookRecords.WorkerRecord, open: boolean): void;
   removeWorker(id: types.ids.WorkerId): bookRecords.WorkerRecord | undefined;
-  book(task: placer.HeldTask, endsAt: number): bookRecords.HeldRecord;
+  book(task: placer.RunningTask, endsAt: number): bookRecords.HeldRecord;
   unbook(taskId: types.ids.TaskId): bookRecords.HeldRecord | undefined;
   noteUsage(
     task: bookRecords.HeldRecord,
--- a/packages/gypsumwall-placement/src/create_baseline_placer.ts
+++ b/packages/gypsumwall-placement/src/create_baseline_placer.ts
@@ -32,13 +32,13 @@
   const workers = new Map<types.ids.WorkerId, BookedWorker>();
   const teams = new Map<types.ids.TeamId, placer.PlacerTeam>();
   const heldByTeam = new Map<types.ids.TeamId, types.resources.Resources>();
-  const held = new Map<types.ids.TaskId, placer.HeldTask>();
+  const held = new Map<types.ids.TaskId, placer.RunningTask>();
   /** Insertion order is arrival order. */
   const queue = new Map<types.ids.JobId, WaitingJob>();
   const failures = new Map<types.ids.JobId, number>();
   let givenUp: Array<{jobId: types.ids.JobId; message: string}> = [];
 
-  function book(task: placer.HeldTask): void {
+  function book(task: placer.RunningTask): void {
     const booked = workers.get(task.workerId);
     if (booked !== undefined) {
       booked.free = types.resources.subtract(booked.free, task.size);
@@ -48,7 +48,7 @@
     held.set(task.taskId, task);
   }
 
-  function unbook(task: placer.HeldTask): void {
+  function unbook(task: placer.RunningTask): void {
     const booked = workers.get(task.workerId);
     if (booked !== undefined) {
       booked.free = types.resources.add(booked.free, task.size);
@@ -77,7 +77,7 @@
     return false;
   }
 
-  function placeOne(job: WaitingJob): placer.HeldTask | undefined {
+  function placeOne(job: WaitingJob): placer.RunningTask | undefined {
     const index = job.waiting[0];
     if (index === undefined || !fitsQuota(job.spec)) return undefined;
     for (const booked of workers.values()) {
@@ -96,9 +96,9 @@
     return undefined;
   }
 
-  function placeGang(job: WaitingJob): placer.HeldTask[] {
+  function placeGang(job: WaitingJob): placer.RunningTask[] {
     const before = job.waiting.slice();
-    const placed: placer.HeldTask[] = [];
+    const placed: placer.RunningTask[] = [];
     while (job.waiting.length > 0) {
       const task = placeOne(job);
       if (task === undefined) {
@@ -111,8 +111,8 @@
     return placed;
   }
 
-  function placeSeveral(job: WaitingJob, limit: number): placer.HeldTask[] {
-    const placed: placer.HeldTask[] = [];
+  function placeSeveral(job: WaitingJob, limit: number): placer.RunningTask[] {
+    const placed: placer.RunningTask[] = [];
     while (placed.length < limit) {
       const task = placeOne(job);
       if (task === undefined) break;
@@ -144,7 +144,7 @@
       const free = types.resources.subtract(worker.capacity, used);
       workers.set(worker.id, {worker, free, open: true});
     },
-    closeWorker(workerId) {
+    cordonWorker(workerId) {
       const booked = workers.get(workerId);
       if (booked !== undefined) booked.open = false;
     },
@@ -220,20 +220,20 @@
         if (job.waiting.length === 0) queue.delete(job.jobId);
         else if (!hasRoom(size)) foundNone.push(size);
       }
-      return {placements, reliefs: []};
+      return {placements, preemptions: []};
     },
     waitingTasks() {
       let count = 0;
       for (const job of queue.values()) count += job.waiting.length;
       return count;
     },
-    explain(jobId) {
+    explainWait(jobId) {
       const job = queue.get(jobId);
       if (job === undefined) return '';
       if (!fitsQuota(job.spec)) return `team ${job.spec.team} is at its quota`;
       return 'no worker has room for the declared size';
     },
-    takeGivenUp() {
+    takeAbandonedJobs() {
       const taken = givenUp;
       givenUp = [];
       return taken;
--- a/packages/gypsumwall-placement/src/create_placer.ts
+++ b/packages/gypsumwall-placement/src/create_placer.ts
@@ -97,7 +97,7 @@
     onRoom(worker, isUsable(worker));
   }
 
-  function hold(task: placer.HeldTask, endsAt: number): void {
+  function hold(task: placer.RunningTask, endsAt: number): void {
     const record = domainBooks.book(task, endsAt);
     spread.note(record, 1);
     quarantined.noteProbeStarted(record.worker);
@@ -150,7 +150,7 @@
 
   function noteEnd(
     task: bookRecords.HeldRecord,
-    report: placer.RunReport,
+    report: placer.AttemptReport,
   ): void {
     const {jobId, index: at} = types.ids.splitTaskId(task.taskId);
     switch (report.type) {
@@ -176,7 +176,7 @@
       waiting.queue.unblockTeam(domainBooks.teams.team(team.id));
     },
     setWorker: (worker) => void domainBooks.setWorker(worker),
-    closeWorker(workerId) {
+    cordonWorker(workerId) {
       const worker = domainBooks.workers.get(workerId);
       if (worker === undefined) return;
       domainBooks.setOpen(worker, false);
@@ -239,16 +239,16 @@
       grown.clear();
       const placements = placementRound.runRound(parts, now, limit);
       const due = waiting.queue.blockedDue();
-      return {placements, reliefs: [...made, ...watch.decide(now, due)]};
+      return {placements, preemptions: [...made, ...watch.decide(now, due)]};
     },
     waitingTasks: () => waiting.tasks(),
-    explain(jobId) {
+    explainWait(jobId) {
       const job = waiting.get(jobId);
       if (job === undefined) return '';
       const avoided = failures.workersToAvoid(jobId);
       return explainWait.explainWait(job, reserved.of(job), avoided);
     },
-    takeGivenUp() {
+    takeAbandonedJobs() {
       const taken = [...givenUp].map(([jobId, message]) => ({jobId, message}));
       givenUp = new Map();
       return taken;
--- a/packages/gypsumwall-placement/src/movable.ts
+++ b/packages/gypsumwall-placement/src/movable.ts
@@ -46,7 +46,7 @@
 export function askCheckpoint(
   task: bookRecords.HeldRecord,
   now: number,
-): placer.Relief {
+): placer.PreemptionAction {
   task.checkpointAskedAt = now;
   return {type: 'checkpoint', taskId: task.taskId};
 }
--- a/packages/gypsumwall-placement/src/placement_round.ts
+++ b/packages/gypsumwall-placement/src/placement_round.ts
@@ -28,7 +28,7 @@
   readonly spread: rackSpread.RackSpread;
   readonly reservations: reservations.Reservations;
   /** Books a task that was decided on. */
-  hold(task: placer.HeldTask, endsAt: number): void;
+  hold(task: placer.RunningTask, endsAt: number): void;
   /** Gives back the room of a gang that didn't fit whole. */
   undo(tasks: readonly placer.Placement[]): void;
   /** Tasks of the job no longer wait. */
@@ -134,7 +134,7 @@
 ): Miss | undefined {
   const size = sizeFor(parts, job);
   const tasks = job.waiting.size;
-  const whole = types.resources.times(size, tasks);
+  const whole = types.resources.multiply(size, tasks);
   if (!fitsQuota(job, whole)) return 'over_quota';
   parts.reservations.suspend(job);
   const placed = types.resources.fits(whole, parts.books.free)
--- a/packages/gypsumwall-placement/src/placer.ts
+++ b/packages/gypsumwall-placement/src/placer.ts
@@ -32,7 +32,7 @@
 }
 
 /** A task that holds room on a worker. */
-export interface HeldTask {
+export interface RunningTask {
   readonly taskId: types.ids.TaskId;
   readonly spec: types.job.JobSpec;
   readonly workerId: types.ids.WorkerId;
@@ -55,7 +55,7 @@
 }
 
 /** Give a running task's processors to more urgent work. */
-export type Relief =
+export type PreemptionAction =
   | {
       readonly type: 'throttle';
       readonly taskId: types.ids.TaskId;
@@ -67,11 +67,11 @@
 /** What one round decided. */
 export interface Decisions {
   readonly placements: readonly Placement[];
-  readonly reliefs: readonly Relief[];
+  readonly preemptions: readonly PreemptionAction[];
 }
 
 /** How a task's run ended, for learning and for quarantine. */
-export type RunReport =
+export type AttemptReport =
   | {readonly type: 'done'; readonly ranMs: number}
   | {readonly type: 'failed'; readonly message: string}
   /** It never started: the worker refused or could not be reached. */
@@ -87,7 +87,7 @@
    * No new work there from now on (leaving, silent or gone). Room that its
    * tasks hold stays on the books until each is released.
    */
-  closeWorker(workerId: types.ids.WorkerId): void;
+  cordonWorker(workerId: types.ids.WorkerId): void;
   /** Forgets a worker that is gone; its tasks must be released before. */
   removeWorker(workerId: types.ids.WorkerId): void;
   /** Whether a new job may be taken; quotas, shapes and deadlines decide. */
@@ -100,9 +100,9 @@
   /** Drops what waits of a job. Running tasks stay until released. */
   cancel(jobId: types.ids.JobId): void;
   /** Books a task that was found running when the domain was taken over. */
-  adopt(task: HeldTask): void;
+  adopt(task: RunningTask): void;
   /** Gives a task's room back and learns from how it ended. */
-  release(taskId: types.ids.TaskId, report: RunReport): void;
+  release(taskId: types.ids.TaskId, report: AttemptReport): void;
   /** Usage as workers report it, late. */
   reportUsage(taskId: types.ids.TaskId, used: types.resources.Resources): void;
   /** Decides at most `limit` placements. */
@@ -110,12 +110,12 @@
   /** Tasks that wait, for status and metrics. */
   waitingTasks(): number;
   /** Why a waiting job waits, for a person; empty when it doesn't. */
-  explain(jobId: types.ids.JobId): string;
+  explainWait(jobId: types.ids.JobId): string;
   /**
    * A job that the policy has given up on since the last call, such as one
    * that failed on distinct workers; the holder records it as failed.
    */
-  takeGivenUp(): ReadonlyArray<{
+  takeAbandonedJobs(): ReadonlyArray<{
     readonly jobId: types.ids.JobId;
     readonly message: string;
   }>;
--- a/packages/gypsumwall-placement/src/relief.ts
+++ b/packages/gypsumwall-placement/src/relief.ts
@@ -34,7 +34,7 @@
   decide(
     now: number,
     due: readonly jobQueue.JobRecord[],
-  ): readonly placer.Relief[];
+  ): readonly placer.PreemptionAction[];
 }
 
 /** What relief needs to know. */
@@ -55,7 +55,7 @@
   function makeRoom(
     job: jobQueue.JobRecord,
     now: number,
-    reliefs: placer.Relief[],
+    reliefs: placer.PreemptionAction[],
   ): void {
     const since = job.blockedSince;
     if (since === undefined || since + DUE_PATIENCE_MS > now) return;
@@ -98,7 +98,7 @@
 
   function relieveCpu(
     worker: bookRecords.WorkerRecord,
-    reliefs: placer.Relief[],
+    reliefs: placer.PreemptionAction[],
   ): void {
     let excess = worker.usedCpuMillis - worker.capacity.cpuMillis;
     const over = [...worker.tasks]
@@ -117,7 +117,7 @@
   function relieveMemory(
     worker: bookRecords.WorkerRecord,
     now: number,
-    reliefs: placer.Relief[],
+    reliefs: placer.PreemptionAction[],
   ): void {
     let used = 0;
     for (const task of worker.tasks) used += task.usedMemoryMb;
@@ -133,7 +133,7 @@
 
   function liftThrottles(
     worker: bookRecords.WorkerRecord,
-    reliefs: placer.Relief[],
+    reliefs: placer.PreemptionAction[],
   ): void {
     let wanted = worker.usedCpuMillis;
     for (const task of worker.tasks) {
@@ -165,7 +165,7 @@
       changed.delete(worker);
     },
     decide(now, due) {
-      const reliefs: placer.Relief[] = [];
+      const reliefs: placer.PreemptionAction[] = [];
       for (const worker of changed) liftThrottles(worker, reliefs);
       for (const worker of overCpu) relieveCpu(worker, reliefs);
       for (const worker of overMemory) relieveMemory(worker, now, reliefs);
--- a/packages/gypsumwall-placement/src/reservations.ts
+++ b/packages/gypsumwall-placement/src/reservations.ts
@@ -69,7 +69,7 @@
   tick(
     now: number,
     blocked: () => readonly jobQueue.JobRecord[],
-  ): readonly placer.Relief[];
+  ): readonly placer.PreemptionAction[];
   /** Jobs for which most of the room kept for them is free. */
   readyJobs(): jobQueue.JobRecord[];
   /** Frees the job's own room for a try; `resume` keeps it again. */
@@ -111,7 +111,7 @@
 
   function move(reservation: Reservation, sign: 1 | -1): void {
     for (const [worker, count] of reservation.slots) {
-      const amount = types.resources.times(reservation.size, count);
+      const amount = types.resources.multiply(reservation.size, count);
       options.reserve(worker, amount, sign);
     }
   }
@@ -127,7 +127,7 @@
     job: jobQueue.JobRecord,
     now: number,
     givenDeadline?: number,
-  ): readonly placer.Relief[] {
+  ): readonly placer.PreemptionAction[] {
     const size = options.sizeOf(job);
     const tasks = job.spec.shape.kind === 'gang' ? job.waiting.size : 1;
     const sample = sampleWorkers(SAMPLES + tasks * SAMPLES_PER_TASK);
@@ -160,8 +160,8 @@
    * Plans again for a job whose room should have been there by now: urgent
    * tasks or usage above the books took some of it. The deadline stays.
    */
-  function replanLate(now: number): placer.Relief[] {
-    const reliefs: placer.Relief[] = [];
+  function replanLate(now: number): placer.PreemptionAction[] {
+    const reliefs: placer.PreemptionAction[] = [];
     for (const reservation of [...current.values()]) {
       if (reservation.readyAt + LATE_AFTER_MS > now) continue;
       finish(reservation);
--- a/packages/gypsumwall-placement/src/task_size.ts
+++ b/packages/gypsumwall-placement/src/task_size.ts
@@ -59,7 +59,7 @@
   const {largest, total} = domainBooks;
   const {quota} = domainBooks.teams.team(spec.team);
   const {kind} = spec.shape;
-  const atOnce = kind === 'batch' ? 1 : types.job.taskCount(spec.shape);
+  const atOnce = kind === 'batch' ? 1 : types.job.maxTaskCount(spec.shape);
   const fitsAll =
     types.resources.fits(learned, largest) &&
     learned.cpuMillis * atOnce <= Math.min(quota.cpuMillis, total.cpuMillis) &&
--- a/packages/gypsumwall-platform/src/__tests__/http_upstream.test.ts
+++ b/packages/gypsumwall-platform/src/__tests__/http_upstream.test.ts
@@ -169,7 +169,7 @@
     );
     const pending = [textOf(client), textOf(client)];
     await waitUntil(() => held.length === 2);
-    client.setConnections(1);
+    client.setMaxConnections(1);
     assert.equal((await errorOf(client)).effect, 'not_run');
     held.forEach((answer) => answer());
     assert.deepEqual(await Promise.all(pending), ['done', 'done']);
--- a/packages/gypsumwall-platform/src/http_call.ts
+++ b/packages/gypsumwall-platform/src/http_call.ts
@@ -62,7 +62,7 @@
     }
     return result.err(refusal(call, res.statusCode, text));
   } catch (thrown) {
-    return result.err(transportError(call, thrown));
+    return result.err(createTransportError(call, thrown));
   }
 }
 
@@ -100,11 +100,11 @@
 }
 
 /** Turns what a transport threw into a step error. */
-export function transportError(
+export function createTransportError(
   call: Pick<JsonCall, 'step' | 'peer'>,
   thrown: unknown,
 ): types.stepError.StepError {
-  const code = codeOf(thrown);
+  const code = findErrorCode(thrown);
   const neverSent = NEVER_SENT_CODES.has(code);
   const timedOut = thrown instanceof Error && thrown.name === 'TimeoutError';
   return {
@@ -117,9 +117,9 @@
 }
 
 /** The error code of whatever was thrown, or an empty string. */
-export function codeOf(thrown: unknown): string {
+export function findErrorCode(thrown: unknown): string {
   if (!(thrown instanceof Error)) return '';
   const code = (thrown as NodeJS.ErrnoException).code;
   if (code !== undefined) return code;
-  return thrown.cause === undefined ? '' : codeOf(thrown.cause);
+  return thrown.cause === undefined ? '' : findErrorCode(thrown.cause);
 }
--- a/packages/gypsumwall-platform/src/http_instance_list.ts
+++ b/packages/gypsumwall-platform/src/http_instance_list.ts
@@ -57,7 +57,7 @@
       last = typeof etag === 'string' ? {etag, instances} : undefined;
       return result.ok(instances);
     } catch (thrown) {
-      return result.err(httpCall.transportError(where, thrown));
+      return result.err(httpCall.createTransportError(where, thrown));
     }
   }
 
--- a/packages/gypsumwall-platform/src/http_platform_log.ts
+++ b/packages/gypsumwall-platform/src/http_platform_log.ts
@@ -18,7 +18,7 @@
     `${options.url}/v1/streams/${encodeURIComponent(stream)}/records`;
   return {
     append: ({stream, producer, sequence, bodies}) =>
-      httpCall.callJson<platformLog.Appended>({
+      httpCall.callJson<platformLog.AppendAnswer>({
         step: 'log.append',
         peer: options.url,
         method: 'POST',
--- a/packages/gypsumwall-platform/src/http_upstream.ts
+++ b/packages/gypsumwall-platform/src/http_upstream.ts
@@ -49,7 +49,7 @@
   });
   return {
     execute: (req) => execute(options, connections, req),
-    setConnections: (wanted) => connections.setLimit(wanted),
+    setMaxConnections: (wanted) => connections.setLimit(wanted),
     close: () => connections.close(),
   };
 }
@@ -92,7 +92,7 @@
   } catch (thrown) {
     end();
     const where = {step: STEP, peer: options.id};
-    const err = httpCall.transportError(where, thrown);
+    const err = httpCall.createTransportError(where, thrown);
     return result.err(sent() ? err : {...err, effect: 'not_run'});
   }
 }
--- a/packages/gypsumwall-platform/src/platform_log.ts
+++ b/packages/gypsumwall-platform/src/platform_log.ts
@@ -25,7 +25,7 @@
 }
 
 /** Where an append's records stand. */
-export interface Appended {
+export interface AppendAnswer {
   readonly firstOffset: number;
 }
 
@@ -55,7 +55,7 @@
   /** Errors: effect `unknown` unless the log surely took nothing. */
   append(
     req: AppendRequest,
-  ): Promise<result.Result<Appended, types.stepError.StepError>>;
+  ): Promise<result.Result<AppendAnswer, types.stepError.StepError>>;
   read(
     req: ReadRequest,
   ): Promise<result.Result<LogPage, types.stepError.StepError>>;
--- a/packages/gypsumwall-platform/src/upstream.ts
+++ b/packages/gypsumwall-platform/src/upstream.ts
@@ -35,6 +35,6 @@
     req: UpstreamRequest,
   ): Promise<result.Result<UpstreamAnswer, types.stepError.StepError>>;
   /** At most this many connections from now on. */
-  setConnections(connections: number): void;
+  setMaxConnections(connections: number): void;
   close(): Promise<void>;
 }
--- a/packages/gypsumwall-platform/src/worker.ts
+++ b/packages/gypsumwall-platform/src/worker.ts
@@ -35,7 +35,7 @@
 }
 
 /** What the worker knows when a holder attaches. */
-export interface Attached {
+export interface AttachAnswer {
   readonly incarnation: types.ids.WorkerIncarnation;
   readonly now: WorkerMs;
   readonly capacity: types.resources.Resources;
@@ -77,7 +77,7 @@
 
 /** Calls to one worker. A `stale_epoch` error is final for the holder. */
 export interface Worker {
-  attach(epoch: number, holder: types.ids.EntryId): Answer<Attached>;
+  attach(epoch: number, holder: types.ids.EntryId): Answer<AttachAnswer>;
   /** Refused as a whole after `startBy`. Answers stand in the asked order. */
   start(
     call: HolderCall,
--- a/packages/gypsumwall-records/src/__fixtures__/memory_log.ts
+++ b/packages/gypsumwall-records/src/__fixtures__/memory_log.ts
@@ -48,7 +48,7 @@
   }
 
   const timeout = () =>
-    result.err<platform.platformLog.Appended, types.stepError.StepError>({
+    result.err<platform.platformLog.AppendAnswer, types.stepError.StepError>({
       kind: 'timeout',
       step: 'log.append',
       peer: 'memory',
--- a/packages/gypsumwall-records/src/config_fold.ts
+++ b/packages/gypsumwall-records/src/config_fold.ts
@@ -89,7 +89,7 @@
       record.value,
     );
     if (checked.isErr) return {type: 'invalid', problems: checked.error};
-    const owner = settings.tokenHashes.otherOwner(
+    const owner = settings.tokenHashes.findSharedTokenOwner(
       checked.value,
       currentSubtrees(),
     );
--- a/packages/gypsumwall-records/src/job_fold.ts
+++ b/packages/gypsumwall-records/src/job_fold.ts
@@ -103,7 +103,7 @@
     if (record.end.type !== 'done') return;
     if (job.spec.shape.kind === 'service') return;
     job.results.set(index, record.end.result);
-    const taskCount = types.job.taskCount(job.spec.shape);
+    const taskCount = types.job.maxTaskCount(job.spec.shape);
     if (job.results.size >= taskCount) close(job, {type: 'done'});
   }
 
--- a/packages/gypsumwall-routing/src/__fixtures__/fake_upstreams.ts
+++ b/packages/gypsumwall-routing/src/__fixtures__/fake_upstreams.ts
@@ -44,7 +44,7 @@
           const done = () => resolve(result.ok(makeAnswer()));
           attempts.push({upstream: listed.id, req, done, fail});
         }),
-      setConnections: (count) => void connections.set(listed.id, count),
+      setMaxConnections: (count) => void connections.set(listed.id, count),
       close: () => Promise.resolve(),
     };
   };
--- a/packages/gypsumwall-routing/src/__tests__/retries.test.ts
+++ b/packages/gypsumwall-routing/src/__tests__/retries.test.ts
@@ -97,7 +97,7 @@
   const harness = await routerHarness.createRouterHarness(2, 1, {
     makeUpstream: () => ({
       execute,
-      setConnections: () => undefined,
+      setMaxConnections: () => undefined,
       close: () => Promise.resolve(),
     }),
   });
--- a/packages/gypsumwall-routing/src/upstream_table.ts
+++ b/packages/gypsumwall-routing/src/upstream_table.ts
@@ -73,7 +73,7 @@
     slots.share = slots.leaving ? 0 : shares.shareOf(listed.id, listed.slots);
     if (slots.connections === connections) return;
     slots.connections = connections;
-    slots.client.setConnections(connections);
+    slots.client.setMaxConnections(connections);
   };
   const markUnlisted = (slots: upstreamSlots.UpstreamSlots) => {
     slots.listed = false;
--- a/packages/gypsumwall-settings/src/token_hashes.ts
+++ b/packages/gypsumwall-settings/src/token_hashes.ts
@@ -16,7 +16,7 @@
 }
 
 /** The first of the others in which a hash of `subtree` stands too. */
-export function otherOwner(
+export function findSharedTokenOwner(
   subtree: checkSubtree.CheckedSubtree,
   others: readonly checkSubtree.CheckedSubtree[],
 ): checkSubtree.CheckedSubtree | undefined {
--- a/packages/gypsumwall-telemetry/src/metrics.ts
+++ b/packages/gypsumwall-telemetry/src/metrics.ts
@@ -69,7 +69,7 @@
 }
 
 /** Metrics that go nowhere, for a process without a daemon. */
-export function createSilentMetrics(): Metrics {
+export function createNoopMetrics(): Metrics {
   return {
     count: () => undefined,
     gauge: () => undefined,
--- a/packages/gypsumwall-testing/src/__fixtures__/domain_harness.ts
+++ b/packages/gypsumwall-testing/src/__fixtures__/domain_harness.ts
@@ -117,7 +117,7 @@
       clock,
       logger: telemetry.logger.createLogger('silent'),
       tracer: telemetry.tracing.createTracer({instance: `holder-${epoch}`}),
-      metrics: telemetry.metrics.createSilentMetrics(),
+      metrics: telemetry.metrics.createNoopMetrics(),
       placer,
       jobs,
       recentWorkers,
--- a/packages/gypsumwall-testing/src/worker_model.ts
+++ b/packages/gypsumwall-testing/src/worker_model.ts
@@ -30,7 +30,7 @@
 
 /** A worker. Calls throw refusals. */
 export interface WorkerModel {
-  attach(epoch: number): platform.worker.Attached;
+  attach(epoch: number): platform.worker.AttachAnswer;
   start(
     call: platform.worker.HolderCall,
     startBy: number,
--- a/packages/gypsumwall-types/src/__tests__/ids.test.ts
+++ b/packages/gypsumwall-types/src/__tests__/ids.test.ts
@@ -4,7 +4,7 @@
 
 nodeTest.test('a job id names its home, whatever the domain is called', () => {
   const home = ids.brand<ids.FailureDomain>('ayt.c-2');
-  assert.equal(ids.homeOfJob(ids.makeJobId(home, 'k3')), home);
+  assert.equal(ids.homeDomainOfJob(ids.makeJobId(home, 'k3')), home);
 });
 
 nodeTest.test('a task id splits into the job and index it was made of', () => {
--- a/packages/gypsumwall-types/src/clock.ts
+++ b/packages/gypsumwall-types/src/clock.ts
@@ -28,7 +28,7 @@
 }
 
 /** Waits for a span from now, or less when the signal aborts. */
-export function pause(
+export function sleepFor(
   clock: Clock,
   spanMs: number,
   signal?: AbortSignal,
--- a/packages/gypsumwall-types/src/ids.ts
+++ b/packages/gypsumwall-types/src/ids.ts
@@ -42,7 +42,7 @@
 }
 
 /** The failure domain that a job id names as its home. */
-export function homeOfJob(jobId: JobId): FailureDomain {
+export function homeDomainOfJob(jobId: JobId): FailureDomain {
   const cut = jobId.lastIndexOf(JOB_ID_SEPARATOR);
   return brand<FailureDomain>(cut < 0 ? '' : jobId.slice(0, cut));
 }
--- a/packages/gypsumwall-types/src/job.ts
+++ b/packages/gypsumwall-types/src/job.ts
@@ -37,7 +37,7 @@
 }
 
 /** How many tasks a job has at most at one time. */
-export function taskCount(shape: JobShape): number {
+export function maxTaskCount(shape: JobShape): number {
   switch (shape.kind) {
     case 'batch':
     case 'gang':
--- a/packages/gypsumwall-types/src/resources.ts
+++ b/packages/gypsumwall-types/src/resources.ts
@@ -35,7 +35,7 @@
 }
 
 /** An amount `count` times over. */
-export function times(amount: Resources, count: number): Resources {
+export function multiply(amount: Resources, count: number): Resources {
   return {
     cpuMillis: amount.cpuMillis * count,
     memoryMb: amount.memoryMb * count,
--- a/packages/gypsumwall-types/src/step_error.ts
+++ b/packages/gypsumwall-types/src/step_error.ts
@@ -36,7 +36,7 @@
 }
 
 /** Makes a step error; the message should quote the offending value. */
-export function stepError(fields: StepError): StepError {
+export function createStepError(fields: StepError): StepError {
   return fields;
 }
 
