--- a/packages/gypsumwall-membership/src/__fixtures__/claim_world.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/claim_world.ts
@@ -1,8 +1,8 @@
 /**
- * A failure domain's entries, its log stream, the platform's list and a
- * worker on virtual time, all of which fail on command. The claim keepers in
- * it are the real ones; what is under test is whether two of them can hold
- * the claim at one moment, or a start of a replaced holder gets through.
+ * Simulates the entries of a failure domain, its log stream, the platform's list
+ * and a worker on virtual time, with injected faults. The claim keepers are the
+ * real ones. The tests check that two of them never hold the claim at the same
+ * time, and that a worker accepts no start of a replaced holder.
  */
 import * as telemetry from '@gypsumwall/telemetry';
 import * as types from '@gypsumwall/types';
@@ -17,17 +17,17 @@
 import * as fakeStream from './fake_stream.js';
 import * as virtualTime from './virtual_time.js';
 
-/** Spans of the world, in true milliseconds. */
+/** Durations in the world, in milliseconds of virtual time. */
 export const TTL_MS = 600;
 export const LIST_LAG_MS = 300;
 export const ALL_GONE_MS = 2_400;
 const CALL_TIMEOUT_MS = 90;
 const LIST_POLL_MS = 60;
 const READ_POLL_MS = 40;
-const START_EVERY_MS = 50;
-const LONGEST_DELAY_MS = 40;
+const START_INTERVAL_MS = 50;
+const MAX_DELAY_MS = 40;
 const DOMAIN = types.ids.brand<types.ids.FailureDomain>('bole-hall');
-/** Clock rates in the world, within the drift that is allowed for. */
+/** Clock rates of the processes, within the drift that the protocol allows. */
 const CLOCK_RATES = [1, 1.004, 0.996];
 const silentLogger = telemetry.logger.createLogger('silent');
 
@@ -41,25 +41,25 @@
   nextOffset: number;
   /** Starts sent and not answered yet. */
   openStarts: number;
-  releasing: boolean;
+  isReleasing: boolean;
   listed: ReadonlySet<number>;
-  /** Who last answered a heartbeat from each machine. */
-  readonly heard: Map<number, types.ids.EntryId>;
+  /** Id of the process that last answered a heartbeat, by machine. */
+  readonly lastAnsweredBy: Map<number, types.ids.EntryId>;
   listFetchedAt?: types.clock.MonotonicMs;
   selfListedAt?: types.clock.MonotonicMs;
   caughtUp: boolean;
 }
 
-/** The world. */
+/** The simulated world. */
 export interface ClaimWorld {
   inject(fault: claimFaults.Fault): void;
-  /** `afterEvent` may inject between any two events. */
+  /** Advances time; `afterEvent` may inject faults between any two events. */
   run(forMs: number, afterEvent?: () => void): Promise<void>;
   /** Machines whose process holds the claim now. */
   holders(): readonly number[];
-  /** What must never happen and did; empty when all is well. */
+  /** Observed violations of the protocol's guarantees; empty if there are none. */
   violations(): readonly string[];
-  /** How often a claim changed hands. */
+  /** How often a claim was taken, and how many starts the worker accepted. */
   readonly counts: {claims: number; starts: number};
   now(): number;
   stop(): Promise<void>;
@@ -70,33 +70,33 @@
   const time = virtualTime.createVirtualTime();
   const random = types.random.createRandom(seed);
   const entries = new Map<number, Entry>();
-  const found: string[] = [];
+  const violations: string[] = [];
   const counts = {claims: 0, starts: 0};
   const faults = claimFaults.createLastingFaults(time);
   const stream = fakeStream.createFakeStream({
     time,
     random,
     faults,
-    longestDelayMs: LONGEST_DELAY_MS,
+    maxDelayMs: MAX_DELAY_MS,
     timeoutMs: CALL_TIMEOUT_MS,
-    latestMs: 3 * TTL_MS,
+    maxLateMs: 3 * TTL_MS,
   });
   const list = fakeList.createFakeList(time, random, faults, LIST_LAG_MS);
   const worker = claimWorker.createClaimWorker(time, 0.998);
-  const runs: Array<Promise<void>> = [];
+  const keeperRuns: Array<Promise<void>> = [];
   let lastHolder = 0;
-  let born = 0;
+  let spawnedCount = 0;
 
-  const delay = () => random.integer(0, LONGEST_DELAY_MS);
+  const delay = () => random.integer(0, MAX_DELAY_MS);
   const network = fakeNetwork.createFakeNetwork({
     time,
     random,
     faults,
-    longestDelayMs: LONGEST_DELAY_MS,
+    maxDelayMs: MAX_DELAY_MS,
     timeoutMs: CALL_TIMEOUT_MS,
   });
 
-  /** Sends a call to an address; whoever listens there answers. */
+  /** Sends a call to an address; the process that listens there answers. */
   function call<Reply>(
     from: Entry,
     peer: claimPeers.NamedPeer,
@@ -123,17 +123,18 @@
       .filter((machine) => machine !== entry.machine)
       .map((machine) => {
         const peer = entries.get(machine);
-        const answers =
+        const isAnswering =
           peer?.process.isAlive() === true &&
           !peer.process.isPaused() &&
           network.reaches(entry.machine, machine);
-        if (answers) entry.heard.set(machine, peer.entryId);
+        if (isAnswering) entry.lastAnsweredBy.set(machine, peer.entryId);
         return {
           entryId:
-            entry.heard.get(machine) ?? types.ids.brand<types.ids.EntryId>(''),
+            entry.lastAnsweredBy.get(machine) ??
+            types.ids.brand<types.ids.EntryId>(''),
           failureDomain: DOMAIN,
           address: String(machine),
-          state: answers ? ('live' as const) : ('silent' as const),
+          state: isAnswering ? ('live' as const) : ('silent' as const),
           configOffset: 0,
         };
       });
@@ -143,13 +144,13 @@
 
   function fetchList(entry: Entry) {
     if (!entry.process.isAlive()) return;
-    const askedAt = entry.process.clock.monotonic();
+    const requestedAt = entry.process.clock.monotonic();
     if (list.isReached(entry.machine)) {
       const listed = list.fetch();
       entry.process.deliverAt(time.now() + delay(), () => {
         entry.listed = new Set(listed);
         entry.listFetchedAt = entry.process.clock.monotonic();
-        if (listed.includes(entry.machine)) entry.selfListedAt = askedAt;
+        if (listed.includes(entry.machine)) entry.selfListedAt = requestedAt;
       });
     }
     const nextAt = time.now() + LIST_POLL_MS;
@@ -175,44 +176,48 @@
     entry.process.deliverAt(nextAt, () => readLog(entry));
   }
 
-  /** What a holder does: checks its claim, then starts at the worker. */
+  /** Acts as a holder: checks its claim, then sends a start to the worker. */
   function startTasks(entry: Entry) {
     if (!entry.process.isAlive()) return;
     const state = entry.keeper.state();
-    if (state.type === 'held' && !entry.releasing) {
+    if (state.type === 'held' && !entry.isReleasing) {
       const leftMs = state.deadline - entry.process.clock.monotonic();
       const startBy = worker.now() + leftMs;
-      // The start may be on its way, or its sender paused, for long.
+      // The start may be in flight, or its sender may be paused, for long.
       const arrivesAt = time.now() + random.integer(0, TTL_MS);
       entry.openStarts++;
       time.at(arrivesAt, () => {
         acceptStart(state.epoch, startBy);
         entry.openStarts--;
       });
-    } else if (entry.releasing && entry.openStarts === 0) {
+    } else if (entry.isReleasing && entry.openStarts === 0) {
       void entry.keeper.release();
       return;
     }
-    const nextAt = time.now() + START_EVERY_MS;
+    const nextAt = time.now() + START_INTERVAL_MS;
     entry.process.deliverAt(nextAt, () => startTasks(entry));
   }
 
   function acceptStart(epoch: number, startBy: number) {
     if (!worker.accepts(epoch, startBy)) return;
     counts.starts++;
-    const others = holding().filter((entry) => epochOf(entry) !== epoch);
+    const others = holdingEntries().filter(
+      (entry) => heldEpoch(entry) !== epoch,
+    );
     if (others.length === 0) return;
-    found.push(`${time.now()}: start of ${epoch} accepted beside a holder`);
+    violations.push(
+      `${time.now()}: start of ${epoch} accepted while another is held`,
+    );
   }
 
-  function epochOf(entry: Entry): number | undefined {
+  function heldEpoch(entry: Entry): number | undefined {
     const state = entry.keeper.state();
     return state.type === 'held' ? state.epoch : undefined;
   }
 
-  function holding(): readonly Entry[] {
+  function holdingEntries(): readonly Entry[] {
     return [...entries.values()].filter(
-      (entry) => entry.process.isAlive() && epochOf(entry) !== undefined,
+      (entry) => entry.process.isAlive() && heldEpoch(entry) !== undefined,
     );
   }
 
@@ -220,8 +225,8 @@
     return entries.get(machine)?.process.isAlive() === true;
   }
 
-  /** The machine that a fault is aimed at. */
-  function aim(target: claimFaults.Target): number {
+  /** The number of the machine that a fault's target means. */
+  function resolveTarget(target: claimFaults.Target): number {
     if (typeof target === 'number') return target;
     const keeper = entries.get(lastHolder)?.keeper;
     const name = keeper?.newest()?.named[0]?.split('#')[0];
@@ -236,18 +241,20 @@
     }
   }
 
-  function check() {
-    const now = holding();
-    lastHolder = now[0]?.machine ?? lastHolder;
-    if (now.length < 2) return;
-    const text = now.map((entry) => `${entry.entryId} ${epochOf(entry)}`);
-    found.push(`${time.now()}: held by ${text.join(' and ')}`);
+  function recordViolations() {
+    const holding = holdingEntries();
+    lastHolder = holding[0]?.machine ?? lastHolder;
+    if (holding.length < 2) return;
+    const text = holding.map((entry) => `${entry.entryId} ${heldEpoch(entry)}`);
+    violations.push(`${time.now()}: held by ${text.join(' and ')}`);
   }
 
   function spawn(machine: number) {
-    const rate = CLOCK_RATES[born % CLOCK_RATES.length] ?? 1;
+    const rate = CLOCK_RATES[spawnedCount % CLOCK_RATES.length] ?? 1;
     const process = virtualTime.createVirtualProcess(time, rate);
-    const entryId = types.ids.brand<types.ids.EntryId>(`${machine}#${born++}`);
+    const entryId = types.ids.brand<types.ids.EntryId>(
+      `${machine}#${spawnedCount++}`,
+    );
     const stop = new AbortController();
     const keeper = claimKeeper.createClaimKeeper({
       self: entryId,
@@ -264,10 +271,10 @@
       caughtUp: () => entry.caughtUp,
       view: () => viewOf(entry),
       peers: {
-        promise: (peer, ask) =>
-          call(entry, peer, (target) => target.answerPromise(ask)),
-        witness: (peer, ask) =>
-          call(entry, peer, (target) => target.answerWitness(ask)),
+        requestPromise: (peer, req) =>
+          call(entry, peer, (target) => target.answerPromise(req)),
+        requestWitness: (peer, req) =>
+          call(entry, peer, (target) => target.answerWitness(req)),
       },
       onChange: (state) => {
         if (state.type === 'held') counts.claims++;
@@ -281,23 +288,23 @@
       stop,
       nextOffset: 0,
       openStarts: 0,
-      releasing: false,
+      isReleasing: false,
       listed: new Set(),
-      heard: new Map(),
+      lastAnsweredBy: new Map(),
       caughtUp: false,
     };
     entries.set(machine, entry);
     list.add(machine);
-    network.restore(machine);
+    network.restoreMachine(machine);
     process.deliverAt(time.now(), () => {
       fetchList(entry);
       readLog(entry);
       startTasks(entry);
-      runs.push(keeper.run(stop.signal));
+      keeperRuns.push(keeper.run(stop.signal));
     });
   }
 
-  function end(machine: number) {
+  function endProcess(machine: number) {
     entries.get(machine)?.process.kill();
     entries.get(machine)?.stop.abort();
     list.remove(machine);
@@ -308,9 +315,9 @@
     faults,
     list,
     network,
-    aim,
+    resolveTarget,
     isAlive,
-    end,
+    endProcess,
     spawn,
     entryAt: (machine) => entries.get(machine),
   });
@@ -320,11 +327,11 @@
     inject,
     counts,
     now: () => time.now(),
-    holders: () => holding().map((entry) => entry.machine),
-    violations: () => found,
+    holders: () => holdingEntries().map((entry) => entry.machine),
+    violations: () => violations,
     run: (forMs, afterEvent) =>
       time.advanceTo(time.now() + forMs, () => {
-        check();
+        recordViolations();
         afterEvent?.();
       }),
     stop: async () => {
--- a/packages/gypsumwall-membership/src/__fixtures__/virtual_time.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/virtual_time.ts
@@ -1,7 +1,7 @@
 /**
- * Time that jumps from event to event, so that hours of a protocol run in
- * milliseconds and a run repeats exactly. Processes have clocks of their own
- * rate on it, and can be paused: what reaches them meanwhile waits.
+ * Virtual time that advances from event to event, so that hours of a protocol
+ * run in milliseconds and each run is reproducible. Processes have clocks with
+ * their own rates. A paused process gets its events after the pause.
  */
 import * as types from '@gypsumwall/types';
 
@@ -11,32 +11,32 @@
   readonly run: () => void;
 }
 
-/** True time, in milliseconds; no process can read it. */
+/** The world's time in milliseconds; processes read only their own clocks. */
 export interface VirtualTime {
   now(): number;
   at(moment: number, run: () => void): void;
-  /** Runs all events up to the moment; `afterEach` sees each one's outcome. */
+  /** Runs all events up to the moment, and `afterEach` after each of them. */
   advanceTo(moment: number, afterEach: () => void): Promise<void>;
 }
 
-/** Makes a time that starts at 0. */
+/** Creates a time that starts at 0. */
 export function createVirtualTime(): VirtualTime {
   const events: Event[] = [];
   let now = 0;
   let order = 0;
 
-  function takeDue(moment: number): Event | undefined {
-    let best = -1;
+  function removeNextDue(moment: number): Event | undefined {
+    let earliestIndex = -1;
     for (const [index, event] of events.entries()) {
       if (event.at > moment) continue;
-      const known = events[best];
+      const earliest = events[earliestIndex];
       const isEarlier =
-        known === undefined ||
-        event.at < known.at ||
-        (event.at === known.at && event.order < known.order);
-      if (isEarlier) best = index;
+        earliest === undefined ||
+        event.at < earliest.at ||
+        (event.at === earliest.at && event.order < earliest.order);
+      if (isEarlier) earliestIndex = index;
     }
-    return best < 0 ? undefined : events.splice(best, 1)[0];
+    return earliestIndex < 0 ? undefined : events.splice(earliestIndex, 1)[0];
   }
 
   return {
@@ -45,7 +45,7 @@
       events.push({at: Math.max(moment, now), order: order++, run});
     },
     advanceTo: async (moment, afterEach) => {
-      for (let due = takeDue(moment); due; due = takeDue(moment)) {
+      for (let due = removeNextDue(moment); due; due = removeNextDue(moment)) {
         now = due.at;
         due.run();
         // All promise callbacks run before the next turn of the event loop.
@@ -60,43 +60,43 @@
 /** A process on virtual time. */
 export interface VirtualProcess {
   readonly clock: types.clock.Clock;
-  /** Runs `run` in the process at the moment, or when its pause is over. */
+  /** Runs `run` in the process at the moment, or after the process's pause. */
   deliverAt(moment: number, run: () => void): void;
-  /** Stops it for a while; its clock goes on. */
+  /** Pauses the process; its clock continues. */
   pauseUntil(moment: number): void;
   kill(): void;
   isAlive(): boolean;
   isPaused(): boolean;
 }
 
-/** Starts a process whose clock runs `rate` times as fast as true time. */
+/** Starts a process whose clock runs `rate` times as fast as virtual time. */
 export function createVirtualProcess(
   time: VirtualTime,
   rate: number,
 ): VirtualProcess {
-  const bornAt = time.now();
-  let alive = true;
+  const startedAt = time.now();
+  let isRunning = true;
   let pausedUntil = 0;
 
   function deliverAt(moment: number, run: () => void) {
     time.at(moment, () => {
-      if (!alive) return;
+      if (!isRunning) return;
       if (time.now() < pausedUntil) deliverAt(pausedUntil, run);
       else run();
     });
   }
 
   const monotonic = () =>
-    ((time.now() - bornAt) * rate) as types.clock.MonotonicMs;
+    ((time.now() - startedAt) * rate) as types.clock.MonotonicMs;
   return {
     deliverAt,
-    isAlive: () => alive,
+    isAlive: () => isRunning,
     isPaused: () => time.now() < pausedUntil,
     pauseUntil: (moment) => {
       pausedUntil = Math.max(pausedUntil, moment);
     },
     kill: () => {
-      alive = false;
+      isRunning = false;
     },
     clock: {
       monotonic,
@@ -111,8 +111,8 @@
             signal?.removeEventListener('abort', finish);
             resolve();
           };
-          // Never before the deadline on this process's own clock.
-          deliverAt(Math.ceil(bornAt + deadline / rate) + 1, finish);
+          // Not before the deadline on this process's own clock.
+          deliverAt(Math.ceil(startedAt + deadline / rate) + 1, finish);
           signal?.addEventListener('abort', finish, {once: true});
         }),
     },
--- a/packages/gypsumwall-membership/src/bin/handover_bench.ts
+++ b/packages/gypsumwall-membership/src/bin/handover_bench.ts
@@ -1,6 +1,7 @@
 /**
- * Measures how long a domain has no holder after its holder was killed or
- * stopped as planned: real keepers on the real clock, small fakes around.
+ * Measures how long a domain has no holder after its holder was killed, lost its
+ * machine or stopped as planned. Uses real keepers on the real clock, with a
+ * simulated log and network.
  */
 import * as hdrHistogram from 'hdr-histogram-js';
 import * as result from 'true-myth/result';
@@ -16,7 +17,7 @@
 export type Ending =
   /** Its port refuses connections afterwards. */
   | 'killed'
-  /** Its machine vanishes: calls to it time out. */
+  /** Its machine ends; calls to it time out. */
   | 'machine_lost'
   | 'planned_stop';
 
@@ -29,7 +30,7 @@
   readonly seed: number;
 }
 
-/** From the ending to the next holder's claim, in milliseconds. */
+/** Time from the ending to the next holder's claim. */
 export interface Handovers {
   readonly ending: Ending;
   readonly runs: number;
@@ -41,25 +42,26 @@
   readonly p99Ttls: number;
 }
 
-/** Runs at one time; they only wait. */
-const BATCH = 10;
-const ONE_WAY_MS = 1;
+/** Number of concurrent runs; they mostly wait. */
+const BATCH_SIZE = 10;
+const ONE_WAY_DELAY_MS = 1;
 const LOG_APPEND_MS = 3;
 const DOMAIN = types.ids.brand<types.ids.FailureDomain>('merkato-hall');
 
-/** Measures handovers one after another in small batches. */
+/** Measures handovers in small batches, one batch after another. */
 export async function measureHandovers(
   options: HandoverOptions,
 ): Promise<Handovers> {
   const histogram = hdrHistogram.build();
-  for (let first = 0; first < options.runs; first += BATCH) {
-    const size = Math.min(BATCH, options.runs - first);
-    const spans = await Promise.all(
+  for (let first = 0; first < options.runs; first += BATCH_SIZE) {
+    const size = Math.min(BATCH_SIZE, options.runs - first);
+    const durations = await Promise.all(
       Array.from({length: size}, (_, index) =>
         measureOne(options, options.seed + first + index),
       ),
     );
-    for (const spanMs of spans) histogram.recordValue(Math.round(spanMs));
+    for (const durationMs of durations)
+      histogram.recordValue(Math.round(durationMs));
   }
   const p50Ms = histogram.getValueAtPercentile(50);
   const p99Ms = histogram.getValueAtPercentile(99);
@@ -70,20 +72,20 @@
     p50Ms,
     p99Ms,
     maxMs: histogram.maxValue,
-    p50Ttls: inTtls(p50Ms, options.ttlMs),
-    p99Ttls: inTtls(p99Ms, options.ttlMs),
+    p50Ttls: toTtls(p50Ms, options.ttlMs),
+    p99Ttls: toTtls(p99Ms, options.ttlMs),
   };
 }
 
-function inTtls(spanMs: number, ttlMs: number): number {
-  return Math.round((spanMs / ttlMs) * 100) / 100;
+function toTtls(durationMs: number, ttlMs: number): number {
+  return Math.round((durationMs / ttlMs) * 100) / 100;
 }
 
 interface Member {
   readonly entryId: types.ids.EntryId;
   readonly keeper: claimKeeper.ClaimKeeper;
   readonly stop: AbortController;
-  alive: boolean;
+  isAlive: boolean;
 }
 
 async function measureOne(
@@ -94,20 +96,20 @@
   const random = types.random.createRandom(seed);
   const domain = startDomain(options, clock, random);
   const holder = await domain.holder(undefined);
-  // Any moment between two renewals is as likely.
-  const restMs = options.ttlMs * (1 + random.next());
-  await clock.sleepUntil(types.clock.after(clock.monotonic(), restMs));
+  // Every moment between two renewals is equally likely.
+  const delayMs = options.ttlMs * (1 + random.next());
+  await clock.sleepUntil(types.clock.after(clock.monotonic(), delayMs));
   const endedAt = clock.monotonic();
   if (options.ending === 'planned_stop') {
     await holder.keeper.release();
   } else {
-    holder.alive = false;
+    holder.isAlive = false;
     holder.stop.abort();
   }
   await domain.holder(holder);
-  const spanMs = clock.monotonic() - endedAt;
+  const durationMs = clock.monotonic() - endedAt;
   domain.stop();
-  return spanMs;
+  return durationMs;
 }
 
 function startDomain(
@@ -118,15 +120,15 @@
   const members: Member[] = [];
   const log: records.domainRecords.DomainRecord[] = [];
   let onHeld: (() => void) | undefined;
-  const wait = (spanMs: number) =>
-    clock.sleepUntil(types.clock.after(clock.monotonic(), spanMs));
+  const wait = (durationMs: number) =>
+    clock.sleepUntil(types.clock.after(clock.monotonic(), durationMs));
 
   async function append(record: records.domainRecords.DomainRecord) {
     await wait(LOG_APPEND_MS);
     const offset = log.push(record) - 1;
     for (const member of members) {
-      void wait(ONE_WAY_MS).then(() => {
-        if (!member.alive) return;
+      void wait(ONE_WAY_DELAY_MS).then(() => {
+        if (!member.isAlive) return;
         member.keeper.apply(offset, record, clock.monotonic());
       });
     }
@@ -137,9 +139,9 @@
     peer: claimPeers.NamedPeer,
     answer: (keeper: claimKeeper.ClaimKeeper) => Reply,
   ): Promise<Reply | claimPeers.NoReply> {
-    await wait(2 * ONE_WAY_MS);
+    await wait(2 * ONE_WAY_DELAY_MS);
     const target = members.find((member) => member.entryId === peer.entryId);
-    if (target?.alive === true) return answer(target.keeper);
+    if (target?.isAlive === true) return answer(target.keeper);
     if (options.ending !== 'machine_lost') return {type: 'gone'};
     await wait(options.ttlMs / 6);
     return {type: 'silent'};
@@ -148,7 +150,7 @@
   function viewOf(self: types.ids.EntryId): domainView.DomainView {
     const now = clock.monotonic();
     const peers = members
-      .filter((member) => member.alive && member.entryId !== self)
+      .filter((member) => member.isAlive && member.entryId !== self)
       .map(({entryId}) => ({
         entryId,
         failureDomain: DOMAIN,
@@ -181,16 +183,16 @@
       caughtUp: () => true,
       view: () => viewOf(entryId),
       peers: {
-        promise: (peer, ask) =>
-          call(peer, (target) => target.answerPromise(ask)),
-        witness: (peer, ask) =>
-          call(peer, (target) => target.answerWitness(ask)),
+        requestPromise: (peer, req) =>
+          call(peer, (target) => target.answerPromise(req)),
+        requestWitness: (peer, req) =>
+          call(peer, (target) => target.answerWitness(req)),
       },
       onChange: (state: domainClaim.ClaimState) => {
         if (state.type === 'held') onHeld?.();
       },
     });
-    members.push({entryId, keeper, stop, alive: true});
+    members.push({entryId, keeper, stop, isAlive: true});
     return keeper.run(stop.signal);
   }
 
@@ -199,7 +201,7 @@
     members.find(
       (member) =>
         member !== other &&
-        member.alive &&
+        member.isAlive &&
         member.keeper.state().type === 'held',
     );
   return {
--- a/packages/gypsumwall-membership/src/claim_taker.ts
+++ b/packages/gypsumwall-membership/src/claim_taker.ts
@@ -1,6 +1,6 @@
 /**
- * The taker's part: finds out whether the domain's claim may be taken over,
- * and by what witness. It never holds anything itself.
+ * The taker's part of the claim protocol: finds out whether the domain's claim
+ * may be taken over, and which witness proves it. It appends nothing itself.
  */
 import * as crypto from 'node:crypto';
 import type * as records from '@gypsumwall/records';
@@ -14,31 +14,31 @@
 
 /** Finds a witness for a takeover. */
 export interface ClaimTaker {
-  /** When this entry's turn to take comes; takers come one after another. */
+  /** When this entry may try a takeover; the takers try one after another. */
   turnAt(): types.clock.MonotonicMs;
-  /** Undefined while the claim may still be held. */
+  /** The witness for a takeover; undefined while the claim may be held. */
   findWitness(): Promise<records.domainRecords.Witness | undefined>;
-  /** To be called regularly, so that it sees who is off the list. */
-  lookAtList(): void;
+  /** Must be called regularly; observes whether all members left the list. */
+  checkList(): void;
 }
 
-/** Something seen of a claim, and when first. */
-interface Sighting {
+/** When this entry first observed a condition of the claim with an epoch. */
+interface Observation {
   readonly epoch: number;
   readonly at: types.clock.MonotonicMs;
 }
 
-/** Makes the taker's part of a keeper. */
+/** Creates the taker's part of a keeper. */
 export function createClaimTaker(
   options: claimKeeperOptions.ClaimKeeperOptions,
   fold: claimFold.ClaimFold,
   promises: claimPromises.ClaimPromises,
 ): ClaimTaker {
   const {clock, self} = options;
-  const patienceMs = options.ttlMs / claimTiming.PATIENCE_PER_TTL;
+  const callTimeoutMs = options.ttlMs / claimTiming.CALL_TIMEOUTS_PER_TTL;
   const startedAt = clock.monotonic();
-  let allGoneSince: Sighting | undefined;
-  let holderGone: Sighting | undefined;
+  let allGoneObservation: Observation | undefined;
+  let holderGoneObservation: Observation | undefined;
 
   function domainPeers(): readonly domainView.PeerEntry[] {
     return options
@@ -46,17 +46,21 @@
       .peers.filter((peer) => peer.failureDomain === options.failureDomain);
   }
 
-  function lookAtList() {
+  function checkList() {
     const newest = fold.newest();
-    if (newest === undefined || !listSaysAllGone(newest)) {
-      allGoneSince = undefined;
-    } else if (allGoneSince?.epoch !== newest.epoch) {
-      allGoneSince = {epoch: newest.epoch, at: clock.monotonic()};
+    if (newest === undefined || !areMembersUnlisted(newest)) {
+      allGoneObservation = undefined;
+    } else if (allGoneObservation?.epoch !== newest.epoch) {
+      allGoneObservation = {epoch: newest.epoch, at: clock.monotonic()};
     }
   }
 
-  /** Whether everyone listed in the domain answers and is somebody else. */
-  function listSaysAllGone(newest: claimFold.NewestClaim): boolean {
+  /**
+   * Whether the members of the claim left the list: the list is current, and
+   * all entries of the domain in the view answer and are neither the holder nor
+   * a named peer.
+   */
+  function areMembersUnlisted(newest: claimFold.NewestClaim): boolean {
     const fetchedAt = options.view().listFetchedAt;
     if (fetchedAt === undefined) return false;
     const staleAt = types.clock.after(fetchedAt, options.listLagMs);
@@ -70,13 +74,14 @@
     );
   }
 
-  function goneLongEnough(newest: claimFold.NewestClaim): boolean {
-    if (allGoneSince?.epoch !== newest.epoch) return false;
-    const from = Math.max(
-      allGoneSince.at,
+  /** Whether `allGoneMs` has passed since all members left the list. */
+  function isAllGoneWaitOver(newest: claimFold.NewestClaim): boolean {
+    if (allGoneObservation?.epoch !== newest.epoch) return false;
+    const since = Math.max(
+      allGoneObservation.at,
       fold.headReadAt(),
     ) as types.clock.MonotonicMs;
-    return clock.monotonic() >= types.clock.after(from, newest.allGoneMs);
+    return clock.monotonic() >= types.clock.after(since, newest.allGoneMs);
   }
 
   async function findWitness(): Promise<
@@ -84,19 +89,19 @@
   > {
     const newest = fold.newest();
     if (newest === undefined || newest.released) return {type: 'vacant'};
-    const ask = {taker: self, epoch: newest.epoch, seen: newest.head};
+    const req = {taker: self, epoch: newest.epoch, seen: newest.head};
     if (newest.named.includes(self)) {
-      const own = promises.answerWitness(ask);
-      if (own.type === 'released') return {type: 'named_peer', entryId: self};
+      const reply = promises.answerWitness(req);
+      if (reply.type === 'released') return {type: 'named_peer', entryId: self};
     }
     const view = options.view();
-    const holder = claimHolder.peerOf(newest, newest.holder, view);
+    const holder = claimHolder.resolvePeer(newest, newest.holder, view);
     const named = claimHolder
-      .namedPeers(newest, view)
+      .resolveNamedPeers(newest, view)
       .filter((peer) => peer.entryId !== self);
     const [holderReply, ...replies] = await Promise.all(
       [holder, ...named].map((peer) =>
-        options.peers.witness(peer, ask, patienceMs),
+        options.peers.requestWitness(peer, req, callTimeoutMs),
       ),
     );
     const witness = named.find(
@@ -105,30 +110,34 @@
     if (witness !== undefined) {
       return {type: 'named_peer', entryId: witness.entryId};
     }
-    if (holderReply?.type === 'gone' && holderLongGone(newest)) {
+    if (holderReply?.type === 'gone' && isHolderGoneWaitOver(newest)) {
       return {type: 'holder_gone'};
     }
-    return goneLongEnough(newest) ? {type: 'all_gone'} : undefined;
+    return isAllGoneWaitOver(newest) ? {type: 'all_gone'} : undefined;
   }
 
   /**
-   * The holder may have renewed by promises till it ended, and starts that it
-   * sent may still be on their way; none is accepted later than a ttl after.
+   * Whether a ttl has passed since the holder was first found ended. It may
+   * have renewed by promises until its end, and its last starts may still be in
+   * flight; workers accept none of them later than a ttl after the end.
    */
-  function holderLongGone(newest: claimFold.NewestClaim): boolean {
-    if (holderGone?.epoch !== newest.epoch) {
-      holderGone = {epoch: newest.epoch, at: clock.monotonic()};
+  function isHolderGoneWaitOver(newest: claimFold.NewestClaim): boolean {
+    if (holderGoneObservation?.epoch !== newest.epoch) {
+      holderGoneObservation = {epoch: newest.epoch, at: clock.monotonic()};
     }
-    const acceptedUntil = types.clock.after(holderGone.at, newest.ttlMs);
+    const acceptedUntil = types.clock.after(
+      holderGoneObservation.at,
+      newest.ttlMs,
+    );
     return clock.monotonic() >= acceptedUntil;
   }
 
   return {
     findWitness,
-    lookAtList,
+    checkList,
     turnAt: () => {
       const newest = fold.newest();
-      const opensAt =
+      const takeoverPossibleAt =
         newest === undefined
           ? startedAt
           : newest.released
@@ -138,15 +147,15 @@
         .filter((peer) => peer.state === 'live' && peer.entryId !== '')
         .map((peer) => peer.entryId)
         .filter((entryId) => entryId !== newest?.holder);
-      const turn = turnOf(self, candidates, `${newest?.head ?? 'none'}`);
+      const turn = takeoverTurn(self, candidates, `${newest?.head ?? 'none'}`);
       const stepMs = options.ttlMs / claimTiming.RENEWALS_PER_TTL;
-      return types.clock.after(opensAt, turn * stepMs);
+      return types.clock.after(takeoverPossibleAt, turn * stepMs);
     },
   };
 }
 
-/** How many of the candidates come before this entry: rendezvous order. */
-function turnOf(
+/** How many candidates come before this entry in rendezvous order. */
+function takeoverTurn(
   self: types.ids.EntryId,
   candidates: readonly types.ids.EntryId[],
   key: string,
--- a/packages/gypsumwall-membership/src/domain_view_keeper.ts
+++ b/packages/gypsumwall-membership/src/domain_view_keeper.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the view of the instances around this entry: polls the platform's
- * list, and runs one loop of heartbeats for each peer on it.
+ * Maintains the view of the instances around this entry: polls the platform's
+ * list and runs one heartbeat loop for each tracked peer.
  */
 import type * as platform from '@gypsumwall/platform';
 import type * as protocol from '@gypsumwall/protocol';
@@ -17,7 +17,7 @@
 export interface DomainViewKeeperOptions {
   readonly self: types.ids.EntryId;
   readonly failureDomain: types.ids.FailureDomain;
-  /** Address of this process's peer service, as the list gives it. */
+  /** Address of this process's peer service, as the list shows it. */
   readonly address: string;
   readonly clock: types.clock.Clock;
   readonly logger: telemetry.logger.Logger;
@@ -28,86 +28,92 @@
   readonly heartbeatMs: number;
   readonly silenceMs: number;
   ownState(): peerServer.OwnState;
-  /** Called when a peer's state, or the list, has changed. */
+  /** Called after a peer's state or the own domain's part of the list changed. */
   onChange?(view: domainView.DomainView): void;
 }
 
-/** Keeps the view. */
+/** Maintains the view. */
 export interface DomainViewKeeper {
   /** Polls and sends heartbeats until `signal` aborts. */
   run(signal: AbortSignal): Promise<void>;
-  /** The view at this moment; peers fall silent by the clock. */
+  /** The current view; reads the clock to find silent peers. */
   current(): domainView.DomainView;
-  /** A heartbeat came in; the sender may not be on the list yet. */
+  /** Handles a received heartbeat; the sender may not be listed yet. */
   noteHeartbeat(req: protocol.peer.HeartbeatRequest): void;
-  /** Instances of the own domain that the list itself shows as leaving. */
+  /** Instances of the own domain that the platform's list shows as leaving. */
   listedLeaving(): readonly string[];
-  /** Direct evidence that a worker or upstream is gone. */
-  noteGone(id: string): void;
+  /** Hides a worker or upstream that is known to have ended. */
+  markRemoved(id: string): void;
 }
 
 interface TrackedPeer {
   readonly link: peerLink.PeerLink;
   readonly stop: AbortController;
-  /** Off the list, or not chosen, since; undefined otherwise. */
+  /** Since when it is unlisted or not chosen; undefined while it is chosen. */
   unlistedAt?: types.clock.MonotonicMs;
 }
 
-/** Makes a keeper; nothing happens before `run`. */
+/** Creates a keeper; it does nothing before `run`. */
 export function createDomainViewKeeper(
   options: DomainViewKeeperOptions,
 ): DomainViewKeeper {
   const {clock, logger, failureDomain, listLagMs} = options;
   const corrections = listCorrections.createListCorrections(clock, listLagMs);
   const tracked = new Map<string, TrackedPeer>();
-  const loops = new Set<Promise<void>>();
-  let listed: readonly platform.instanceList.ListedInstance[] = [];
-  let lastInstances: readonly platform.instanceList.ListedInstance[] = [];
-  let corrected: readonly platform.instanceList.ListedInstance[] = [];
+  const heartbeatLoops = new Set<Promise<void>>();
+  let ownDomainInstances: readonly platform.instanceList.ListedInstance[] = [];
+  let lastFetchedInstances: readonly platform.instanceList.ListedInstance[] =
+    [];
+  let correctedInstances: readonly platform.instanceList.ListedInstance[] = [];
   let listFetchedAt: types.clock.MonotonicMs | undefined;
   let selfListedAt: types.clock.MonotonicMs | undefined;
   let selfListed = false;
-  let running: AbortSignal | undefined;
-  /** Peers of other domains that are kept in touch with. */
-  let othersTracked = 0;
+  let runSignal: AbortSignal | undefined;
+  /** Number of tracked peers of other domains. */
+  let trackedOtherDomainPeers = 0;
 
   function current(): domainView.DomainView {
     return {
       peers: [...tracked.values()]
         .map(({link}) => link.peer())
         .filter(({entryId}) => entryId !== options.self),
-      workers: corrected.filter((instance) => instance.kind === 'worker'),
-      upstreams: corrected.filter((instance) => instance.kind === 'upstream'),
+      workers: correctedInstances.filter(
+        (instance) => instance.kind === 'worker',
+      ),
+      upstreams: correctedInstances.filter(
+        (instance) => instance.kind === 'upstream',
+      ),
       listFetchedAt,
       selfListedAt,
       selfListed,
     };
   }
 
-  function announce() {
+  function reportView() {
     options.onChange?.(current());
   }
 
   /**
-   * An entry that is cut off from the platform would go on sending work to an
-   * upstream that leaves; a peer that still reads the list tells it.
+   * Applies the leaving instances that a peer reports. Without the report, an
+   * entry that is cut off from the platform would continue to send work to a
+   * leaving upstream.
    */
-  function noteLeaving(ids: readonly string[]) {
+  function onLeavingInstances(ids: readonly string[]) {
     if (ids.length === 0) return;
-    ids.forEach((id) => corrections.noteLeaving(id));
-    corrected = corrections.correct(listed);
+    ids.forEach((id) => corrections.markLeaving(id));
+    correctedInstances = corrections.correct(ownDomainInstances);
   }
 
-  function track(
+  function trackPeer(
     address: string,
     domain: types.ids.FailureDomain,
   ): TrackedPeer | undefined {
-    if (address === options.address || running?.aborted !== false) {
+    if (address === options.address || runSignal?.aborted !== false) {
       return undefined;
     }
     const known = tracked.get(address);
     if (known !== undefined) return known;
-    // Neither a peer nor the list can end this process by a bad address.
+    // An invalid address from a peer or the list must not end this process.
     if (!URL.canParse(address)) {
       logger.warn('peer_address_invalid', {
         address,
@@ -123,8 +129,10 @@
       heartbeatMs: options.heartbeatMs,
       silenceMs: options.silenceMs,
       listLagMs,
-      slowdown: () =>
-        domain === failureDomain ? 1 : peerChoice.slowdown(othersTracked),
+      slowdownFactor: () =>
+        domain === failureDomain
+          ? 1
+          : peerChoice.slowdownFactor(trackedOtherDomainPeers),
       ownHeartbeat: () => ({
         entryId: options.self,
         failureDomain,
@@ -132,19 +140,21 @@
         configOffset: BigInt(options.ownState().configOffset),
         leaving: options.ownState().leaving,
       }),
-      onChange: announce,
-      onLeavingInstances: noteLeaving,
+      onChange: reportView,
+      onLeavingInstances,
     });
     const peer: TrackedPeer = {link, stop: new AbortController()};
     tracked.set(address, peer);
-    const loop = link.run(AbortSignal.any([peer.stop.signal, running]));
-    loops.add(loop);
-    void loop.finally(() => loops.delete(loop));
+    const heartbeatLoop = link.run(
+      AbortSignal.any([peer.stop.signal, runSignal]),
+    );
+    heartbeatLoops.add(heartbeatLoop);
+    void heartbeatLoop.finally(() => heartbeatLoops.delete(heartbeatLoop));
     logger.info('peer_found', {peer: address, domain});
     return peer;
   }
 
-  function choose(
+  function chooseAddresses(
     entries: readonly platform.instanceList.ListedEntry[],
   ): ReadonlySet<string> {
     const candidates = entries
@@ -157,46 +167,50 @@
     return peerChoice.choosePeers(options, candidates);
   }
 
-  function noteList(
+  function applyList(
     instances: readonly platform.instanceList.ListedInstance[],
-    askedAt: types.clock.MonotonicMs,
+    requestedAt: types.clock.MonotonicMs,
   ) {
-    // Instances of other domains are most of a large cell's list.
-    const own = instances.filter(
+    // In a large cell most of the list is instances of other domains, so only
+    // the own domain's instances are compared.
+    const newOwnInstances = instances.filter(
       (instance) => instance.failureDomain === failureDomain,
     );
-    const changed =
-      instances !== lastInstances &&
-      JSON.stringify(own) !== JSON.stringify(listed);
-    lastInstances = instances;
-    listed = own;
-    corrected = corrections.correct(own);
+    const hasChanged =
+      instances !== lastFetchedInstances &&
+      JSON.stringify(newOwnInstances) !== JSON.stringify(ownDomainInstances);
+    lastFetchedInstances = instances;
+    ownDomainInstances = newOwnInstances;
+    correctedInstances = corrections.correct(newOwnInstances);
     listFetchedAt = clock.monotonic();
     selfListed = instances.some(
       (one) => one.kind === 'entry' && one.address === options.address,
     );
     const entries = instances.filter((instance) => instance.kind === 'entry');
-    const chosen = choose(entries);
+    const chosen = chooseAddresses(entries);
     for (const entry of entries) {
-      if (entry.address === options.address) selfListedAt = askedAt;
+      if (entry.address === options.address) selfListedAt = requestedAt;
       if (!chosen.has(entry.address)) continue;
-      const peer = track(entry.address, entry.failureDomain);
+      const peer = trackPeer(entry.address, entry.failureDomain);
       if (peer === undefined) continue;
-      // Behind an address translation the list's address isn't the own one.
-      if (peer.link.peer().entryId === options.self) selfListedAt = askedAt;
+      // With address translation the list shows this process at an address that
+      // it doesn't know as its own; the id in the heartbeat's answer identifies
+      // it.
+      if (peer.link.peer().entryId === options.self) selfListedAt = requestedAt;
       delete peer.unlistedAt;
-      peer.link.noteListed(entry.state);
+      peer.link.onListed(entry.state);
     }
     dropUnchosen(chosen);
-    othersTracked = [...tracked.values()].filter(
+    trackedOtherDomainPeers = [...tracked.values()].filter(
       ({link}) => link.peer().failureDomain !== failureDomain,
     ).length;
-    if (changed) announce();
+    if (hasChanged) reportView();
   }
 
   /**
-   * A peer that is off the list but answers is kept as long as the list may
-   * lag: a new entry makes itself heard before the list shows it.
+   * Stops tracking peers that are not chosen. A peer that answers is kept for
+   * one list lag, because a new entry sends heartbeats before the list shows
+   * it.
    */
   function dropUnchosen(chosen: ReadonlySet<string>) {
     const now = clock.monotonic();
@@ -207,16 +221,17 @@
       if (peer.link.peer().state !== 'silent' && now < dropAt) continue;
       peer.stop.abort();
       tracked.delete(address);
-      options.clients.drop(address);
+      options.clients.closeClient(address);
       logger.info('peer_dropped', {peer: address});
-      announce();
+      reportView();
     }
   }
 
   /**
-   * A peer may listen on another address than the list gives for it, as
-   * behind an address translation. Tracked under both it would count twice,
-   * and stay in reach by the one while the other is cut.
+   * Whether a tracked and listed peer has the id. With address translation a
+   * peer may report another address than the list shows. If it were tracked at
+   * both, it would count twice, and remain reachable at one address while the
+   * other is cut off.
    */
   function isListed(entryId: string): boolean {
     return [...tracked.values()].some(
@@ -227,40 +242,43 @@
 
   async function pollList(signal: AbortSignal) {
     while (!signal.aborted) {
-      const askedAt = clock.monotonic();
+      const requestedAt = clock.monotonic();
       const answer = await options.list.fetch();
       if (answer.isOk) {
-        noteList(answer.value, askedAt);
+        applyList(answer.value, requestedAt);
       } else {
-        // The last view stays: a list that is down says nothing of anybody.
+        // The last list stays in use: its unavailability proves nothing about the
+        // instances.
         const error = types.stepError.describeError(answer.error);
         logger.warn('list_unavailable', {error});
-        corrected = corrections.correct(listed);
+        correctedInstances = corrections.correct(ownDomainInstances);
       }
-      const nextAt = types.clock.after(askedAt, options.listPollMs);
+      const nextAt = types.clock.after(requestedAt, options.listPollMs);
       await clock.sleepUntil(nextAt, signal);
     }
   }
 
   return {
     current,
-    // Not what peers told: two cut-off entries would tell it to each other
-    // for ever.
+    // Doesn't include instances that peers reported: two cut-off entries would
+    // repeat them to each other forever.
     listedLeaving: () =>
-      listed.filter(({state}) => state === 'leaving').map(({id}) => id),
-    noteGone: (id) => {
-      corrections.noteGone(id);
-      corrected = corrections.correct(listed);
+      ownDomainInstances
+        .filter(({state}) => state === 'leaving')
+        .map(({id}) => id),
+    markRemoved: (id) => {
+      corrections.markRemoved(id);
+      correctedInstances = corrections.correct(ownDomainInstances);
     },
     noteHeartbeat: (req) => {
       if (req.failureDomain !== failureDomain) return;
       if (isListed(req.entryId)) return;
-      track(req.address, types.ids.brand(req.failureDomain));
+      trackPeer(req.address, types.ids.brand(req.failureDomain));
     },
     run: async (signal) => {
-      running = signal;
+      runSignal = signal;
       await pollList(signal);
-      await Promise.all(loops);
+      await Promise.all(heartbeatLoops);
     },
   };
 }
--- a/packages/gypsumwall-membership/src/peer_link.ts
+++ b/packages/gypsumwall-membership/src/peer_link.ts
@@ -1,6 +1,6 @@
 /**
- * One peer and the loop of heartbeats to it. What the peer itself says beats
- * what the list says about it.
+ * One peer and the heartbeat loop to it. The peer's own answers take precedence
+ * over the list.
  */
 import type * as protocol from '@gypsumwall/protocol';
 import * as types from '@gypsumwall/types';
@@ -16,91 +16,95 @@
   readonly heartbeatMs: number;
   readonly silenceMs: number;
   readonly listLagMs: number;
-  /** Factor on both spans now; 1 or more. */
-  slowdown(): number;
-  /** What this process says of itself. */
+  /** Current factor on the heartbeat interval and on `silenceMs`; 1 or more. */
+  slowdownFactor(): number;
+  /** The heartbeat request that describes this process. */
   ownHeartbeat(): Parameters<peerClient.PeerClient['heartbeat']>[0];
   onChange(): void;
-  /** Instances that the peer's list shows as leaving. */
+  /** Called with the instances that the peer's list shows as leaving. */
   onLeavingInstances(ids: readonly string[]): void;
 }
 
-/** A peer, as it was last heard. */
+/** A peer and its state. */
 export interface PeerLink {
   /** Sends heartbeats until `signal` aborts. */
   run(signal: AbortSignal): Promise<void>;
   peer(): domainView.PeerEntry;
-  /** The list's word, to be repeated with each list; leaving beats live. */
-  noteListed(state: 'live' | 'leaving'): void;
-  /** Silent though it was called; false before the first answer is due. */
+  /** Must be called with each list that shows the peer; `leaving` overrides live. */
+  onListed(state: 'live' | 'leaving'): void;
+  /** Whether it is silent; false before the end of the first heartbeat. */
   isUnanswered(): boolean;
 }
 
-const HEARTBEATS_IN_SILENCE = 3;
+const HEARTBEAT_TIMEOUTS_PER_SILENCE = 3;
 
-/** Makes a link that has not heard its peer yet. */
+/** Creates a link to a peer that has not answered yet. */
 export function createPeerLink(options: PeerLinkOptions): PeerLink {
   const {address, failureDomain, client, clock} = options;
-  // Short enough that a silent connection is replaced, and the next heartbeat
-  // answered on a new one, before the peer itself counts as silent.
-  const timeoutMs = options.silenceMs / HEARTBEATS_IN_SILENCE;
+  // Short enough to replace a silent connection and to get the next heartbeat
+  // answered on the new one before the peer counts as silent.
+  const timeoutMs = options.silenceMs / HEARTBEAT_TIMEOUTS_PER_SILENCE;
   let entryId = types.ids.brand<types.ids.EntryId>('');
   let configOffset = 0;
-  let leaving = false;
+  let isLeaving = false;
   let listedLeavingUntil: types.clock.MonotonicMs | undefined;
-  let heardAt: types.clock.MonotonicMs | undefined;
-  let wasCalled = false;
-  let told = '';
+  let lastAnswerAt: types.clock.MonotonicMs | undefined;
+  let hasBeenCalled = false;
+  let reportedState = '';
 
   function state(): domainView.PeerEntry['state'] {
-    if (leaving || isListedLeaving()) return 'leaving';
-    if (heardAt === undefined) return 'silent';
-    const silenceMs = options.silenceMs * options.slowdown();
-    const silentAt = types.clock.after(heardAt, silenceMs);
+    if (isLeaving || isListedLeaving()) return 'leaving';
+    if (lastAnswerAt === undefined) return 'silent';
+    const silenceMs = options.silenceMs * options.slowdownFactor();
+    const silentAt = types.clock.after(lastAnswerAt, silenceMs);
     return clock.monotonic() < silentAt ? 'live' : 'silent';
   }
 
-  /** A list that lags may say so of the process before this one. */
+  /**
+   * Whether the list shows the peer as leaving. This expires after one list
+   * lag, since the list may mean the former process at the address.
+   */
   function isListedLeaving(): boolean {
     if (listedLeavingUntil === undefined) return false;
     return clock.monotonic() < listedLeavingUntil;
   }
 
-  function announce() {
-    const now = `${entryId} ${state()}`;
-    if (now === told) return;
-    told = now;
+  function reportState() {
+    const currentState = `${entryId} ${state()}`;
+    if (currentState === reportedState) return;
+    reportedState = currentState;
     options.onChange();
   }
 
-  function noteAnswer(res: protocol.peer.HeartbeatResponse) {
-    // Another id at the same address is a new process: nothing that was said
-    // of the old one holds for it.
-    if (res.entryId !== entryId) leaving = false;
+  function applyAnswer(res: protocol.peer.HeartbeatResponse) {
+    // Another id at the same address is a new process; the state of the former
+    // one doesn't apply to it.
+    if (res.entryId !== entryId) isLeaving = false;
     entryId = types.ids.brand(res.entryId);
     configOffset = Number(res.configOffset);
-    leaving ||= res.leaving;
-    heardAt = clock.monotonic();
+    isLeaving ||= res.leaving;
+    lastAnswerAt = clock.monotonic();
     options.onLeavingInstances(res.leavingInstances);
   }
 
-  async function beat() {
+  async function sendHeartbeat() {
     const req = options.ownHeartbeat();
     const answer = await client.heartbeat(req, timeoutMs);
-    wasCalled = true;
+    hasBeenCalled = true;
     if (answer.isOk) {
-      noteAnswer(answer.value);
+      applyAnswer(answer.value);
     } else if (answer.error.effect === 'unknown') {
       client.replaceConnection();
     } else {
-      // Refused: the process is gone, and silent from now on.
-      heardAt = undefined;
+      // The connection was refused, so the process has ended and is silent from
+      // now on.
+      lastAnswerAt = undefined;
     }
-    announce();
+    reportState();
   }
 
   return {
-    isUnanswered: () => wasCalled && state() === 'silent',
+    isUnanswered: () => hasBeenCalled && state() === 'silent',
     peer: () => ({
       entryId,
       failureDomain,
@@ -108,19 +112,19 @@
       state: state(),
       configOffset,
     }),
-    noteListed: (listed) => {
+    onListed: (listed) => {
       if (listed === 'leaving') {
         const now = clock.monotonic();
         listedLeavingUntil = types.clock.after(now, options.listLagMs);
       }
-      announce();
+      reportState();
     },
     run: async (signal) => {
       while (!signal.aborted) {
         const sentAt = clock.monotonic();
-        await beat();
-        const spanMs = options.heartbeatMs * options.slowdown();
-        const nextAt = types.clock.after(sentAt, spanMs);
+        await sendHeartbeat();
+        const intervalMs = options.heartbeatMs * options.slowdownFactor();
+        const nextAt = types.clock.after(sentAt, intervalMs);
         await clock.sleepUntil(nextAt, signal);
       }
     },
