--- a/packages/gypsumwall-membership/src/__fixtures__/claim_world.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/claim_world.ts
@@ -47,7 +47,7 @@
   readonly lastAnsweredBy: Map<number, types.ids.EntryId>;
   listFetchedAt?: types.clock.MonotonicMs;
   selfListedAt?: types.clock.MonotonicMs;
-  caughtUp: boolean;
+  isCaughtUp: boolean;
 }
 
 /** The simulated world. */
@@ -159,8 +159,8 @@
 
   function readLog(entry: Entry) {
     if (!entry.process.isAlive()) return;
-    entry.caughtUp = stream.isReached(entry.machine);
-    if (entry.caughtUp) {
+    entry.isCaughtUp = stream.isReached(entry.machine);
+    if (entry.isCaughtUp) {
       const from = entry.nextOffset;
       const page = stream.recordsFrom(from);
       entry.process.deliverAt(time.now() + delay(), () => {
@@ -268,7 +268,7 @@
       allGoneMs: ALL_GONE_MS,
       appendRecord: (record) =>
         stream.append(entry.process, entry.machine, record),
-      caughtUp: () => entry.caughtUp,
+      isCaughtUp: () => entry.isCaughtUp,
       view: () => viewOf(entry),
       peers: {
         requestPromise: (peer, req) =>
@@ -291,7 +291,7 @@
       isReleasing: false,
       listed: new Set(),
       lastAnsweredBy: new Map(),
-      caughtUp: false,
+      isCaughtUp: false,
     };
     entries.set(machine, entry);
     list.add(machine);
--- a/packages/gypsumwall-membership/src/claim_calls.ts
+++ b/packages/gypsumwall-membership/src/claim_calls.ts
@@ -12,7 +12,7 @@
   return {
     requestPromise: async (peer, req, timeoutMs) => {
       if (peer.address === '') return {type: 'silent'};
-      const answer = await clients.at(peer.address).promiseClaim(
+      const answer = await clients.clientFor(peer.address).promiseClaim(
         {
           holder: req.holder,
           epoch: BigInt(req.epoch),
@@ -29,7 +29,7 @@
     },
     requestWitness: async (peer, req, timeoutMs) => {
       if (peer.address === '') return {type: 'silent'};
-      const answer = await clients.at(peer.address).witnessTakeover(
+      const answer = await clients.clientFor(peer.address).witnessTakeover(
         {
           taker: req.taker,
           epoch: BigInt(req.epoch),
--- a/packages/gypsumwall-membership/src/claim_keeper.ts
+++ b/packages/gypsumwall-membership/src/claim_keeper.ts
@@ -12,7 +12,7 @@
 import * as claimPromises from './claim_promises.js';
 import * as claimTaker from './claim_taker.js';
 import * as claimTiming from './claim_timing.js';
-import type * as domainClaim from './domain_claim.js';
+import type * as claimState from './claim_state.js';
 import * as loopTrigger from './loop_trigger.js';
 
 /** An entry's part of the claim protocol of its domain. */
@@ -33,7 +33,7 @@
     readAt: types.clock.MonotonicMs,
   ): void;
   /** Reads the clock, so that a paused process finds its claim lapsed. */
-  state(): domainClaim.ClaimState;
+  state(): claimState.ClaimState;
   /**
    * Releases the claim for the rest of this process's life, so that the next
    * entry can claim at once. Call it only after every start was answered or
@@ -60,7 +60,7 @@
   let hasReleased = false;
   let reportedState = 'none';
 
-  function state(): domainClaim.ClaimState {
+  function state(): claimState.ClaimState {
     const newest = fold.newest();
     if (newest === undefined || newest.released) return {type: 'none'};
     const {epoch} = newest;
@@ -114,7 +114,7 @@
     if (clock.monotonic() < turnAt) {
       return turnAt < nextCheckAt ? turnAt : nextCheckAt;
     }
-    if (!options.caughtUp()) return nextCheckAt;
+    if (!options.isCaughtUp()) return nextCheckAt;
     const previous = fold.newest();
     const witness = await taker.findWitness();
     // The holder's renewal may have arrived during the calls to the peers.
--- a/packages/gypsumwall-membership/src/domain_view.ts
+++ b/packages/gypsumwall-membership/src/domain_view.ts
@@ -29,5 +29,5 @@
   /** When the last list that shows this process was requested. */
   readonly selfListedAt?: types.clock.MonotonicMs;
   /** Whether the most recently fetched list shows this process. */
-  readonly selfListed?: boolean;
+  readonly isSelfListed?: boolean;
 }
--- a/packages/gypsumwall-membership/src/domain_view_keeper.ts
+++ b/packages/gypsumwall-membership/src/domain_view_keeper.ts
@@ -39,9 +39,9 @@
   /** The current view; reads the clock to find silent peers. */
   current(): domainView.DomainView;
   /** Handles a received heartbeat; the sender may not be listed yet. */
-  noteHeartbeat(req: protocol.peer.HeartbeatRequest): void;
+  onHeartbeat(req: protocol.peer.HeartbeatRequest): void;
   /** Instances of the own domain that the platform's list shows as leaving. */
-  listedLeaving(): readonly string[];
+  listedLeavingInstances(): readonly string[];
   /** Hides a worker or upstream that is known to have ended. */
   markRemoved(id: string): void;
 }
@@ -67,7 +67,7 @@
   let correctedInstances: readonly platform.instanceList.ListedInstance[] = [];
   let listFetchedAt: types.clock.MonotonicMs | undefined;
   let selfListedAt: types.clock.MonotonicMs | undefined;
-  let selfListed = false;
+  let isSelfListed = false;
   let runSignal: AbortSignal | undefined;
   /** Number of tracked peers of other domains. */
   let trackedOtherDomainPeers = 0;
@@ -85,7 +85,7 @@
       ),
       listFetchedAt,
       selfListedAt,
-      selfListed,
+      isSelfListed,
     };
   }
 
@@ -124,7 +124,7 @@
     const link = peerLink.createPeerLink({
       address,
       failureDomain: domain,
-      client: options.clients.at(address),
+      client: options.clients.clientFor(address),
       clock,
       heartbeatMs: options.heartbeatMs,
       silenceMs: options.silenceMs,
@@ -183,7 +183,7 @@
     ownDomainInstances = newOwnInstances;
     correctedInstances = corrections.correct(newOwnInstances);
     listFetchedAt = clock.monotonic();
-    selfListed = instances.some(
+    isSelfListed = instances.some(
       (one) => one.kind === 'entry' && one.address === options.address,
     );
     const entries = instances.filter((instance) => instance.kind === 'entry');
@@ -262,7 +262,7 @@
     current,
     // Doesn't include instances that peers reported: two cut-off entries would
     // repeat them to each other forever.
-    listedLeaving: () =>
+    listedLeavingInstances: () =>
       ownDomainInstances
         .filter(({state}) => state === 'leaving')
         .map(({id}) => id),
@@ -270,7 +270,7 @@
       corrections.markRemoved(id);
       correctedInstances = corrections.correct(ownDomainInstances);
     },
-    noteHeartbeat: (req) => {
+    onHeartbeat: (req) => {
       if (req.failureDomain !== failureDomain) return;
       if (isListed(req.entryId)) return;
       trackPeer(req.address, types.ids.brand(req.failureDomain));
