--- a/packages/gypsumwall-testing/src/__fixtures__/domain_harness.ts
+++ b/packages/gypsumwall-testing/src/__fixtures__/domain_harness.ts
@@ -23,7 +23,7 @@
   | {readonly type: 'hold'; readonly until: Promise<void>};
 
 /** Spans of a test's domain: long enough to work, short enough to wait out. */
-export const SPANS: entry.schedulerOptions.SchedulerDurations = {
+export const DURATIONS: entry.schedulerOptions.SchedulerDurations = {
   workerHeartbeatMs: 20,
   taskLeaseMs: 300,
   serviceLeaseMs: 60_000,
@@ -44,7 +44,7 @@
   /** Until when the claim is held; undefined for lapsed. */
   deadline: types.clock.MonotonicMs | undefined;
   /** Workers that this holder can't reach. */
-  readonly cut: Set<string>;
+  readonly unreachable: Set<string>;
 }
 
 /** Makes a domain with the named workers. */
@@ -58,9 +58,9 @@
   const startFaults = new Map<string, StartFault>();
   const listeners = new Set<(change: records.jobFold.JobChange) => void>();
   const jobs = records.jobFold.createJobFold((change) =>
-    listeners.forEach((tell) => tell(change)),
+    listeners.forEach((listener) => listener(change)),
   );
-  const log = {takes: true, appended: [] as string[]};
+  const log = {isAccepting: true, appended: [] as string[]};
   const models = new Map(
     workerIds.map((id) => [
       id,
@@ -99,8 +99,8 @@
     offset += 1;
   }
 
-  function hold(epoch: number): Holder {
-    const cut = new Set<string>();
+  function createHolder(epoch: number): Holder {
+    const unreachable = new Set<string>();
     let attempts = 0;
     const placer = placement.createPlacer.createPlacer();
     placer.setTeam({
@@ -113,7 +113,7 @@
       epoch,
       self: types.ids.brand<types.ids.EntryId>(`holder-${epoch}`),
       hadPredecessor: epoch > 1,
-      durations: SPANS,
+      durations: DURATIONS,
       clock,
       logger: telemetry.logger.createLogger('silent'),
       tracer: telemetry.tracing.createTracer({instance: `holder-${epoch}`}),
@@ -125,18 +125,18 @@
         attempts += 1;
         return types.ids.brand<types.ids.AttemptId>(`${epoch}.${attempts}`);
       },
-      makeWorker: ({id}) => reach(id, cut),
+      makeWorker: ({id}) => reachableWorker(id, unreachable),
       claimDeadline: () => holder.deadline,
       append: (record) => {
-        if (log.takes) apply(record);
+        if (log.isAccepting) apply(record);
         log.appended.push(record.type);
-        return Promise.resolve(log.takes);
+        return Promise.resolve(log.isAccepting);
       },
     });
     const holder: Holder = {
       scheduler,
       deadline: types.clock.after(clock.monotonic(), 60_000),
-      cut,
+      unreachable,
     };
     listeners.add((change) => scheduler.onJobChange(change));
     scheduler.setWorkers(listed);
@@ -145,12 +145,15 @@
   }
 
   /** The model as a holder reaches it. */
-  function reach(id: string, cut: Set<string>): platform.worker.Worker {
+  function reachableWorker(
+    id: string,
+    unreachable: Set<string>,
+  ): platform.worker.Worker {
     const model = models.get(id);
     if (model === undefined) throw new Error(`no worker "${id}"`);
     const call = async <Value>(run: () => Value) => {
       await Promise.resolve();
-      if (cut.has(id)) return result.err(failure('timeout', 'cut'));
+      if (unreachable.has(id)) return result.err(failure('timeout', 'cut'));
       try {
         return result.ok<Value, types.stepError.StepError>(run());
       } catch (thrown) {
@@ -200,7 +203,7 @@
   }
 
   /** Shows a holder a list on which the worker is leaving. */
-  function leave(holder: Holder, workerId: string): void {
+  function markLeaving(holder: Holder, workerId: string): void {
     holder.scheduler.setWorkers(
       listed.map((worker) =>
         worker.id === workerId
@@ -216,9 +219,9 @@
     jobs,
     log,
     apply,
-    hold,
+    createHolder,
     submit,
-    leave,
+    markLeaving,
     startFaults,
     events,
     starts: () => events().filter((event) => event.type === 'task_started'),
@@ -233,14 +236,14 @@
   return {kind, step: 'worker.call', peer: 'model', effect, message};
 }
 
-const PATIENCE_MS = 5_000;
+const WAIT_TIMEOUT_MS = 5_000;
 
 /** Waits until the condition holds; fails with its text after a while. */
 export async function until(
   text: string,
   condition: () => boolean,
 ): Promise<void> {
-  const deadline = performance.now() + PATIENCE_MS;
+  const deadline = performance.now() + WAIT_TIMEOUT_MS;
   while (!condition()) {
     if (performance.now() > deadline) throw new Error(`never: ${text}`);
     await new Promise((resolve) => setTimeout(resolve, 2));
@@ -248,17 +251,17 @@
 }
 
 /** Most runs of one task at one moment, as the workers recorded them. */
-export function mostAtOnce(
+export function maxConcurrentAttempts(
   events: readonly historyEvent.HistoryEvent[],
 ): number {
   const running = new Map<string, number>();
-  let most = 0;
+  let max = 0;
   for (const event of events) {
     if (event.type !== 'task_started' && event.type !== 'task_ended') continue;
     const change = event.type === 'task_started' ? 1 : -1;
     const now = (running.get(event.taskId) ?? 0) + change;
     running.set(event.taskId, now);
-    most = Math.max(most, now);
+    max = Math.max(max, now);
   }
-  return most;
+  return max;
 }
--- a/packages/gypsumwall-testing/src/__tests__/command_line.test.ts
+++ b/packages/gypsumwall-testing/src/__tests__/command_line.test.ts
@@ -61,7 +61,7 @@
     ...example,
     site: SMALL_SITE,
     entryCommand: exampleCell.ENTRY_COMMAND,
-    relayed: false,
+    isRelayed: false,
     seed: 1,
   });
   try {
--- a/packages/gypsumwall-testing/src/__tests__/domain_scheduler.test.ts
+++ b/packages/gypsumwall-testing/src/__tests__/domain_scheduler.test.ts
@@ -3,7 +3,7 @@
 import * as types from '@gypsumwall/types';
 import * as domainHarness from '../__fixtures__/domain_harness.js';
 
-const {until, mostAtOnce} = domainHarness;
+const {until, maxConcurrentAttempts} = domainHarness;
 
 nodeTest.test('a start whose answer was lost runs once', async (t) => {
   // The job is done and its task ran once.
@@ -12,10 +12,10 @@
   const domain = domainHarness.createDomainHarness(t, ['w1', 'w2']);
   domain.startFaults.set('w1', {type: 'lose_answer'});
   domain.startFaults.set('w2', {type: 'lose_answer'});
-  domain.hold(1);
+  domain.createHolder(1);
   const jobId = domain.submit('a', 100);
   await until('done', () => domain.jobs.job(jobId)?.phase.type === 'done');
-  assert.equal(mostAtOnce(domain.events()), 1);
+  assert.equal(maxConcurrentAttempts(domain.events()), 1);
   assert.equal(domain.starts().length, 1);
 });
 
@@ -29,16 +29,16 @@
   const until1 = new Promise<void>((resolve) => (arrive = resolve));
   domain.startFaults.set('w1', {type: 'hold', until: until1});
   domain.startFaults.set('w2', {type: 'hold', until: until1});
-  const old = domain.hold(1);
+  const old = domain.createHolder(1);
   const jobId = domain.submit('a', 200);
   await until('decided', () => old.scheduler.activeTaskCount(jobId) === 1);
   old.deadline = undefined;
   domain.startFaults.clear();
-  domain.hold(2);
+  domain.createHolder(2);
   await until('started', () => domain.starts().length === 1);
   arrive();
   await until('done', () => domain.jobs.job(jobId)?.phase.type === 'done');
-  assert.equal(mostAtOnce(domain.events()), 1);
+  assert.equal(maxConcurrentAttempts(domain.events()), 1);
   assert.deepEqual(
     domain.starts().map((event) => 'epoch' in event && event.epoch),
     [2],
@@ -51,7 +51,7 @@
   // starts it elsewhere only after the old lease and its grace: by then the
   // worker has stopped it itself.
   const domain = domainHarness.createDomainHarness(t, ['w1', 'w2']);
-  const old = domain.hold(1);
+  const old = domain.createHolder(1);
   const jobId = domain.submit('a', 400);
   await until('started', () => domain.starts().length === 1);
   const first = domain.starts()[0];
@@ -59,14 +59,14 @@
   old.deadline = undefined;
   await old.scheduler.close();
   const heldAt = performance.now();
-  const next = domain.hold(2);
-  next.cut.add(first.workerId);
+  const next = domain.createHolder(2);
+  next.unreachable.add(first.workerId);
   await until('again', () => domain.starts().length === 2);
   const waitedMs = performance.now() - heldAt;
-  const {taskLeaseMs} = domainHarness.SPANS;
+  const {taskLeaseMs} = domainHarness.DURATIONS;
   assert.ok(waitedMs >= taskLeaseMs, `started again after ${waitedMs} ms`);
   await until('done', () => domain.jobs.job(jobId)?.phase.type === 'done');
-  assert.equal(mostAtOnce(domain.events()), 1);
+  assert.equal(maxConcurrentAttempts(domain.events()), 1);
 });
 
 nodeTest.test('a new holder takes over what runs', async (t) => {
@@ -74,11 +74,11 @@
   // The holder dies while it runs; the next one learns of it from the worker
   // and renews its lease.
   const domain = domainHarness.createDomainHarness(t, ['w1']);
-  const old = domain.hold(1);
+  const old = domain.createHolder(1);
   const jobId = domain.submit('a', 600);
   await until('started', () => domain.starts().length === 1);
   await old.scheduler.close();
-  domain.hold(2);
+  domain.createHolder(2);
   await until('done', () => domain.jobs.job(jobId)?.phase.type === 'done');
   assert.equal(domain.starts().length, 1);
 });
@@ -88,11 +88,11 @@
   // It ends while the log is down. Its end is not acknowledged, so the worker
   // tells it with each heartbeat until the record stands.
   const domain = domainHarness.createDomainHarness(t, ['w1']);
-  domain.log.takes = false;
-  domain.hold(1);
+  domain.log.isAccepting = false;
+  domain.createHolder(1);
   const jobId = domain.submit('a', 30);
   await until('tried', () => domain.log.appended.includes('task_ended'));
-  domain.log.takes = true;
+  domain.log.isAccepting = true;
   await until('done', () => domain.jobs.job(jobId)?.phase.type === 'done');
   assert.equal(domain.starts().length, 1);
 });
@@ -101,14 +101,14 @@
   // As above, but the holder that heard the end dies before it is recorded;
   // the new one hears it when it attaches, while its append takes its time.
   const domain = domainHarness.createDomainHarness(t, ['w1']);
-  domain.log.takes = false;
-  const old = domain.hold(1);
+  domain.log.isAccepting = false;
+  const old = domain.createHolder(1);
   const jobId = domain.submit('a', 30);
   await until('tried', () => domain.log.appended.includes('task_ended'));
   await old.scheduler.close();
-  const next = domain.hold(2);
+  const next = domain.createHolder(2);
   await until('taken', () => next.scheduler.status().recovered);
-  domain.log.takes = true;
+  domain.log.isAccepting = true;
   await until('done', () => domain.jobs.job(jobId)?.phase.type === 'done');
   assert.equal(domain.starts().length, 1);
 });
@@ -116,7 +116,7 @@
 nodeTest.test('a cancelled job stops and never starts again', async (t) => {
   // The caller cancels while tasks run, start and wait: all end, none starts.
   const domain = domainHarness.createDomainHarness(t, ['w1']);
-  const {scheduler} = domain.hold(1);
+  const {scheduler} = domain.createHolder(1);
   const jobId = domain.submit('a', 60_000, 50);
   await until('some run', () => domain.starts().length > 0);
   domain.apply({type: 'job_cancelled', jobId});
@@ -130,7 +130,7 @@
 nodeTest.test('a holder whose claim lapsed starts nothing', async (t) => {
   // A paused process wakes up and believes in its queue, not in its claim.
   const domain = domainHarness.createDomainHarness(t, ['w1']);
-  const holder = domain.hold(1);
+  const holder = domain.createHolder(1);
   await until('attached', () => {
     return holder.scheduler.status().attachedWorkers === 1;
   });
@@ -148,20 +148,20 @@
   // The list says that its worker is leaving: the task saves its progress,
   // stops, and is placed anew; nothing new starts at the leaving worker.
   const domain = domainHarness.createDomainHarness(t, ['w1', 'w2']);
-  const holder = domain.hold(1);
+  const holder = domain.createHolder(1);
   const jobId = domain.submit('a', 300);
   await until('started', () => holder.scheduler.status().activeTasks === 1);
   await until('runs', () => domain.starts().length === 1);
   const first = domain.starts()[0];
   assert.ok(first !== undefined && 'workerId' in first);
-  domain.leave(holder, first.workerId);
+  domain.markLeaving(holder, first.workerId);
   await until('done', () => domain.jobs.job(jobId)?.phase.type === 'done');
   const places = domain
     .starts()
     .map((event) => 'workerId' in event && event.workerId);
   assert.equal(places.length, 2);
   assert.notEqual(places[1], first.workerId);
-  assert.equal(mostAtOnce(domain.events()), 1);
+  assert.equal(maxConcurrentAttempts(domain.events()), 1);
 });
 
 nodeTest.test(
@@ -174,7 +174,7 @@
     let arrive = () => undefined as void;
     const held = new Promise<void>((resolve) => (arrive = resolve));
     domain.startFaults.set('w1', {type: 'hold', until: held});
-    const {scheduler} = domain.hold(1);
+    const {scheduler} = domain.createHolder(1);
     const jobId = domain.submit('a', 10);
     await until('decided', () => scheduler.activeTaskCount(jobId) === 1);
     let isClosed = false;
--- a/packages/gypsumwall-testing/src/__tests__/finished_once.test.ts
+++ b/packages/gypsumwall-testing/src/__tests__/finished_once.test.ts
@@ -33,7 +33,7 @@
     ...example,
     site: SMALL_SITE,
     entryCommand: exampleCell.ENTRY_COMMAND,
-    relayed: false,
+    isRelayed: false,
     seed: 1,
   });
   try {
--- a/packages/gypsumwall-testing/src/__tests__/job_key.test.ts
+++ b/packages/gypsumwall-testing/src/__tests__/job_key.test.ts
@@ -29,7 +29,7 @@
     ...example,
     site: THREE_DOMAINS,
     entryCommand: exampleCell.ENTRY_COMMAND,
-    relayed: false,
+    isRelayed: false,
     seed: 1,
   });
   try {
--- a/packages/gypsumwall-testing/src/__tests__/relay.test.ts
+++ b/packages/gypsumwall-testing/src/__tests__/relay.test.ts
@@ -56,7 +56,7 @@
     async (test) => {
       const path = await startEcho(test);
       path.cut();
-      path.refuse();
+      path.refuseConnections();
       const held = await open(path);
       const broken = once(held, 'close');
       path.heal();
--- a/packages/gypsumwall-testing/src/__tests__/trace.test.ts
+++ b/packages/gypsumwall-testing/src/__tests__/trace.test.ts
@@ -87,7 +87,7 @@
     ...example,
     site: {...SMALL_SITE, entrySettings},
     entryCommand: exampleCell.ENTRY_COMMAND,
-    relayed: false,
+    isRelayed: false,
     seed: 1,
   });
   try {
--- a/packages/gypsumwall-testing/src/bin/demo.ts
+++ b/packages/gypsumwall-testing/src/bin/demo.ts
@@ -7,11 +7,11 @@
 import * as timers from 'node:timers/promises';
 import * as util from 'node:util';
 import * as types from '@gypsumwall/types';
-import * as demoFigures from '../demo/demo_figures.js';
+import * as demoStatistics from '../demo/demo_statistics.js';
 import * as demoLoad from '../demo/demo_load.js';
 import * as demoTable from '../demo/demo_table.js';
 import * as exampleCell from '../example_cell.js';
-import * as jobWatch from '../job_watch.js';
+import * as waitForJobs from '../wait_for_jobs.js';
 import * as jsoncFile from '../jsonc_file.js';
 import * as formatTrace from '../format_trace.js';
 import * as judge from '../judge/judge.js';
@@ -21,10 +21,10 @@
 import * as traceCollector from '../trace_collector.js';
 import * as workload from '../workload.js';
 
-const PROGRESS_MS = 1_000;
-const SETTLE_MS = 30_000;
-const TRACE_WAIT_MS = 3_000;
-const POLL_MS = 50;
+const PROGRESS_INTERVAL_MS = 1_000;
+const SETTLE_TIMEOUT_MS = 30_000;
+const TRACE_TIMEOUT_MS = 3_000;
+const POLL_INTERVAL_MS = 50;
 
 const {values} = util.parseArgs({
   options: {
@@ -35,7 +35,7 @@
   },
 });
 
-function say(text: string): void {
+function print(text: string): void {
   process.stdout.write(`${text}\n`);
 }
 
@@ -52,12 +52,12 @@
   });
   const startedAt = performance.now();
   const timer = setInterval(() => {
-    const {sent, told, done, accepted} = load.progress;
+    const {sent, answered, done, accepted} = load.progress;
     const seconds = ((performance.now() - startedAt) / 1_000).toFixed(0);
-    say(
-      `  ${seconds} s: ${sent} sent, ${told} told (${done} done, ${accepted} jobs accepted)`,
+    print(
+      `  ${seconds} s: ${sent} sent, ${answered} answered (${done} done, ${accepted} jobs accepted)`,
     );
-  }, PROGRESS_MS);
+  }, PROGRESS_INTERVAL_MS);
   await load.finished;
   clearInterval(timer);
   return load;
@@ -69,18 +69,22 @@
   load: demoLoad.DemoLoad,
 ): Promise<boolean> {
   let turn = 0;
-  const pick = () => {
+  const nextClient = () => {
     const entries = cell.entries();
     turn += 1;
     const entry = entries[turn % entries.length];
     if (entry === undefined) throw new Error('no entry runs');
     return entry.client;
   };
-  const deadline = performance.now() + SETTLE_MS;
-  const settled = await jobWatch.watchJobs(load.jobs, pick, deadline);
+  const deadline = performance.now() + SETTLE_TIMEOUT_MS;
+  const settled = await waitForJobs.waitForJobs(
+    load.jobs,
+    nextClient,
+    deadline,
+  );
   cell.recorded.record({type: 'settled'});
   for (const job of load.jobs) {
-    if (job.kind === 'service') await pick().cancel(job.token, job.jobId);
+    if (job.kind === 'service') await nextClient().cancel(job.token, job.jobId);
   }
   return settled;
 }
@@ -96,16 +100,16 @@
 }
 
 /** Prints one trace; entries export theirs with a little delay. */
-async function sayTrace(
+async function printTrace(
   collector: traceCollector.TraceCollector,
 ): Promise<void> {
-  const deadline = performance.now() + TRACE_WAIT_MS;
+  const deadline = performance.now() + TRACE_TIMEOUT_MS;
   while (collector.traces().size === 0 && performance.now() < deadline) {
-    await timers.setTimeout(POLL_MS);
+    await timers.setTimeout(POLL_INTERVAL_MS);
   }
   const spans = formatTrace.longestTrace(collector.traces());
-  if (spans === undefined) return say('\nNo trace was exported.');
-  say(`\nTrace ${spans[0]?.traceId}:\n${formatTrace.formatTrace(spans)}`);
+  if (spans === undefined) return print('\nNo trace was exported.');
+  print(`\nTrace ${spans[0]?.traceId}:\n${formatTrace.formatTrace(spans)}`);
 }
 
 async function runDemo(): Promise<number> {
@@ -114,7 +118,7 @@
     path.join(example.folder, 'workload.jsonc'),
     workload.workloadSchema,
   );
-  say(`Starting the cell ${values.site} (seed ${values.seed}) ...`);
+  print(`Starting the cell ${values.site} (seed ${values.seed}) ...`);
   const collector = values.trace
     ? await traceCollector.startTraceCollector()
     : undefined;
@@ -122,40 +126,40 @@
     ...example,
     site: withTraces(example.site, collector),
     entryCommand: exampleCell.ENTRY_COMMAND,
-    relayed: false,
+    isRelayed: false,
     seed: Number(values.seed),
   });
   try {
     const entries = cell.entries();
-    say(`${entries.length} entries are ready. Sending mixed work:`);
+    print(`${entries.length} entries are ready. Sending mixed work:`);
     const cpuBefore = entries.map((entry) => entry.cpuMs());
     const startedAt = performance.now();
     const load = await sendLoad(cell, work);
-    say('Waiting for the jobs to end ...');
+    print('Waiting for the jobs to end ...');
     const settled = await settle(cell, load);
-    const spanMs = performance.now() - startedAt;
+    const elapsedMs = performance.now() - startedAt;
     const cpuMs = entries
       .map((entry, index) => entry.cpuMs() - (cpuBefore[index] ?? 0))
       .reduce((sum, one) => sum + one, 0);
     const events = await cell.history();
     const rows = load.classes.map((sent) =>
-      demoFigures.classFigures(sent, events),
+      demoStatistics.classStatistics(sent, events),
     );
-    const packing = demoFigures.packingFigures(events);
+    const packing = demoStatistics.packingStatistics(events);
     const tasks = events.filter((event) => event.type === 'task_ended').length;
     const units = load.progress.sent + tasks;
-    say(`\n${demoTable.formatTable(rows)}`);
-    say(
+    print(`\n${demoTable.formatTable(rows)}`);
+    print(
       `\npacking       ${demoTable.formatShare(packing.heldOfBusy)} of the processors of busy workers held; ${demoTable.formatShare(packing.usedOfHeld)} of what was held was used`,
     );
-    say(
-      `control cost  ${(cpuMs / units).toFixed(2)} ms of entry processor time for each of ${units} requests, jobs and tasks; ${demoTable.formatShare(cpuMs / spanMs / entries.length)} of a core for each entry`,
+    print(
+      `control cost  ${(cpuMs / units).toFixed(2)} ms of entry processor time for each of ${units} requests, jobs and tasks; ${demoTable.formatShare(cpuMs / elapsedMs / entries.length)} of a core for each entry`,
     );
-    if (collector !== undefined) await sayTrace(collector);
+    if (collector !== undefined) await printTrace(collector);
     const findings = judge.judge(events);
-    for (const found of findings) say(scenarioReport.formatFinding(found));
-    if (!settled) say('\nSome accepted jobs had not ended in time.');
-    say(
+    for (const found of findings) print(scenarioReport.formatFinding(found));
+    if (!settled) print('\nSome accepted jobs had not ended in time.');
+    print(
       findings.length === 0
         ? '\nThe judge found no broken promise.'
         : `\nThe judge found ${findings.length} broken promises.`,
--- a/packages/gypsumwall-testing/src/bin/scale.ts
+++ b/packages/gypsumwall-testing/src/bin/scale.ts
@@ -14,7 +14,7 @@
 const PUBLISHES = 60;
 const RESULT = 'bench-results/scale.json';
 
-const rows: measureDomain.DomainFigures[] = [];
+const rows: measureDomain.DomainMeasurement[] = [];
 for (const workers of SIZES) {
   const figures = await measureDomain.measureDomain({
     workers,
--- a/packages/gypsumwall-testing/src/bin/scenarios.ts
+++ b/packages/gypsumwall-testing/src/bin/scenarios.ts
@@ -9,7 +9,7 @@
 import * as runScenario from '../scenario/run_scenario.js';
 import * as scenarioFile from '../scenario/scenario_file.js';
 import * as scenarioReport from '../scenario/scenario_report.js';
-import * as without from '../scenario/without.js';
+import * as buildWithoutSafeguard from '../scenario/build_without_safeguard.js';
 
 const {values, positionals} = util.parseArgs({
   allowPositionals: true,
@@ -24,13 +24,13 @@
   },
 });
 
-function say(text: string): void {
+function print(text: string): void {
   process.stdout.write(`${text}\n`);
 }
 
 interface NamedScenario {
   readonly name: string;
-  readonly read: scenarioFile.ReadScenario;
+  readonly read: scenarioFile.LoadedScenario;
 }
 
 /** Runs one; whether it passed. */
@@ -47,13 +47,13 @@
       entryCommand,
       keepFolder: values.keep,
     });
-    say(scenarioReport.formatVerdict(name, scenario.seed, verdict));
-    if (values.random !== undefined) say(`  ${scenario.story.join(' ')}`);
-    if (values.keep) say(`  settings and logs: ${verdict.folder}`);
-    if (values.history) say(scenarioReport.formatHistory(verdict.events));
+    print(scenarioReport.formatVerdict(name, scenario.seed, verdict));
+    if (values.random !== undefined) print(`  ${scenario.story.join(' ')}`);
+    if (values.keep) print(`  settings and logs: ${verdict.folder}`);
+    if (values.history) print(scenarioReport.formatHistory(verdict.events));
     return runScenario.hasPassed(verdict);
   } catch (thrown) {
-    say(`FAIL  ${name}: the cell did not come up: ${String(thrown)}`);
+    print(`FAIL  ${name}: the cell did not come up: ${String(thrown)}`);
     return false;
   }
 }
@@ -63,7 +63,7 @@
   for (const scenario of scenarios) {
     if (await runOne(scenario, exampleCell.ENTRY_COMMAND)) passed += 1;
   }
-  say(`${passed} of ${scenarios.length} scenarios passed`);
+  print(`${passed} of ${scenarios.length} scenarios passed`);
   return passed === scenarios.length ? 0 : 1;
 }
 
@@ -76,11 +76,11 @@
     read.scenario.without.includes(safeguard),
   );
   if (chosen.length === 0) {
-    const known = without.safeguardNames().join(', ');
-    say(`no scenario names the safeguard "${safeguard}"; there are ${known}`);
+    const known = buildWithoutSafeguard.safeguardNames().join(', ');
+    print(`no scenario names the safeguard "${safeguard}"; there are ${known}`);
     return 2;
   }
-  const built = without.buildWithout(safeguard);
+  const built = buildWithoutSafeguard.buildWithoutSafeguard(safeguard);
   const command = [built.main, ...exampleCell.ENTRY_COMMAND.slice(1)];
   let red = 0;
   try {
@@ -90,7 +90,7 @@
   } finally {
     built.remove();
   }
-  say(`without ${safeguard}: ${red} of ${chosen.length} turned red`);
+  print(`without ${safeguard}: ${red} of ${chosen.length} turned red`);
   return red === chosen.length ? 0 : 1;
 }
 
@@ -98,15 +98,15 @@
 function chooseScenarios(): NamedScenario[] | undefined {
   if (values.random !== undefined) {
     const {seed} = values;
-    const drawn = scenarioFile.drawScenarios(
+    const generated = scenarioFile.generateScenarios(
       Number(values.random),
       Number(seed),
     );
-    if (drawn.isErr) {
-      process.stderr.write(`${drawn.error}\n`);
+    if (generated.isErr) {
+      process.stderr.write(`${generated.error}\n`);
       return undefined;
     }
-    return drawn.value.map((read, index) => {
+    return generated.value.map((read, index) => {
       return {name: `random-${seed}-${index + 1}`, read};
     });
   }
--- a/packages/gypsumwall-testing/src/bin/soak.ts
+++ b/packages/gypsumwall-testing/src/bin/soak.ts
@@ -21,7 +21,7 @@
 const failedSchema = zod.array(
   zod.strictObject({seed: zod.number().int(), cause: zod.string().min(1)}),
 );
-const HIGHEST_SEED = 1_000_000;
+const MAX_SEED = 1_000_000;
 
 const {values} = util.parseArgs({
   options: {
@@ -31,7 +31,7 @@
   },
 });
 
-function say(text: string): void {
+function print(text: string): void {
   process.stdout.write(`${text}\n`);
 }
 
@@ -53,11 +53,11 @@
 function chosenSeeds(): number[] {
   const {seed, from: first, seeds} = values;
   if (seed !== undefined) return [wholeNumber('seed', seed)];
-  const fresh = () => crypto.randomInt(HIGHEST_SEED);
+  const fresh = () => crypto.randomInt(MAX_SEED);
   const from = first === undefined ? fresh() : wholeNumber('from', first);
   const count = wholeNumber('seeds', seeds);
-  const drawn = Array.from({length: count}, (_, nth) => from + nth);
-  return [...failedSeeds(), ...drawn];
+  const newSeeds = Array.from({length: count}, (_, nth) => from + nth);
+  return [...failedSeeds(), ...newSeeds];
 }
 
 /** Runs one seed; whether every promise held. */
@@ -72,9 +72,9 @@
     entryCommand: exampleCell.ENTRY_COMMAND,
     keepFolder: false,
   });
-  say(scenarioReport.formatVerdict(`soak-${seed}`, seed, verdict));
+  print(scenarioReport.formatVerdict(`soak-${seed}`, seed, verdict));
   if (values.seed !== undefined) {
-    say(scenarioReport.formatHistory(verdict.events));
+    print(scenarioReport.formatHistory(verdict.events));
   }
   return runScenario.hasPassed(verdict);
 }
@@ -83,8 +83,8 @@
   const red: number[] = [];
   const seeds = chosenSeeds();
   for (const seed of seeds) if (!(await runSeed(seed))) red.push(seed);
-  say(`${seeds.length - red.length} of ${seeds.length} seeds passed`);
-  if (red.length > 0) say(`red: ${red.join(', ')}`);
+  print(`${seeds.length - red.length} of ${seeds.length} seeds passed`);
+  if (red.length > 0) print(`red: ${red.join(', ')}`);
   return red.length === 0 ? 0 : 1;
 }
 
--- a/packages/gypsumwall-testing/src/child.ts
+++ b/packages/gypsumwall-testing/src/child.ts
@@ -41,12 +41,12 @@
 }
 
 const children = new Set<childProcess.ChildProcess>();
-let cleansUp = false;
+let hasExitHandlers = false;
 
 /** Kills what still runs when this process ends, however it ends. */
-function cleanUpAtExit(): void {
-  if (cleansUp) return;
-  cleansUp = true;
+function installExitHandlers(): void {
+  if (hasExitHandlers) return;
+  hasExitHandlers = true;
   process.on('exit', () => {
     for (const child of children) child.kill('SIGKILL');
   });
@@ -57,7 +57,7 @@
 
 /** Starts Node with the given arguments. */
 export function startChild(options: ChildOptions): Child {
-  cleanUpAtExit();
+  installExitHandlers();
   const log = fs.openSync(options.logFile, 'a');
   const output = options.output === 'log_file' ? log : 'pipe';
   const child = childProcess.spawn(process.execPath, options.args, {
@@ -77,16 +77,16 @@
     const lines = readline.createInterface({input: child.stdout});
     lines.once('line', (line) => resolve(JSON.parse(line)));
   });
-  const tooSoon = exited.then(({code, signal}) => {
+  const prematureExit = exited.then(({code, signal}) => {
     const log = fs.readFileSync(options.logFile, 'utf8').slice(-2_000);
     throw new Error(
       `${options.name} ended (${code} ${signal}) before it listened: ${log}`,
     );
   });
-  const ready = Promise.race([firstLine, tooSoon]);
+  const ready = Promise.race([firstLine, prematureExit]);
   // Whoever waits on `ready` gets the failure; a later exit is no failure.
   ready.catch(() => undefined);
-  tooSoon.catch(() => undefined);
+  prematureExit.catch(() => undefined);
   return {
     name: options.name,
     pid: child.pid ?? -1,
@@ -97,13 +97,13 @@
   };
 }
 
-const standInLine = zod.object({
+const standInReadyLine = zod.object({
   event: zod.literal('listening'),
   control: zod.string(),
   addresses: zod.record(zod.string(), zod.string()),
 });
 
-const entryLine = zod.object({
+const entryReadyLine = zod.object({
   event: zod.literal('listening'),
   id: zod.string(),
   address: zod.string(),
@@ -111,11 +111,11 @@
 });
 
 /** What a stand-in says when it listens. */
-export async function standInReady(child: Child) {
-  return standInLine.parse(await child.ready);
+export async function waitForStandIn(child: Child) {
+  return standInReadyLine.parse(await child.ready);
 }
 
 /** What an entry says when it listens. */
-export async function entryReady(child: Child) {
-  return entryLine.parse(await child.ready);
+export async function waitForEntry(child: Child) {
+  return entryReadyLine.parse(await child.ready);
 }
--- a/packages/gypsumwall-testing/src/demo/demo_load.ts
+++ b/packages/gypsumwall-testing/src/demo/demo_load.ts
@@ -3,7 +3,7 @@
 import type * as types from '@gypsumwall/types';
 import type * as entryClient from '../entry_client.js';
 import type * as historyEvent from '../history_event.js';
-import type * as jobWatch from '../job_watch.js';
+import type * as waitForJobs from '../wait_for_jobs.js';
 import type * as launchCell from '../launch_cell.js';
 import type * as workload from '../workload.js';
 
@@ -18,7 +18,7 @@
 /** Counts while it runs. */
 export interface DemoProgress {
   sent: number;
-  told: number;
+  answered: number;
   done: number;
   accepted: number;
 }
@@ -34,7 +34,7 @@
 export interface DemoLoad {
   readonly progress: Readonly<DemoProgress>;
   readonly classes: readonly SentClass[];
-  readonly jobs: readonly jobWatch.AcceptedJob[];
+  readonly jobs: readonly waitForJobs.AcceptedJob[];
   /** Resolves when all is sent and every caller was told. */
   readonly finished: Promise<void>;
 }
@@ -43,24 +43,26 @@
 export function startDemoLoad(options: DemoLoadOptions): DemoLoad {
   const {cell, work, random} = options;
   const until = performance.now() + options.seconds * 1_000;
-  const progress = {sent: 0, told: 0, done: 0, accepted: 0};
-  const jobs: jobWatch.AcceptedJob[] = [];
+  const progress = {sent: 0, answered: 0, done: 0, accepted: 0};
+  const jobs: waitForJobs.AcceptedJob[] = [];
   const classes: SentClass[] = [];
 
-  const pick = (): entryClient.EntryClient => {
+  const pickClient = (): entryClient.EntryClient => {
     const entries = cell.entries();
     const entry = entries[random.integer(0, entries.length - 1)];
     if (entry === undefined) throw new Error('no entry runs');
     return entry.client;
   };
-  const pickOther = (first: entryClient.EntryClient) => {
-    const second = pick();
-    return second.entryId === first.entryId ? pick() : second;
+  const pickOtherClient = (first: entryClient.EntryClient) => {
+    const second = pickClient();
+    return second.entryId === first.entryId ? pickClient() : second;
   };
   const tokenOf = (team: string): string =>
     cell.options.tokens.teams[team] ?? '';
-  const count = (told: historyEvent.RequestTold | historyEvent.JobTold) => {
-    progress.told += 1;
+  const countOutcome = (
+    told: historyEvent.RequestOutcome | historyEvent.JobOutcome,
+  ) => {
+    progress.answered += 1;
     if (told.type === 'done') progress.done += 1;
     if (told.type === 'accepted') progress.accepted += 1;
   };
@@ -79,7 +81,7 @@
   const sendRequest = async (
     cls: workload.RequestClass,
     sent: SentClass,
-    again: SentClass | undefined,
+    repeatClass: SentClass | undefined,
   ): Promise<void> => {
     const callId = nextId(sent);
     const {team, operation, workMs, answerBytes} = cls;
@@ -89,13 +91,13 @@
     const key = `key of ${callId}`.replaceAll(' ', '-');
     const token = tokenOf(team);
     const req = {callId, token, team, operation, key, body};
-    const first = pick();
+    const first = pickClient();
     const calls = [first.request(req)];
-    if (again !== undefined) {
-      const second = {...req, callId: nextId(again)};
-      calls.push(pickOther(first).request(second));
+    if (repeatClass !== undefined) {
+      const second = {...req, callId: nextId(repeatClass)};
+      calls.push(pickOtherClient(first).request(second));
     }
-    for (const told of await Promise.all(calls)) count(told);
+    for (const told of await Promise.all(calls)) countOutcome(told);
   };
 
   const submitJob = async (
@@ -105,7 +107,7 @@
     const callId = nextId(sent);
     const {team, shape, urgency, size, estimateMs, args, deadlineMs} = cls;
     const token = tokenOf(team);
-    const told = await pick().submit({
+    const told = await pickClient().submit({
       callId,
       token,
       team,
@@ -123,24 +125,24 @@
         work: {command: cls.class, args: {...args, label: callId}},
       },
     });
-    count(told);
+    countOutcome(told);
     if (told.type !== 'accepted') return;
     jobs.push({jobId: told.jobId, token, kind: shape.kind});
   };
 
   /** Sends at random moments, `perSecond` on average. */
-  const sendOften = async (
+  const sendAtAverageRate = async (
     perSecond: number,
     send: () => Promise<void>,
   ): Promise<void> => {
-    const underWay: Array<Promise<void>> = [];
+    const inFlight: Array<Promise<void>> = [];
     for (;;) {
-      const spanMs = (-Math.log(1 - random.next()) / perSecond) * 1_000;
-      if (performance.now() + spanMs > until) break;
-      await timers.setTimeout(spanMs);
-      underWay.push(send());
+      const delayMs = (-Math.log(1 - random.next()) / perSecond) * 1_000;
+      if (performance.now() + delayMs > until) break;
+      await timers.setTimeout(delayMs);
+      inFlight.push(send());
     }
-    await Promise.all(underWay);
+    await Promise.all(inFlight);
   };
 
   const requests = work.requests.map((cls) => {
@@ -148,14 +150,16 @@
     const again = cls.twice
       ? addClass(`${cls.class}, again`, 'request')
       : undefined;
-    return sendOften(cls.perSecond, () => sendRequest(cls, sent, again));
+    return sendAtAverageRate(cls.perSecond, () =>
+      sendRequest(cls, sent, again),
+    );
   });
   const submissions = work.jobs.map(async (cls) => {
     const sent = addClass(cls.class, 'job');
     for (let n = 0; n < (cls.count ?? 0); n += 1) await submitJob(cls, sent);
     const {perSecond} = cls;
     if (perSecond === undefined) return;
-    await sendOften(perSecond, () => submitJob(cls, sent));
+    await sendAtAverageRate(perSecond, () => submitJob(cls, sent));
   });
   const finished = Promise.all([...requests, ...submissions]).then(() => {});
   return {progress, classes, jobs, finished};
--- a/packages/gypsumwall-testing/src/demo/demo_figures.ts
+++ b/packages/gypsumwall-testing/src/demo/demo_statistics.ts
@@ -5,7 +5,7 @@
 import type * as demoLoad from './demo_load.js';
 
 /** One row of the table. */
-export interface ClassFigures {
+export interface ClassStatistics {
   readonly name: string;
   readonly sent: number;
   /** Requests with a whole answer; jobs done; services that came up. */
@@ -28,32 +28,32 @@
   readonly usedOfHeld: number;
 }
 
-const MICROS_IN_MS = 1_000;
+const MICROS_PER_MS = 1_000;
 
 /** Figures of one class. */
-export function classFigures(
+export function classStatistics(
   sent: demoLoad.SentClass,
   events: readonly historyEvent.HistoryEvent[],
-): ClassFigures {
+): ClassStatistics {
   const callIds = new Set(sent.callIds);
   const isOwn = (event: {readonly callId: string}) => callIds.has(event.callId);
   return sent.kind === 'request'
-    ? requestFigures(sent.name, events, isOwn)
-    : jobFigures(sent.name, events, isOwn);
+    ? requestStatistics(sent.name, events, isOwn)
+    : jobStatistics(sent.name, events, isOwn);
 }
 
 type IsOwn = (event: {readonly callId: string}) => boolean;
 
-function requestFigures(
+function requestStatistics(
   name: string,
   events: readonly historyEvent.HistoryEvent[],
   isOwn: IsOwn,
-): ClassFigures {
+): ClassStatistics {
   const sent = finding.eventsOf(events, 'request_sent').filter(isOwn);
   const sentAt = new Map(sent.map((event) => [event.callId, event.at]));
   const told = finding.eventsOf(events, 'request_told').filter(isOwn);
   const done = told.filter((event) => event.told.type === 'done');
-  const waits = done.map((event) => {
+  const waitsMs = done.map((event) => {
     return event.at - (sentAt.get(event.callId) ?? event.at);
   });
   const refused = told.filter((event) => event.told.type === 'not_run').length;
@@ -63,15 +63,15 @@
     done: done.length,
     refused,
     unknown: sent.length - done.length - refused,
-    ...percentiles(waits),
+    ...percentiles(waitsMs),
   };
 }
 
-function jobFigures(
+function jobStatistics(
   name: string,
   events: readonly historyEvent.HistoryEvent[],
   isOwn: IsOwn,
-): ClassFigures {
+): ClassStatistics {
   const sent = finding.eventsOf(events, 'job_sent').filter(isOwn);
   const sentAt = new Map(sent.map((event) => [event.label, event.at]));
   const told = finding.eventsOf(events, 'job_told').filter(isOwn);
@@ -103,35 +103,36 @@
 
 function percentiles(
   waits: readonly number[],
-): Pick<ClassFigures, 'waitingP50' | 'waitingP99'> {
+): Pick<ClassStatistics, 'waitingP50' | 'waitingP99'> {
   if (waits.length === 0) return {waitingP50: undefined, waitingP99: undefined};
   const histogram = hdr.build({numberOfSignificantValueDigits: 3});
   for (const wait of waits) {
-    histogram.recordValue(Math.max(1, Math.round(wait * MICROS_IN_MS)));
+    histogram.recordValue(Math.max(1, Math.round(wait * MICROS_PER_MS)));
   }
   const at = (percent: number) =>
-    histogram.getValueAtPercentile(percent) / MICROS_IN_MS;
+    histogram.getValueAtPercentile(percent) / MICROS_PER_MS;
   return {waitingP50: at(50), waitingP99: at(99)};
 }
 
 /** Packing over the whole history. */
-export function packingFigures(
+export function packingStatistics(
   events: readonly historyEvent.HistoryEvent[],
 ): Packing {
   const capacity = new Map<string, number>();
   const held = new Map<string, Map<string, number>>();
-  let heldTime = 0;
-  let busyTime = 0;
-  let usedTime = 0;
-  let endedTime = 0;
+  let heldCpuTime = 0;
+  let busyCpuTime = 0;
+  let usedCpuTime = 0;
+  let endedCpuTime = 0;
   let last = events[0]?.at ?? 0;
-  const addTime = (until: number): void => {
-    const spanMs = until - last;
+  const accumulateUntil = (until: number): void => {
+    const elapsedMs = until - last;
     last = until;
     for (const [workerId, tasks] of held) {
       if (tasks.size === 0) continue;
-      busyTime += (capacity.get(workerId) ?? 0) * spanMs;
-      for (const cpuMillis of tasks.values()) heldTime += cpuMillis * spanMs;
+      busyCpuTime += (capacity.get(workerId) ?? 0) * elapsedMs;
+      for (const cpuMillis of tasks.values())
+        heldCpuTime += cpuMillis * elapsedMs;
     }
   };
   for (const event of events) {
@@ -140,19 +141,19 @@
       held.set(event.workerId, new Map());
     }
     if (event.type !== 'task_started' && event.type !== 'task_ended') continue;
-    addTime(event.at);
+    accumulateUntil(event.at);
     const tasks = held.get(event.workerId);
     const key = `${event.taskId} ${event.attempt}`;
     if (event.type === 'task_started') {
       tasks?.set(key, event.size.cpuMillis);
       continue;
     }
-    usedTime += event.used.cpuMillis * event.ranMs;
-    endedTime += (tasks?.get(key) ?? 0) * event.ranMs;
+    usedCpuTime += event.used.cpuMillis * event.ranMs;
+    endedCpuTime += (tasks?.get(key) ?? 0) * event.ranMs;
     tasks?.delete(key);
   }
   return {
-    heldOfBusy: busyTime === 0 ? 0 : heldTime / busyTime,
-    usedOfHeld: endedTime === 0 ? 0 : usedTime / endedTime,
+    heldOfBusy: busyCpuTime === 0 ? 0 : heldCpuTime / busyCpuTime,
+    usedOfHeld: endedCpuTime === 0 ? 0 : usedCpuTime / endedCpuTime,
   };
 }
--- a/packages/gypsumwall-testing/src/demo/demo_table.ts
+++ b/packages/gypsumwall-testing/src/demo/demo_table.ts
@@ -1,7 +1,7 @@
 /** Prints the demo's figures for a person. */
-import type * as demoFigures from './demo_figures.js';
+import type * as demoStatistics from './demo_statistics.js';
 
-const HEADS = [
+const COLUMN_HEADINGS = [
   'class',
   'sent',
   'done',
@@ -12,7 +12,9 @@
 ];
 
 /** The table, one row a class. */
-export function formatTable(rows: readonly demoFigures.ClassFigures[]): string {
+export function formatTable(
+  rows: readonly demoStatistics.ClassStatistics[],
+): string {
   const cells = rows.map((row) => [
     row.name,
     String(row.sent),
@@ -22,7 +24,7 @@
     formatMs(row.waitingP50),
     formatMs(row.waitingP99),
   ]);
-  const widths = HEADS.map((head, column) =>
+  const widths = COLUMN_HEADINGS.map((head, column) =>
     Math.max(head.length, ...cells.map((row) => row[column]?.length ?? 0)),
   );
   const line = (row: readonly string[]): string =>
@@ -33,7 +35,7 @@
       })
       .join('  ');
   const rule = widths.map((width) => '-'.repeat(width));
-  return [line(HEADS), line(rule), ...cells.map(line)].join('\n');
+  return [line(COLUMN_HEADINGS), line(rule), ...cells.map(line)].join('\n');
 }
 
 function formatMs(value: number | undefined): string {
--- a/packages/gypsumwall-testing/src/entry_client.ts
+++ b/packages/gypsumwall-testing/src/entry_client.ts
@@ -41,7 +41,7 @@
 }
 
 /** A setting as an entry gives it. */
-export interface SeenSetting {
+export interface SettingReading {
   readonly path: string;
   readonly revision: number;
   readonly value: unknown;
@@ -50,13 +50,13 @@
 /** Calls to one entry. None throws: a failure is what the caller was told. */
 export interface EntryClient {
   readonly entryId: string;
-  request(req: CallerRequest): Promise<historyEvent.RequestTold>;
-  submit(job: CallerJob): Promise<historyEvent.JobTold>;
+  request(req: CallerRequest): Promise<historyEvent.RequestOutcome>;
+  submit(job: CallerJob): Promise<historyEvent.JobOutcome>;
   /** The job as the entry sees it; undefined when it can't tell. */
   job(token: string, jobId: string): Promise<types.job.JobView | undefined>;
   cancel(token: string, jobId: string): Promise<boolean>;
-  publish(publish: CallerPublish): Promise<historyEvent.PublishTold>;
-  setting(token: string, path: string): Promise<SeenSetting | undefined>;
+  publish(publish: CallerPublish): Promise<historyEvent.PublishOutcome>;
+  setting(token: string, path: string): Promise<SettingReading | undefined>;
   ready(): Promise<boolean>;
   drain(token: string): Promise<boolean>;
   status(token: string): Promise<unknown>;
@@ -121,7 +121,7 @@
     entryId,
     request: async (req) => {
       const {callId, team, operation, key = ''} = req;
-      const bodyHash = upstreamAnswer.hashOf(req.body);
+      const bodyHash = upstreamAnswer.sha256Hex(req.body);
       recorded.record({
         type: 'request_sent',
         callId,
@@ -131,7 +131,7 @@
         key,
         bodyHash,
       });
-      const told = await tell(async () => {
+      const told = await outcomeOf(async () => {
         const answer = await call({
           method: 'POST',
           path: `/v1/requests/${encodeURIComponent(operation)}`,
@@ -147,7 +147,7 @@
     submit: async (job) => {
       const {callId, team, key = '', label} = job;
       recorded.record({type: 'job_sent', callId, entryId, team, key, label});
-      const told = await tell(async () => {
+      const told = await outcomeOf(async () => {
         const answer = await call({
           method: 'POST',
           path: '/v1/jobs',
@@ -167,7 +167,7 @@
         recorded.record({type: 'job_missing', entryId, jobId});
       }
       if (answer?.status !== 200) return undefined;
-      const view = parse(answer) as types.job.JobView;
+      const view = parseBody(answer) as types.job.JobView;
       recorded.record({type: 'job_seen', entryId, view});
       return view;
     },
@@ -180,7 +180,7 @@
     },
     publish: async (publish) => {
       const {callId, path, base} = publish;
-      const told = await tell(async () => {
+      const told = await outcomeOf(async () => {
         const answer = await call({
           method: 'PUT',
           path: `/v1/settings/${path}`,
@@ -209,10 +209,10 @@
       };
       const answer = await tryCall(call);
       if (answer?.status !== 200) return undefined;
-      const seen = parse(answer) as SeenSetting;
-      const {revision} = seen;
+      const reading = parseBody(answer) as SettingReading;
+      const {revision} = reading;
       recorded.record({type: 'setting_seen', entryId, path, revision, askedAt});
-      return seen;
+      return reading;
     },
     ready: async () => {
       const answer = await tryCall({method: 'GET', path: '/readyz'});
@@ -224,7 +224,7 @@
     },
     status: async (token) => {
       const answer = await tryCall({method: 'GET', path: '/v1/status', token});
-      return answer?.status === 200 ? parse(answer) : undefined;
+      return answer?.status === 200 ? parseBody(answer) : undefined;
     },
     close: () => agent.destroy(),
   };
@@ -240,14 +240,16 @@
     : {'gypsumwall-timeout-ms': String(timeoutMs)};
 }
 
-function parse(answer: Answer): unknown {
+function parseBody(answer: Answer): unknown {
   return JSON.parse(answer.body.toString('utf8'));
 }
 
-type Broken = Extract<historyEvent.RequestTold, {type: 'broken'}>;
+type BrokenOutcome = Extract<historyEvent.RequestOutcome, {type: 'broken'}>;
 
 /** What a call tells, or that no whole answer came. */
-async function tell<Told>(ask: () => Promise<Told>): Promise<Told | Broken> {
+async function outcomeOf<Outcome>(
+  ask: () => Promise<Outcome>,
+): Promise<Outcome | BrokenOutcome> {
   try {
     return await ask();
   } catch (thrown) {
@@ -260,8 +262,8 @@
 /** Reads a problem+json answer into one of the three outcomes. */
 function readProblem(
   answer: Answer,
-): Exclude<historyEvent.RequestTold, {type: 'done'}> {
-  const problem = parse(answer) as {
+): Exclude<historyEvent.RequestOutcome, {type: 'done'}> {
+  const problem = parseBody(answer) as {
     outcome?: string;
     reason?: string;
     detail?: string;
@@ -273,21 +275,21 @@
   return {type: 'unknown', message};
 }
 
-function readRequestAnswer(answer: Answer): historyEvent.RequestTold {
+function readRequestAnswer(answer: Answer): historyEvent.RequestOutcome {
   if (answer.status !== 200) return readProblem(answer);
-  const answerHash = upstreamAnswer.hashOf(answer.body);
+  const answerHash = upstreamAnswer.sha256Hex(answer.body);
   return {type: 'done', answerHash, bytes: answer.body.length};
 }
 
-function readJobAnswer(answer: Answer): historyEvent.JobTold {
+function readJobAnswer(answer: Answer): historyEvent.JobOutcome {
   if (answer.status !== 202) return readProblem(answer);
-  const {jobId} = parse(answer) as {jobId: string};
+  const {jobId} = parseBody(answer) as {jobId: string};
   return {type: 'accepted', jobId};
 }
 
-function readPublishAnswer(answer: Answer): historyEvent.PublishTold {
+function readPublishAnswer(answer: Answer): historyEvent.PublishOutcome {
   if (answer.status === 200) {
-    const {revision} = parse(answer) as {revision: number};
+    const {revision} = parseBody(answer) as {revision: number};
     return {type: 'accepted', revision};
   }
   const message = `status ${answer.status}: ${answer.body.toString('utf8')}`;
--- a/packages/gypsumwall-testing/src/entry_process.ts
+++ b/packages/gypsumwall-testing/src/entry_process.ts
@@ -42,7 +42,7 @@
     args: [...options.command, settingsFile],
     logFile: path.join(folder, `${id}.log`),
   });
-  const line = await child.entryReady(started);
+  const line = await child.waitForEntry(started);
   recorded.record({type: 'entry_up', entryId: id, pid: started.pid});
   void started.exited.then(({code, signal}) => {
     recorded.record({type: 'entry_exited', entryId: id, code, signal});
@@ -60,14 +60,17 @@
 /** Clock ticks of `/proc/<pid>/stat` are hundredths of a second on Linux. */
 const TICK_MS = 10;
 /** Places of user and system time after the command's closing bracket. */
-const USER_TIME = 11;
-const SYSTEM_TIME = 12;
+const USER_TIME_FIELD = 11;
+const SYSTEM_TIME_FIELD = 12;
 
 function readCpuMs(pid: number): number {
   try {
     const text = fs.readFileSync(`/proc/${pid}/stat`, 'utf8');
     const fields = text.slice(text.lastIndexOf(')') + 2).split(' ');
-    return (Number(fields[USER_TIME]) + Number(fields[SYSTEM_TIME])) * TICK_MS;
+    return (
+      (Number(fields[USER_TIME_FIELD]) + Number(fields[SYSTEM_TIME_FIELD])) *
+      TICK_MS
+    );
   } catch {
     return 0;
   }
--- a/packages/gypsumwall-testing/src/format_trace.ts
+++ b/packages/gypsumwall-testing/src/format_trace.ts
@@ -3,15 +3,15 @@
 
 type Span = traceCollector.CollectedSpan;
 
-const INSTANCE = 'service.instance.id';
+const INSTANCE_ATTRIBUTE = 'service.instance.id';
 
 /** The spans as a tree; a span whose parent is unknown stands at the left. */
 export function formatTrace(spans: readonly Span[]): string {
   const known = new Set(spans.map((span) => span.spanId));
   const firstMs = Math.min(...spans.map((span) => span.startMs));
   const roots = spans.filter((span) => !known.has(span.parentSpanId ?? ''));
-  return inOrder(roots)
-    .flatMap((root) => linesOf(root, spans, 0, firstMs))
+  return sortByStart(roots)
+    .flatMap((root) => formatSubtree(root, spans, 0, firstMs))
     .join('\n');
 }
 
@@ -19,30 +19,34 @@
 export function longestTrace(
   traces: ReadonlyMap<string, readonly Span[]>,
 ): readonly Span[] | undefined {
-  const kinds = (spans: readonly Span[]) =>
+  const countSpanNames = (spans: readonly Span[]) =>
     new Set(spans.map((span) => span.name)).size;
   return [...traces.values()].sort(
-    (left, right) => kinds(right) - kinds(left) || left.length - right.length,
+    (left, right) =>
+      countSpanNames(right) - countSpanNames(left) ||
+      left.length - right.length,
   )[0];
 }
 
-function linesOf(
+function formatSubtree(
   span: Span,
   spans: readonly Span[],
   depth: number,
   firstMs: number,
 ): string[] {
-  const below = inOrder(
+  const children = sortByStart(
     spans.filter((other) => other.parentSpanId === span.spanId),
   );
   return [
     formatSpan(span, depth, firstMs),
-    ...below.flatMap((child) => linesOf(child, spans, depth + 1, firstMs)),
+    ...children.flatMap((child) =>
+      formatSubtree(child, spans, depth + 1, firstMs),
+    ),
   ];
 }
 
 function formatSpan(span: Span, depth: number, firstMs: number): string {
-  const {[INSTANCE]: instance, ...others} = span.attributes;
+  const {[INSTANCE_ATTRIBUTE]: instance, ...others} = span.attributes;
   const pairs = Object.entries(others).map(([key, value]) => `${key}=${value}`);
   const at = (span.startMs - firstMs).toFixed(1);
   const failed = span.error === undefined ? [] : [`failed: ${span.error}`];
@@ -55,6 +59,6 @@
   ].join('  ');
 }
 
-function inOrder(spans: readonly Span[]): Span[] {
+function sortByStart(spans: readonly Span[]): Span[] {
   return [...spans].sort((left, right) => left.startMs - right.startMs);
 }
--- a/packages/gypsumwall-testing/src/history.ts
+++ b/packages/gypsumwall-testing/src/history.ts
@@ -22,7 +22,7 @@
 }
 
 /** All recorders' events in one order of time. */
-export function merge(
+export function mergeHistories(
   histories: ReadonlyArray<readonly historyEvent.HistoryEvent[]>,
 ): historyEvent.HistoryEvent[] {
   return histories
@@ -31,23 +31,23 @@
 }
 
 /** One event as a line of text, with its moment relative to `from`. */
-export function describe(
+export function formatEvent(
   event: historyEvent.HistoryEvent,
   from: machineClock.MachineMs,
 ): string {
   const {at, source, number, type, ...rest} = event;
   const seconds = ((at - from) / 1_000).toFixed(3).padStart(8);
   const fields = Object.entries(rest)
-    .map(([key, value]) => `${key}=${fieldText(value)}`)
+    .map(([key, value]) => `${key}=${formatField(value)}`)
     .join(' ');
   return `${seconds} ${source}#${number} ${type} ${fields}`;
 }
 
-const LONGEST_FIELD = 200;
+const MAX_FIELD_CHARS = 200;
 
-function fieldText(value: unknown): string {
+function formatField(value: unknown): string {
   const text = typeof value === 'string' ? value : JSON.stringify(value);
-  return text.length > LONGEST_FIELD
-    ? `${text.slice(0, LONGEST_FIELD)}...`
+  return text.length > MAX_FIELD_CHARS
+    ? `${text.slice(0, MAX_FIELD_CHARS)}...`
     : text;
 }
--- a/packages/gypsumwall-testing/src/history_event.ts
+++ b/packages/gypsumwall-testing/src/history_event.ts
@@ -15,7 +15,7 @@
   | 'worker_restarted';
 
 /** What a caller was told about a quick request. */
-export type RequestTold =
+export type RequestOutcome =
   /** A whole answer, with its declared length. */
   | {readonly type: 'done'; readonly answerHash: string; readonly bytes: number}
   | {
@@ -33,12 +33,12 @@
     };
 
 /** What a caller was told about a job it handed in. */
-export type JobTold =
+export type JobOutcome =
   | {readonly type: 'accepted'; readonly jobId: string}
-  | Exclude<RequestTold, {readonly type: 'done'}>;
+  | Exclude<RequestOutcome, {readonly type: 'done'}>;
 
 /** What an operator was told about a publish. */
-export type PublishTold =
+export type PublishOutcome =
   | {readonly type: 'accepted'; readonly revision: number}
   | {readonly type: 'conflict'; readonly message: string}
   | {readonly type: 'refused'; readonly message: string}
@@ -154,7 +154,7 @@
   | {
       readonly type: 'request_told';
       readonly callId: string;
-      readonly told: RequestTold;
+      readonly told: RequestOutcome;
     }
   | {
       readonly type: 'job_sent';
@@ -168,7 +168,7 @@
       readonly type: 'job_told';
       readonly callId: string;
       readonly label: string;
-      readonly told: JobTold;
+      readonly told: JobOutcome;
     }
   | {
       readonly type: 'job_seen';
@@ -188,7 +188,7 @@
       readonly entryId: string;
       readonly path: string;
       readonly base: number;
-      readonly told: PublishTold;
+      readonly told: PublishOutcome;
     }
   | {
       readonly type: 'setting_seen';
--- a/packages/gypsumwall-testing/src/instance_board.ts
+++ b/packages/gypsumwall-testing/src/instance_registry.ts
@@ -2,7 +2,7 @@
 import type * as platform from '@gypsumwall/platform';
 
 /** All instances, as the list will show them. */
-export interface InstanceBoard {
+export interface InstanceRegistry {
   put(instance: platform.instanceList.ListedInstance): void;
   remove(id: string): void;
   setState(id: string, state: 'live' | 'leaving'): void;
@@ -11,7 +11,7 @@
 }
 
 /** Makes an empty board. */
-export function createInstanceBoard(): InstanceBoard {
+export function createInstanceRegistry(): InstanceRegistry {
   const instances = new Map<string, platform.instanceList.ListedInstance>();
   return {
     put: (instance) => void instances.set(instance.id, instance),
--- a/packages/gypsumwall-testing/src/jsonc_file.ts
+++ b/packages/gypsumwall-testing/src/jsonc_file.ts
@@ -40,8 +40,8 @@
   const lines = parsed.error.issues.map((issue) => {
     const line = lineAt(text, offsetOf(root, issue.path));
     const where = issue.path.join('.') || 'the file';
-    const value = valueAt(root, issue.path);
-    return `${file}:${line}: ${where}: ${remedyOf(issue)}${value}`;
+    const value = formatValueAt(root, issue.path);
+    return `${file}:${line}: ${where}: ${formatIssue(issue)}${value}`;
   });
   return result.err(lines.join('\n'));
 }
@@ -56,7 +56,7 @@
   return read.value;
 }
 
-function remedyOf(issue: zod.core.$ZodIssue): string {
+function formatIssue(issue: zod.core.$ZodIssue): string {
   if (issue.code === 'unrecognized_keys') {
     return `remove ${issue.keys.join(', ')} or mend the spelling`;
   }
@@ -64,7 +64,10 @@
 }
 
 /** The value that was found, in words; empty for one that is missing or long. */
-function valueAt(root: jsoncParser.Node, path: readonly PropertyKey[]): string {
+function formatValueAt(
+  root: jsoncParser.Node,
+  path: readonly PropertyKey[],
+): string {
   const part = [...path] as jsoncParser.JSONPath;
   const node = jsoncParser.findNodeAtLocation(root, part);
   if (node === undefined || node.children !== undefined) return '';
--- a/packages/gypsumwall-testing/src/judge/__tests__/judge.test.ts
+++ b/packages/gypsumwall-testing/src/judge/__tests__/judge.test.ts
@@ -69,19 +69,19 @@
   return {type: 'request_sent', callId, bodyHash, ...call};
 }
 
-function requestTold(callId: string, told: historyEvent.RequestTold): Body {
+function requestTold(callId: string, told: historyEvent.RequestOutcome): Body {
   return {type: 'request_told', callId, told};
 }
 
-function done(answerHash: string): historyEvent.RequestTold {
+function done(answerHash: string): historyEvent.RequestOutcome {
   return {type: 'done', answerHash, bytes: 3};
 }
 
-function notRun(reason = 'overloaded'): historyEvent.RequestTold {
+function notRun(reason = 'overloaded'): historyEvent.RequestOutcome {
   return {type: 'not_run', reason, message: ''};
 }
 
-function broken(neverSent: boolean): historyEvent.RequestTold {
+function broken(neverSent: boolean): historyEvent.RequestOutcome {
   return {type: 'broken', message: '', neverSent};
 }
 
@@ -126,7 +126,7 @@
   };
 }
 
-function jobTold(told: historyEvent.JobTold): Body {
+function jobTold(told: historyEvent.JobOutcome): Body {
   return {type: 'job_told', callId: 'c1', label: 'job-1', told};
 }
 
@@ -268,13 +268,13 @@
     promise: 'not_run_is_true',
     sound: [
       workerUp('w1'),
-      jobTold(notRun() as historyEvent.JobTold),
+      jobTold(notRun() as historyEvent.JobOutcome),
       jobTold({type: 'unknown', message: ''}),
       taskStarted('w1', 'd.j/0', 1),
     ],
     faulty: [
       workerUp('w1'),
-      jobTold(notRun() as historyEvent.JobTold),
+      jobTold(notRun() as historyEvent.JobOutcome),
       taskStarted('w1', 'd.j/0', 1),
     ],
   },
--- a/packages/gypsumwall-testing/src/judge/entry_rules.ts
+++ b/packages/gypsumwall-testing/src/judge/entry_rules.ts
@@ -6,7 +6,7 @@
 export function checkPlannedStop(
   events: readonly historyEvent.HistoryEvent[],
 ): finding.Finding[] {
-  const told = new Map(
+  const outcomes = new Map(
     [
       ...finding.eventsOf(events, 'request_told'),
       ...finding.eventsOf(events, 'job_told'),
@@ -26,13 +26,18 @@
     for (const call of sent) {
       if (call.entryId !== entryId) continue;
       if (exit !== undefined && call.at > exit.at) continue;
-      const end = told.get(call.callId);
-      if (end === undefined || end.at < stopping.at) continue;
-      if (end.told.type !== 'broken' || end.told.neverSent) continue;
+      const outcome = outcomes.get(call.callId);
+      if (outcome === undefined || outcome.at < stopping.at) continue;
+      if (outcome.told.type !== 'broken' || outcome.told.neverSent) continue;
       findings.push({
         promise: 'planned_stop',
         message: `the planned stop of ${entryId} cut off call ${call.callId}`,
-        evidence: [call, stopping, end, ...(exit === undefined ? [] : [exit])],
+        evidence: [
+          call,
+          stopping,
+          outcome,
+          ...(exit === undefined ? [] : [exit]),
+        ],
       });
     }
     if (exit === undefined || exit.code === 0) continue;
@@ -45,11 +50,11 @@
   return findings;
 }
 
-type Seen = finding.EventOf<'setting_seen'>;
-type Published = finding.EventOf<'publish_told'>;
+type SettingReading = finding.EventOf<'setting_seen'>;
+type PublishOutcome = finding.EventOf<'publish_told'>;
 
 interface AcceptedPublish {
-  readonly event: Published;
+  readonly event: PublishOutcome;
   readonly revision: number;
 }
 
@@ -67,12 +72,12 @@
   events: readonly historyEvent.HistoryEvent[],
   boundMs: number,
 ): finding.Finding[] {
-  const seen = finding.eventsOf(events, 'setting_seen');
+  const readings = finding.eventsOf(events, 'setting_seen');
   const accepted = acceptedPublishes(events);
   return [
     ...checkOneWinner(accepted),
-    ...checkNoRevert(seen),
-    ...checkInForce(events, seen, accepted, boundMs),
+    ...checkNoRevert(readings),
+    ...checkInForce(events, readings, accepted, boundMs),
   ];
 }
 
@@ -80,27 +85,27 @@
 function checkOneWinner(
   accepted: readonly AcceptedPublish[],
 ): finding.Finding[] {
-  const byBase = finding.groupBy(
+  const winnersByBase = finding.groupBy(
     accepted,
     ({event}) => `${event.path} on revision ${event.base}`,
   );
-  return [...byBase].flatMap(([what, winners]) => {
+  return [...winnersByBase].flatMap(([description, winners]) => {
     if (winners.length < 2) return [];
-    const message = `${winners.length} publishes of ${what} were accepted`;
+    const message = `${winners.length} publishes of ${description} were accepted`;
     const evidence = winners.map(({event}) => event);
     return [{promise: 'configuration', message, evidence}];
   });
 }
 
 /** A later reading at an entry never shows an older revision. */
-function checkNoRevert(seen: readonly Seen[]): finding.Finding[] {
+function checkNoRevert(readings: readonly SettingReading[]): finding.Finding[] {
   const findings: finding.Finding[] = [];
   const groups = finding.groupBy(
-    seen,
+    readings,
     (event) => `${event.entryId} ${event.path}`,
   );
   for (const readings of groups.values()) {
-    let newest: Seen | undefined;
+    let newest: SettingReading | undefined;
     for (const reading of readings) {
       if (
         newest !== undefined &&
@@ -124,12 +129,12 @@
 /** The bound counts from the acceptance, or from the last change of faults. */
 function checkInForce(
   events: readonly historyEvent.HistoryEvent[],
-  seen: readonly Seen[],
+  readings: readonly SettingReading[],
   accepted: readonly AcceptedPublish[],
   boundMs: number,
 ): finding.Finding[] {
   const faults = finding.eventsOf(events, 'fault');
-  return seen.flatMap((reading) => {
+  return readings.flatMap((reading) => {
     const fault = faults.filter((event) => event.at < reading.askedAt).at(-1);
     if (fault !== undefined && reading.askedAt < fault.at + boundMs) return [];
     const missed = accepted.find(
--- a/packages/gypsumwall-testing/src/judge/job_rules.ts
+++ b/packages/gypsumwall-testing/src/judge/job_rules.ts
@@ -3,7 +3,7 @@
 import type * as historyEvent from '../history_event.js';
 import * as finding from './finding.js';
 
-type Seen = finding.EventOf<'job_seen'>;
+type JobReading = finding.EventOf<'job_seen'>;
 
 /** Every accepted job ends, or goes on as a service, once all is settled. */
 export function checkNothingLost(
@@ -14,7 +14,7 @@
   const cancelled = new Set(
     finding.eventsOf(events, 'job_cancel_accepted').map((event) => event.jobId),
   );
-  const seen = finding.groupBy(
+  const readings = finding.groupBy(
     finding.eventsOf(events, 'job_seen'),
     (event) => event.view.jobId,
   );
@@ -31,14 +31,16 @@
     if (event.told.type !== 'accepted') continue;
     const {jobId} = event.told;
     if (cancelled.has(jobId)) continue;
-    const last = seen.get(jobId)?.at(-1);
-    const gone = missing.get(jobId)?.at(-1);
+    const lastReading = readings.get(jobId)?.at(-1);
+    const missingReply = missing.get(jobId)?.at(-1);
     const message =
-      gone !== undefined && gone.at > (last?.at ?? 0)
-        ? `accepted, but ${gone.entryId} knows no such job`
-        : findLoss(last, ends.get(jobId) ?? []);
+      missingReply !== undefined && missingReply.at > (lastReading?.at ?? 0)
+        ? `accepted, but ${missingReply.entryId} knows no such job`
+        : findLoss(lastReading, ends.get(jobId) ?? []);
     if (message === undefined) continue;
-    const evidence = [event, last, gone].filter((one) => one !== undefined);
+    const evidence = [event, lastReading, missingReply].filter(
+      (one) => one !== undefined,
+    );
     findings.push({
       promise: 'nothing_lost',
       message: `job ${jobId}: ${message}`,
@@ -50,11 +52,11 @@
 
 /** Why the job counts as lost, by its last view and what workers recorded. */
 function findLoss(
-  last: Seen | undefined,
+  lastReading: JobReading | undefined,
   ends: ReadonlyArray<finding.EventOf<'task_ended'>>,
 ): string | undefined {
-  if (last === undefined) return 'accepted, but never seen by its id';
-  const {view} = last;
+  if (lastReading === undefined) return 'accepted, but never seen by its id';
+  const {view} = lastReading;
   switch (view.state) {
     case 'queued':
     case 'cancelled':
--- a/packages/gypsumwall-testing/src/judge/request_rules.ts
+++ b/packages/gypsumwall-testing/src/judge/request_rules.ts
@@ -3,27 +3,27 @@
 import * as finding from './finding.js';
 
 type Execution = finding.EventOf<'execution_started'>;
-type Sent = finding.EventOf<'request_sent'>;
-type Told = finding.EventOf<'request_told'>;
+type SentEvent = finding.EventOf<'request_sent'>;
+type OutcomeEvent = finding.EventOf<'request_told'>;
 
 /** A call from its sending to what the caller was told, if it was. */
 interface Call {
-  readonly sent: Sent;
-  readonly told?: Told;
+  readonly sent: SentEvent;
+  readonly outcomeEvent?: OutcomeEvent;
 }
 
 /** All calls by the hash of what they carried. */
 function callsByBody(
   events: readonly historyEvent.HistoryEvent[],
 ): Map<string, Call[]> {
-  const told = new Map(
+  const outcomeEvents = new Map(
     finding.eventsOf(events, 'request_told').map((event) => {
       return [event.callId, event] as const;
     }),
   );
   const calls = finding
     .eventsOf(events, 'request_sent')
-    .map((sent) => ({sent, told: told.get(sent.callId)}));
+    .map((sent) => ({sent, outcomeEvent: outcomeEvents.get(sent.callId)}));
   return finding.groupBy(calls, (call) => call.sent.bodyHash);
 }
 
@@ -46,25 +46,25 @@
   );
   const findings: finding.Finding[] = [];
   for (const [bodyHash, calls] of callsByBody(events)) {
-    const own = executions.get(bodyHash) ?? [];
-    for (const {sent, told} of calls) {
-      if (told?.told.type !== 'done') continue;
-      const {answerHash} = told.told;
-      const fits = own.some(
+    const ownExecutions = executions.get(bodyHash) ?? [];
+    for (const {sent, outcomeEvent} of calls) {
+      if (outcomeEvent?.told.type !== 'done') continue;
+      const {answerHash} = outcomeEvent.told;
+      const isOwnAnswer = ownExecutions.some(
         (execution) =>
           execution.team === sent.team &&
           ends.get(execution.executionId)?.answerHash === answerHash,
       );
-      if (fits) continue;
+      if (isOwnAnswer) continue;
       const others = [...ends.values()].filter(
         (end) => end.answerHash === answerHash,
       );
-      const what =
+      const description =
         others.length > 0 ? "another request's answer" : 'no whole answer';
       findings.push({
         promise: 'whole_answer',
-        message: `call ${sent.callId} was given ${what} as done`,
-        evidence: [sent, ...own, ...others, told],
+        message: `call ${sent.callId} was given ${description} as done`,
+        evidence: [sent, ...ownExecutions, ...others, outcomeEvent],
       });
     }
   }
@@ -78,26 +78,29 @@
   const executions = executionsByBody(events);
   const findings: finding.Finding[] = [];
   for (const [bodyHash, calls] of callsByBody(events)) {
-    const own = executions.get(bodyHash) ?? [];
+    const ownExecutions = executions.get(bodyHash) ?? [];
     for (const call of calls) {
-      if (call.told?.told.type !== 'not_run') continue;
-      const {told} = call;
+      if (call.outcomeEvent?.told.type !== 'not_run') continue;
+      const {outcomeEvent} = call;
       const others = calls.filter(
-        (other) => other !== call && other.told?.told.type !== 'not_run',
+        (other) =>
+          other !== call && other.outcomeEvent?.told.type !== 'not_run',
+      );
+      const unexplained = ownExecutions.filter(
+        (execution) => !isExplained(execution, others),
       );
-      const ran = own.filter((execution) => !isExplained(execution, others));
       // Told of a key that another call of it already ran: a lie as well,
       // unless the reason says that just this is the case.
-      const before =
-        call.told.told.reason === 'key_in_use'
+      const earlier =
+        call.outcomeEvent.told.reason === 'key_in_use'
           ? []
-          : own.filter((execution) => execution.at < told.at);
-      const evidence = [...new Set([...ran, ...before])];
+          : ownExecutions.filter((execution) => execution.at < outcomeEvent.at);
+      const evidence = [...new Set([...unexplained, ...earlier])];
       if (evidence.length === 0) continue;
       findings.push({
         promise: 'not_run_is_true',
         message: `call ${call.sent.callId} was told not_run but ran`,
-        evidence: [call.sent, ...evidence, call.told],
+        evidence: [call.sent, ...evidence, call.outcomeEvent],
       });
     }
   }
@@ -113,20 +116,23 @@
 export function checkJobNotRun(
   events: readonly historyEvent.HistoryEvent[],
 ): finding.Finding[] {
-  const told = finding.eventsOf(events, 'job_told');
+  const jobOutcomes = finding.eventsOf(events, 'job_told');
   const starts = finding.groupBy(
     finding.eventsOf(events, 'task_started'),
     (start) => start.label,
   );
   const findings: finding.Finding[] = [];
-  for (const [label, tellings] of finding.groupBy(told, (one) => one.label)) {
-    if (tellings.some((one) => one.told.type !== 'not_run')) continue;
-    const own = starts.get(label) ?? [];
-    if (own.length === 0) continue;
+  for (const [label, outcomes] of finding.groupBy(
+    jobOutcomes,
+    (one) => one.label,
+  )) {
+    if (outcomes.some((one) => one.told.type !== 'not_run')) continue;
+    const ownStarts = starts.get(label) ?? [];
+    if (ownStarts.length === 0) continue;
     findings.push({
       promise: 'not_run_is_true',
-      message: `job ${label} was told not_run but ${own.length} tasks ran`,
-      evidence: [...tellings, ...own],
+      message: `job ${label} was told not_run but ${ownStarts.length} tasks ran`,
+      evidence: [...outcomes, ...ownStarts],
     });
   }
   return findings;
@@ -141,16 +147,16 @@
     started.filter((execution) => execution.key !== ''),
     (execution) => `key ${execution.key} of ${execution.team}`,
   );
-  const filed = finding.groupBy(
+  const irrevocable = finding.groupBy(
     started.filter((execution) => execution.authority),
     (execution) => `${execution.operation} with body ${execution.bodyHash}`,
   );
   const findings: finding.Finding[] = [];
-  for (const [what, executions] of [...keyed, ...filed]) {
+  for (const [description, executions] of [...keyed, ...irrevocable]) {
     if (executions.length < 2) continue;
     findings.push({
       promise: 'at_most_once',
-      message: `${what} ran ${executions.length} times`,
+      message: `${description} ran ${executions.length} times`,
       evidence: executions,
     });
   }
--- a/packages/gypsumwall-testing/src/judge/worker_rules.ts
+++ b/packages/gypsumwall-testing/src/judge/worker_rules.ts
@@ -3,7 +3,7 @@
 import type * as historyEvent from '../history_event.js';
 import * as finding from './finding.js';
 
-type Started = finding.EventOf<'task_started'>;
+type StartEvent = finding.EventOf<'task_started'>;
 
 /** No worker ever holds more than its capacity, on any dimension. */
 export function checkCapacity(
@@ -11,7 +11,7 @@
 ): finding.Finding[] {
   const findings: finding.Finding[] = [];
   const capacities = new Map<string, types.resources.Resources>();
-  const held = new Map<string, Map<string, Started>>();
+  const held = new Map<string, Map<string, StartEvent>>();
   for (const event of events) {
     if (event.type === 'worker_up') {
       capacities.set(event.workerId, event.capacity);
@@ -21,20 +21,20 @@
       held.get(event.workerId)?.delete(attemptKey(event));
     }
     if (event.type !== 'task_started') continue;
-    const there = held.get(event.workerId) ?? new Map<string, Started>();
-    held.set(event.workerId, there);
-    there.set(attemptKey(event), event);
-    const starts = [...there.values()];
+    const heldHere = held.get(event.workerId) ?? new Map<string, StartEvent>();
+    held.set(event.workerId, heldHere);
+    heldHere.set(attemptKey(event), event);
+    const running = [...heldHere.values()];
     const capacity =
       capacities.get(event.workerId) ?? types.resources.NO_RESOURCES;
-    const sum = starts
+    const totalSize = running
       .map((start) => start.size)
       .reduce(types.resources.add, types.resources.NO_RESOURCES);
-    if (types.resources.fits(sum, capacity)) continue;
+    if (types.resources.fits(totalSize, capacity)) continue;
     findings.push({
       promise: 'capacity',
-      message: `${event.workerId} holds ${JSON.stringify(sum)} of ${JSON.stringify(capacity)}`,
-      evidence: starts,
+      message: `${event.workerId} holds ${JSON.stringify(totalSize)} of ${JSON.stringify(capacity)}`,
+      evidence: running,
     });
   }
   return findings;
@@ -45,13 +45,13 @@
   events: readonly historyEvent.HistoryEvent[],
 ): finding.Finding[] {
   const findings: finding.Finding[] = [];
-  const running = new Map<string, Map<string, Started>>();
+  const running = new Map<string, Map<string, StartEvent>>();
   for (const event of events) {
     if (event.type === 'task_ended') {
       running.get(event.taskId)?.delete(placeKey(event));
     }
     if (event.type !== 'task_started') continue;
-    const places = running.get(event.taskId) ?? new Map<string, Started>();
+    const places = running.get(event.taskId) ?? new Map<string, StartEvent>();
     running.set(event.taskId, places);
     places.set(placeKey(event), event);
     if (places.size < 2) continue;
@@ -85,35 +85,38 @@
     finding.eventsOf(events, 'task_started'),
     (start) => start.taskId,
   );
-  return heardEnds(events).flatMap((told) => {
-    const {taskId} = told;
+  return acknowledgedEnds(events).flatMap((reportedEnd) => {
+    const {taskId} = reportedEnd;
     const {jobId} = types.ids.splitTaskId(types.ids.brand(taskId));
-    const again = starts.get(taskId)?.filter((start) => start.at > told.at);
+    const again = starts
+      .get(taskId)
+      ?.filter((start) => start.at > reportedEnd.at);
     if (services.has(jobId) || again === undefined || again.length === 0) {
       return [];
     }
     const message = `task ${taskId} was known to be done and was started again`;
-    return [{promise: 'done_once', message, evidence: [told, ...again]}];
+    return [{promise: 'done_once', message, evidence: [reportedEnd, ...again]}];
   });
 }
 
 /** The last telling of each done end that was acknowledged. */
-function heardEnds(
+function acknowledgedEnds(
   events: readonly historyEvent.HistoryEvent[],
 ): Array<finding.EventOf<'end_told'>> {
   const done = new Set<string>();
-  const told = new Map<string, finding.EventOf<'end_told'>>();
-  const heard: Array<finding.EventOf<'end_told'>> = [];
+  const lastReports = new Map<string, finding.EventOf<'end_told'>>();
+  const acknowledged: Array<finding.EventOf<'end_told'>> = [];
   for (const event of events) {
     if (event.type === 'task_ended' && event.cause === 'done') {
       done.add(attemptKey(event));
     }
-    if (event.type === 'end_told') told.set(attemptKey(event), event);
+    if (event.type === 'end_told') lastReports.set(attemptKey(event), event);
     if (event.type !== 'end_acknowledged') continue;
-    const last = told.get(attemptKey(event));
-    if (last !== undefined && done.has(attemptKey(event))) heard.push(last);
+    const lastReport = lastReports.get(attemptKey(event));
+    if (lastReport !== undefined && done.has(attemptKey(event)))
+      acknowledged.push(lastReport);
   }
-  return heard;
+  return acknowledged;
 }
 
 interface Attempt {
--- a/packages/gypsumwall-testing/src/launch_cell.ts
+++ b/packages/gypsumwall-testing/src/launch_cell.ts
@@ -10,7 +10,7 @@
 import * as entryProcess from './entry_process.js';
 import * as history from './history.js';
 import type * as historyEvent from './history_event.js';
-import * as instanceBoard from './instance_board.js';
+import * as instanceRegistry from './instance_registry.js';
 import * as network from './network.js';
 import * as site from './site.js';
 import * as standInGroup from './stand_in_group.js';
@@ -23,7 +23,7 @@
   /** Arguments for Node that start an entry; the settings file follows. */
   readonly entryCommand: readonly string[];
   /** Whether every path of an entry goes through a relay, to be cut. */
-  readonly relayed: boolean;
+  readonly isRelayed: boolean;
   readonly seed: number;
   /** Leaves settings and logs behind for a person to read. */
   readonly keepFolder?: boolean;
@@ -35,7 +35,7 @@
   readonly recorded: history.History;
   readonly network: network.Network;
   readonly standIns: standInGroup.StandInGroup;
-  readonly board: instanceBoard.InstanceBoard;
+  readonly registry: instanceRegistry.InstanceRegistry;
   /** Folder of settings and logs; gone after `close`. */
   readonly folder: string;
   /** Entries that run, frozen ones included. */
@@ -55,8 +55,8 @@
 }
 
 const READY_TIMEOUT_MS = 60_000;
-const POLL_MS = 50;
-const BALANCER_MS = 100;
+const POLL_INTERVAL_MS = 50;
+const BALANCER_POLL_MS = 100;
 
 /** Starts all, publishes the tree and waits until every entry is ready. */
 export async function launchCell(options: CellOptions): Promise<Cell> {
@@ -86,10 +86,10 @@
     folder,
   });
   const paths = network.createNetwork();
-  const board = instanceBoard.createInstanceBoard();
+  const registry = instanceRegistry.createInstanceRegistry();
   for (const instance of [...instances.workers, ...instances.upstreams]) {
     const address = standIns.addresses[instance.id] ?? '';
-    board.put({...instance, address, state: 'live'});
+    registry.put({...instance, address, state: 'live'});
   }
   const running = new Map<string, entryProcess.EntryProcess>();
 
@@ -99,15 +99,15 @@
     return found;
   };
   const updateList = async (): Promise<void> => {
-    if (options.relayed) await updateViews();
-    const body = {instances: board.all()};
+    if (options.isRelayed) await updateViews();
+    const body = {instances: registry.all()};
     await standIns.control('platform', 'instances', body);
   };
   /** Each entry sees the addresses of its own relays. */
   const updateViews = async (): Promise<void> => {
     for (const view of running.keys()) {
       const addresses: Record<string, string> = {};
-      for (const {id, address} of board.all()) {
+      for (const {id, address} of registry.all()) {
         // An entry finds itself on the list by the address it listens on.
         addresses[id] =
           id === view ? address : await paths.connect(view, id, address);
@@ -116,13 +116,13 @@
     }
   };
   const platformPath = (id: string, end: 'log' | 'list'): Promise<string> =>
-    options.relayed
+    options.isRelayed
       ? paths.connect(id, end, standIns.platform)
       : Promise.resolve(standIns.platform);
 
   const listUrl = async (id: string): Promise<string> => {
     const address = await platformPath(id, 'list');
-    return options.relayed ? `${address}/views/${id}` : address;
+    return options.isRelayed ? `${address}/views/${id}` : address;
   };
 
   const cell: Cell = {
@@ -130,7 +130,7 @@
     recorded,
     network: paths,
     standIns,
-    board,
+    registry,
     folder,
     entries: () => [...running.values()],
     entry: entryOf,
@@ -150,10 +150,10 @@
         recorded,
       });
       running.set(id, started);
-      void started.child.exited.then(() => paths.refuse(id));
+      void started.child.exited.then(() => paths.refuseConnections(id));
       const address = started.peerAddress;
       const state = 'live';
-      board.put({kind: 'entry', id, failureDomain, address, state});
+      registry.put({kind: 'entry', id, failureDomain, address, state});
       await updateList();
       return started;
     },
@@ -162,26 +162,27 @@
       running.delete(id);
       entry.child.send('SIGKILL');
       await entry.child.exited;
-      board.remove(id);
+      registry.remove(id);
       await updateList();
     },
     stopEntry: async (id) => {
       const entry = entryOf(id);
-      board.setState(id, 'leaving');
+      registry.setState(id, 'leaving');
       await updateList();
       recorded.record({type: 'entry_stopping', entryId: id});
       entry.child.send('SIGTERM');
       // The balancer sends callers there until it sees that it isn't ready.
-      while (await entry.client.ready()) await timers.setTimeout(BALANCER_MS);
+      while (await entry.client.ready())
+        await timers.setTimeout(BALANCER_POLL_MS);
       running.delete(id);
       await entry.child.exited;
-      board.remove(id);
+      registry.remove(id);
       await updateList();
     },
     updateList,
     history: async () => {
       const others = await standIns.histories();
-      return history.merge([recorded.since(0), ...others]);
+      return history.mergeHistories([recorded.since(0), ...others]);
     },
     close: async () => {
       for (const {child} of running.values()) child.send('SIGKILL');
@@ -199,10 +200,10 @@
 }
 
 async function publishTree(cell: Cell): Promise<void> {
-  const {tree, tokens, site: where} = cell.options;
+  const {tree, tokens, site: targetSite} = cell.options;
   // A site may be smaller than its example: a domain without entries would
   // be the home of jobs that never run.
-  const failureDomains = where.failureDomains.map(({name}) => name);
+  const failureDomains = targetSite.failureDomains.map(({name}) => name);
   const publisher = cell.entries()[0]?.client;
   if (publisher === undefined) throw new Error('the site has no entry');
   const subtrees: Array<[string, unknown]> = [
@@ -212,11 +213,11 @@
     }),
   ];
   for (const [subtree, value] of subtrees) {
-    await publishOne(publisher, tokens.rootOperator, subtree, value);
+    await publishSubtree(publisher, tokens.rootOperator, subtree, value);
   }
 }
 
-async function publishOne(
+async function publishSubtree(
   publisher: entryClient.EntryClient,
   token: string,
   subtree: string,
@@ -226,16 +227,16 @@
   for (;;) {
     const callId = `launch-${subtree}`;
     const publish = {callId, token, path: subtree, base: -1, value};
-    const told = await publisher.publish(publish);
-    if (told.type === 'accepted') return;
+    const outcome = await publisher.publish(publish);
+    if (outcome.type === 'accepted') return;
     // An earlier try may have taken effect although its answer was lost.
     const known = await publisher.setting(token, subtree);
-    if (told.type === 'conflict' && known !== undefined) return;
+    if (outcome.type === 'conflict' && known !== undefined) return;
     if (performance.now() > deadline) {
-      throw new Error(`publishing ${subtree}: ${told.message}`);
+      throw new Error(`publishing ${subtree}: ${outcome.message}`);
     }
     // A new entry refuses while it still reads the log.
-    await timers.setTimeout(POLL_MS);
+    await timers.setTimeout(POLL_INTERVAL_MS);
   }
 }
 
@@ -247,12 +248,12 @@
       if (performance.now() > deadline) {
         throw new Error(`entry ${entry.entry.id} does not get ready`);
       }
-      await timers.setTimeout(POLL_MS);
+      await timers.setTimeout(POLL_INTERVAL_MS);
     }
   }
 }
 
-interface SeenStatus {
+interface EntryStatus {
   readonly router: {
     readonly upstreams: ReadonlyArray<{readonly share: number}>;
   };
@@ -267,13 +268,13 @@
   const token = cell.options.tokens.rootOperator;
   for (const {entry, client} of cell.entries()) {
     for (;;) {
-      const status = (await client.status(token)) as SeenStatus | undefined;
+      const status = (await client.status(token)) as EntryStatus | undefined;
       const upstreams = status?.router.upstreams ?? [];
       if (upstreams.some(({share}) => share > 0)) break;
       if (performance.now() > deadline) {
         throw new Error(`entry ${entry.id} gets no slots of upstreams`);
       }
-      await timers.setTimeout(POLL_MS);
+      await timers.setTimeout(POLL_INTERVAL_MS);
     }
   }
 }
--- a/packages/gypsumwall-testing/src/log_store.ts
+++ b/packages/gypsumwall-testing/src/log_store.ts
@@ -28,14 +28,14 @@
   }>;
 }
 
-interface KeptRecord extends platform.platformLog.LogRecord {
+interface StoredRecord extends platform.platformLog.LogRecord {
   readonly at: machineClock.MachineMs;
 }
 
 interface Stream {
   firstOffset: number;
   endOffset: number;
-  kept: KeptRecord[];
+  records: StoredRecord[];
   waiters: Set<() => void>;
 }
 
@@ -47,26 +47,29 @@
   const streamOf = (name: string): Stream => {
     const known = streams.get(name);
     if (known !== undefined) return known;
-    const made = {
+    const created = {
       firstOffset: 0,
       endOffset: 0,
-      kept: [],
+      records: [],
       waiters: new Set<() => void>(),
     };
-    streams.set(name, made);
-    return made;
+    streams.set(name, created);
+    return created;
   };
   const dropBefore = (stream: Stream, before: number): void => {
-    const wanted = Math.min(before, stream.endOffset);
-    if (wanted <= stream.firstOffset) return;
-    stream.kept.splice(0, wanted - stream.firstOffset);
-    stream.firstOffset = wanted;
+    const newFirstOffset = Math.min(before, stream.endOffset);
+    if (newFirstOffset <= stream.firstOffset) return;
+    stream.records.splice(0, newFirstOffset - stream.firstOffset);
+    stream.firstOffset = newFirstOffset;
   };
-  const expire = (stream: Stream): void => {
+  const applyRetention = (stream: Stream): void => {
     dropBefore(stream, stream.endOffset - retention.keepRecords);
     const oldest = machineClock.machineNow() - retention.keepMs;
-    const live = stream.kept.findIndex((record) => record.at >= oldest);
-    dropBefore(stream, live < 0 ? stream.endOffset : stream.firstOffset + live);
+    const firstLive = stream.records.findIndex((record) => record.at >= oldest);
+    dropBefore(
+      stream,
+      firstLive < 0 ? stream.endOffset : stream.firstOffset + firstLive,
+    );
   };
 
   return {
@@ -77,19 +80,25 @@
       for (const [index, body] of req.bodies.entries()) {
         const offset = firstOffset + index;
         const sequence = req.sequence + index;
-        stream.kept.push({offset, producer: req.producer, sequence, body, at});
+        stream.records.push({
+          offset,
+          producer: req.producer,
+          sequence,
+          body,
+          at,
+        });
       }
       stream.endOffset += req.bodies.length;
-      expire(stream);
-      for (const wake of [...stream.waiters]) wake();
+      applyRetention(stream);
+      for (const notify of [...stream.waiters]) notify();
       return firstOffset;
     },
     read: (name, from, limit) => {
       const stream = streamOf(name);
-      expire(stream);
+      applyRetention(stream);
       const start = Math.max(from, stream.firstOffset);
       const index = start - stream.firstOffset;
-      const records = stream.kept
+      const records = stream.records
         .slice(index, index + limit)
         .map(({at: _at, ...record}) => record);
       const nextOffset = start + records.length;
@@ -113,8 +122,8 @@
       dropBefore(stream, before);
       return stream.firstOffset;
     },
-    setRetention: (wanted) => {
-      retention = wanted;
+    setRetention: (newRetention) => {
+      retention = newRetention;
     },
     streams: () =>
       [...streams].map(([stream, {firstOffset, endOffset}]) => {
--- a/packages/gypsumwall-testing/src/machine_clock.ts
+++ b/packages/gypsumwall-testing/src/machine_clock.ts
@@ -7,9 +7,9 @@
 /** A moment on the machine's monotonic clock, in milliseconds. */
 export type MachineMs = number & {readonly __unit: 'MachineMs'};
 
-const NANOS_IN_MS = 1e6;
+const NANOS_PER_MS = 1e6;
 
 /** Now, in milliseconds since the machine's boot. */
 export function machineNow(): MachineMs {
-  return (Number(process.hrtime.bigint()) / NANOS_IN_MS) as MachineMs;
+  return (Number(process.hrtime.bigint()) / NANOS_PER_MS) as MachineMs;
 }
--- a/packages/gypsumwall-testing/src/network.ts
+++ b/packages/gypsumwall-testing/src/network.ts
@@ -15,7 +15,7 @@
   heal(left: readonly string[], right: readonly string[]): void;
   silenceOpen(left: readonly string[], right: readonly string[]): void;
   /** That end is gone for good: every path to it refuses connections. */
-  refuse(to: string): void;
+  refuseConnections(to: string): void;
   close(): Promise<void>;
 }
 
@@ -23,22 +23,25 @@
 export function createNetwork(): Network {
   const relays = new Map<string, Map<string, relay.Relay>>();
   /** One after another, so that two callers never lay one path twice. */
-  let laying: Promise<unknown> = Promise.resolve();
+  let pendingSetup: Promise<unknown> = Promise.resolve();
 
-  const between = (
+  const relaysBetween = (
     left: readonly string[],
     right: readonly string[],
   ): relay.Relay[] => {
     const found: Array<relay.Relay | undefined> = [];
-    for (const one of left) {
-      for (const other of right) {
-        found.push(relays.get(one)?.get(other), relays.get(other)?.get(one));
+    for (const leftEnd of left) {
+      for (const rightEnd of right) {
+        found.push(
+          relays.get(leftEnd)?.get(rightEnd),
+          relays.get(rightEnd)?.get(leftEnd),
+        );
       }
     }
     return found.filter((path) => path !== undefined);
   };
 
-  const lay = async (
+  const setUpPath = async (
     from: string,
     to: string,
     address: string,
@@ -56,30 +59,30 @@
 
   return {
     connect: (from, to, address) => {
-      const laid = laying.then(() => lay(from, to, address));
-      laying = laid;
-      return laid;
+      const setup = pendingSetup.then(() => setUpPath(from, to, address));
+      pendingSetup = setup;
+      return setup;
     },
     cut: (left, right) => {
-      for (const path of between(left, right)) path.cut();
+      for (const path of relaysBetween(left, right)) path.cut();
     },
     cutOneWay: (left, right) => {
-      for (const path of between(left, right)) path.cutOneWay();
+      for (const path of relaysBetween(left, right)) path.cutOneWay();
     },
     delay: (left, right, ms) => {
-      for (const path of between(left, right)) path.delay(ms);
+      for (const path of relaysBetween(left, right)) path.delay(ms);
     },
     reset: (left, right) => {
-      for (const path of between(left, right)) path.reset();
+      for (const path of relaysBetween(left, right)) path.reset();
     },
     heal: (left, right) => {
-      for (const path of between(left, right)) path.heal();
+      for (const path of relaysBetween(left, right)) path.heal();
     },
     silenceOpen: (left, right) => {
-      for (const path of between(left, right)) path.silenceOpen();
+      for (const path of relaysBetween(left, right)) path.silenceOpen();
     },
-    refuse: (to) => {
-      for (const paths of relays.values()) paths.get(to)?.refuse();
+    refuseConnections: (to) => {
+      for (const paths of relays.values()) paths.get(to)?.refuseConnections();
     },
     close: async () => {
       const all = [...relays.values()].flatMap((paths) => [...paths.values()]);
--- a/packages/gypsumwall-testing/src/platform_stand_in.ts
+++ b/packages/gypsumwall-testing/src/platform_stand_in.ts
@@ -74,18 +74,18 @@
   recorded: history.History,
 ): void {
   const store = logStore.createLogStore(cfg);
-  const takeTurn = createTurns(cfg.appendsPerSecond);
+  const waitForAppendSlot = createRateLimiter(cfg.appendsPerSecond);
   let fault: standInConfig.LogFault = {mode: 'up'};
 
   server.addHook('onRequest', async (req, reply) => {
     if (!req.url.startsWith('/v1/streams/')) return;
     if (fault.mode === 'slow') await timers.setTimeout(fault.delayMs);
     if (fault.mode !== 'down') return;
-    return standInServer.refuse(reply, LOG_DOWN);
+    return standInServer.sendRefusal(reply, LOG_DOWN);
   });
 
   /** Whether this append's answer is to be lost; counts it if so. */
-  const losesAnswer = (stream: string): boolean => {
+  const consumeAnswerLoss = (stream: string): boolean => {
     if (fault.mode !== 'lose_answers') return false;
     if (fault.stream !== undefined && fault.stream !== stream) return false;
     const appends = fault.appends - 1;
@@ -96,9 +96,9 @@
   server.post('/v1/streams/:stream/records', async (req, reply) => {
     const {stream} = streamParams.parse(req.params);
     const body = appendBody.parse(req.body);
-    await takeTurn();
+    await waitForAppendSlot();
     const firstOffset = store.append({stream, ...body});
-    const answerLost = losesAnswer(stream);
+    const answerLost = consumeAnswerLoss(stream);
     recorded.record({
       type: 'records_appended',
       stream,
@@ -107,7 +107,7 @@
       count: body.bodies.length,
       answerLost,
     });
-    return answerLost ? standInServer.breakOff(reply) : {firstOffset};
+    return answerLost ? standInServer.dropConnection(reply) : {firstOffset};
   });
 
   server.get('/v1/streams/:stream/records', async (req, reply) => {
@@ -116,7 +116,8 @@
     const page = store.read(stream, from, limit);
     if (page.records.length > 0 || waitMs === 0) return page;
     await store.waitForAppend(stream, waitMs);
-    if (fault.mode === 'down') return standInServer.refuse(reply, LOG_DOWN);
+    if (fault.mode === 'down')
+      return standInServer.sendRefusal(reply, LOG_DOWN);
     return store.read(stream, from, limit);
   });
 
@@ -143,12 +144,12 @@
 }
 
 /** Spaces appends out, so that all producers share the log's rate. */
-function createTurns(perSecond: number): () => Promise<void> {
-  const spanMs = 1_000 / perSecond;
+function createRateLimiter(perSecond: number): () => Promise<void> {
+  const intervalMs = 1_000 / perSecond;
   let nextAt = 0;
   return async () => {
     const now = machineClock.machineNow();
-    nextAt = Math.max(now, nextAt + spanMs);
+    nextAt = Math.max(now, nextAt + intervalMs);
     if (nextAt > now) await timers.setTimeout(nextAt - now);
   };
 }
@@ -171,12 +172,12 @@
 
   const listed = (): readonly Instance[] => {
     const asOf = machineClock.machineNow() - lagMs;
-    const seen = snapshots.filter((snapshot) => snapshot.at <= asOf).at(-1);
-    return seen?.instances ?? [];
+    const snapshot = snapshots.filter((snapshot) => snapshot.at <= asOf).at(-1);
+    return snapshot?.instances ?? [];
   };
 
   server.get('/v1/instances', (req, reply) =>
-    sendTagged(req, reply, {instances: listed()}),
+    sendWithEtag(req, reply, {instances: listed()}),
   );
   server.get('/views/:view/v1/instances', (req, reply) => {
     const {view} = zod.object({view: zod.string()}).parse(req.params);
@@ -187,7 +188,7 @@
       const address = addresses[String(instance.id)];
       return address === undefined ? [] : [{...instance, address}];
     });
-    return sendTagged(req, reply, {instances});
+    return sendWithEtag(req, reply, {instances});
   });
 
   server.post('/control/instances', (req) => {
@@ -217,7 +218,7 @@
 }
 
 /** Answers with a tag, or only that the body is the one of that tag. */
-function sendTagged(
+function sendWithEtag(
   req: fastify.FastifyRequest,
   reply: fastify.FastifyReply,
   body: object,
--- a/packages/gypsumwall-testing/src/relay.ts
+++ b/packages/gypsumwall-testing/src/relay.ts
@@ -38,116 +38,116 @@
    * The target is gone for good: new connections are refused, as its own
    * machine would. A cut hides that until it is healed.
    */
-  refuse(): void;
+  refuseConnections(): void;
   close(): Promise<void>;
 }
 
-interface Pair {
+interface ConnectionPair {
   readonly inbound: net.Socket;
   /** Absent for a connection that was opened during a cut. */
   readonly outbound?: net.Socket;
-  silenced: boolean;
+  isSilenced: boolean;
 }
 
 /** Starts a relay on a port from the kernel. */
 export async function createRelay(initial: RelayTarget): Promise<Relay> {
-  const pairs = new Set<Pair>();
+  const pairs = new Set<ConnectionPair>();
   let target = initial;
   let isCut = false;
   let isCutOneWay = false;
   let delayMs = 0;
-  let refused = false;
+  let isRefusing = false;
 
-  const open = (inbound: net.Socket): void => {
+  const acceptConnection = (inbound: net.Socket): void => {
     const outbound = isCut ? undefined : net.connect(target);
-    const pair: Pair = {inbound, outbound, silenced: false};
+    const pair: ConnectionPair = {inbound, outbound, isSilenced: false};
     pairs.add(pair);
     inbound.setNoDelay(true);
     outbound?.setNoDelay(true);
-    const end = () => {
+    const closePair = () => {
       // Neither end of a held connection learns that the other is gone.
-      if (isCut || pair.silenced) return;
+      if (isCut || pair.isSilenced) return;
       destroy(pair);
       pairs.delete(pair);
     };
     for (const socket of socketsOf(pair)) {
       socket.on('error', () => undefined);
-      socket.on('close', end);
+      socket.on('close', closePair);
     }
     if (isCut) inbound.pause();
-    else flow(pair);
+    else startForwarding(pair);
   };
-  const flow = (pair: Pair): void => {
+  const startForwarding = (pair: ConnectionPair): void => {
     const {inbound, outbound} = pair;
     if (outbound === undefined) return;
-    pass(outbound, inbound, delayMs);
-    if (!isCutOneWay) pass(inbound, outbound, delayMs);
+    forward(outbound, inbound, delayMs);
+    if (!isCutOneWay) forward(inbound, outbound, delayMs);
   };
-  const flowAnew = (): void => {
+  const restartForwarding = (): void => {
     for (const pair of pairs) {
-      if (pair.silenced || isCut) continue;
-      hold(pair);
-      flow(pair);
+      if (pair.isSilenced || isCut) continue;
+      pauseForwarding(pair);
+      startForwarding(pair);
     }
   };
-  const server = net.createServer({noDelay: true}, open);
+  const server = net.createServer({noDelay: true}, acceptConnection);
   const port = await listen(server);
-  const shut = (): void => {
+  const shutDown = (): void => {
     server.close();
     for (const pair of pairs) {
-      if (!pair.silenced) destroy(pair);
+      if (!pair.isSilenced) destroy(pair);
     }
   };
 
   return {
     address: `http://127.0.0.1:${port}`,
-    setTarget: (wanted) => {
-      target = wanted;
+    setTarget: (newTarget) => {
+      target = newTarget;
     },
     cut: () => {
       isCut = true;
-      for (const pair of pairs) hold(pair);
+      for (const pair of pairs) pauseForwarding(pair);
     },
     cutOneWay: () => {
       isCutOneWay = true;
-      flowAnew();
+      restartForwarding();
     },
     delay: (ms) => {
       delayMs = ms;
-      flowAnew();
+      restartForwarding();
     },
     reset: () => {
       for (const pair of pairs) {
-        if (pair.silenced) continue;
+        if (pair.isSilenced) continue;
         for (const socket of socketsOf(pair)) socket.resetAndDestroy();
       }
     },
     heal: () => {
-      const wasHindered = isCut || isCutOneWay || delayMs > 0;
-      if (!wasHindered) return;
+      const wasImpaired = isCut || isCutOneWay || delayMs > 0;
+      if (!wasImpaired) return;
       isCut = false;
       isCutOneWay = false;
       delayMs = 0;
       for (const pair of [...pairs]) {
-        if (pair.silenced) continue;
+        if (pair.isSilenced) continue;
         if (socketsOf(pair).some((socket) => socket.destroyed)) destroy(pair);
         else if (pair.outbound === undefined) destroy(pair);
         else {
-          hold(pair);
-          flow(pair);
+          pauseForwarding(pair);
+          startForwarding(pair);
         }
       }
-      if (refused) shut();
+      if (isRefusing) shutDown();
     },
     silenceOpen: () => {
       for (const pair of pairs) {
-        pair.silenced = true;
-        hold(pair);
+        pair.isSilenced = true;
+        pauseForwarding(pair);
       }
     },
-    refuse: () => {
-      refused = true;
-      if (!isCut) shut();
+    refuseConnections: () => {
+      isRefusing = true;
+      if (!isCut) shutDown();
     },
     close: async () => {
       const closed = new Promise<void>((resolve) => {
@@ -167,33 +167,33 @@
   });
 }
 
-function socketsOf(pair: Pair): net.Socket[] {
+function socketsOf(pair: ConnectionPair): net.Socket[] {
   return pair.outbound === undefined
     ? [pair.inbound]
     : [pair.inbound, pair.outbound];
 }
 
 /** Passes on what one end sends to the other. */
-function pass(from: net.Socket, to: net.Socket, delayMs: number): void {
+function forward(from: net.Socket, to: net.Socket, delayMs: number): void {
   if (delayMs === 0) {
     from.pipe(to);
     return;
   }
-  const slow = new stream.Transform({
-    transform(piece: Buffer, _encoding, done) {
-      setTimeout(() => done(null, piece), delayMs);
+  const delayed = new stream.Transform({
+    transform(chunk: Buffer, _encoding, done) {
+      setTimeout(() => done(null, chunk), delayMs);
     },
   });
-  from.pipe(slow).pipe(to);
+  from.pipe(delayed).pipe(to);
 }
 
-function hold(pair: Pair): void {
+function pauseForwarding(pair: ConnectionPair): void {
   for (const socket of socketsOf(pair)) {
     socket.unpipe();
     socket.pause();
   }
 }
 
-function destroy(pair: Pair): void {
+function destroy(pair: ConnectionPair): void {
   for (const socket of socketsOf(pair)) socket.destroy();
 }
--- a/packages/gypsumwall-testing/src/scale/measure_domain.ts
+++ b/packages/gypsumwall-testing/src/scale/measure_domain.ts
@@ -19,7 +19,7 @@
 }
 
 /** What was measured. */
-export interface DomainFigures {
+export interface DomainMeasurement {
   readonly workers: number;
   readonly tasks: number;
   /** From the submission until all tasks run. */
@@ -39,19 +39,21 @@
   teams: {[TEAM]: 'dev-scale'},
   operators: {},
 };
-const WORKERS_A_RACK = 10;
+const WORKERS_PER_RACK = 10;
 const TASK = {cpuMillis: 1_000, memoryMb: 1_024, accelerators: 0};
 const START_TIMEOUT_MS = 60_000;
-const KIB_A_MIB = 1_024;
+const KIB_PER_MIB = 1_024;
 
 /** Starts the domain, fills it with a service, and watches it. */
-export async function measureDomain(size: DomainSize): Promise<DomainFigures> {
+export async function measureDomain(
+  size: DomainSize,
+): Promise<DomainMeasurement> {
   const cell = await launchCell.launchCell({
     site: siteOf(size),
     tokens: TOKENS,
     tree: treeOf(),
     entryCommand: exampleCell.ENTRY_COMMAND,
-    relayed: false,
+    isRelayed: false,
     seed: 1,
   });
   try {
@@ -87,10 +89,10 @@
         name: DOMAIN,
         entries: 2,
         upstreams: 1,
-        racks: size.workers / WORKERS_A_RACK,
+        racks: size.workers / WORKERS_PER_RACK,
       },
     ],
-    workersPerRack: WORKERS_A_RACK,
+    workersPerRack: WORKERS_PER_RACK,
     workerCapacity: {cpuMillis: 32_000, memoryMb: 131_072, accelerators: 0},
     upstream: {slots: 8, connections: 64},
     entrySettings: {logLevel: 'warn', listLagMs: 1_000},
@@ -139,7 +141,7 @@
   holder: entryProcess.EntryProcess,
   replicas: number,
 ): Promise<void> {
-  const told = await holder.client.submit({
+  const outcome = await holder.client.submit({
     callId: 'scale',
     token: TOKENS.teams[TEAM] ?? '',
     team: TEAM,
@@ -153,7 +155,7 @@
       work: {command: 'serve', args: {runMs: 3_600_000, label: 'scale'}},
     },
   });
-  if (told.type !== 'accepted') throw new Error(JSON.stringify(told));
+  if (outcome.type !== 'accepted') throw new Error(JSON.stringify(outcome));
 }
 
 async function waitForActive(
@@ -180,13 +182,13 @@
   const before = entries.map((entry) => entry.cpuMs());
   const startedAt = performance.now();
   await timers.setTimeout(idleMs);
-  const spanMs = performance.now() - startedAt;
+  const elapsedMs = performance.now() - startedAt;
   return entries.map(
-    (entry, index) => (entry.cpuMs() - (before[index] ?? 0)) / spanMs,
+    (entry, index) => (entry.cpuMs() - (before[index] ?? 0)) / elapsedMs,
   );
 }
 
 function rssMb(entry: entryProcess.EntryProcess): number {
   const text = fs.readFileSync(`/proc/${entry.child.pid}/status`, 'utf8');
-  return Number(/^VmRSS:\s+(\d+)/m.exec(text)?.[1] ?? NaN) / KIB_A_MIB;
+  return Number(/^VmRSS:\s+(\d+)/m.exec(text)?.[1] ?? NaN) / KIB_PER_MIB;
 }
--- a/packages/gypsumwall-testing/src/scenario/__tests__/without.test.ts
+++ b/packages/gypsumwall-testing/src/scenario/__tests__/build_without_safeguard.test.ts
@@ -8,14 +8,14 @@
 import * as nodeTest from 'node:test';
 import * as exampleCell from '../../example_cell.js';
 import * as scenarioFile from '../scenario_file.js';
-import * as without from '../without.js';
+import * as buildWithoutSafeguard from '../build_without_safeguard.js';
 
 nodeTest.test('every patch applies and is named by a scenario', () => {
   const named = scenarioFile.scenarioNames().flatMap((name) => {
     const read = scenarioFile.readScenario(name);
     return read.isOk ? read.value.scenario.without : [];
   });
-  const safeguards = without.safeguardNames();
+  const safeguards = buildWithoutSafeguard.safeguardNames();
   assert.deepEqual([...new Set(named)].sort(), safeguards);
   for (const safeguard of safeguards) {
     const patch = path.join('scenarios', 'without', `${safeguard}.patch`);
--- a/packages/gypsumwall-testing/src/scenario/without.ts
+++ b/packages/gypsumwall-testing/src/scenario/build_without_safeguard.ts
@@ -9,15 +9,15 @@
 import * as path from 'node:path';
 import * as exampleCell from '../example_cell.js';
 
-const PATCHES = path.join(exampleCell.REPOSITORY, 'scenarios', 'without');
-const PATCH_ENDING = '.patch';
+const PATCH_FOLDER = path.join(exampleCell.REPOSITORY, 'scenarios', 'without');
+const PATCH_EXTENSION = '.patch';
 /** What of the repository the build needs, besides the libraries. */
-const COPIED = ['packages', 'tsconfig.base.json', 'tsconfig.json'];
+const COPIED_PATHS = ['packages', 'tsconfig.base.json', 'tsconfig.json'];
 /** Packages of this repository; they must come from the copy. */
 const OWN_SCOPE = '@gypsumwall';
 
 /** A scratch copy that was built. */
-export interface BuiltWithout {
+export interface PatchedBuild {
   /** Its program, as Node runs it. */
   readonly main: string;
   remove(): void;
@@ -25,25 +25,25 @@
 
 /** Names of all patches. */
 export function safeguardNames(): string[] {
-  if (!fs.existsSync(PATCHES)) return [];
+  if (!fs.existsSync(PATCH_FOLDER)) return [];
   return fs
-    .readdirSync(PATCHES)
-    .filter((file) => file.endsWith(PATCH_ENDING))
-    .map((file) => file.slice(0, -PATCH_ENDING.length))
+    .readdirSync(PATCH_FOLDER)
+    .filter((file) => file.endsWith(PATCH_EXTENSION))
+    .map((file) => file.slice(0, -PATCH_EXTENSION.length))
     .sort();
 }
 
 /** Copies, patches and builds; throws when the patch no longer applies. */
-export function buildWithout(safeguard: string): BuiltWithout {
+export function buildWithoutSafeguard(safeguard: string): PatchedBuild {
   const scratch = fs.mkdtempSync(path.join(os.tmpdir(), 'gypsumwall-without-'));
   const remove = () => fs.rmSync(scratch, {recursive: true, force: true});
   try {
-    for (const name of COPIED) {
+    for (const name of COPIED_PATHS) {
       const from = path.join(exampleCell.REPOSITORY, name);
       fs.cpSync(from, path.join(scratch, name), {recursive: true});
     }
     linkLibraries(scratch);
-    const patch = path.join(PATCHES, `${safeguard}${PATCH_ENDING}`);
+    const patch = path.join(PATCH_FOLDER, `${safeguard}${PATCH_EXTENSION}`);
     run('git', ['apply', patch], scratch);
     const compiler = path.join(scratch, 'node_modules/typescript/bin/tsc');
     run(process.execPath, [compiler, '-b', 'packages/gypsumwall'], scratch);
--- a/packages/gypsumwall-testing/src/scenario/call_steps.ts
+++ b/packages/gypsumwall-testing/src/scenario/call_steps.ts
@@ -8,30 +8,31 @@
 type State = scenarioState.ScenarioState;
 
 /** Holds what a caller was told against what the step expects. */
-function expectTold(
+function checkOutcome(
   name: string,
-  told: scenarioState.AnyTold,
+  outcome: scenarioState.AnyOutcome,
   expected: readonly string[] | undefined,
 ): void {
-  if (expected === undefined || expected.includes(told.type)) return;
-  throw scenarioState.stepFailure(
-    `${name} was told ${JSON.stringify(told)}, expected ${expected.join(' or ')}`,
+  if (expected === undefined || expected.includes(outcome.type)) return;
+  throw scenarioState.createStepFailure(
+    `${name} was told ${JSON.stringify(outcome)}, expected ${expected.join(' or ')}`,
   );
 }
 
-const RETRY_MS = 250;
+const RETRY_INTERVAL_MS = 250;
 
 /** Comes back after a `not_run`, as a caller does, for `retryForMs`. */
-async function untilRun<Told extends {readonly type: string}>(
+async function retryWhileNotRun<Outcome extends {readonly type: string}>(
   step: {readonly name: string; readonly retryForMs: number},
-  send: (callId: string) => Promise<Told>,
-): Promise<Told> {
+  send: (callId: string) => Promise<Outcome>,
+): Promise<Outcome> {
   const deadline = performance.now() + step.retryForMs;
-  for (let tries = 1; ; tries += 1) {
-    const callId = tries === 1 ? step.name : `${step.name}-try-${tries}`;
-    const told = await send(callId);
-    if (told.type !== 'not_run' || performance.now() > deadline) return told;
-    await timers.setTimeout(RETRY_MS);
+  for (let attempt = 1; ; attempt += 1) {
+    const callId = attempt === 1 ? step.name : `${step.name}-try-${attempt}`;
+    const outcome = await send(callId);
+    if (outcome.type !== 'not_run' || performance.now() > deadline)
+      return outcome;
+    await timers.setTimeout(RETRY_INTERVAL_MS);
   }
 }
 
@@ -50,11 +51,11 @@
   const token = scenarioState.tokenOf(state, team);
   await scenarioState.runMaybeInBackground(state, step.background, async () => {
     const call = {token, team, operation, key, body, timeoutMs};
-    const told = await untilRun(step, (callId) =>
+    const outcome = await retryWhileNotRun(step, (callId) =>
       client.request({callId, ...call}),
     );
-    state.told.set(step.name, told);
-    expectTold(step.name, told, step.expect);
+    state.outcomes.set(step.name, outcome);
+    checkOutcome(step.name, outcome, step.expect);
   });
 }
 
@@ -68,18 +69,19 @@
   const token = scenarioState.tokenOf(state, team);
   const args = {runMs, neverRuns, label: name};
   await scenarioState.runMaybeInBackground(state, step.background, async () => {
-    const key = step.key ?? keyAtHome(state, client.entryId, team, name);
+    const key =
+      step.key ?? keyWithHomeDomainOf(state, client.entryId, team, name);
     const work = {command: 'scenario', args};
     const spec = {shape, jobClass: name, urgency, size, estimateMs, work};
-    const told = await untilRun(step, (callId) =>
+    const outcome = await retryWhileNotRun(step, (callId) =>
       client.submit({callId, token, team, key, label: name, spec}),
     );
-    state.told.set(name, told);
-    if (told.type === 'accepted') {
-      const {jobId} = told;
+    state.outcomes.set(name, outcome);
+    if (outcome.type === 'accepted') {
+      const {jobId} = outcome;
       state.jobs.set(name, {jobId, token, kind: shape.kind, label: name});
     }
-    expectTold(name, told, step.expect);
+    checkOutcome(name, outcome, step.expect);
   });
 }
 
@@ -87,7 +89,7 @@
  * A key whose home is the failure domain of the entry that the step names:
  * a scenario means the holder, the workers and the cuts of that domain.
  */
-function keyAtHome(
+function keyWithHomeDomainOf(
   state: State,
   entryId: string,
   team: string,
@@ -112,13 +114,13 @@
 ): Promise<void> {
   const job = state.jobs.get(step.job);
   if (job === undefined) {
-    throw scenarioState.stepFailure(`no accepted job "${step.job}"`);
+    throw scenarioState.createStepFailure(`no accepted job "${step.job}"`);
   }
   const client = await scenarioState.clientFor(state, step.to);
   const accepted = await client.cancel(job.token, job.jobId);
   if (accepted === step.expect) return;
-  const what = accepted ? 'accepted' : 'not accepted';
-  throw scenarioState.stepFailure(`cancel of ${step.job} was ${what}`);
+  const result = accepted ? 'accepted' : 'not accepted';
+  throw scenarioState.createStepFailure(`cancel of ${step.job} was ${result}`);
 }
 
 /** Publishes at several entries at once, all on the same base. */
@@ -129,26 +131,26 @@
   const token = state.cell.options.tokens.rootOperator;
   const {path} = step;
   const reader = scenarioState.nextClient(state);
-  const seen = await reader.setting(token, path);
-  if (seen === undefined) {
-    throw scenarioState.stepFailure(`${path} can't be read`);
+  const current = await reader.setting(token, path);
+  if (current === undefined) {
+    throw scenarioState.createStepFailure(`${path} can't be read`);
   }
   const clients = await Promise.all(
     step.at.map((ref) => scenarioState.clientFor(state, ref)),
   );
-  const value = {...(seen.value as object), ...step.set};
+  const value = {...(current.value as object), ...step.set};
   await Promise.all(
     clients.map(async (client, index) => {
       const callId = index === 0 ? step.name : `${step.name}-${index + 1}`;
-      const base = seen.revision;
-      const told = await client.publish({callId, token, path, base, value});
-      state.told.set(callId, told);
-      expectTold(callId, told, step.expect);
+      const base = current.revision;
+      const outcome = await client.publish({callId, token, path, base, value});
+      state.outcomes.set(callId, outcome);
+      checkOutcome(callId, outcome, step.expect);
     }),
   );
 }
 
-const WATCH_MS = 100;
+const WATCH_INTERVAL_MS = 100;
 
 /** Reads a subtree at every entry until the scenario ends. */
 export function watchSetting(
@@ -159,14 +161,14 @@
   let stopped = false;
   const watching = (async () => {
     while (!stopped) {
-      const entries = scenarioState.awakeEntries(state);
+      const entries = scenarioState.activeEntries(state);
       await Promise.all(
         entries.map((entry) => entry.client.setting(token, step.path)),
       );
-      await timers.setTimeout(WATCH_MS);
+      await timers.setTimeout(WATCH_INTERVAL_MS);
     }
   })();
-  state.watches.add(async () => {
+  state.stopWatches.add(async () => {
     stopped = true;
     await watching;
   });
@@ -177,42 +179,42 @@
   const {name, team, operation, workMs, answerBytes, timeoutMs} = step;
   const token = scenarioState.tokenOf(state, team);
   const counts = {sent: 0, done: 0};
-  const underWay = new Set<Promise<void>>();
+  const inFlight = new Set<Promise<void>>();
   let stopped = false;
-  let toTurn = 0;
+  let nextTargetIndex = 0;
 
-  const sendOne = async (): Promise<void> => {
+  const sendNext = async (): Promise<void> => {
     counts.sent += 1;
     const callId = `${name}-${counts.sent}`;
-    const client = await scenarioState.runningClient(
+    const client = await scenarioState.nextClientOf(
       state,
       step.to ?? [],
-      toTurn++,
+      nextTargetIndex++,
     );
     const body = Buffer.from(
       JSON.stringify({workMs, answerBytes, nonce: callId}),
     );
     const key = step.keyed ? `key-of-${callId}` : undefined;
     const call = {callId, token, team, operation, key, body, timeoutMs};
-    const told = await client.request(call);
-    if (told.type === 'done') counts.done += 1;
+    const outcome = await client.request(call);
+    if (outcome.type === 'done') counts.done += 1;
   };
-  const sending = (async () => {
+  const sendLoop = (async () => {
     const startedAt = performance.now();
     while (!stopped) {
       const nextAt = startedAt + (counts.sent * 1_000) / step.perSecond;
-      const spanMs = nextAt - performance.now();
-      if (spanMs > 0) await timers.setTimeout(spanMs);
+      const delayMs = nextAt - performance.now();
+      if (delayMs > 0) await timers.setTimeout(delayMs);
       if (stopped) break;
-      const sent = sendOne();
-      underWay.add(sent);
-      void sent.finally(() => underWay.delete(sent));
+      const sent = sendNext();
+      inFlight.add(sent);
+      void sent.finally(() => inFlight.delete(sent));
     }
-    await Promise.all(underWay);
+    await Promise.all(inFlight);
   })();
   const stop = async (): Promise<void> => {
     stopped = true;
-    await sending;
+    await sendLoop;
   };
   state.loads.set(name, {stop, counts});
 }
@@ -222,14 +224,14 @@
   state: State,
   step: scenarioSchema.StepOf<'stop_load'>,
 ): Promise<void> {
-  const running = state.loads.get(step.load);
-  if (running === undefined) {
-    throw scenarioState.stepFailure(`no load "${step.load}"`);
+  const load = state.loads.get(step.load);
+  if (load === undefined) {
+    throw scenarioState.createStepFailure(`no load "${step.load}"`);
   }
-  await running.stop();
-  const {sent, done} = running.counts;
+  await load.stop();
+  const {sent, done} = load.counts;
   if (done >= sent * step.doneShare) return;
-  throw scenarioState.stepFailure(
+  throw scenarioState.createStepFailure(
     `load ${step.load}: ${done} of ${sent} done, expected ${step.doneShare}`,
   );
 }
--- a/packages/gypsumwall-testing/src/scenario/conditions.ts
+++ b/packages/gypsumwall-testing/src/scenario/conditions.ts
@@ -37,31 +37,31 @@
       return async () => {
         const events = await state.cell.history();
         const ends = endsOf(events, condition.job);
-        const wanted = ends.filter((end) => end.cause === condition.cause);
-        return wanted.length >= condition.atLeast;
+        const matching = ends.filter((end) => end.cause === condition.cause);
+        return matching.length >= condition.atLeast;
       };
     case 'executing':
       return async () => {
         const body = state.bodies.get(condition.request);
         if (body === undefined) return false;
-        const bodyHash = upstreamAnswer.hashOf(body);
+        const bodyHash = upstreamAnswer.sha256Hex(body);
         const events = await state.cell.history();
         const started = finding.eventsOf(events, 'execution_started');
         return started.some((event) => event.bodyHash === bodyHash);
       };
     case 'told':
       return () => {
-        const told = state.told.get(condition.call);
-        const fits =
+        const told = state.outcomes.get(condition.call);
+        const isExpected =
           told !== undefined && condition.outcomes.includes(told.type);
-        return Promise.resolve(fits);
+        return Promise.resolve(isExpected);
       };
     case 'load_done': {
       const counts = state.loads.get(condition.load)?.counts;
       const before = counts?.done ?? 0;
       return () => {
-        const more = (counts?.done ?? 0) - before;
-        return Promise.resolve(more >= condition.atLeast);
+        const newlyDone = (counts?.done ?? 0) - before;
+        return Promise.resolve(newlyDone >= condition.atLeast);
       };
     }
     case 'holder':
@@ -69,8 +69,8 @@
         const {domain, other} = condition;
         const holders = await scenarioState.holdersOf(state, domain);
         if (other === undefined) return holders.length > 0;
-        const not = await scenarioState.resolveEntry(state, other);
-        return holders.some((holder) => holder !== not);
+        const excluded = await scenarioState.resolveEntry(state, other);
+        return holders.some((holder) => holder !== excluded);
       };
     case 'ready':
       return async () => {
@@ -111,12 +111,12 @@
     );
   const newest = Math.max(-1, ...accepted);
   const token = state.cell.options.tokens.rootOperator;
-  const seen = await Promise.all(
+  const settings = await Promise.all(
     scenarioState
-      .awakeEntries(state)
+      .activeEntries(state)
       .map(({client}) => client.setting(token, path)),
   );
-  return seen.every(
+  return settings.every(
     (setting) => setting !== undefined && setting.revision >= newest,
   );
 }
--- a/packages/gypsumwall-testing/src/scenario/fault_steps.ts
+++ b/packages/gypsumwall-testing/src/scenario/fault_steps.ts
@@ -6,12 +6,12 @@
 
 type State = scenarioState.ScenarioState;
 
-function note(state: State, text: string): void {
+function recordFault(state: State, text: string): void {
   state.cell.recorded.record({type: 'fault', text});
 }
 
 /** The entry's id, bound to the step's `as`. */
-async function bind(
+async function resolveAndBind(
   state: State,
   step: {
     readonly entry: scenarioSchema.EntryRef;
@@ -28,8 +28,8 @@
   state: State,
   step: scenarioSchema.StepOf<'kill'>,
 ): Promise<void> {
-  const id = await bind(state, step);
-  note(state, `kill ${id}`);
+  const id = await resolveAndBind(state, step);
+  recordFault(state, `kill ${id}`);
   await state.cell.killEntry(id);
   state.frozen.delete(id);
 }
@@ -39,8 +39,8 @@
   state: State,
   step: scenarioSchema.StepOf<'freeze'>,
 ): Promise<void> {
-  const id = await bind(state, step);
-  note(state, `freeze ${id}`);
+  const id = await resolveAndBind(state, step);
+  recordFault(state, `freeze ${id}`);
   state.cell.entry(id).child.send('SIGSTOP');
   state.frozen.add(id);
 }
@@ -51,7 +51,7 @@
   step: scenarioSchema.StepOf<'thaw'>,
 ): Promise<void> {
   const id = await scenarioState.resolveEntry(state, step.entry);
-  note(state, `thaw ${id}`);
+  recordFault(state, `thaw ${id}`);
   state.cell.entry(id).child.send('SIGCONT');
   state.frozen.delete(id);
 }
@@ -61,7 +61,7 @@
   state: State,
   step: scenarioSchema.StepOf<'stop'>,
 ): Promise<void> {
-  const id = await bind(state, step);
+  const id = await resolveAndBind(state, step);
   await scenarioState.runMaybeInBackground(state, step.background, () =>
     state.cell.stopEntry(id),
   );
@@ -72,7 +72,7 @@
   state: State,
   step: scenarioSchema.StepOf<'start_entry'>,
 ): Promise<void> {
-  note(state, `start ${step.entry}`);
+  recordFault(state, `start ${step.entry}`);
   const id = step.entry;
   const failureDomain = step.failureDomain as site.SiteEntry['failureDomain'];
   await state.cell.startEntry({id, failureDomain});
@@ -81,7 +81,7 @@
 
 /** Kills all entries and starts as many that know nothing. */
 export async function replaceAll(state: State): Promise<void> {
-  note(state, 'replace all entries');
+  recordFault(state, 'replace all entries');
   const old = state.cell.entries();
   await Promise.all(old.map(({entry}) => state.cell.killEntry(entry.id)));
   state.frozen.clear();
@@ -94,17 +94,20 @@
   await launchCell.waitUntilReady(state.cell);
 }
 
-type Ends = readonly scenarioSchema.EntryRef[];
+type Endpoints = readonly scenarioSchema.EntryRef[];
 
 /** Names of single instances behind the ends of a path. */
-async function expand(state: State, ends: Ends): Promise<string[]> {
+async function expandEndpoints(
+  state: State,
+  endpoints: Endpoints,
+): Promise<string[]> {
   const names = await Promise.all(
-    ends.map(async (end) => {
+    endpoints.map(async (end) => {
       if (typeof end !== 'string') {
         return [await scenarioState.resolveEntry(state, end)];
       }
       if (end === 'platform') return ['log', 'list'];
-      const inDomain = state.cell.board.ofDomain(end);
+      const inDomain = state.cell.registry.ofDomain(end);
       if (inDomain.length > 0) return inDomain;
       return [state.aliases.get(end) ?? end];
     }),
@@ -113,7 +116,7 @@
 }
 
 /** Cuts, heals or silences paths. */
-export async function strikePaths(
+export async function applyPathStep(
   state: State,
   step:
     | scenarioSchema.StepOf<'cut'>
@@ -123,9 +126,9 @@
     | scenarioSchema.StepOf<'heal'>
     | scenarioSchema.StepOf<'silence'>,
 ): Promise<void> {
-  const left = await expand(state, step.between[0]);
-  const right = await expand(state, step.between[1]);
-  note(state, `${step.do} ${left.join(',')} | ${right.join(',')}`);
+  const left = await expandEndpoints(state, step.between[0]);
+  const right = await expandEndpoints(state, step.between[1]);
+  recordFault(state, `${step.do} ${left.join(',')} | ${right.join(',')}`);
   switch (step.do) {
     case 'cut':
       return state.cell.network.cut(left, right);
@@ -147,26 +150,26 @@
   state: State,
   step: scenarioSchema.StepOf<'drop_records'>,
 ): Promise<void> {
-  note(state, `drop records of ${step.stream}, keep ${step.keep}`);
+  recordFault(state, `drop records of ${step.stream}, keep ${step.keep}`);
   const {stream, keep} = step;
   await state.cell.standIns.control('platform', 'log/drop', {stream, keep});
 }
 
 /** Sets a fault of the log. */
-export async function strikeLog(
+export async function setLogFault(
   state: State,
   step: scenarioSchema.StepOf<'log'>,
 ): Promise<void> {
-  note(state, `log ${JSON.stringify(step.fault)}`);
+  recordFault(state, `log ${JSON.stringify(step.fault)}`);
   await state.cell.standIns.control('platform', 'log', step.fault);
 }
 
 /** Sets a fault of a worker. */
-export async function strikeWorker(
+export async function setWorkerFault(
   state: State,
   step: scenarioSchema.StepOf<'worker'>,
 ): Promise<void> {
-  note(state, `worker ${step.worker} ${JSON.stringify(step.fault)}`);
+  recordFault(state, `worker ${step.worker} ${JSON.stringify(step.fault)}`);
   const path = `workers/${step.worker}/fault`;
   await state.cell.standIns.control('workers', path, step.fault);
 }
@@ -176,29 +179,29 @@
   state: State,
   step: scenarioSchema.StepOf<'restart_worker'>,
 ): Promise<void> {
-  note(state, `restart ${step.worker}`);
+  recordFault(state, `restart ${step.worker}`);
   const path = `workers/${step.worker}/restart`;
   await state.cell.standIns.control('workers', path, {});
 }
 
 /** Sets a fault of an upstream. */
-export async function strikeUpstream(
+export async function setUpstreamFault(
   state: State,
   step: scenarioSchema.StepOf<'upstream'>,
 ): Promise<void> {
-  note(state, `upstream ${step.upstream} ${JSON.stringify(step.fault)}`);
+  recordFault(state, `upstream ${step.upstream} ${JSON.stringify(step.fault)}`);
   const path = `upstreams/${step.upstream}/fault`;
   await state.cell.standIns.control('upstreams', path, step.fault);
 }
 
 /** Lists an upstream as leaving. */
-export async function leave(
+export async function markLeaving(
   state: State,
   step: scenarioSchema.StepOf<'leave'>,
 ): Promise<void> {
   const upstreamId = step.upstream;
   state.cell.recorded.record({type: 'upstream_leaving', upstreamId});
-  state.cell.board.setState(upstreamId, 'leaving');
+  state.cell.registry.setState(upstreamId, 'leaving');
   await state.cell.updateList();
 }
 
@@ -207,7 +210,7 @@
   state: State,
   step: scenarioSchema.StepOf<'list_lag'>,
 ): Promise<void> {
-  note(state, `list lags ${step.lagMs} ms`);
+  recordFault(state, `list lags ${step.lagMs} ms`);
   const {lagMs} = step;
   await state.cell.standIns.control('platform', 'list-lag', {lagMs});
 }
--- a/packages/gypsumwall-testing/src/scenario/random_faults.ts
+++ b/packages/gypsumwall-testing/src/scenario/random_faults.ts
@@ -5,15 +5,15 @@
 
 /** A fault, by the steps that bring it and the steps that mend it. */
 export interface Fault {
-  readonly strike: readonly StepInput[];
-  readonly mend: readonly StepInput[];
+  readonly inject: readonly StepInput[];
+  readonly repair: readonly StepInput[];
 }
 
 /** The faults strike this domain. */
 export const DOMAIN = 'bkk-a';
 const OTHER_DOMAIN = 'bkk-b';
 
-function replacement(entry: string): StepInput {
+function startReplacementStep(entry: string): StepInput {
   const id = `${entry}-next`;
   return {do: 'start_entry', entry: id, failureDomain: DOMAIN, ready: false};
 }
@@ -22,51 +22,54 @@
 export function entryFaults(entry: string): Fault[] {
   const platform = [[entry], ['platform']];
   const outside = [[entry], ['platform', OTHER_DOMAIN]];
-  const open = [[entry], [DOMAIN, 'platform']];
+  const openConnections = [[entry], [DOMAIN, 'platform']];
   return [
-    {strike: [{do: 'kill', entry}], mend: [replacement(entry)]},
-    {strike: [{do: 'stop', entry}], mend: [replacement(entry)]},
-    {strike: [{do: 'freeze', entry}], mend: [{do: 'thaw', entry}]},
+    {inject: [{do: 'kill', entry}], repair: [startReplacementStep(entry)]},
+    {inject: [{do: 'stop', entry}], repair: [startReplacementStep(entry)]},
+    {inject: [{do: 'freeze', entry}], repair: [{do: 'thaw', entry}]},
     {
-      strike: [{do: 'cut', between: platform}],
-      mend: [{do: 'heal', between: platform}],
+      inject: [{do: 'cut', between: platform}],
+      repair: [{do: 'heal', between: platform}],
     },
     {
-      strike: [{do: 'cut', between: outside}],
-      mend: [{do: 'heal', between: outside}],
+      inject: [{do: 'cut', between: outside}],
+      repair: [{do: 'heal', between: outside}],
     },
-    {strike: [{do: 'silence', between: open}], mend: []},
+    {inject: [{do: 'silence', between: openConnections}], repair: []},
   ];
 }
 
 /** Faults of the log. */
 export function logFaults(): Fault[] {
-  const up = [{do: 'log', fault: {mode: 'up'}}];
+  const repair = [{do: 'log', fault: {mode: 'up'}}];
   const faults = [
     {mode: 'down'},
     {mode: 'slow', delayMs: 700},
     {mode: 'lose_answers', appends: 10},
   ];
-  return faults.map((fault) => ({strike: [{do: 'log', fault}], mend: up}));
+  return faults.map((fault) => ({inject: [{do: 'log', fault}], repair}));
 }
 
 /** Faults of one worker. */
 export function workerFaults(worker: string): Fault[] {
-  const mend = [{do: 'worker', worker, fault: {mode: 'none'}}];
+  const repair = [{do: 'worker', worker, fault: {mode: 'none'}}];
   const faults = [
     {mode: 'frozen'},
     {mode: 'fail_all'},
     {mode: 'lose_start_answers', starts: 3},
   ];
   return [
-    ...faults.map((fault) => ({strike: [{do: 'worker', worker, fault}], mend})),
-    {strike: [{do: 'restart_worker', worker}], mend: []},
+    ...faults.map((fault) => ({
+      inject: [{do: 'worker', worker, fault}],
+      repair,
+    })),
+    {inject: [{do: 'restart_worker', worker}], repair: []},
   ];
 }
 
 /** Faults of one upstream. */
 export function upstreamFaults(upstream: string): Fault[] {
-  const mend = [{do: 'upstream', upstream, fault: {mode: 'none'}}];
+  const repair = [{do: 'upstream', upstream, fault: {mode: 'none'}}];
   const faults = [
     {mode: 'slow', delayMs: 1_000},
     {mode: 'refusing', proved: false},
@@ -76,9 +79,9 @@
   ];
   return [
     ...faults.map((fault) => {
-      return {strike: [{do: 'upstream', upstream, fault}], mend};
+      return {inject: [{do: 'upstream', upstream, fault}], repair};
     }),
-    {strike: [{do: 'leave', upstream}], mend: []},
+    {inject: [{do: 'leave', upstream}], repair: []},
   ];
 }
 
@@ -132,7 +135,7 @@
 ];
 
 /** Filings are served again, and all that was accepted ends. */
-export const AFTERWARDS: readonly StepInput[] = [
+export const FINAL_STEPS: readonly StepInput[] = [
   {
     do: 'wait',
     until: {type: 'load_done', load: 'filings', atLeast: 10},
@@ -142,6 +145,6 @@
 ];
 
 /** Waits for a span. */
-export function pause(ms: number): StepInput {
+export function waitStep(ms: number): StepInput {
   return {do: 'wait', until: {type: 'passed', ms}, withinMs: ms + 1_000};
 }
--- a/packages/gypsumwall-testing/src/scenario/random_scenario.ts
+++ b/packages/gypsumwall-testing/src/scenario/random_scenario.ts
@@ -21,13 +21,13 @@
   );
 }
 
-const span = fastCheck.integer({min: 100, max: 4_000});
+const interval = fastCheck.integer({min: 100, max: 4_000});
 
 const faultPair = fastCheck.record({
   first: faultsOf(0),
   second: faultsOf(1),
-  beforeSecondMs: span,
-  holdMs: span,
+  beforeSecondMs: interval,
+  holdMs: interval,
 });
 
 /** A number of scenarios drawn from the seed. */
@@ -40,19 +40,19 @@
     scenarioSchema.scenarioSchema.parse({
       promise: 'All promises hold under two faults at once.',
       story: [
-        `First ${JSON.stringify(first.strike)}.`,
-        `After ${beforeSecondMs} ms ${JSON.stringify(second.strike)}, both mended after ${holdMs} ms.`,
+        `First ${JSON.stringify(first.inject)}.`,
+        `After ${beforeSecondMs} ms ${JSON.stringify(second.inject)}, both mended after ${holdMs} ms.`,
       ],
       seed,
       steps: [
         ...randomFaults.LOAD,
-        ...first.strike,
-        randomFaults.pause(beforeSecondMs),
-        ...second.strike,
-        randomFaults.pause(holdMs),
-        ...first.mend,
-        ...second.mend,
-        ...randomFaults.AFTERWARDS,
+        ...first.inject,
+        randomFaults.waitStep(beforeSecondMs),
+        ...second.inject,
+        randomFaults.waitStep(holdMs),
+        ...first.repair,
+        ...second.repair,
+        ...randomFaults.FINAL_STEPS,
       ],
     }),
   );
--- a/packages/gypsumwall-testing/src/scenario/run_scenario.ts
+++ b/packages/gypsumwall-testing/src/scenario/run_scenario.ts
@@ -1,7 +1,7 @@
 /** Runs one scenario on a cell of its own and judges what was recorded. */
 import * as timers from 'node:timers/promises';
 import type * as historyEvent from '../history_event.js';
-import * as jobWatch from '../job_watch.js';
+import * as waitForJobs from '../wait_for_jobs.js';
 import type * as finding from '../judge/finding.js';
 import * as judge from '../judge/judge.js';
 import * as launchCell from '../launch_cell.js';
@@ -19,7 +19,7 @@
   readonly failure: string;
   readonly findings: readonly finding.Finding[];
   readonly events: readonly historyEvent.HistoryEvent[];
-  readonly spanMs: number;
+  readonly durationMs: number;
   /** Settings and logs of the cell; gone unless it was to be kept. */
   readonly folder: string;
 }
@@ -49,18 +49,24 @@
     tokens: example.tokens,
     tree: example.tree,
     entryCommand,
-    relayed: true,
+    isRelayed: true,
     keepFolder: options.keepFolder,
     seed: scenario.seed,
   });
   const state = scenarioState.createScenarioState(cell, scenario);
   try {
     const failure = await runSteps(state);
-    await endBackground(state);
+    await stopBackgroundWork(state);
     const events = await cell.history();
     const findings = judge.judge(events, scenario);
-    const spanMs = performance.now() - startedAt;
-    return {failure, findings, events, spanMs, folder: cell.folder};
+    const durationMs = performance.now() - startedAt;
+    return {
+      failure,
+      findings,
+      events,
+      durationMs,
+      folder: cell.folder,
+    };
   } finally {
     for (const id of state.frozen) cell.entry(id).child.send('SIGCONT');
     await cell.close();
@@ -86,7 +92,7 @@
 }
 
 const DEFAULT_SETTLE_MS = 30_000;
-const POLL_MS = 25;
+const POLL_INTERVAL_MS = 25;
 
 async function runStep(
   state: scenarioState.ScenarioState,
@@ -125,19 +131,19 @@
     case 'delay':
     case 'reset':
     case 'silence':
-      return faultSteps.strikePaths(state, step);
+      return faultSteps.applyPathStep(state, step);
     case 'log':
-      return faultSteps.strikeLog(state, step);
+      return faultSteps.setLogFault(state, step);
     case 'drop_records':
       return faultSteps.dropRecords(state, step);
     case 'worker':
-      return faultSteps.strikeWorker(state, step);
+      return faultSteps.setWorkerFault(state, step);
     case 'restart_worker':
       return faultSteps.restartWorker(state, step);
     case 'upstream':
-      return faultSteps.strikeUpstream(state, step);
+      return faultSteps.setUpstreamFault(state, step);
     case 'leave':
-      return faultSteps.leave(state, step);
+      return faultSteps.markLeaving(state, step);
     case 'list_lag':
       return faultSteps.setListLag(state, step);
     case 'wait':
@@ -155,9 +161,9 @@
   const holds = conditions.createCheck(state, step.until);
   while (!(await holds())) {
     if (performance.now() > deadline) {
-      throw scenarioState.stepFailure(`not within ${step.withinMs} ms`);
+      throw scenarioState.createStepFailure(`not within ${step.withinMs} ms`);
     }
-    await timers.setTimeout(POLL_MS);
+    await timers.setTimeout(POLL_INTERVAL_MS);
   }
 }
 
@@ -170,15 +176,15 @@
   await Promise.all(state.background);
   const pick = () => scenarioState.nextClient(state);
   // The judge decides whether what is not settled counts as lost.
-  await jobWatch.watchJobs([...state.jobs.values()], pick, deadline);
+  await waitForJobs.waitForJobs([...state.jobs.values()], pick, deadline);
   state.cell.recorded.record({type: 'settled'});
 }
 
 /** Ends what a failed step left running, so that the cell can be closed. */
-async function endBackground(
+async function stopBackgroundWork(
   state: scenarioState.ScenarioState,
 ): Promise<void> {
-  await Promise.all([...state.watches].map((stop) => stop()));
+  await Promise.all([...state.stopWatches].map((stop) => stop()));
   await Promise.all([...state.loads.values()].map((load) => load.stop()));
   await Promise.allSettled(state.background);
 }
--- a/packages/gypsumwall-testing/src/scenario/scenario_file.ts
+++ b/packages/gypsumwall-testing/src/scenario/scenario_file.ts
@@ -9,30 +9,30 @@
 import * as randomScenario from './random_scenario.js';
 import * as scenarioSchema from './scenario_schema.js';
 
-const FOLDER = path.join(exampleCell.REPOSITORY, 'scenarios');
+const SCENARIO_FOLDER = path.join(exampleCell.REPOSITORY, 'scenarios');
 const SITE_FILE = 'site.jsonc';
-const ENDING = '.jsonc';
+const FILE_EXTENSION = '.jsonc';
 
 /** Names of all scenarios, in order. */
 export function scenarioNames(): string[] {
   return fs
-    .readdirSync(FOLDER)
-    .filter((file) => file.endsWith(ENDING) && file !== SITE_FILE)
-    .map((file) => file.slice(0, -ENDING.length))
+    .readdirSync(SCENARIO_FOLDER)
+    .filter((file) => file.endsWith(FILE_EXTENSION) && file !== SITE_FILE)
+    .map((file) => file.slice(0, -FILE_EXTENSION.length))
     .sort();
 }
 
 /** A scenario with the site that it runs on. */
-export interface ReadScenario {
+export interface LoadedScenario {
   readonly scenario: scenarioSchema.Scenario;
   readonly site: site.Site;
 }
 
 /** Scenarios with two faults drawn at random, on the common site. */
-export function drawScenarios(
+export function generateScenarios(
   count: number,
   seed: number,
-): result.Result<ReadScenario[], string> {
+): result.Result<LoadedScenario[], string> {
   return readSite().map((where) =>
     randomScenario
       .randomScenarios(count, seed)
@@ -42,20 +42,20 @@
 
 /** The site that scenarios run on unless they name fields of their own. */
 export function readSite(): result.Result<site.Site, string> {
-  return readIn(path.join('scenarios', SITE_FILE), site.siteSchema);
+  return readRepositoryFile(path.join('scenarios', SITE_FILE), site.siteSchema);
 }
 
 /** Reads one; the error names file, line and remedy. */
 export function readScenario(
   name: string,
-): result.Result<ReadScenario, string> {
-  const file = path.join('scenarios', `${name}${ENDING}`);
-  const scenario = readIn(file, scenarioSchema.scenarioSchema);
+): result.Result<LoadedScenario, string> {
+  const file = path.join('scenarios', `${name}${FILE_EXTENSION}`);
+  const scenario = readRepositoryFile(file, scenarioSchema.scenarioSchema);
   if (scenario.isErr) return result.err(scenario.error);
   const base = readSite();
   if (base.isErr) return result.err(base.error);
   const merged = site.siteSchema.safeParse(
-    overlay(base.value, scenario.value.site),
+    mergeFields(base.value, scenario.value.site),
   );
   if (merged.success) {
     return result.ok({scenario: scenario.value, site: merged.data});
@@ -68,12 +68,14 @@
 type Fields = Readonly<Record<string, unknown>>;
 
 /** Fields of `over` in place of those of `base`, objects field by field. */
-function overlay(base: Fields, over: Fields): Fields {
+function mergeFields(base: Fields, overrides: Fields): Fields {
   const merged: Record<string, unknown> = {...base};
-  for (const [key, value] of Object.entries(over)) {
-    const below = merged[key];
+  for (const [key, value] of Object.entries(overrides)) {
+    const baseValue = merged[key];
     merged[key] =
-      isFields(below) && isFields(value) ? overlay(below, value) : value;
+      isFields(baseValue) && isFields(value)
+        ? mergeFields(baseValue, value)
+        : value;
   }
   return merged;
 }
@@ -82,7 +84,7 @@
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-function readIn<Schema extends zod.ZodType>(
+function readRepositoryFile<Schema extends zod.ZodType>(
   file: string,
   schema: Schema,
 ): result.Result<zod.infer<Schema>, string> {
--- a/packages/gypsumwall-testing/src/scenario/scenario_report.ts
+++ b/packages/gypsumwall-testing/src/scenario/scenario_report.ts
@@ -4,8 +4,8 @@
 import type * as finding from '../judge/finding.js';
 import * as runScenario from './run_scenario.js';
 
-const FINDINGS_SHOWN = 5;
-const EVIDENCE_SHOWN = 20;
+const MAX_FINDINGS_SHOWN = 5;
+const MAX_EVIDENCE_SHOWN = 20;
 
 /** One line, and what broke where something did. */
 export function formatVerdict(
@@ -13,13 +13,13 @@
   seed: number,
   verdict: runScenario.ScenarioVerdict,
 ): string {
-  const seconds = (verdict.spanMs / 1_000).toFixed(1);
-  const word = runScenario.hasPassed(verdict) ? 'pass' : 'FAIL';
-  const lines = [`${word}  ${name}  (seed ${seed}, ${seconds} s)`];
+  const seconds = (verdict.durationMs / 1_000).toFixed(1);
+  const status = runScenario.hasPassed(verdict) ? 'pass' : 'FAIL';
+  const lines = [`${status}  ${name}  (seed ${seed}, ${seconds} s)`];
   if (verdict.failure !== '') lines.push(`  FAILED ${verdict.failure}`);
   const {findings} = verdict;
-  lines.push(...findings.slice(0, FINDINGS_SHOWN).map(formatFinding));
-  const more = findings.length - FINDINGS_SHOWN;
+  lines.push(...findings.slice(0, MAX_FINDINGS_SHOWN).map(formatFinding));
+  const more = findings.length - MAX_FINDINGS_SHOWN;
   if (more > 0) lines.push(`  and ${more} more broken promises`);
   return lines.join('\n');
 }
@@ -28,11 +28,11 @@
 export function formatFinding(found: finding.Finding): string {
   const {promise, message, evidence} = found;
   const from = evidence[0]?.at;
-  const shown = evidence.slice(0, EVIDENCE_SHOWN);
+  const shown = evidence.slice(0, MAX_EVIDENCE_SHOWN);
   const events =
     from === undefined
       ? []
-      : shown.map((event) => `    ${history.describe(event, from)}`);
+      : shown.map((event) => `    ${history.formatEvent(event, from)}`);
   return [`  BROKEN ${promise}: ${message}`, ...events].join('\n');
 }
 
@@ -42,5 +42,5 @@
 ): string {
   const from = events[0]?.at;
   if (from === undefined) return '';
-  return events.map((event) => history.describe(event, from)).join('\n');
+  return events.map((event) => history.formatEvent(event, from)).join('\n');
 }
--- a/packages/gypsumwall-testing/src/scenario/scenario_schema.ts
+++ b/packages/gypsumwall-testing/src/scenario/scenario_schema.ts
@@ -20,8 +20,8 @@
  * Ends of a path: an entry, worker or upstream, a failure domain for all its
  * instances, `log`, `list`, or `platform` for both.
  */
-const ends = zod.array(entryRef).min(1);
-const between = zod.tuple([ends, ends]);
+const endpoints = zod.array(entryRef).min(1);
+const between = zod.tuple([endpoints, endpoints]);
 
 const outcomes = zod.array(zod.enum(['done', 'not_run', 'unknown', 'broken']));
 const jobOutcomes = zod.array(
--- a/packages/gypsumwall-testing/src/scenario/scenario_state.ts
+++ b/packages/gypsumwall-testing/src/scenario/scenario_state.ts
@@ -2,12 +2,12 @@
 import * as entryClient from '../entry_client.js';
 import type * as entryProcess from '../entry_process.js';
 import type * as historyEvent from '../history_event.js';
-import type * as jobWatch from '../job_watch.js';
+import type * as waitForJobs from '../wait_for_jobs.js';
 import type * as launchCell from '../launch_cell.js';
 import type * as scenarioSchema from './scenario_schema.js';
 
 /** A job that a step handed in and that was accepted. */
-export interface NamedJob extends jobWatch.AcceptedJob {
+export interface NamedJob extends waitForJobs.AcceptedJob {
   readonly label: string;
 }
 
@@ -19,8 +19,10 @@
 }
 
 /** What callers were told, by the name of their step. */
-export type AnyTold =
-  historyEvent.RequestTold | historyEvent.JobTold | historyEvent.PublishTold;
+export type AnyOutcome =
+  | historyEvent.RequestOutcome
+  | historyEvent.JobOutcome
+  | historyEvent.PublishOutcome;
 
 /** State of one run. */
 export interface ScenarioState {
@@ -31,15 +33,15 @@
   readonly frozen: Set<string>;
   readonly jobs: Map<string, NamedJob>;
   readonly bodies: Map<string, Buffer>;
-  readonly told: Map<string, AnyTold>;
+  readonly outcomes: Map<string, AnyOutcome>;
   readonly loads: Map<string, RunningLoad>;
   /** Background steps, to be waited for at the end. */
   readonly background: Set<Promise<void>>;
-  readonly watches: Set<() => Promise<void>>;
+  readonly stopWatches: Set<() => Promise<void>>;
 }
 
 /** A step that could not be done or was answered against its expectation. */
-export function stepFailure(message: string): Error {
+export function createStepFailure(message: string): Error {
   return new Error(message);
 }
 
@@ -55,22 +57,22 @@
     frozen: new Set(),
     jobs: new Map(),
     bodies: new Map(),
-    told: new Map(),
+    outcomes: new Map(),
     loads: new Map(),
     background: new Set(),
-    watches: new Set(),
+    stopWatches: new Set(),
   };
 }
 
 /** The token of a team. */
 export function tokenOf(state: ScenarioState, team: string): string {
   const token = state.cell.options.tokens.teams[team];
-  if (token === undefined) throw stepFailure(`no team "${team}"`);
+  if (token === undefined) throw createStepFailure(`no team "${team}"`);
   return token;
 }
 
 /** Entries that run and are not frozen. */
-export function awakeEntries(
+export function activeEntries(
   state: ScenarioState,
 ): entryProcess.EntryProcess[] {
   return state.cell
@@ -83,7 +85,7 @@
   state: ScenarioState,
   domain: string,
 ): Promise<string[]> {
-  const inDomain = awakeEntries(state).filter(
+  const inDomain = activeEntries(state).filter(
     (entry) => entry.entry.failureDomain === domain,
   );
   const token = state.cell.options.tokens.rootOperator;
@@ -91,9 +93,9 @@
     inDomain.map(async ({entry, client}) => {
       const status = (await client.status(token)) as
         {scheduler?: unknown} | undefined;
-      const holds =
+      const isHolder =
         status?.scheduler !== undefined && status.scheduler !== null;
-      return holds ? [entry.id] : [];
+      return isHolder ? [entry.id] : [];
     }),
   );
   return holders.flat();
@@ -110,17 +112,17 @@
   const found =
     'holderOf' in ref
       ? holders[0]
-      : awakeEntries(state)
+      : activeEntries(state)
           .filter((entry) => entry.entry.failureDomain === domain)
           .map((entry) => entry.entry.id)
           .find((id) => !holders.includes(id));
   if (found === undefined) {
-    throw stepFailure(`no entry fits ${JSON.stringify(ref)}`);
+    throw createStepFailure(`no entry fits ${JSON.stringify(ref)}`);
   }
   return found;
 }
 
-let turn = 0;
+let nextEntryIndex = 0;
 
 /** A caller of the given entry, or of the next one in turn. */
 export async function clientFor(
@@ -137,25 +139,25 @@
  * A caller of one of these entries in turn, as a balancer picks it: one that
  * runs, or any that is awake.
  */
-export async function runningClient(
+export async function nextClientOf(
   state: ScenarioState,
   refs: readonly scenarioSchema.EntryRef[],
-  turnOfRefs: number,
+  index: number,
 ): Promise<entryClient.EntryClient> {
   const ids = await Promise.all(refs.map((ref) => resolveEntry(state, ref)));
   const running = state.cell.entries().filter(({entry}) => {
     return ids.includes(entry.id);
   });
-  const chosen = running[turnOfRefs % running.length];
+  const chosen = running[index % running.length];
   return chosen?.client ?? nextClient(state);
 }
 
 /** A caller of the next awake entry in turn. */
 export function nextClient(state: ScenarioState): entryClient.EntryClient {
-  const awake = awakeEntries(state);
-  turn += 1;
-  const entry = awake[turn % awake.length];
-  if (entry === undefined) throw stepFailure('no entry is awake');
+  const active = activeEntries(state);
+  nextEntryIndex += 1;
+  const entry = active[nextEntryIndex % active.length];
+  if (entry === undefined) throw createStepFailure('no entry is awake');
   return entry.client;
 }
 
--- a/packages/gypsumwall-testing/src/scenario/soak_scenario.ts
+++ b/packages/gypsumwall-testing/src/scenario/soak_scenario.ts
@@ -10,13 +10,13 @@
 
 const {DOMAIN} = randomFaults;
 /** The fewest series that run at once. */
-const FEWEST_SERIES = 3;
+const MIN_SERIES = 3;
 /**
  * Spans from one strike or mend to the next, in milliseconds: from well below
  * a lease of the scenarios' site, which is 3 s, to above it.
  */
-const SHORTEST_MS = 100;
-const LONGEST_MS = 4_000;
+const MIN_INTERVAL_MS = 100;
+const MAX_INTERVAL_MS = 4_000;
 /** Delays of a slow path: of another region, and of a path that is choked. */
 const DELAYS_MS = [30, 250];
 
@@ -29,17 +29,17 @@
 /** Faults of the paths between an entry and its surroundings. */
 function pathFaults(entry: string): randomFaults.Fault[] {
   const between = [[entry], [DOMAIN, 'platform']];
-  const mend = [{do: 'heal', between}];
+  const repair = [{do: 'heal', between}];
   return [
-    {strike: [{do: 'cut_one_way', between}], mend},
-    {strike: [{do: 'reset', between}], mend: []},
-    {strike: [{do: 'silence', between}], mend: []},
-    ...DELAYS_MS.map((ms) => ({strike: [{do: 'delay', between, ms}], mend})),
+    {inject: [{do: 'cut_one_way', between}], repair},
+    {inject: [{do: 'reset', between}], repair: []},
+    {inject: [{do: 'silence', between}], repair: []},
+    ...DELAYS_MS.map((ms) => ({inject: [{do: 'delay', between, ms}], repair})),
   ];
 }
 
 /** The ends that may be struck, each with its faults. */
-const STRUCK: readonly (readonly randomFaults.Fault[])[] = [
+const FAULT_TARGETS: readonly (readonly randomFaults.Fault[])[] = [
   randomFaults.entryFaults(`${DOMAIN}-entry1`),
   pathFaults(`${DOMAIN}-entry2`),
   randomFaults.logFaults(),
@@ -48,69 +48,72 @@
   randomFaults.upstreamFaults(`${DOMAIN}-upstream1`),
 ];
 
-const span = fastCheck.integer({min: SHORTEST_MS, max: LONGEST_MS});
+const interval = fastCheck.integer({
+  min: MIN_INTERVAL_MS,
+  max: MAX_INTERVAL_MS,
+});
 
 /** Two faults of one end; what ends an entry or an upstream is the last. */
-function seriesOf(
+function faultSeries(
   faults: readonly randomFaults.Fault[],
 ): fastCheck.Arbitrary<TimedSteps[]> {
-  const passing = faults.filter((fault) => !endsSomething(fault));
-  const strike = (among: readonly randomFaults.Fault[]) =>
+  const nonTerminal = faults.filter((fault) => !isTerminal(fault));
+  const timedFault = (among: readonly randomFaults.Fault[]) =>
     fastCheck.record({
       fault: fastCheck.constantFrom(...among),
-      afterMs: span,
-      holdMs: span,
+      afterMs: interval,
+      holdMs: interval,
     });
   return fastCheck
-    .tuple(strike(passing), strike(faults))
-    .map((strikes) => timed(strikes));
+    .tuple(timedFault(nonTerminal), timedFault(faults))
+    .map((timedFaults) => toTimedSteps(timedFaults));
 }
 
-function endsSomething({strike}: randomFaults.Fault): boolean {
+function isTerminal({inject}: randomFaults.Fault): boolean {
   const ending = ['kill', 'stop', 'leave'];
-  return strike.some((step) => ending.includes(String(step['do'])));
+  return inject.some((step) => ending.includes(String(step['do'])));
 }
 
-function timed(
-  strikes: readonly {
+function toTimedSteps(
+  timedFaults: readonly {
     readonly fault: randomFaults.Fault;
     readonly afterMs: number;
     readonly holdMs: number;
   }[],
 ): TimedSteps[] {
-  const found: TimedSteps[] = [];
+  const timedSteps: TimedSteps[] = [];
   let atMs = 0;
-  for (const {fault, afterMs, holdMs} of strikes) {
+  for (const {fault, afterMs, holdMs} of timedFaults) {
     atMs += afterMs;
-    found.push({atMs, steps: fault.strike});
+    timedSteps.push({atMs, steps: fault.inject});
     atMs += holdMs;
-    found.push({atMs, steps: fault.mend});
+    timedSteps.push({atMs, steps: fault.repair});
   }
-  return found;
+  return timedSteps;
 }
 
-const overlapping = fastCheck
-  .subarray([...STRUCK], {minLength: FEWEST_SERIES})
-  .chain((struck) => fastCheck.tuple(...struck.map(seriesOf)))
+const overlappingSeries = fastCheck
+  .subarray([...FAULT_TARGETS], {minLength: MIN_SERIES})
+  .chain((targets) => fastCheck.tuple(...targets.map(faultSeries)))
   .map((series) => series.flat().sort((a, b) => a.atMs - b.atMs));
 
 /** The scenario of a seed. */
 export function soakScenario(seed: number): scenarioSchema.Scenario {
-  const [happenings] = fastCheck.sample(overlapping, {numRuns: 1, seed});
+  const [timedSteps] = fastCheck.sample(overlappingSeries, {numRuns: 1, seed});
   const steps: randomFaults.StepInput[] = [...randomFaults.LOAD];
-  let passedMs = 0;
-  for (const {atMs, steps: now} of happenings ?? []) {
-    if (atMs > passedMs) steps.push(randomFaults.pause(atMs - passedMs));
-    passedMs = Math.max(passedMs, atMs);
-    steps.push(...now);
+  let elapsedMs = 0;
+  for (const {atMs, steps: stepsNow} of timedSteps ?? []) {
+    if (atMs > elapsedMs) steps.push(randomFaults.waitStep(atMs - elapsedMs));
+    elapsedMs = Math.max(elapsedMs, atMs);
+    steps.push(...stepsNow);
   }
   return scenarioSchema.scenarioSchema.parse({
     promise: 'All promises hold under series of faults that overlap.',
     story: [
-      `Seed ${seed}: ${happenings?.length} strikes and mends in ${passedMs} ms.`,
+      `Seed ${seed}: ${timedSteps?.length} strikes and mends in ${elapsedMs} ms.`,
       'Callers go on all the while, and all that was accepted must end.',
     ],
     seed,
-    steps: [...steps, ...randomFaults.AFTERWARDS],
+    steps: [...steps, ...randomFaults.FINAL_STEPS],
   });
 }
--- a/packages/gypsumwall-testing/src/site.ts
+++ b/packages/gypsumwall-testing/src/site.ts
@@ -49,14 +49,16 @@
   readonly failureDomain: types.ids.FailureDomain;
 }
 
-type Listed<Instance> = Omit<Instance, 'address' | 'state'>;
+type InstanceIdentity<Instance> = Omit<Instance, 'address' | 'state'>;
 
 /** All instances of a site, named `<domain>-<kind><n>`. */
 export interface SiteInstances {
   readonly entries: readonly SiteEntry[];
-  readonly workers: ReadonlyArray<Listed<platform.instanceList.ListedWorker>>;
+  readonly workers: ReadonlyArray<
+    InstanceIdentity<platform.instanceList.ListedWorker>
+  >;
   readonly upstreams: ReadonlyArray<
-    Listed<platform.instanceList.ListedUpstream>
+    InstanceIdentity<platform.instanceList.ListedUpstream>
   >;
 }
 
@@ -64,14 +66,14 @@
 export function instancesOf(site: Site): SiteInstances {
   return {
     entries: site.failureDomains.flatMap(({name, entries}) =>
-      numbers(entries).map((n) => {
+      oneTo(entries).map((n) => {
         const failureDomain = types.ids.brand<types.ids.FailureDomain>(name);
         return {id: `${name}-entry${n}`, failureDomain};
       }),
     ),
     workers: site.failureDomains.flatMap(({name, racks}) =>
-      numbers(racks).flatMap((rack) =>
-        numbers(site.workersPerRack).map((n) => ({
+      oneTo(racks).flatMap((rack) =>
+        oneTo(site.workersPerRack).map((n) => ({
           kind: 'worker' as const,
           id: types.ids.brand<types.ids.WorkerId>(
             `${name}-rack${rack}-worker${n}`,
@@ -83,7 +85,7 @@
       ),
     ),
     upstreams: site.failureDomains.flatMap(({name, upstreams}) =>
-      numbers(upstreams).map((n) => ({
+      oneTo(upstreams).map((n) => ({
         kind: 'upstream' as const,
         id: types.ids.brand<types.ids.UpstreamId>(`${name}-upstream${n}`),
         failureDomain: types.ids.brand<types.ids.FailureDomain>(name),
@@ -93,6 +95,6 @@
   };
 }
 
-function numbers(upTo: number): number[] {
+function oneTo(upTo: number): number[] {
   return Array.from({length: upTo}, (_, index) => index + 1);
 }
--- a/packages/gypsumwall-testing/src/stand_in_group.ts
+++ b/packages/gypsumwall-testing/src/stand_in_group.ts
@@ -63,20 +63,26 @@
     }),
   }));
   const addresses: Record<string, string> = {};
-  const controls = new Map<string, string>();
+  const controlUrls = new Map<string, string>();
   for (const {kind, child: started} of children) {
-    const line = await child.standInReady(started);
+    const line = await child.waitForStandIn(started);
     Object.assign(addresses, line.addresses);
-    controls.set(kind, line.control);
+    controlUrls.set(kind, line.control);
   }
   return {
     platform: addresses.platform ?? '',
     addresses,
     control: async (kind, callPath, body) => {
-      await call('POST', `${controls.get(kind)}/control/${callPath}`, body);
+      await callControl(
+        'POST',
+        `${controlUrls.get(kind)}/control/${callPath}`,
+        body,
+      );
     },
     histories: () =>
-      Promise.all([...controls.values()].map((control) => fetchAll(control))),
+      Promise.all(
+        [...controlUrls.values()].map((control) => fetchHistory(control)),
+      ),
     close: async () => {
       for (const {child: started} of children) started.send('SIGKILL');
       await Promise.all(children.map(({child: started}) => started.exited));
@@ -84,12 +90,14 @@
   };
 }
 
-async function fetchAll(control: string): Promise<historyEvent.HistoryEvent[]> {
-  const answer = await call('GET', `${control}/control/history`);
+async function fetchHistory(
+  control: string,
+): Promise<historyEvent.HistoryEvent[]> {
+  const answer = await callControl('GET', `${control}/control/history`);
   return (answer as {events: historyEvent.HistoryEvent[]}).events;
 }
 
-async function call(
+async function callControl(
   method: 'GET' | 'POST',
   address: string,
   body?: object,
--- a/packages/gypsumwall-testing/src/stand_in_server.ts
+++ b/packages/gypsumwall-testing/src/stand_in_server.ts
@@ -28,7 +28,7 @@
 export type RefusalError = Error & Refusal;
 
 /** Makes a refusal to throw. */
-export function refusalError(refusal: Refusal): RefusalError {
+export function createRefusalError(refusal: Refusal): RefusalError {
   return Object.assign(new Error(refusal.message), refusal);
 }
 
@@ -50,11 +50,11 @@
   server.setErrorHandler((err, req, reply) => {
     if (isRefusal(err)) {
       onRefusal(err, req.url);
-      return refuse(reply, err);
+      return sendRefusal(reply, err);
     }
     const message =
       err instanceof zod.ZodError ? zod.prettifyError(err) : String(err);
-    return refuse(reply, {status: 400, error: 'invalid', message});
+    return sendRefusal(reply, {status: 400, error: 'invalid', message});
   });
   return server;
 }
@@ -67,7 +67,7 @@
 }
 
 /** Sends a refusal. */
-export function refuse(
+export function sendRefusal(
   reply: fastify.FastifyReply,
   refusal: Refusal,
 ): fastify.FastifyReply {
@@ -76,7 +76,9 @@
 }
 
 /** Breaks the connection without an answer. */
-export function breakOff(reply: fastify.FastifyReply): fastify.FastifyReply {
+export function dropConnection(
+  reply: fastify.FastifyReply,
+): fastify.FastifyReply {
   reply.hijack();
   reply.raw.destroy();
   return reply;
--- a/packages/gypsumwall-testing/src/worker_task.ts
+++ b/packages/gypsumwall-testing/src/task_attempt.ts
@@ -9,7 +9,7 @@
 import * as taskWork from './task_work.js';
 
 /** How a task's run came to its end. */
-export interface RunEnd {
+export interface AttemptEnd {
   readonly cause: historyEvent.EndCause;
   readonly end: types.job.TaskEnd;
   readonly ranMs: number;
@@ -18,20 +18,20 @@
 }
 
 /** What a run needs to know. */
-export interface WorkerTaskOptions {
+export interface TaskAttemptOptions {
   readonly task: platform.worker.StartTask;
   readonly work: taskWork.TaskWork;
   /** Progress saved by an earlier attempt's checkpoint. */
   readonly progressMs: number;
   /** Whether it fails, and not at its end but at once. */
-  readonly fate: 'done' | 'fails_at_end' | 'fails_at_once';
+  readonly plannedEnd: 'done' | 'fails_at_end' | 'fails_at_once';
   /** End of the lease on the machine's clock. */
   readonly leaseUntil: machineClock.MachineMs;
-  readonly onEnd: (end: RunEnd) => void;
+  readonly onEnd: (end: AttemptEnd) => void;
 }
 
 /** A running task. */
-export interface WorkerTask {
+export interface TaskAttempt {
   readonly task: platform.worker.StartTask;
   readonly work: taskWork.TaskWork;
   readonly startedAt: machineClock.MachineMs;
@@ -41,52 +41,54 @@
   /** 0 lifts the limit. */
   throttle(cpuMillis: number): void;
   /** What it uses now. */
-  used(): types.resources.Resources;
+  currentUsage(): types.resources.Resources;
   /** Ends the run now. */
   stop(cause: 'stop_call' | 'checkpointed' | 'worker_restarted'): void;
   /** Ends the run if its time or its lease is over; timers may be late. */
-  settle(): void;
+  finishIfDue(): void;
 }
 
 /** Starts a run. */
-export function createWorkerTask(options: WorkerTaskOptions): WorkerTask {
+export function createTaskAttempt(options: TaskAttemptOptions): TaskAttempt {
   const {task, work} = options;
   const startedAt = machineClock.machineNow();
   const usage = taskWork.trueUsage(work, task.size);
   let leaseUntil = options.leaseUntil;
   let progressMs = options.progressMs;
-  let progressAt = startedAt;
-  let limit = 0;
-  let over = false;
+  let progressUpdatedAt = startedAt;
+  let cpuLimitMillis = 0;
+  let hasEnded = false;
   let timer: NodeJS.Timeout | undefined;
 
-  const rate = (): number =>
-    limit > 0 && usage.cpuMillis > 0 ? Math.min(1, limit / usage.cpuMillis) : 1;
-  const advance = (): void => {
+  const progressRate = (): number =>
+    cpuLimitMillis > 0 && usage.cpuMillis > 0
+      ? Math.min(1, cpuLimitMillis / usage.cpuMillis)
+      : 1;
+  const updateProgress = (): void => {
     const now = machineClock.machineNow();
-    progressMs += (now - progressAt) * rate();
-    progressAt = now;
+    progressMs += (now - progressUpdatedAt) * progressRate();
+    progressUpdatedAt = now;
   };
   const endsAt = (): number =>
-    options.fate === 'fails_at_once'
+    options.plannedEnd === 'fails_at_once'
       ? startedAt
-      : progressAt + (work.runMs - progressMs) / rate();
+      : progressUpdatedAt + (work.runMs - progressMs) / progressRate();
 
   const finish = (
     cause: historyEvent.EndCause,
     end: types.job.TaskEnd,
   ): void => {
-    if (over) return;
-    over = true;
+    if (hasEnded) return;
+    hasEnded = true;
     clearTimeout(timer);
-    advance();
+    updateProgress();
     const ranMs = machineClock.machineNow() - startedAt;
     options.onEnd({cause, end, ranMs, progressMs});
   };
-  const settle = (): void => {
+  const finishIfDue = (): void => {
     const now = machineClock.machineNow();
     if (endsAt() <= Math.min(now, leaseUntil)) {
-      if (options.fate === 'done') {
+      if (options.plannedEnd === 'done') {
         finish('done', {type: 'done', result: work.result});
       } else {
         finish('failed', {type: 'failed', message: 'exit status 1'});
@@ -95,20 +97,20 @@
       finish('lease_lapsed', {type: 'stopped', message: 'lease lapsed'});
     }
   };
-  const arm = (): void => {
+  const scheduleTimer = (): void => {
     clearTimeout(timer);
-    if (over) return;
-    const wakeAt = Math.min(endsAt(), leaseUntil);
-    const spanMs = Math.max(0, wakeAt - machineClock.machineNow());
-    timer = setTimeout(onTimer, Math.ceil(spanMs));
+    if (hasEnded) return;
+    const timerAt = Math.min(endsAt(), leaseUntil);
+    const delayMs = Math.max(0, timerAt - machineClock.machineNow());
+    timer = setTimeout(onTimer, Math.ceil(delayMs));
     timer.unref();
   };
   const onTimer = (): void => {
-    settle();
+    finishIfDue();
     // The lease may have moved since the timer was set.
-    arm();
+    scheduleTimer();
   };
-  arm();
+  scheduleTimer();
 
   return {
     task,
@@ -119,15 +121,18 @@
       if (until > leaseUntil) leaseUntil = until;
     },
     throttle: (cpuMillis) => {
-      advance();
-      limit = cpuMillis;
-      arm();
+      updateProgress();
+      cpuLimitMillis = cpuMillis;
+      scheduleTimer();
     },
-    used: () => ({...usage, cpuMillis: usage.cpuMillis * rate()}),
+    currentUsage: () => ({
+      ...usage,
+      cpuMillis: usage.cpuMillis * progressRate(),
+    }),
     stop: (cause) => {
       const message = cause.replaceAll('_', ' ');
       finish(cause, {type: 'stopped', message});
     },
-    settle,
+    finishIfDue,
   };
 }
--- a/packages/gypsumwall-testing/src/trace_collector.ts
+++ b/packages/gypsumwall-testing/src/trace_collector.ts
@@ -29,7 +29,7 @@
   close(): Promise<void>;
 }
 
-const PATH = '/v1/traces';
+const TRACES_PATH = '/v1/traces';
 const NANOS_PER_MS = 1e6;
 
 const spanSchema = zod.object({
@@ -62,7 +62,7 @@
 export async function startTraceCollector(): Promise<TraceCollector> {
   const traces = new Map<string, CollectedSpan[]>();
   const server = standInServer.createServer();
-  server.post(PATH, (req) => {
+  server.post(TRACES_PATH, (req) => {
     for (const span of readSpans(req.body)) {
       traces.set(span.traceId, [...(traces.get(span.traceId) ?? []), span]);
     }
@@ -70,7 +70,7 @@
   });
   const address = await server.listen({port: 0, host: '127.0.0.1'});
   return {
-    url: `${address}${PATH}`,
+    url: `${address}${TRACES_PATH}`,
     traces: () => traces,
     close: () => server.close(),
   };
@@ -81,10 +81,10 @@
     .parse(body)
     .resourceSpans.flatMap((resource) => resource.scopeSpans)
     .flatMap((scope) => scope.spans)
-    .map(collectedSpan);
+    .map(toCollectedSpan);
 }
 
-function collectedSpan(span: zod.infer<typeof spanSchema>): CollectedSpan {
+function toCollectedSpan(span: zod.infer<typeof spanSchema>): CollectedSpan {
   const startMs = Number(span.startTimeUnixNano) / NANOS_PER_MS;
   const endMs = Number(span.endTimeUnixNano) / NANOS_PER_MS;
   return {
--- a/packages/gypsumwall-testing/src/upstream_answer.ts
+++ b/packages/gypsumwall-testing/src/upstream_answer.ts
@@ -3,7 +3,7 @@
 import * as zod from 'zod';
 
 /** What an execution was about. */
-export interface Executed {
+export interface ExecutionInfo {
   readonly executionId: string;
   readonly upstreamId: string;
   readonly team: string;
@@ -31,13 +31,19 @@
 }
 
 /** SHA-256 in hex. */
-export function hashOf(bytes: Buffer | Uint8Array): string {
+export function sha256Hex(bytes: Buffer | Uint8Array): string {
   return crypto.createHash('sha256').update(bytes).digest('hex');
 }
 
 /** The answer: a line of JSON, then filling up to the asked length. */
-export function makeAnswer(executed: Executed, answerBytes: number): Buffer {
-  const line = Buffer.from(`${JSON.stringify(executed)}\n`);
-  const filling = Math.max(0, answerBytes - line.length);
-  return Buffer.concat([line, Buffer.alloc(filling, executed.executionId)]);
+export function makeAnswer(
+  execution: ExecutionInfo,
+  answerBytes: number,
+): Buffer {
+  const line = Buffer.from(`${JSON.stringify(execution)}\n`);
+  const paddingBytes = Math.max(0, answerBytes - line.length);
+  return Buffer.concat([
+    line,
+    Buffer.alloc(paddingBytes, execution.executionId),
+  ]);
 }
--- a/packages/gypsumwall-testing/src/upstreams_stand_in.ts
+++ b/packages/gypsumwall-testing/src/upstreams_stand_in.ts
@@ -8,7 +8,7 @@
 import * as upstreamAnswer from './upstream_answer.js';
 
 /** Operations whose effect at the authority or the bank can't be undone. */
-const AUTHORITY_OPERATIONS = new Set([
+const IRREVERSIBLE_OPERATIONS = new Set([
   'file-plan',
   'bill-pilot',
   'book-seat',
@@ -136,28 +136,28 @@
   const body = Buffer.isBuffer(req.body) ? req.body : Buffer.alloc(0);
   const work = upstreamAnswer.parseWork(body);
   state.executions += 1;
-  const executed: upstreamAnswer.Executed = {
+  const execution: upstreamAnswer.ExecutionInfo = {
     executionId: `${state.id}-${state.executions}`,
     upstreamId: state.id,
     team: headers['gypsumwall-team'],
     operation,
-    bodyHash: upstreamAnswer.hashOf(body),
+    bodyHash: upstreamAnswer.sha256Hex(body),
   };
   recorded.record({
     type: 'execution_started',
-    ...executed,
+    ...execution,
     requestId: headers[REQUEST_ID_HEADER],
     key: headers['idempotency-key'],
-    authority: AUTHORITY_OPERATIONS.has(operation),
+    authority: IRREVERSIBLE_OPERATIONS.has(operation),
   });
   const delayMs = state.fault.mode === 'slow' ? state.fault.delayMs : 0;
   await timers.setTimeout(work.workMs + delayMs);
-  const answer = upstreamAnswer.makeAnswer(executed, work.answerBytes);
+  const answer = upstreamAnswer.makeAnswer(execution, work.answerBytes);
   recorded.record({
     type: 'execution_ended',
     upstreamId: state.id,
-    executionId: executed.executionId,
-    answerHash: upstreamAnswer.hashOf(answer),
+    executionId: execution.executionId,
+    answerHash: upstreamAnswer.sha256Hex(answer),
     bytes: answer.length,
   });
   return send(state, reply, headers[REQUEST_ID_HEADER], answer);
@@ -169,7 +169,7 @@
   requestId: string,
   answer: Buffer,
 ): fastify.FastifyReply {
-  const other = state.lastAnswer;
+  const previousAnswer = state.lastAnswer;
   state.lastAnswer = answer;
   void reply.type('application/octet-stream');
   switch (state.fault.mode) {
@@ -178,15 +178,17 @@
     case 'refusing':
       return reply.header(REQUEST_ID_HEADER, requestId).send(answer);
     case 'crossed':
-      return reply.header(REQUEST_ID_HEADER, `not-${requestId}`).send(other);
+      return reply
+        .header(REQUEST_ID_HEADER, `not-${requestId}`)
+        .send(previousAnswer);
     case 'truncated':
-      return sendHalf(reply, requestId, answer);
+      return sendTruncated(reply, requestId, answer);
     case 'silent':
       return reply.hijack();
   }
 }
 
-function sendHalf(
+function sendTruncated(
   reply: fastify.FastifyReply,
   requestId: string,
   answer: Buffer,
--- a/packages/gypsumwall-testing/src/job_watch.ts
+++ b/packages/gypsumwall-testing/src/wait_for_jobs.ts
@@ -10,29 +10,30 @@
   readonly kind: types.job.JobShape['kind'];
 }
 
-const POLL_MS = 100;
+const POLL_INTERVAL_MS = 100;
 /** Asked at one time, so that asking is no load of its own. */
-const AT_ONCE = 8;
+const MAX_CONCURRENT_POLLS = 8;
 
 /**
  * Resolves when each job has ended, or runs if it is a service, or at the
  * deadline on `performance.now()`. `pick` gives an entry to ask.
  */
-export async function watchJobs(
+export async function waitForJobs(
   jobs: readonly AcceptedJob[],
   pick: () => entryClient.EntryClient,
   deadline: number,
 ): Promise<boolean> {
-  let open = [...jobs];
-  while (open.length > 0) {
-    const asked = open.slice(0, AT_ONCE);
+  let pending = [...jobs];
+  while (pending.length > 0) {
+    const asked = pending.slice(0, MAX_CONCURRENT_POLLS);
     const settled = await Promise.all(asked.map((job) => isSettled(job, pick)));
-    const kept = asked.filter((_, index) => settled[index] !== true);
+    const unsettled = asked.filter((_, index) => settled[index] !== true);
     // Unsettled ones go to the back, so that all are asked in turn.
-    open = [...open.slice(AT_ONCE), ...kept];
-    if (open.length === 0) break;
+    pending = [...pending.slice(MAX_CONCURRENT_POLLS), ...unsettled];
+    if (pending.length === 0) break;
     if (performance.now() > deadline) return false;
-    if (kept.length === asked.length) await timers.setTimeout(POLL_MS);
+    if (unsettled.length === asked.length)
+      await timers.setTimeout(POLL_INTERVAL_MS);
   }
   return true;
 }
--- a/packages/gypsumwall-testing/src/worker_model.ts
+++ b/packages/gypsumwall-testing/src/worker_model.ts
@@ -9,7 +9,7 @@
 import * as machineClock from './machine_clock.js';
 import * as standInServer from './stand_in_server.js';
 import * as taskWork from './task_work.js';
-import * as workerTask from './worker_task.js';
+import * as taskAttempt from './task_attempt.js';
 
 /** A worker's surroundings. */
 export interface WorkerModelOptions {
@@ -23,7 +23,7 @@
   readonly checkpoints: Map<string, number>;
 }
 
-interface Attempt {
+interface AttemptRef {
   readonly taskId: string;
   readonly attempt: string;
 }
@@ -41,7 +41,7 @@
     leaseUntil: number,
     acknowledged: readonly string[],
   ): platform.worker.HeartbeatAnswer;
-  stop(call: platform.worker.HolderCall, attempts: readonly Attempt[]): void;
+  stop(call: platform.worker.HolderCall, attempts: readonly AttemptRef[]): void;
   throttle(
     call: platform.worker.HolderCall,
     attempt: string,
@@ -58,12 +58,12 @@
 /** Makes a worker with nothing running. */
 export function createWorkerModel(options: WorkerModelOptions): WorkerModel {
   const {id, recorded} = options;
-  const running = new Map<string, workerTask.WorkerTask>();
+  const running = new Map<string, taskAttempt.TaskAttempt>();
   const finished = new Map<string, platform.worker.FinishedTask>();
   /** Attempts that were stopped or have ended; they never start again. */
-  const over = new Set<string>();
+  const closedAttempts = new Set<string>();
   let highestEpoch = -1;
-  let stays = 0;
+  let incarnationCount = 0;
   let incarnation = types.ids.brand<types.ids.WorkerIncarnation>('');
   let failsAll = false;
 
@@ -75,7 +75,11 @@
     toWorkerMs(machineClock.machineNow());
 
   const refuse = (error: string, message: string): never => {
-    throw standInServer.refusalError({status: CONFLICT_STATUS, error, message});
+    throw standInServer.createRefusalError({
+      status: CONFLICT_STATUS,
+      error,
+      message,
+    });
   };
   const fence = (epoch: number): void => {
     if (epoch < highestEpoch) {
@@ -83,30 +87,30 @@
     }
     highestEpoch = epoch;
   };
-  const check = (call: platform.worker.HolderCall): void => {
+  const validateCall = (call: platform.worker.HolderCall): void => {
     if (call.incarnation !== incarnation) {
       refuse('conflict', `incarnation is ${incarnation}`);
     }
     fence(call.epoch);
-    settleAll();
+    finishDueAttempts();
   };
-  const settleAll = (): void => {
-    for (const task of [...running.values()]) task.settle();
+  const finishDueAttempts = (): void => {
+    for (const task of [...running.values()]) task.finishIfDue();
   };
-  const beginStay = (): void => {
-    stays += 1;
-    incarnation = types.ids.brand(`${id}-stay-${stays}`);
+  const startIncarnation = (): void => {
+    incarnationCount += 1;
+    incarnation = types.ids.brand(`${id}-stay-${incarnationCount}`);
     const {capacity} = options;
     recorded.record({type: 'worker_up', workerId: id, incarnation, capacity});
   };
 
-  const startOne = (
+  const startTask = (
     epoch: number,
     task: platform.worker.StartTask,
   ): platform.worker.StartAnswer => {
     const key = keyOf(task);
     if (running.has(key)) return {type: 'started'};
-    if (over.has(key)) {
+    if (closedAttempts.has(key)) {
       return {type: 'refused', message: 'this attempt is over'};
     }
     const work = taskWork.parseWork(task.work);
@@ -120,34 +124,34 @@
       size,
       label: work.label,
     });
-    const run = workerTask.createWorkerTask({
+    const execution = taskAttempt.createTaskAttempt({
       task,
       work,
       progressMs: options.checkpoints.get(taskId) ?? 0,
-      fate: drawFate(work),
+      plannedEnd: choosePlannedEnd(work),
       leaseUntil: toMachineMs(task.leaseUntil),
-      onEnd: (end) => onEnd(run, end),
+      onEnd: (end) => onEnd(execution, end),
     });
-    running.set(key, run);
+    running.set(key, execution);
     return {type: 'started'};
   };
-  const drawFate = (
+  const choosePlannedEnd = (
     work: taskWork.TaskWork,
-  ): workerTask.WorkerTaskOptions['fate'] => {
+  ): taskAttempt.TaskAttemptOptions['plannedEnd'] => {
     if (failsAll || work.neverRuns) return 'fails_at_once';
     return options.random.next() < work.failRate ? 'fails_at_end' : 'done';
   };
   const onEnd = (
-    run: workerTask.WorkerTask,
-    {cause, end, ranMs, progressMs}: workerTask.RunEnd,
+    execution: taskAttempt.TaskAttempt,
+    {cause, end, ranMs, progressMs}: taskAttempt.AttemptEnd,
   ): void => {
-    const {taskId, attempt} = run.task;
-    const key = keyOf(run.task);
+    const {taskId, attempt} = execution.task;
+    const key = keyOf(execution.task);
     running.delete(key);
-    over.add(key);
+    closedAttempts.add(key);
     finished.set(key, {taskId, attempt, end});
     if (cause === 'checkpointed') options.checkpoints.set(taskId, progressMs);
-    const used = run.used();
+    const used = execution.currentUsage();
     recorded.record({
       type: 'task_ended',
       workerId: id,
@@ -158,97 +162,108 @@
       ranMs,
     });
   };
-  const findRunning = (attempt: string): workerTask.WorkerTask | undefined =>
-    [...running.values()].find((run) => run.task.attempt === attempt);
+  const findExecution = (
+    attempt: string,
+  ): taskAttempt.TaskAttempt | undefined =>
+    [...running.values()].find(
+      (execution) => execution.task.attempt === attempt,
+    );
 
   const recordEnd = (
     type: 'end_told' | 'end_acknowledged',
-    {taskId, attempt}: Attempt,
+    {taskId, attempt}: AttemptRef,
   ): void => {
     recorded.record({type, workerId: id, taskId, attempt});
   };
-  const tellEnds = (): platform.worker.FinishedTask[] => {
+  const reportEnds = (): platform.worker.FinishedTask[] => {
     const ends = [...finished.values()];
     for (const end of ends) recordEnd('end_told', end);
     return ends;
   };
   const runningTasks = (): platform.worker.RunningTask[] =>
-    [...running.values()].map((run) => {
-      const {taskId, attempt, size} = run.task;
-      return {taskId, attempt, size, leaseUntil: toWorkerMs(run.leaseUntil())};
+    [...running.values()].map((execution) => {
+      const {taskId, attempt, size} = execution.task;
+      return {
+        taskId,
+        attempt,
+        size,
+        leaseUntil: toWorkerMs(execution.leaseUntil()),
+      };
     });
   const usage = (): platform.worker.TaskUsage[] => {
-    const before = machineClock.machineNow() - options.usageLagMs;
+    const latestStart = machineClock.machineNow() - options.usageLagMs;
     return [...running.values()]
-      .filter((run) => run.startedAt <= before)
-      .map((run) => {
-        const {taskId, attempt} = run.task;
-        return {taskId, attempt, used: run.used()};
+      .filter((execution) => execution.startedAt <= latestStart)
+      .map((execution) => {
+        const {taskId, attempt} = execution.task;
+        return {taskId, attempt, used: execution.currentUsage()};
       });
   };
 
-  beginStay();
+  startIncarnation();
   return {
     attach: (epoch) => {
       fence(epoch);
-      settleAll();
+      finishDueAttempts();
       return {
         incarnation,
         now: now(),
         capacity: options.capacity,
         running: runningTasks(),
-        finished: tellEnds(),
+        finished: reportEnds(),
       };
     },
     start: (call, startBy, tasks) => {
-      check(call);
+      validateCall(call);
       if (now() > startBy) refuse('too_late', `now ${now()}, by ${startBy}`);
-      return tasks.map((task) => startOne(call.epoch, task));
+      return tasks.map((task) => startTask(call.epoch, task));
     },
     heartbeat: (call, leaseUntil, acknowledged) => {
-      check(call);
+      validateCall(call);
       const known = new Set(acknowledged);
       for (const [key, task] of finished) {
         if (!known.has(task.attempt)) continue;
         finished.delete(key);
         recordEnd('end_acknowledged', task);
       }
-      for (const run of running.values()) run.renew(toMachineMs(leaseUntil));
+      for (const execution of running.values())
+        execution.renew(toMachineMs(leaseUntil));
       return {
         now: now(),
         running: runningTasks(),
-        finished: tellEnds(),
+        finished: reportEnds(),
         usage: usage(),
       };
     },
     stop: (call, attempts) => {
-      check(call);
+      validateCall(call);
       for (const attempt of attempts) {
-        over.add(keyOf(attempt));
+        closedAttempts.add(keyOf(attempt));
         running.get(keyOf(attempt))?.stop('stop_call');
       }
     },
     throttle: (call, attempt, cpuMillis) => {
-      check(call);
-      findRunning(attempt)?.throttle(cpuMillis);
+      validateCall(call);
+      findExecution(attempt)?.throttle(cpuMillis);
     },
     checkpoint: (call, attempt) => {
-      check(call);
-      findRunning(attempt)?.stop('checkpointed');
+      validateCall(call);
+      findExecution(attempt)?.stop('checkpointed');
     },
     restart: () => {
-      for (const run of [...running.values()]) run.stop('worker_restarted');
+      for (const execution of [...running.values()])
+        execution.stop('worker_restarted');
       finished.clear();
-      over.clear();
+      closedAttempts.clear();
       highestEpoch = -1;
-      beginStay();
+      startIncarnation();
     },
-    setFailsAll: (wanted) => {
-      failsAll = wanted;
+    setFailsAll: (newValue) => {
+      failsAll = newValue;
     },
   };
 }
 
-function keyOf({taskId, attempt}: Attempt): string {
+function keyOf({taskId, attempt}: AttemptRef): string {
   return `${taskId} ${attempt}`;
 }
--- a/packages/gypsumwall-testing/src/workers_stand_in.ts
+++ b/packages/gypsumwall-testing/src/workers_stand_in.ts
@@ -9,12 +9,12 @@
 import * as workerModel from './worker_model.js';
 
 const epoch = zod.number().int();
-const holderCall = {epoch, incarnation: zod.string()};
+const holderCallFields = {epoch, incarnation: zod.string()};
 const attemptRef = zod.object({taskId: zod.string(), attempt: zod.string()});
 
 const attachBody = zod.strictObject({epoch, holder: zod.string()});
 const startBody = zod.strictObject({
-  ...holderCall,
+  ...holderCallFields,
   startBy: zod.number(),
   tasks: zod.array(
     zod.strictObject({
@@ -33,21 +33,21 @@
   ),
 });
 const heartbeatBody = zod.strictObject({
-  ...holderCall,
+  ...holderCallFields,
   leaseUntil: zod.number(),
   acknowledged: zod.array(zod.string()),
 });
 const stopBody = zod.strictObject({
-  ...holderCall,
+  ...holderCallFields,
   attempts: zod.array(attemptRef),
 });
 const throttleBody = zod.strictObject({
-  ...holderCall,
+  ...holderCallFields,
   attempt: zod.string(),
   cpuMillis: zod.number().min(0),
 });
 const checkpointBody = zod.strictObject({
-  ...holderCall,
+  ...holderCallFields,
   attempt: zod.string(),
 });
 
@@ -160,35 +160,39 @@
   server.post('/v1/start', (req, reply) => {
     const body = startBody.parse(req.body);
     const tasks = body.tasks as unknown as platform.worker.StartTask[];
-    const answers = model.start(callOf(body), body.startBy, tasks);
+    const answers = model.start(toHolderCall(body), body.startBy, tasks);
     if (state.fault.mode !== 'lose_start_answers') return {answers};
     const starts = state.fault.starts - 1;
     state.fault = starts > 0 ? {...state.fault, starts} : {mode: 'none'};
-    return standInServer.breakOff(reply);
+    return standInServer.dropConnection(reply);
   });
   server.post('/v1/heartbeat', (req) => {
     const body = heartbeatBody.parse(req.body);
-    return model.heartbeat(callOf(body), body.leaseUntil, body.acknowledged);
+    return model.heartbeat(
+      toHolderCall(body),
+      body.leaseUntil,
+      body.acknowledged,
+    );
   });
   server.post('/v1/stop', (req) => {
     const body = stopBody.parse(req.body);
-    model.stop(callOf(body), body.attempts);
+    model.stop(toHolderCall(body), body.attempts);
     return {};
   });
   server.post('/v1/throttle', (req) => {
     const body = throttleBody.parse(req.body);
-    model.throttle(callOf(body), body.attempt, body.cpuMillis);
+    model.throttle(toHolderCall(body), body.attempt, body.cpuMillis);
     return {};
   });
   server.post('/v1/checkpoint', (req) => {
     const body = checkpointBody.parse(req.body);
-    model.checkpoint(callOf(body), body.attempt);
+    model.checkpoint(toHolderCall(body), body.attempt);
     return {};
   });
   return server;
 }
 
-function callOf(body: {
+function toHolderCall(body: {
   epoch: number;
   incarnation: string;
 }): platform.worker.HolderCall {
