--- a/packages/gypsumwall-testing/src/history.ts
+++ b/packages/gypsumwall-testing/src/history.ts
@@ -1,15 +1,15 @@
-/** Records events in order, each with its moment. */
+/** Records events in order, each with its time. */
 import type * as historyEvent from './history_event.js';
 import * as machineClock from './machine_clock.js';
 
-/** One process's recorded events. */
+/** The recorded events of one process. */
 export interface History {
   record(body: historyEvent.EventBody): void;
-  /** Events from the given number on. */
+  /** Returns the events whose number is at least `number`. */
   since(number: number): readonly historyEvent.HistoryEvent[];
 }
 
-/** Makes an empty history of the named recorder. */
+/** Creates an empty history; `source` names the recording process. */
 export function createHistory(source: string): History {
   const events: historyEvent.HistoryEvent[] = [];
   return {
@@ -21,7 +21,7 @@
   };
 }
 
-/** All recorders' events in one order of time. */
+/** Merges the events of several processes, sorted by time. */
 export function mergeHistories(
   histories: ReadonlyArray<readonly historyEvent.HistoryEvent[]>,
 ): historyEvent.HistoryEvent[] {
@@ -30,7 +30,7 @@
     .sort((left, right) => left.at - right.at || left.number - right.number);
 }
 
-/** One event as a line of text, with its moment relative to `from`. */
+/** Formats an event as a line of text, with its time relative to `from`. */
 export function formatEvent(
   event: historyEvent.HistoryEvent,
   from: machineClock.MachineMs,
--- a/packages/gypsumwall-testing/src/history_event.ts
+++ b/packages/gypsumwall-testing/src/history_event.ts
@@ -1,11 +1,12 @@
 /**
- * What the stand-ins, the callers and the runner record. The judge reads
- * nothing else, so it depends on no word of the product about itself.
+ * The events that the stand-ins, the callers and the test runner record. The
+ * judge reads nothing else, so its findings don't depend on what the product
+ * reports about itself.
  */
 import type * as types from '@gypsumwall/types';
 import type * as machineClock from './machine_clock.js';
 
-/** Why a task no longer runs at a worker. */
+/** Why an attempt of a task ended on a worker. */
 export type EndCause =
   | 'done'
   | 'failed'
@@ -14,9 +15,9 @@
   | 'checkpointed'
   | 'worker_restarted';
 
-/** What a caller was told about a quick request. */
+/** The outcome of a quick request, as its caller received it. */
 export type RequestOutcome =
-  /** A whole answer, with its declared length. */
+  /** A complete answer of the declared length. */
   | {readonly type: 'done'; readonly answerHash: string; readonly bytes: number}
   | {
       readonly type: 'not_run';
@@ -24,7 +25,10 @@
       readonly message: string;
     }
   | {readonly type: 'unknown'; readonly message: string}
-  /** No whole HTTP answer: connection refused, reset or timed out. */
+  /**
+   * No complete HTTP answer: the connection was refused or reset, or the call
+   * timed out.
+   */
   | {
       readonly type: 'broken';
       readonly message: string;
@@ -32,19 +36,19 @@
       readonly neverSent: boolean;
     };
 
-/** What a caller was told about a job it handed in. */
+/** The outcome of a job's submission, as its caller received it. */
 export type JobOutcome =
   | {readonly type: 'accepted'; readonly jobId: string}
   | Exclude<RequestOutcome, {readonly type: 'done'}>;
 
-/** What an operator was told about a publish. */
+/** The outcome of a publish, as the operator received it. */
 export type PublishOutcome =
   | {readonly type: 'accepted'; readonly revision: number}
   | {readonly type: 'conflict'; readonly message: string}
   | {readonly type: 'refused'; readonly message: string}
   | {readonly type: 'broken'; readonly message: string};
 
-/** Recorded by the workers' stand-in. */
+/** Events that the workers' stand-in records. */
 export type WorkerEvent =
   | {
       readonly type: 'worker_up';
@@ -59,7 +63,7 @@
       readonly attempt: string;
       readonly epoch: number;
       readonly size: types.resources.Resources;
-      /** `work.args.label`, by which a caller knows its job again. */
+      /** `work.args.label`, which identifies the caller's job. */
       readonly label: string;
     }
   | {
@@ -68,18 +72,20 @@
       readonly taskId: string;
       readonly attempt: string;
       readonly cause: EndCause;
-      /** What it truly used while it ran, and for how long. */
+      /**
+       * The actual usage when the attempt ended; `ranMs` is how long it ran.
+       */
       readonly used: types.resources.Resources;
       readonly ranMs: number;
     }
-  /** The worker put the end into an answer, which may have been lost. */
+  /** The worker reported the end in an answer, which may have been lost. */
   | {
       readonly type: 'end_told';
       readonly workerId: string;
       readonly taskId: string;
       readonly attempt: string;
     }
-  /** A holder acknowledged the end, so one of the answers had arrived. */
+  /** A holder acknowledged the end, so at least one of the answers arrived. */
   | {
       readonly type: 'end_acknowledged';
       readonly workerId: string;
@@ -94,7 +100,7 @@
       readonly message: string;
     };
 
-/** Recorded by the upstreams' stand-in. */
+/** Events that the upstreams' stand-in records. */
 export type UpstreamEvent =
   | {
       readonly type: 'execution_started';
@@ -104,9 +110,12 @@
       readonly team: string;
       readonly operation: string;
       readonly key: string;
-      /** SHA-256, hex, of the request's body. */
+      /** SHA-256 of the request's body, in hex. */
       readonly bodyHash: string;
-      /** Filed with the authority or billed: an effect that can't be undone. */
+      /**
+       * The operation files with an authority or bills: its effect can't be
+       * undone.
+       */
       readonly authority: boolean;
     }
   | {
@@ -124,7 +133,7 @@
     }
   | {readonly type: 'connection_dropped'; readonly upstreamId: string};
 
-/** Recorded by the platform's stand-in. */
+/** Events that the platform's stand-in records. */
 export type PlatformEvent =
   | {
       readonly type: 'records_appended';
@@ -140,7 +149,7 @@
       readonly firstOffset: number;
     };
 
-/** Recorded by callers and operators. */
+/** Events that callers and operators record. */
 export type CallerEvent =
   | {
       readonly type: 'request_sent';
@@ -175,7 +184,7 @@
       readonly entryId: string;
       readonly view: types.job.JobView;
     }
-  /** The entry answered that it knows no such job. */
+  /** The entry answered that it has no such job. */
   | {
       readonly type: 'job_missing';
       readonly entryId: string;
@@ -195,11 +204,11 @@
       readonly entryId: string;
       readonly path: string;
       readonly revision: number;
-      /** When the reading was asked for. */
+      /** When the request for the setting was sent. */
       readonly askedAt: machineClock.MachineMs;
     };
 
-/** Recorded by the runner itself. */
+/** Events that the test runner records. */
 export type RunnerEvent =
   | {
       readonly type: 'entry_up';
@@ -212,23 +221,26 @@
       readonly code: number | null;
       readonly signal: string;
     }
-  /** A planned stop was asked for; not a kill. */
+  /** A planned stop was requested, as opposed to a kill. */
   | {readonly type: 'entry_stopping'; readonly entryId: string}
   | {readonly type: 'upstream_leaving'; readonly upstreamId: string}
   | {readonly type: 'step'; readonly text: string}
   | {readonly type: 'fault'; readonly text: string}
-  /** Everything settled; unfinished work from here on is lost work. */
+  /**
+   * The scenario has settled; work that is unfinished from now on counts as
+   * lost.
+   */
   | {readonly type: 'settled'};
 
-/** Anything recorded. */
+/** Any event, without its time and source. */
 export type EventBody =
   WorkerEvent | UpstreamEvent | PlatformEvent | CallerEvent | RunnerEvent;
 
-/** A recorded event with its moment and its recorder. */
+/** A recorded event with its time and its recording process. */
 export type HistoryEvent = EventBody & {
   readonly at: machineClock.MachineMs;
-  /** Which process recorded it. */
+  /** The process that recorded the event. */
   readonly source: string;
-  /** Its place in that process's history. */
+  /** The event's index in the history of that process. */
   readonly number: number;
 };
--- a/packages/gypsumwall-testing/src/judge/__tests__/judge.test.ts
+++ b/packages/gypsumwall-testing/src/judge/__tests__/judge.test.ts
@@ -1,6 +1,7 @@
 /**
- * Histories with one planted fault each; the judge must name the promise that
- * it breaks, and must find nothing in the same history without the fault.
+ * Each case has a history with one violation, which the judge must attribute to
+ * the right guarantee, and a similar valid history in which it must find
+ * nothing.
  */
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
@@ -12,12 +13,12 @@
 
 type Body = historyEvent.EventBody;
 
-const STEP_MS = 1_000;
+const EVENT_INTERVAL_MS = 1_000;
 
-/** A history with an event a second. */
+/** Creates a history with one event per second. */
 function historyOf(bodies: readonly Body[]): historyEvent.HistoryEvent[] {
   return bodies.map((body, number) => {
-    const at = (number * STEP_MS) as machineClock.MachineMs;
+    const at = (number * EVENT_INTERVAL_MS) as machineClock.MachineMs;
     return {...body, at, source: 'test', number};
   });
 }
@@ -38,14 +39,14 @@
 ): Body {
   const label = 'job-1';
   const attempt = '1.1';
-  const needed = {...size(cpuMillis), memoryMb: 10};
+  const taskSize = {...size(cpuMillis), memoryMb: 10};
   return {
     type: 'task_started',
     workerId,
     taskId,
     attempt,
     epoch: 1,
-    size: needed,
+    size: taskSize,
     label,
   };
 }
@@ -60,7 +61,7 @@
   return {type: 'task_ended', workerId, taskId, attempt, cause, used, ranMs: 5};
 }
 
-function endHeard(type: 'end_told' | 'end_acknowledged'): Body {
+function endEvent(type: 'end_told' | 'end_acknowledged'): Body {
   return {type, workerId: 'w1', taskId: 'd.j/0', attempt: '1.1'};
 }
 
@@ -85,7 +86,7 @@
   return {type: 'broken', message: '', neverSent};
 }
 
-function executed(executionId: string, bodyHash: string): Body {
+function executionStarted(executionId: string, bodyHash: string): Body {
   const fields = {requestId: 'r', team: 't', operation: 'file-plan'};
   return {
     type: 'execution_started',
@@ -98,7 +99,7 @@
   };
 }
 
-function answered(executionId: string, answerHash: string): Body {
+function executionEnded(executionId: string, answerHash: string): Body {
   const upstreamId = 'u1';
   return {
     type: 'execution_ended',
@@ -116,7 +117,7 @@
 }
 
 function settingSeen(revision: number, askedAtStep: number): Body {
-  const askedAt = (askedAtStep * STEP_MS) as machineClock.MachineMs;
+  const askedAt = (askedAtStep * EVENT_INTERVAL_MS) as machineClock.MachineMs;
   return {
     type: 'setting_seen',
     entryId: 'e2',
@@ -151,24 +152,24 @@
   return {type: 'entry_exited', entryId: 'e1', code, signal: ''};
 }
 
-interface Planted {
+interface JudgeCase {
   readonly name: string;
   readonly promise: finding.PromiseName;
-  readonly sound: readonly Body[];
-  readonly faulty: readonly Body[];
+  readonly valid: readonly Body[];
+  readonly violating: readonly Body[];
 }
 
-const PLANTED: readonly Planted[] = [
+const CASES: readonly JudgeCase[] = [
   {
-    name: 'a worker holds more than its processors',
+    name: 'a worker runs tasks beyond its processors',
     promise: 'capacity',
-    sound: [
+    valid: [
       workerUp('w1'),
       taskStarted('w1', 'd.j/0', 600),
       taskEnded('w1', 'd.j/0'),
       taskStarted('w1', 'd.j/1', 600),
     ],
-    faulty: [
+    violating: [
       workerUp('w1'),
       taskStarted('w1', 'd.j/0', 600),
       taskStarted('w1', 'd.j/1', 600),
@@ -177,14 +178,14 @@
   {
     name: 'a task runs on two workers',
     promise: 'one_place',
-    sound: [
+    valid: [
       workerUp('w1'),
       workerUp('w2'),
       taskStarted('w1', 'd.j/0', 1),
       taskEnded('w1', 'd.j/0', 'lease_lapsed'),
       taskStarted('w2', 'd.j/0', 1),
     ],
-    faulty: [
+    violating: [
       workerUp('w1'),
       workerUp('w2'),
       taskStarted('w1', 'd.j/0', 1),
@@ -194,70 +195,70 @@
   {
     name: 'a task known to be done is started again',
     promise: 'done_once',
-    sound: [
+    valid: [
       workerUp('w1'),
       taskStarted('w1', 'd.j/0', 1),
       taskEnded('w1', 'd.j/0'),
       taskStarted('w1', 'd.j/0', 1),
-      endHeard('end_told'),
-      endHeard('end_acknowledged'),
+      endEvent('end_told'),
+      endEvent('end_acknowledged'),
     ],
-    faulty: [
+    violating: [
       workerUp('w1'),
       taskStarted('w1', 'd.j/0', 1),
       taskEnded('w1', 'd.j/0'),
-      endHeard('end_told'),
+      endEvent('end_told'),
       taskStarted('w1', 'd.j/0', 1),
-      endHeard('end_acknowledged'),
+      endEvent('end_acknowledged'),
     ],
   },
   {
-    name: "a caller gets another's answer",
+    name: "a caller receives another request's answer",
     promise: 'whole_answer',
-    sound: [
+    valid: [
       requestSent('c1', 'b1'),
-      executed('x1', 'b1'),
-      answered('x1', 'a1'),
+      executionStarted('x1', 'b1'),
+      executionEnded('x1', 'a1'),
       requestTold('c1', done('a1')),
     ],
-    faulty: [
+    violating: [
       requestSent('c1', 'b1'),
-      executed('x1', 'b1'),
-      answered('x1', 'a1'),
+      executionStarted('x1', 'b1'),
+      executionEnded('x1', 'a1'),
       requestTold('c1', done('a2')),
     ],
   },
   {
-    name: 'a request told not_run runs later',
+    name: 'a request that received not_run runs later',
     promise: 'not_run_is_true',
-    sound: [
+    valid: [
       requestSent('c1', 'b1'),
       requestTold('c1', notRun()),
       requestSent('c2', 'b1'),
-      executed('x1', 'b1'),
+      executionStarted('x1', 'b1'),
       requestTold('c2', {type: 'unknown', message: ''}),
     ],
-    faulty: [
+    violating: [
       requestSent('c1', 'b1'),
       requestTold('c1', notRun()),
-      executed('x1', 'b1'),
+      executionStarted('x1', 'b1'),
     ],
   },
   {
-    name: 'a key that has run is told not_run',
+    name: 'a request whose key has run receives not_run',
     promise: 'not_run_is_true',
-    sound: [
+    valid: [
       requestSent('c1', 'b1'),
-      executed('x1', 'b1'),
-      answered('x1', 'a1'),
+      executionStarted('x1', 'b1'),
+      executionEnded('x1', 'a1'),
       requestTold('c1', done('a1')),
       requestSent('c2', 'b1'),
       requestTold('c2', notRun('key_in_use')),
     ],
-    faulty: [
+    violating: [
       requestSent('c1', 'b1'),
-      executed('x1', 'b1'),
-      answered('x1', 'a1'),
+      executionStarted('x1', 'b1'),
+      executionEnded('x1', 'a1'),
       requestTold('c1', done('a1')),
       requestSent('c2', 'b1'),
       requestTold('c2', notRun()),
@@ -266,13 +267,13 @@
   {
     name: 'a refused job has a task',
     promise: 'not_run_is_true',
-    sound: [
+    valid: [
       workerUp('w1'),
       jobTold(notRun() as historyEvent.JobOutcome),
       jobTold({type: 'unknown', message: ''}),
       taskStarted('w1', 'd.j/0', 1),
     ],
-    faulty: [
+    violating: [
       workerUp('w1'),
       jobTold(notRun() as historyEvent.JobOutcome),
       taskStarted('w1', 'd.j/0', 1),
@@ -281,32 +282,32 @@
   {
     name: 'a plan is filed twice',
     promise: 'at_most_once',
-    sound: [requestSent('c1', 'b1'), executed('x1', 'b1')],
-    faulty: [
+    valid: [requestSent('c1', 'b1'), executionStarted('x1', 'b1')],
+    violating: [
       requestSent('c1', 'b1'),
-      executed('x1', 'b1'),
-      executed('x2', 'b1'),
+      executionStarted('x1', 'b1'),
+      executionStarted('x2', 'b1'),
     ],
   },
   {
     name: 'a leaving upstream gets new work',
     promise: 'leaving_upstream',
-    sound: [
+    valid: [
       {type: 'upstream_leaving', upstreamId: 'u1'},
       requestSent('c1', 'b1'),
-      executed('x1', 'b1'),
+      executionStarted('x1', 'b1'),
     ],
-    faulty: [
+    violating: [
       {type: 'upstream_leaving', upstreamId: 'u1'},
       ...Array.from({length: 6}, (): Body => ({type: 'step', text: ''})),
       requestSent('c1', 'b1'),
-      executed('x1', 'b1'),
+      executionStarted('x1', 'b1'),
     ],
   },
   {
-    name: 'a planned stop cuts a call off',
+    name: 'a planned stop breaks a call',
     promise: 'planned_stop',
-    sound: [
+    valid: [
       requestSent('c1', 'b1'),
       STOPPING,
       requestTold('c1', {type: 'unknown', message: ''}),
@@ -314,7 +315,7 @@
       requestTold('c2', broken(true)),
       exited(0),
     ],
-    faulty: [
+    violating: [
       requestSent('c1', 'b1'),
       STOPPING,
       requestTold('c1', broken(false)),
@@ -324,31 +325,31 @@
   {
     name: 'a planned stop ends with an error',
     promise: 'planned_stop',
-    sound: [STOPPING, exited(0)],
-    faulty: [STOPPING, exited(1)],
+    valid: [STOPPING, exited(0)],
+    violating: [STOPPING, exited(1)],
   },
   {
     name: 'a setting reverts',
     promise: 'configuration',
-    sound: [settingSeen(1, 0), settingSeen(1, 0.5), settingSeen(2, 2)],
-    faulty: [settingSeen(2, 0), settingSeen(1, 0.5)],
+    valid: [settingSeen(1, 0), settingSeen(1, 0.5), settingSeen(2, 2)],
+    violating: [settingSeen(2, 0), settingSeen(1, 0.5)],
   },
   {
     name: 'an accepted setting is not in force after the bound',
     promise: 'configuration',
-    sound: [published('p1', 1, 2), settingSeen(1, 3), settingSeen(2, 9)],
-    faulty: [published('p1', 1, 2), settingSeen(1, 9)],
+    valid: [published('p1', 1, 2), settingSeen(1, 3), settingSeen(2, 9)],
+    violating: [published('p1', 1, 2), settingSeen(1, 9)],
   },
   {
-    name: 'two operators win one race',
+    name: 'two publishes on one revision are accepted',
     promise: 'configuration',
-    sound: [published('p1', 1, 2), published('p2', 2, 3)],
-    faulty: [published('p1', 1, 2), published('p2', 1, 3)],
+    valid: [published('p1', 1, 2), published('p2', 2, 3)],
+    violating: [published('p1', 1, 2), published('p2', 1, 3)],
   },
   {
     name: 'an accepted job is never finished',
     promise: 'nothing_lost',
-    sound: [
+    valid: [
       workerUp('w1'),
       ACCEPTED,
       taskStarted('w1', 'd.j/0', 1),
@@ -356,12 +357,12 @@
       jobSeen('done'),
       SETTLED,
     ],
-    faulty: [ACCEPTED, jobSeen('running'), SETTLED],
+    violating: [ACCEPTED, jobSeen('running'), SETTLED],
   },
   {
-    name: 'a job is called done before its tasks ended',
+    name: 'a job is reported done before its tasks ended',
     promise: 'nothing_lost',
-    sound: [
+    valid: [
       workerUp('w1'),
       ACCEPTED,
       taskStarted('w1', 'd.j/0', 1),
@@ -369,7 +370,7 @@
       jobSeen('done', 1),
       SETTLED,
     ],
-    faulty: [
+    violating: [
       workerUp('w1'),
       ACCEPTED,
       taskStarted('w1', 'd.j/0', 1),
@@ -379,9 +380,9 @@
     ],
   },
   {
-    name: 'an entry knows nothing of a job that was done',
+    name: 'an entry has no record of a job that was done',
     promise: 'nothing_lost',
-    sound: [
+    valid: [
       workerUp('w1'),
       ACCEPTED,
       taskStarted('w1', 'd.j/0', 1),
@@ -390,7 +391,7 @@
       jobSeen('done'),
       SETTLED,
     ],
-    faulty: [
+    violating: [
       workerUp('w1'),
       ACCEPTED,
       taskStarted('w1', 'd.j/0', 1),
@@ -401,21 +402,26 @@
     ],
   },
   {
-    name: 'an accepted job is forgotten',
+    name: 'an accepted job is never reported',
     promise: 'nothing_lost',
-    sound: [ACCEPTED, {type: 'job_cancel_accepted', jobId: 'd.j'}, SETTLED],
-    faulty: [ACCEPTED, SETTLED],
+    valid: [ACCEPTED, {type: 'job_cancel_accepted', jobId: 'd.j'}, SETTLED],
+    violating: [ACCEPTED, SETTLED],
   },
 ];
 
-/** Steps of a second make settings late sooner than the default bound. */
+/**
+ * Bounds for histories with one event per second; the bound of the
+ * configuration must stay at 5 s if the default changes.
+ */
 const BOUNDS = {...judge.DEFAULT_BOUNDS, configBoundMs: 5_000};
 
 /**
- * `askedAt` of a planted reading counts in seconds from the first event; its
- * own moment must not be before it.
+ * `askedAt` of a reading counts from the first event; the reading's own time
+ * must not be before it.
  */
-function orderReadings(bodies: readonly Body[]): historyEvent.HistoryEvent[] {
+function historyWithReadings(
+  bodies: readonly Body[],
+): historyEvent.HistoryEvent[] {
   return historyOf(bodies).map((event) => {
     if (event.type !== 'setting_seen') return event;
     const at = Math.max(event.at, event.askedAt) as machineClock.MachineMs;
@@ -423,10 +429,10 @@
   });
 }
 
-for (const {name, promise, sound, faulty} of PLANTED) {
+for (const {name, promise, valid: sound, violating: faulty} of CASES) {
   nodeTest.test(`finds: ${name}`, () => {
-    assert.deepEqual(judge.judge(orderReadings(sound), BOUNDS), []);
-    const found = judge.judge(orderReadings(faulty), BOUNDS);
+    assert.deepEqual(judge.judge(historyWithReadings(sound), BOUNDS), []);
+    const found = judge.judge(historyWithReadings(faulty), BOUNDS);
     assert.ok(found.length > 0, 'nothing found');
     for (const one of found) assert.equal(one.promise, promise, one.message);
   });
--- a/packages/gypsumwall-testing/src/judge/entry_rules.ts
+++ b/packages/gypsumwall-testing/src/judge/entry_rules.ts
@@ -1,8 +1,14 @@
-/** Planned stops and the configuration, as callers and operators saw them. */
+/**
+ * Checks planned stops and the configuration, as callers and operators observed
+ * them.
+ */
 import type * as historyEvent from '../history_event.js';
 import * as finding from './finding.js';
 
-/** A planned stop cuts off no call in flight at the entry. */
+/**
+ * Checks that a planned stop breaks no call in flight at the entry and that the
+ * process exits with 0.
+ */
 export function checkPlannedStop(
   events: readonly historyEvent.HistoryEvent[],
 ): finding.Finding[] {
@@ -31,7 +37,7 @@
       if (outcome.told.type !== 'broken' || outcome.told.neverSent) continue;
       findings.push({
         promise: 'planned_stop',
-        message: `the planned stop of ${entryId} cut off call ${call.callId}`,
+        message: `the planned stop of ${entryId} broke call ${call.callId}`,
         evidence: [
           call,
           stopping,
@@ -43,7 +49,7 @@
     if (exit === undefined || exit.code === 0) continue;
     findings.push({
       promise: 'planned_stop',
-      message: `the planned stop of ${entryId} ended with ${exit.code ?? exit.signal}`,
+      message: `the planned stop of ${entryId} exited with ${exit.code ?? exit.signal}`,
       evidence: [stopping, exit],
     });
   }
@@ -67,7 +73,9 @@
   });
 }
 
-/** Accepted settings are in force within the bound and never revert. */
+/**
+ * Checks that accepted settings take effect within the bound and never revert.
+ */
 export function checkConfiguration(
   events: readonly historyEvent.HistoryEvent[],
   boundMs: number,
@@ -81,7 +89,10 @@
   ];
 }
 
-/** Of publishes on one base, one wins. */
+/**
+ * Checks that of several publishes based on one revision at most one is
+ * accepted.
+ */
 function checkOneWinner(
   accepted: readonly AcceptedPublish[],
 ): finding.Finding[] {
@@ -97,7 +108,7 @@
   });
 }
 
-/** A later reading at an entry never shows an older revision. */
+/** Checks that a later reading at an entry never shows an older revision. */
 function checkNoRevert(readings: readonly SettingReading[]): finding.Finding[] {
   const findings: finding.Finding[] = [];
   const groups = finding.groupBy(
@@ -126,7 +137,10 @@
   return findings;
 }
 
-/** The bound counts from the acceptance, or from the last change of faults. */
+/**
+ * Checks that accepted revisions become visible within the bound, which counts
+ * from the acceptance or from the last injected or repaired fault.
+ */
 function checkInForce(
   events: readonly historyEvent.HistoryEvent[],
   readings: readonly SettingReading[],
@@ -144,7 +158,7 @@
         event.at + boundMs < reading.askedAt,
     );
     if (missed === undefined) return [];
-    const message = `${reading.path} at ${reading.entryId} is still ${reading.revision}, accepted was ${missed.revision}`;
+    const message = `${reading.path} at ${reading.entryId} still has revision ${reading.revision}, but ${missed.revision} was accepted`;
     const evidence = [missed.event, reading];
     return [{promise: 'configuration', message, evidence}];
   });
--- a/packages/gypsumwall-testing/src/judge/finding.ts
+++ b/packages/gypsumwall-testing/src/judge/finding.ts
@@ -1,7 +1,7 @@
-/** A promise that a recorded history breaks. */
+/** Violations of the product's guarantees in a recorded history. */
 import type * as historyEvent from '../history_event.js';
 
-/** What must always hold, by a short name. */
+/** Short names of the guarantees that the judge checks. */
 export type PromiseName =
   | 'capacity'
   | 'one_place'
@@ -14,20 +14,20 @@
   | 'configuration'
   | 'nothing_lost';
 
-/** One break, with the events that show it in their order. */
+/** One violated guarantee and the events that prove it, in order of time. */
 export interface Finding {
   readonly promise: PromiseName;
   readonly message: string;
   readonly evidence: readonly historyEvent.HistoryEvent[];
 }
 
-/** Events of one type. */
+/** The member of the event union with the given type. */
 export type EventOf<Type extends historyEvent.EventBody['type']> = Extract<
   historyEvent.HistoryEvent,
   {type: Type}
 >;
 
-/** Picks the events of one type. */
+/** Returns the events of one type, in their order. */
 export function eventsOf<Type extends historyEvent.EventBody['type']>(
   events: readonly historyEvent.HistoryEvent[],
   type: Type,
@@ -35,7 +35,7 @@
   return events.filter((event): event is EventOf<Type> => event.type === type);
 }
 
-/** Items in groups by a key. */
+/** Groups items by a key. */
 export function groupBy<Item>(
   items: readonly Item[],
   keyOf: (item: Item) => string,
--- a/packages/gypsumwall-testing/src/judge/job_rules.ts
+++ b/packages/gypsumwall-testing/src/judge/job_rules.ts
@@ -1,11 +1,17 @@
-/** Nothing accepted is lost: what callers were told, and how it ended. */
+/**
+ * Checks that no accepted job is lost: compares what callers received with how
+ * the job ended.
+ */
 import * as types from '@gypsumwall/types';
 import type * as historyEvent from '../history_event.js';
 import * as finding from './finding.js';
 
 type JobReading = finding.EventOf<'job_seen'>;
 
-/** Every accepted job ends, or goes on as a service, once all is settled. */
+/**
+ * Checks that every accepted job that was not cancelled has ended, or is
+ * running if it is a service, when the history is settled.
+ */
 export function checkNothingLost(
   events: readonly historyEvent.HistoryEvent[],
 ): finding.Finding[] {
@@ -35,7 +41,7 @@
     const missingReply = missing.get(jobId)?.at(-1);
     const message =
       missingReply !== undefined && missingReply.at > (lastReading?.at ?? 0)
-        ? `accepted, but ${missingReply.entryId} knows no such job`
+        ? `accepted, but ${missingReply.entryId} has no such job`
         : findLoss(lastReading, ends.get(jobId) ?? []);
     if (message === undefined) continue;
     const evidence = [event, lastReading, missingReply].filter(
@@ -50,12 +56,15 @@
   return findings;
 }
 
-/** Why the job counts as lost, by its last view and what workers recorded. */
+/**
+ * Returns why the job counts as lost, by its last view and the ends that
+ * workers recorded; undefined if it isn't lost.
+ */
 function findLoss(
   lastReading: JobReading | undefined,
   ends: ReadonlyArray<finding.EventOf<'task_ended'>>,
 ): string | undefined {
-  if (lastReading === undefined) return 'accepted, but never seen by its id';
+  if (lastReading === undefined) return 'accepted, but never found by its id';
   const {view} = lastReading;
   switch (view.state) {
     case 'queued':
--- a/packages/gypsumwall-testing/src/judge/judge.ts
+++ b/packages/gypsumwall-testing/src/judge/judge.ts
@@ -1,7 +1,7 @@
 /**
- * Holds recorded histories against the promises. It shares no code with the
- * product and believes no word of it: only what the stand-ins recorded and
- * what callers were told.
+ * Checks a recorded history against the product's guarantees. The judge shares
+ * no checking code with the product and uses none of its own reports: it reads
+ * only what the stand-ins recorded and what callers received.
  */
 import type * as historyEvent from '../history_event.js';
 import * as entryRules from './entry_rules.js';
@@ -10,21 +10,24 @@
 import * as requestRules from './request_rules.js';
 import * as workerRules from './worker_rules.js';
 
-/** Bounds that the promises leave open ("a few seconds"). */
+/** Time limits for guarantees that don't state one ("a few seconds"). */
 export interface JudgeBounds {
-  /** From an upstream's leaving to its last new execution. */
+  /**
+   * Time after an upstream is listed as leaving in which it may still get new
+   * executions.
+   */
   readonly leavingBoundMs: number;
-  /** From the acceptance of a setting until every entry shows it. */
+  /** Time from the acceptance of a setting until every entry must return it. */
   readonly configBoundMs: number;
 }
 
-/** Bounds where a scenario says nothing. */
+/** The bounds for scenarios that set none. */
 export const DEFAULT_BOUNDS: JudgeBounds = {
   leavingBoundMs: 5_000,
   configBoundMs: 5_000,
 };
 
-/** All breaks in a history whose events stand in order of time. */
+/** Returns all violations in a history whose events are sorted by time. */
 export function judge(
   events: readonly historyEvent.HistoryEvent[],
   bounds: JudgeBounds = DEFAULT_BOUNDS,
--- a/packages/gypsumwall-testing/src/judge/request_rules.ts
+++ b/packages/gypsumwall-testing/src/judge/request_rules.ts
@@ -1,4 +1,4 @@
-/** What upstreams recorded, held against what callers were told. */
+/** Compares what upstreams executed with the outcomes that callers received. */
 import type * as historyEvent from '../history_event.js';
 import * as finding from './finding.js';
 
@@ -6,13 +6,15 @@
 type SentEvent = finding.EventOf<'request_sent'>;
 type OutcomeEvent = finding.EventOf<'request_told'>;
 
-/** A call from its sending to what the caller was told, if it was. */
+/**
+ * A call and its outcome; the outcome is absent if the caller received none.
+ */
 interface Call {
   readonly sent: SentEvent;
   readonly outcomeEvent?: OutcomeEvent;
 }
 
-/** All calls by the hash of what they carried. */
+/** Groups calls by the hash of their body. */
 function callsByBody(
   events: readonly historyEvent.HistoryEvent[],
 ): Map<string, Call[]> {
@@ -34,7 +36,9 @@
   return finding.groupBy(started, (execution) => execution.bodyHash);
 }
 
-/** A `done` answer is one that an execution of this very request gave. */
+/**
+ * Checks that every `done` answer came from an execution of the same request.
+ */
 export function checkWholeAnswer(
   events: readonly historyEvent.HistoryEvent[],
 ): finding.Finding[] {
@@ -60,10 +64,12 @@
         (end) => end.answerHash === answerHash,
       );
       const description =
-        others.length > 0 ? "another request's answer" : 'no whole answer';
+        others.length > 0
+          ? "another request's answer"
+          : 'an answer that no execution produced';
       findings.push({
         promise: 'whole_answer',
-        message: `call ${sent.callId} was given ${description} as done`,
+        message: `call ${sent.callId} received ${description} as done`,
         evidence: [sent, ...ownExecutions, ...others, outcomeEvent],
       });
     }
@@ -71,7 +77,10 @@
   return findings;
 }
 
-/** What was told `not_run` has no execution that only it could explain. */
+/**
+ * Checks that no request ran whose caller received `not_run`, unless another
+ * call with the same body can account for the execution.
+ */
 export function checkRequestNotRun(
   events: readonly historyEvent.HistoryEvent[],
 ): finding.Finding[] {
@@ -89,8 +98,8 @@
       const unexplained = ownExecutions.filter(
         (execution) => !isExplained(execution, others),
       );
-      // Told of a key that another call of it already ran: a lie as well,
-      // unless the reason says that just this is the case.
+      // `not_run` is also false if the same request had already run for an
+      // earlier call, unless the reason is that its key is in use.
       const earlier =
         call.outcomeEvent.told.reason === 'key_in_use'
           ? []
@@ -99,7 +108,7 @@
       if (evidence.length === 0) continue;
       findings.push({
         promise: 'not_run_is_true',
-        message: `call ${call.sent.callId} was told not_run but ran`,
+        message: `call ${call.sent.callId} received not_run but ran`,
         evidence: [call.sent, ...evidence, call.outcomeEvent],
       });
     }
@@ -107,12 +116,17 @@
   return findings;
 }
 
-/** Whether another call of the same work was out when it started. */
+/**
+ * Whether another call with the same body was sent before the execution began.
+ */
 function isExplained(execution: Execution, others: readonly Call[]): boolean {
   return others.some((other) => other.sent.at <= execution.at);
 }
 
-/** A job told `not_run` has no task anywhere. */
+/**
+ * Checks that no task ran of a job whose submissions were all answered
+ * `not_run`.
+ */
 export function checkJobNotRun(
   events: readonly historyEvent.HistoryEvent[],
 ): finding.Finding[] {
@@ -131,14 +145,17 @@
     if (ownStarts.length === 0) continue;
     findings.push({
       promise: 'not_run_is_true',
-      message: `job ${label} was told not_run but ${ownStarts.length} tasks ran`,
+      message: `job ${label} received not_run but ${ownStarts.length} tasks ran`,
       evidence: [...outcomes, ...ownStarts],
     });
   }
   return findings;
 }
 
-/** Work with a key, or with the authority, runs at most once. */
+/**
+ * Checks that a keyed request, and a request with an irrevocable effect, runs
+ * at most once.
+ */
 export function checkAtMostOnce(
   events: readonly historyEvent.HistoryEvent[],
 ): finding.Finding[] {
@@ -163,7 +180,10 @@
   return findings;
 }
 
-/** A leaving upstream gets nothing new after the bound. */
+/**
+ * Checks that an upstream gets no new executions once it has been leaving for
+ * longer than the bound.
+ */
 export function checkLeavingUpstream(
   events: readonly historyEvent.HistoryEvent[],
   boundMs: number,
@@ -176,7 +196,7 @@
         execution.at > leaving.at + boundMs,
     );
     if (late.length === 0) return [];
-    const message = `${leaving.upstreamId} got ${late.length} new executions over ${boundMs} ms after it was leaving`;
+    const message = `${leaving.upstreamId} got ${late.length} new executions more than ${boundMs} ms after it was listed as leaving`;
     return [
       {promise: 'leaving_upstream', message, evidence: [leaving, ...late]},
     ];
--- a/packages/gypsumwall-testing/src/judge/worker_rules.ts
+++ b/packages/gypsumwall-testing/src/judge/worker_rules.ts
@@ -1,11 +1,17 @@
-/** What workers recorded: capacity held and tasks in one place. */
+/**
+ * Checks what workers recorded: their allocated capacity, and where each task
+ * ran.
+ */
 import * as types from '@gypsumwall/types';
 import type * as historyEvent from '../history_event.js';
 import * as finding from './finding.js';
 
 type StartEvent = finding.EventOf<'task_started'>;
 
-/** No worker ever holds more than its capacity, on any dimension. */
+/**
+ * Checks that the running tasks of a worker never exceed its capacity in any
+ * dimension.
+ */
 export function checkCapacity(
   events: readonly historyEvent.HistoryEvent[],
 ): finding.Finding[] {
@@ -21,10 +27,11 @@
       held.get(event.workerId)?.delete(attemptKey(event));
     }
     if (event.type !== 'task_started') continue;
-    const heldHere = held.get(event.workerId) ?? new Map<string, StartEvent>();
-    held.set(event.workerId, heldHere);
-    heldHere.set(attemptKey(event), event);
-    const running = [...heldHere.values()];
+    const runningHere =
+      held.get(event.workerId) ?? new Map<string, StartEvent>();
+    held.set(event.workerId, runningHere);
+    runningHere.set(attemptKey(event), event);
+    const running = [...runningHere.values()];
     const capacity =
       capacities.get(event.workerId) ?? types.resources.NO_RESOURCES;
     const totalSize = running
@@ -33,14 +40,17 @@
     if (types.resources.fits(totalSize, capacity)) continue;
     findings.push({
       promise: 'capacity',
-      message: `${event.workerId} holds ${JSON.stringify(totalSize)} of ${JSON.stringify(capacity)}`,
+      message: `${event.workerId} runs tasks of ${JSON.stringify(totalSize)} with a capacity of ${JSON.stringify(capacity)}`,
       evidence: running,
     });
   }
   return findings;
 }
 
-/** No task runs in two places, or twice in one, at the same time. */
+/**
+ * Checks that no task has two attempts running at the same time, on two workers
+ * or on one.
+ */
 export function checkOnePlace(
   events: readonly historyEvent.HistoryEvent[],
 ): finding.Finding[] {
@@ -58,7 +68,7 @@
     const where = [...places.values()].map((start) => start.workerId);
     findings.push({
       promise: 'one_place',
-      message: `task ${event.taskId} runs at once on ${where.join(' and ')}`,
+      message: `task ${event.taskId} runs at the same time on ${where.join(' and ')}`,
       evidence: [...places.values()],
     });
   }
@@ -66,11 +76,12 @@
 }
 
 /**
- * A task whose done end a holder has heard of is not started again: a letter
- * checked twice makes two advisers call one lender. An end counts as heard
- * from the last answer that told it before it was acknowledged; one that no
- * answer carried may be run again once its lease is over. Replicas of a
- * service start again by their nature.
+ * Checks that a task is not started again after a holder received its end as
+ * done; a letter that is checked twice, for example, makes two advisers call
+ * the same lender. The holder received the end at the latest with the last
+ * answer that reported it before the acknowledgement. A task whose end no
+ * answer carried may run again once its lease has expired. Replicas of a
+ * service are exempt, since they are restarted by design.
  */
 export function checkDoneOnce(
   events: readonly historyEvent.HistoryEvent[],
@@ -99,7 +110,10 @@
   });
 }
 
-/** The last telling of each done end that was acknowledged. */
+/**
+ * Returns the last report of each acknowledged done end before its
+ * acknowledgement.
+ */
 function acknowledgedEnds(
   events: readonly historyEvent.HistoryEvent[],
 ): Array<finding.EventOf<'end_told'>> {
