--- a/packages/gypsumwall-testing/src/__fixtures__/domain_harness.ts
+++ b/packages/gypsumwall-testing/src/__fixtures__/domain_harness.ts
@@ -1,6 +1,6 @@
 /**
- * One failure domain in one process: the real scheduler over worker models,
- * with a jobs' fold in place of the log and calls that can be held up.
+ * One failure domain in one process: the real scheduler with worker models, a
+ * fold of jobs in place of the log, and calls that can be delayed.
  */
 import type * as nodeTest from 'node:test';
 import * as result from 'true-myth/result';
@@ -14,15 +14,18 @@
 import type * as historyEvent from '../history_event.js';
 import * as workerModel from '../worker_model.js';
 
-/** What happens to a start on its way; told per worker. */
+/** A fault of the start calls to one worker. */
 export type StartFault =
   | {readonly type: 'none'}
-  /** Takes effect, the answer is lost. */
+  /** The start takes effect, but its answer is lost. */
   | {readonly type: 'lose_answer'}
-  /** Waits on its way until the promise resolves, then arrives. */
+  /** The start arrives only after the promise resolves. */
   | {readonly type: 'hold'; readonly until: Promise<void>};
 
-/** Spans of a test's domain: long enough to work, short enough to wait out. */
+/**
+ * Durations for tests: long enough for the calls to complete, short enough to
+ * wait for.
+ */
 export const DURATIONS: entry.schedulerOptions.SchedulerDurations = {
   workerHeartbeatMs: 20,
   taskLeaseMs: 300,
@@ -38,16 +41,16 @@
 
 type Scheduler = entry.domainScheduler.DomainScheduler;
 
-/** A holder of the domain and the switches around it. */
+/** A holder of the failure domain and the switches that a test uses. */
 export interface Holder {
   readonly scheduler: Scheduler;
-  /** Until when the claim is held; undefined for lapsed. */
+  /** When the claim ends; undefined if it has lapsed. */
   deadline: types.clock.MonotonicMs | undefined;
-  /** Workers that this holder can't reach. */
+  /** Ids of the workers that this holder can't reach. */
   readonly unreachable: Set<string>;
 }
 
-/** Makes a domain with the named workers. */
+/** Creates a failure domain with the given workers. */
 export function createDomainHarness(
   context: nodeTest.TestContext,
   workerIds: readonly string[],
@@ -144,7 +147,7 @@
     return holder;
   }
 
-  /** The model as a holder reaches it. */
+  /** Wraps a worker model with the calls and faults of the network. */
   function reachableWorker(
     id: string,
     unreachable: Set<string>,
@@ -202,7 +205,7 @@
     return jobId;
   }
 
-  /** Shows a holder a list on which the worker is leaving. */
+  /** Sends a holder a list of workers on which this worker is leaving. */
   function markLeaving(holder: Holder, workerId: string): void {
     holder.scheduler.setWorkers(
       listed.map((worker) =>
@@ -238,19 +241,26 @@
 
 const WAIT_TIMEOUT_MS = 5_000;
 
-/** Waits until the condition holds; fails with its text after a while. */
+/**
+ * Waits until the condition is true; throws an error with the text after a
+ * timeout.
+ */
 export async function until(
   text: string,
   condition: () => boolean,
 ): Promise<void> {
   const deadline = performance.now() + WAIT_TIMEOUT_MS;
   while (!condition()) {
-    if (performance.now() > deadline) throw new Error(`never: ${text}`);
+    if (performance.now() > deadline)
+      throw new Error(`timed out waiting for: ${text}`);
     await new Promise((resolve) => setTimeout(resolve, 2));
   }
 }
 
-/** Most runs of one task at one moment, as the workers recorded them. */
+/**
+ * Returns the maximum number of simultaneous attempts of one task, as the
+ * workers recorded them.
+ */
 export function maxConcurrentAttempts(
   events: readonly historyEvent.HistoryEvent[],
 ): number {
--- a/packages/gypsumwall-testing/src/bin/demo.ts
+++ b/packages/gypsumwall-testing/src/bin/demo.ts
@@ -1,7 +1,8 @@
 /**
  * `npm run demo [-- --site addis] [--seconds N] [--seed N] [--trace]`: starts
- * an example cell, sends mixed work, prints a table, with `--trace` also the
- * spans of one call, and ends with 1 if the judge finds a broken promise.
+ * an example cell, sends mixed work and prints a table, and with `--trace` also
+ * the spans of one call. Exits with 1 if the judge finds a violation or jobs
+ * have not ended in time.
  */
 import * as path from 'node:path';
 import * as timers from 'node:timers/promises';
@@ -39,7 +40,7 @@
   process.stdout.write(`${text}\n`);
 }
 
-/** Sends the load with a line of progress every second. */
+/** Sends the load and prints its progress every second. */
 async function sendLoad(
   cell: launchCell.Cell,
   work: workload.Workload,
@@ -63,7 +64,7 @@
   return load;
 }
 
-/** Waits for the jobs' ends and cancels the services. */
+/** Waits until the jobs have ended, and cancels the services. */
 async function settle(
   cell: launchCell.Cell,
   load: demoLoad.DemoLoad,
@@ -73,7 +74,7 @@
     const entries = cell.entries();
     turn += 1;
     const entry = entries[turn % entries.length];
-    if (entry === undefined) throw new Error('no entry runs');
+    if (entry === undefined) throw new Error('no entry is running');
     return entry.client;
   };
   const deadline = performance.now() + SETTLE_TIMEOUT_MS;
@@ -89,7 +90,7 @@
   return settled;
 }
 
-/** The site with entries that export their traces to the collector. */
+/** Returns the site with entries that export their traces to the collector. */
 function withTraces(
   where: site.Site,
   collector: traceCollector.TraceCollector | undefined,
@@ -99,7 +100,7 @@
   return {...where, entrySettings};
 }
 
-/** Prints one trace; entries export theirs with a little delay. */
+/** Prints one trace, after waiting for the entries to export it. */
 async function printTrace(
   collector: traceCollector.TraceCollector,
 ): Promise<void> {
@@ -174,6 +175,6 @@
 try {
   process.exitCode = await runDemo();
 } catch (thrown) {
-  process.stderr.write(`the demo broke off: ${String(thrown)}\n`);
+  process.stderr.write(`the demo failed: ${String(thrown)}\n`);
   process.exitCode = 1;
 }
--- a/packages/gypsumwall-testing/src/bin/scale.ts
+++ b/packages/gypsumwall-testing/src/bin/scale.ts
@@ -1,6 +1,7 @@
 /**
- * `npm run scale`: one failure domain of real entries at several sizes, and
- * how soon a setting is in force, for docs/CAPACITY.md. Writes bench-results/scale.json.
+ * `npm run scale`: measures one failure domain of real entries at several
+ * sizes, and how soon a published setting takes effect, for docs/CAPACITY.md.
+ * Writes bench-results/scale.json.
  */
 import * as childProcess from 'node:child_process';
 import * as fs from 'node:fs';
--- a/packages/gypsumwall-testing/src/bin/scenarios.ts
+++ b/packages/gypsumwall-testing/src/bin/scenarios.ts
@@ -1,8 +1,9 @@
 /**
  * `npm run scenarios [-- NAME ...] [--history]`: runs the scenarios one after
- * another, a line each, and ends with 1 if a promise was broken, 2 if a file
- * is bad. `--random N [--seed S]` draws scenarios instead. `--without SAFEGUARD` runs those that name the safeguard against a
- * product without it: each must turn red.
+ * another and prints a line for each. Exits with 1 if a scenario failed, and
+ * with 2 if a file is invalid. `--random N [--seed S]` runs N generated
+ * scenarios instead. `--without SAFEGUARD` builds the product without a
+ * safeguard and runs the scenarios that name it: each of them must fail.
  */
 import * as util from 'node:util';
 import * as exampleCell from '../example_cell.js';
@@ -16,10 +17,10 @@
   options: {
     history: {type: 'boolean', default: false},
     without: {type: 'string'},
-    /** Draws so many scenarios with two faults each, from the seed. */
+    /** Generates this many scenarios with two faults each, from the seed. */
     random: {type: 'string'},
     seed: {type: 'string', default: '1'},
-    /** Keeps settings and logs of each cell, and says where. */
+    /** Keeps the settings and logs of each cell and prints their folder. */
     keep: {type: 'boolean', default: false},
   },
 });
@@ -33,7 +34,7 @@
   readonly read: scenarioFile.LoadedScenario;
 }
 
-/** Runs one; whether it passed. */
+/** Runs a scenario and returns whether it passed. */
 async function runOne(
   {name, read}: NamedScenario,
   entryCommand: readonly string[],
@@ -53,7 +54,7 @@
     if (values.history) print(scenarioReport.formatHistory(verdict.events));
     return runScenario.hasPassed(verdict);
   } catch (thrown) {
-    print(`FAIL  ${name}: the cell did not come up: ${String(thrown)}`);
+    print(`FAIL  ${name}: the cell failed to start: ${String(thrown)}`);
     return false;
   }
 }
@@ -67,7 +68,7 @@
   return passed === scenarios.length ? 0 : 1;
 }
 
-/** Each scenario that names the safeguard must fail without it. */
+/** Checks that each scenario that names the safeguard fails without it. */
 async function runWithout(
   safeguard: string,
   scenarios: readonly NamedScenario[],
@@ -94,7 +95,10 @@
   return red === chosen.length ? 0 : 1;
 }
 
-/** Scenarios of the files, or drawn ones; errors are printed. */
+/**
+ * Returns the scenarios from the files or the generated ones; prints errors and
+ * returns undefined if there are any.
+ */
 function chooseScenarios(): NamedScenario[] | undefined {
   if (values.random !== undefined) {
     const {seed} = values;
--- a/packages/gypsumwall-testing/src/bin/soak.ts
+++ b/packages/gypsumwall-testing/src/bin/soak.ts
@@ -1,8 +1,8 @@
 /**
- * `npm run soak [-- --seeds N] [--from S]`: runs the seeds that ever failed,
- * then N scenarios of overlapping faults with the seeds from S on, a line
- * each. Without S the seeds are fresh. `--seed S` runs one, with its history.
- * Ends with 1 if a promise was broken.
+ * `npm run soak [-- --seeds N] [--from S]`: runs all seeds that failed in the
+ * past, then N scenarios of overlapping faults with the seeds from S on, and
+ * prints a line for each. Without `--from`, S is random. `--seed S` runs one
+ * seed and prints its history. Exits with 1 if a scenario failed.
  */
 import * as crypto from 'node:crypto';
 import * as fs from 'node:fs';
@@ -16,7 +16,7 @@
 import * as scenarioReport from '../scenario/scenario_report.js';
 import * as soakScenario from '../scenario/soak_scenario.js';
 
-/** Seeds that ever failed, each with its cause. */
+/** File of the seeds that failed in the past, each with its cause. */
 const FAILED_FILE = path.join('scenarios', 'soak', 'failed_seeds.jsonc');
 const failedSchema = zod.array(
   zod.strictObject({seed: zod.number().int(), cause: zod.string().min(1)}),
@@ -35,7 +35,10 @@
   process.stdout.write(`${text}\n`);
 }
 
-/** Seeds that failed before; throws with file, line and remedy. */
+/**
+ * Reads the seeds that failed in the past; throws with the line of an error and
+ * how to correct it.
+ */
 function failedSeeds(): number[] {
   const full = path.join(exampleCell.REPOSITORY, FAILED_FILE);
   const text = fs.readFileSync(full, 'utf8');
@@ -44,7 +47,10 @@
   return read.value.map((row) => row.seed);
 }
 
-/** A whole number from an option; throws with option, value and remedy. */
+/**
+ * Parses a whole number; throws with the option, its value and how to correct
+ * it.
+ */
 function wholeNumber(option: string, value: string): number {
   if (/^\d+$/.test(value)) return Number(value);
   throw new Error(`--${option}=${value}: give a whole number from 0`);
@@ -60,7 +66,7 @@
   return [...failedSeeds(), ...newSeeds];
 }
 
-/** Runs one seed; whether every promise held. */
+/** Runs one seed and returns whether its scenario passed. */
 async function runSeed(seed: number): Promise<boolean> {
   const scenario = soakScenario.soakScenario(seed);
   const where = scenarioFile.readSite();
--- a/packages/gypsumwall-testing/src/bin/stand_in.ts
+++ b/packages/gypsumwall-testing/src/bin/stand_in.ts
@@ -1,7 +1,8 @@
 /**
  * One stand-in process: `node stand_in.js '{"kind":"platform"}'`, or the name
- * of a file that holds such JSON. It prints one line when it listens and ends
- * when its standard input ends, so that it never outlives what started it.
+ * of a file with such JSON. It prints a line of JSON once it listens, and exits
+ * when its standard input is closed, so that it never outlives the process that
+ * started it.
  */
 import * as fs from 'node:fs';
 import * as platformStandIn from '../platform_stand_in.js';
--- a/packages/gypsumwall-testing/src/demo/demo_load.ts
+++ b/packages/gypsumwall-testing/src/demo/demo_load.ts
@@ -1,4 +1,4 @@
-/** Sends the demo's mixed work for some seconds. */
+/** Sends the demo's mixed work for a number of seconds. */
 import * as timers from 'node:timers/promises';
 import type * as types from '@gypsumwall/types';
 import type * as entryClient from '../entry_client.js';
@@ -7,7 +7,7 @@
 import type * as launchCell from '../launch_cell.js';
 import type * as workload from '../workload.js';
 
-/** What to send. */
+/** Options of the load. */
 export interface DemoLoadOptions {
   readonly cell: launchCell.Cell;
   readonly work: workload.Workload;
@@ -15,7 +15,7 @@
   readonly random: types.random.Random;
 }
 
-/** Counts while it runs. */
+/** Counters of the running load. */
 export interface DemoProgress {
   sent: number;
   answered: number;
@@ -23,7 +23,7 @@
   accepted: number;
 }
 
-/** What was sent of one class. */
+/** The calls sent for one class. */
 export interface SentClass {
   readonly name: string;
   readonly kind: 'request' | 'job';
@@ -35,11 +35,11 @@
   readonly progress: Readonly<DemoProgress>;
   readonly classes: readonly SentClass[];
   readonly jobs: readonly waitForJobs.AcceptedJob[];
-  /** Resolves when all is sent and every caller was told. */
+  /** Resolves when everything is sent and every caller has an outcome. */
   readonly finished: Promise<void>;
 }
 
-/** Starts sending. */
+/** Starts sending the load. */
 export function startDemoLoad(options: DemoLoadOptions): DemoLoad {
   const {cell, work, random} = options;
   const until = performance.now() + options.seconds * 1_000;
@@ -50,7 +50,7 @@
   const pickClient = (): entryClient.EntryClient => {
     const entries = cell.entries();
     const entry = entries[random.integer(0, entries.length - 1)];
-    if (entry === undefined) throw new Error('no entry runs');
+    if (entry === undefined) throw new Error('no entry is running');
     return entry.client;
   };
   const pickOtherClient = (first: entryClient.EntryClient) => {
@@ -130,7 +130,7 @@
     jobs.push({jobId: told.jobId, token, kind: shape.kind});
   };
 
-  /** Sends at random moments, `perSecond` on average. */
+  /** Sends at random times, `perSecond` on average. */
   const sendAtAverageRate = async (
     perSecond: number,
     send: () => Promise<void>,
--- a/packages/gypsumwall-testing/src/demo/demo_statistics.ts
+++ b/packages/gypsumwall-testing/src/demo/demo_statistics.ts
@@ -1,36 +1,41 @@
-/** The demo's figures, worked out from recorded histories alone. */
+/** Statistics of the demo, computed from recorded histories alone. */
 import * as hdr from 'hdr-histogram-js';
 import type * as historyEvent from '../history_event.js';
 import * as finding from '../judge/finding.js';
 import type * as demoLoad from './demo_load.js';
 
-/** One row of the table. */
+/** Statistics of one class: a row of the table. */
 export interface ClassStatistics {
   readonly name: string;
   readonly sent: number;
-  /** Requests with a whole answer; jobs done; services that came up. */
+  /**
+   * Requests with a complete answer, jobs that are done, and services with all
+   * replicas running.
+   */
   readonly done: number;
   readonly refused: number;
   readonly unknown: number;
   /**
-   * Milliseconds from sending: a request's to its answer, each task's to its
-   * first start at a worker.
+   * Milliseconds from the sending of a request to its answer, or of a job to
+   * the first start of each task on a worker.
    */
   readonly waitingP50: number | undefined;
   readonly waitingP99: number | undefined;
 }
 
-/** How well workers were used, each a share from 0 to 1. */
+/** How well the workers were used, as shares from 0 to 1. */
 export interface Packing {
-  /** Processors held, of those of workers that held anything, over time. */
+  /**
+   * Allocated share of the processors of workers that ran anything, over time.
+   */
   readonly heldOfBusy: number;
-  /** Processors truly used, of those held, over all ended tasks. */
+  /** Used share of the allocated processors, over all tasks that have ended. */
   readonly usedOfHeld: number;
 }
 
 const MICROS_PER_MS = 1_000;
 
-/** Figures of one class. */
+/** Computes the statistics of one class. */
 export function classStatistics(
   sent: demoLoad.SentClass,
   events: readonly historyEvent.HistoryEvent[],
@@ -114,7 +119,7 @@
   return {waitingP50: at(50), waitingP99: at(99)};
 }
 
-/** Packing over the whole history. */
+/** Computes the packing over the whole history. */
 export function packingStatistics(
   events: readonly historyEvent.HistoryEvent[],
 ): Packing {
--- a/packages/gypsumwall-testing/src/demo/demo_table.ts
+++ b/packages/gypsumwall-testing/src/demo/demo_table.ts
@@ -1,4 +1,4 @@
-/** Prints the demo's figures for a person. */
+/** Formats the demo's statistics as a table. */
 import type * as demoStatistics from './demo_statistics.js';
 
 const COLUMN_HEADINGS = [
@@ -11,7 +11,7 @@
   'wait p99 ms',
 ];
 
-/** The table, one row a class. */
+/** Formats the table, with one row for each class. */
 export function formatTable(
   rows: readonly demoStatistics.ClassStatistics[],
 ): string {
@@ -42,7 +42,7 @@
   return value === undefined ? '-' : value.toFixed(1);
 }
 
-/** A share as a percentage. */
+/** Formats a share as a percentage. */
 export function formatShare(share: number): string {
   return `${(share * 100).toFixed(1)} %`;
 }
--- a/packages/gypsumwall-testing/src/scale/measure_domain.ts
+++ b/packages/gypsumwall-testing/src/scale/measure_domain.ts
@@ -1,6 +1,6 @@
 /**
- * Measures one failure domain of real entries over HTTP: what its holder
- * costs while tasks only run, and how fast it starts tasks.
+ * Measures one failure domain of real entries over HTTP: the processor time of
+ * its holder while tasks are running, and how fast the holder starts tasks.
  */
 import * as crypto from 'node:crypto';
 import * as fs from 'node:fs';
@@ -11,21 +11,21 @@
 import * as launchCell from '../launch_cell.js';
 import * as site from '../site.js';
 
-/** How large and how long. */
+/** Size of the failure domain, and for how long its idle load is measured. */
 export interface DomainSize {
   readonly workers: number;
   readonly tasksPerWorker: number;
   readonly idleMs: number;
 }
 
-/** What was measured. */
+/** Results of a measurement. */
 export interface DomainMeasurement {
   readonly workers: number;
   readonly tasks: number;
-  /** From the submission until all tasks run. */
+  /** Rate from the submission until all tasks run. */
   readonly startsPerSecond: number;
   readonly holderCpuMicrosPerStart: number;
-  /** While nothing but heartbeats goes on. */
+  /** Processor cores used while only heartbeats are exchanged. */
   readonly holderCores: number;
   readonly otherCores: number;
   readonly holderRssMb: number;
@@ -44,7 +44,9 @@
 const START_TIMEOUT_MS = 60_000;
 const KIB_PER_MIB = 1_024;
 
-/** Starts the domain, fills it with a service, and watches it. */
+/**
+ * Starts the failure domain, fills it with a service and measures its entries.
+ */
 export async function measureDomain(
   size: DomainSize,
 ): Promise<DomainMeasurement> {
@@ -166,14 +168,16 @@
   let active = 0;
   while (active < tasks) {
     if (performance.now() > deadline) {
-      throw new Error(`${active} of ${tasks} tasks active in time`);
+      throw new Error(`only ${active} of ${tasks} tasks became active in time`);
     }
     active = (await statusOf(holder)).scheduler?.activeTasks ?? 0;
     await timers.setTimeout(10);
   }
 }
 
-/** Cores that each entry uses while nothing is asked of it. */
+/**
+ * Returns the processor cores that each entry uses while it receives no calls.
+ */
 async function idleCores(
   entries: readonly entryProcess.EntryProcess[],
   idleMs: number,
--- a/packages/gypsumwall-testing/src/scale/measure_settings.ts
+++ b/packages/gypsumwall-testing/src/scale/measure_settings.ts
@@ -1,13 +1,13 @@
 /**
- * Measures how long a published setting takes until every entry of a cell
- * shows it, over real processes.
+ * Measures the time from the publish of a setting until every entry of a cell
+ * returns it, over real processes.
  */
 import * as timers from 'node:timers/promises';
 import * as hdr from 'hdr-histogram-js';
 import * as exampleCell from '../example_cell.js';
 import * as launchCell from '../launch_cell.js';
 
-/** From the send of a publish until the last entry shows it. */
+/** Results: the time from sending a publish until the last entry returns it. */
 export interface SettingsMeasurement {
   readonly entries: number;
   readonly publishes: number;
@@ -20,7 +20,7 @@
 const POLL_INTERVAL_MS = 5;
 const VISIBLE_TIMEOUT_MS = 12_000;
 
-/** Starts the example cell and publishes one subtree again and again. */
+/** Starts the example cell and publishes one subtree repeatedly. */
 export async function measureSettings(
   publishes: number,
 ): Promise<SettingsMeasurement> {
@@ -73,7 +73,7 @@
     };
     while (!(await isVisible())) {
       if (performance.now() - startedAt > VISIBLE_TIMEOUT_MS) {
-        throw new Error(`${client.entryId} does not show publish ${n}`);
+        throw new Error(`${client.entryId} does not return publish ${n}`);
       }
       await timers.setTimeout(POLL_INTERVAL_MS);
     }
