--- a/packages/gypsumwall-testing/src/__tests__/command_line.test.ts
+++ b/packages/gypsumwall-testing/src/__tests__/command_line.test.ts
@@ -9,7 +9,7 @@
 const example = exampleCell.readExampleCell('skyroute');
 const tokens = example.tokens;
 
-/** Exit codes of docs/CLI.md. */
+/** Exit codes, as in docs/CLI.md. */
 const OK = 0;
 const CONFLICT = 6;
 const NOT_FOUND = 8;
@@ -30,7 +30,7 @@
   "work": {"command": "optimise", "args": {"label": "cli", "runMs": 20}},
 }`;
 
-/** Runs a command against an entry, as the holder of a token. */
+/** Runs a command against an entry with the given token. */
 function run(
   entry: {readonly address: string},
   token: string | undefined,
@@ -49,7 +49,7 @@
   });
 }
 
-/** Output of a command that has to succeed. */
+/** Runs a command that must succeed and returns its output. */
 function output(...call: Parameters<typeof run>): string {
   const ran = run(...call);
   assert.equal(ran.status, OK, ran.stderr);
@@ -71,19 +71,20 @@
     const routes = tokens.teams['route-optimisation'];
     const operator = tokens.operators['skyroute-ops'];
 
-    // A key runs once, whichever entry is asked.
+    // A request with a key runs once, whichever entry receives it.
     const filePlan = ['request', 'file-plan', '--key', 'k', '--data', '{}'];
-    const filed = output(first, filing, filePlan);
-    assert.equal(output(second, filing, filePlan), filed);
+    const firstAnswer = output(first, filing, filePlan);
+    assert.equal(output(second, filing, filePlan), firstAnswer);
 
-    // A job is read back through the other entry, by its own team only.
+    // The result of a job can be read through the other entry, but only by its
+    // own team.
     const jobId = output(first, routes, ['submit', '-', '--key', 'j'], JOB);
     const result = ['job', 'result', jobId, '--wait-ms', '30000'];
     assert.equal(output(second, routes, result).split('\n').length, 2);
-    const foreign = run(second, filing, ['job', 'status', jobId]);
-    assert.equal(foreign.status, NOT_FOUND);
+    const otherTeam = run(second, filing, ['job', 'status', jobId]);
+    assert.equal(otherTeam.status, NOT_FOUND);
 
-    // Of two publishes on one revision, the second is a conflict.
+    // Of two publishes based on one revision, the second is a conflict.
     const get = ['settings', 'get', 'teams/filing'];
     const subtree = output(first, operator, get);
     const base = /revision (\d+)/.exec(subtree)?.[1] ?? '';
--- a/packages/gypsumwall-testing/src/__tests__/contract.test.ts
+++ b/packages/gypsumwall-testing/src/__tests__/contract.test.ts
@@ -1,6 +1,7 @@
 /**
- * The platform's HTTP clients and the stand-ins agree on docs/PLATFORM.md:
- * each test drives a stand-in through the client that the product uses.
+ * Checks that the platform's HTTP clients and the stand-ins agree on
+ * docs/PLATFORM.md: each test calls a stand-in through the client that the
+ * product uses.
  */
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
@@ -79,7 +80,7 @@
     assert.equal(unwrap(await read).records.length, 1);
   });
 
-  nodeTest.test('goes on from the oldest kept record', async (test) => {
+  nodeTest.test('reads from the oldest retained record', async (test) => {
     const {log, standIn} = await startPlatform(test);
     const bodies = ['a', 'b', 'c'];
     unwrap(await log.append({stream: 's', producer: 'p', sequence: 0, bodies}));
@@ -94,20 +95,23 @@
     );
   });
 
-  nodeTest.test('loses the answer after the effect', async (test) => {
-    // The caller sees a broken connection. The record was appended before it
-    // broke, so the client must not call this append "not run".
-    const {log, standIn} = await startPlatform(test);
-    await control(standIn, 'log', {mode: 'lose_answers', appends: 1});
-    const append = {stream: 's', producer: 'p', sequence: 0, bodies: ['x']};
-    assert.equal(unwrapError(await log.append(append)).effect, 'unknown');
-    const page = unwrap(
-      await log.read({stream: 's', from: 0, limit: 9, waitMs: 0}),
-    );
-    assert.equal(page.records.length, 1);
-  });
+  nodeTest.test(
+    'can lose the answer of an append that took effect',
+    async (test) => {
+      // The caller sees a broken connection. The record was appended before, so
+      // the client must not report this append as `not_run`.
+      const {log, standIn} = await startPlatform(test);
+      await control(standIn, 'log', {mode: 'lose_answers', appends: 1});
+      const append = {stream: 's', producer: 'p', sequence: 0, bodies: ['x']};
+      assert.equal(unwrapError(await log.append(append)).effect, 'unknown');
+      const page = unwrap(
+        await log.read({stream: 's', from: 0, limit: 9, waitMs: 0}),
+      );
+      assert.equal(page.records.length, 1);
+    },
+  );
 
-  nodeTest.test('is down and comes back', async (test) => {
+  nodeTest.test('is unavailable and recovers', async (test) => {
     const {log, standIn} = await startPlatform(test);
     const read = () => log.read({stream: 's', from: 0, limit: 1, waitMs: 0});
     await control(standIn, 'log', {mode: 'down'});
@@ -134,31 +138,34 @@
   assert.equal(unwrap(await list.fetch())[0]?.state, 'leaving');
 });
 
-nodeTest.test('the list lags and maps addresses for a view', async (test) => {
-  const {standIn, url} = await startPlatform(test);
-  const fetch = (listUrl: string) =>
-    platform.httpInstanceList
-      .createHttpInstanceList({url: listUrl, timeoutMs: TIMEOUT_MS})
-      .fetch();
-  const instance = {
-    kind: 'upstream',
-    id: 'u1',
-    failureDomain: 'bkk-a',
-    address: 'http://127.0.0.1:1',
-    state: 'live',
-    slots: 8,
-    connections: 64,
-  };
-  await control(standIn, 'instances', {instances: [instance]});
-  const addresses = {u1: 'http://127.0.0.1:2'};
-  await control(standIn, 'views', {view: 'e1', addresses});
-  assert.equal(unwrap(await fetch(url))[0]?.address, instance.address);
-  assert.deepEqual(unwrap(await fetch(`${url}/views/e2`)), []);
-  const seen = unwrap(await fetch(`${url}/views/e1`));
-  assert.equal(seen[0]?.address, addresses.u1);
-  await control(standIn, 'list-lag', {lagMs: 60_000});
-  assert.deepEqual(unwrap(await fetch(url)), []);
-});
+nodeTest.test(
+  'the list is delayed and maps addresses for a view',
+  async (test) => {
+    const {standIn, url} = await startPlatform(test);
+    const fetch = (listUrl: string) =>
+      platform.httpInstanceList
+        .createHttpInstanceList({url: listUrl, timeoutMs: TIMEOUT_MS})
+        .fetch();
+    const instance = {
+      kind: 'upstream',
+      id: 'u1',
+      failureDomain: 'bkk-a',
+      address: 'http://127.0.0.1:1',
+      state: 'live',
+      slots: 8,
+      connections: 64,
+    };
+    await control(standIn, 'instances', {instances: [instance]});
+    const addresses = {u1: 'http://127.0.0.1:2'};
+    await control(standIn, 'views', {view: 'e1', addresses});
+    assert.equal(unwrap(await fetch(url))[0]?.address, instance.address);
+    assert.deepEqual(unwrap(await fetch(`${url}/views/e2`)), []);
+    const seen = unwrap(await fetch(`${url}/views/e1`));
+    assert.equal(seen[0]?.address, addresses.u1);
+    await control(standIn, 'list-lag', {lagMs: 60_000});
+    assert.deepEqual(unwrap(await fetch(url)), []);
+  },
+);
 
 const CAPACITY = {cpuMillis: 16_000, memoryMb: 32_768, accelerators: 0};
 const SIZE = {cpuMillis: 1_000, memoryMb: 512, accelerators: 0};
@@ -205,7 +212,7 @@
   };
 }
 
-/** Asks until the answer is there; fails by the test's own timeout. */
+/** Repeats a call until it returns a value; the test's own timeout ends it. */
 async function until<Value>(
   ask: () => Promise<Value | undefined>,
 ): Promise<Value> {
@@ -232,11 +239,11 @@
     assert.equal(unwrap(await start())[0]?.type, 'refused');
   });
 
-  nodeTest.test('stops a task whose lease passes', async (test) => {
+  nodeTest.test('stops a task whose lease expires', async (test) => {
     const {client, call, at} = await startWorker(test);
     const task = makeTask('7.1', at(50), 60_000);
     unwrap(await client.start(call, at(1_000), [task]));
-    // Asks again by attach, which renews nothing.
+    // Polls with attach, which renews no lease.
     const end = await until(async () => {
       const holder = types.ids.brand<types.ids.EntryId>('e1');
       return unwrap(await client.attach(7, holder)).finished[0];
@@ -244,21 +251,24 @@
     assert.equal(end.end.type, 'stopped');
   });
 
-  nodeTest.test('fences epochs, stays and late starts', async (test) => {
-    const {client, call, at, standIn} = await startWorker(test);
-    const task = makeTask('7.1', at(9_000), 60_000);
-    const late = await client.start(call, at(-1), [task]);
-    assert.equal(unwrapError(late).kind, 'too_late');
-    const newer = types.ids.brand<types.ids.EntryId>('e2');
-    unwrap(await client.attach(8, newer));
-    const stale = unwrapError(await client.start(call, at(9_000), [task]));
-    assert.equal(stale.kind, 'stale_epoch');
-    assert.equal(stale.effect, 'not_run');
-    await control(standIn, 'workers/w1/restart', {});
-    const again = {...call, epoch: 8};
-    const wrong = await client.start(again, at(9_000), [task]);
-    assert.equal(unwrapError(wrong).kind, 'conflict');
-  });
+  nodeTest.test(
+    'refuses old epochs, old incarnations and late starts',
+    async (test) => {
+      const {client, call, at, standIn} = await startWorker(test);
+      const task = makeTask('7.1', at(9_000), 60_000);
+      const late = await client.start(call, at(-1), [task]);
+      assert.equal(unwrapError(late).kind, 'too_late');
+      const newer = types.ids.brand<types.ids.EntryId>('e2');
+      unwrap(await client.attach(8, newer));
+      const stale = unwrapError(await client.start(call, at(9_000), [task]));
+      assert.equal(stale.kind, 'stale_epoch');
+      assert.equal(stale.effect, 'not_run');
+      await control(standIn, 'workers/w1/restart', {});
+      const again = {...call, epoch: 8};
+      const wrong = await client.start(again, at(9_000), [task]);
+      assert.equal(unwrapError(wrong).kind, 'conflict');
+    },
+  );
 
   nodeTest.test('never starts an attempt after its stop', async (test) => {
     const {client, call, at} = await startWorker(test);
@@ -273,32 +283,33 @@
     const task = makeTask('7.1', at(9_000), 60_000);
     unwrap(await client.start(call, at(9_000), [task]));
     unwrap(await client.throttle(call, task.attempt, 250));
-    const beat = unwrap(await client.heartbeat(call, at(9_000), []));
-    assert.equal(beat.usage[0]?.used.cpuMillis, 250);
+    const heartbeat = unwrap(await client.heartbeat(call, at(9_000), []));
+    assert.equal(heartbeat.usage[0]?.used.cpuMillis, 250);
     unwrap(await client.checkpoint(call, task.attempt));
     const after = unwrap(await client.heartbeat(call, at(9_000), []));
     assert.equal(after.finished[0]?.end.type, 'stopped');
   });
 
   nodeTest.test('loses the answer of a start that ran', async (test) => {
-    // The holder sees a broken connection; the task runs all the same. Only
-    // a repeated start or an attach tells.
+    // The holder sees a broken connection, but the task runs: the next
+    // heartbeat or attach shows it, and a repeated start is answered as
+    // started.
     const {client, call, at, standIn} = await startWorker(test);
     const fault = {mode: 'lose_start_answers', starts: 1};
     await control(standIn, 'workers/w1/fault', fault);
     const task = makeTask('7.1', at(9_000), 60_000);
     const lost = unwrapError(await client.start(call, at(9_000), [task]));
     assert.equal(lost.effect, 'unknown');
-    const beat = unwrap(await client.heartbeat(call, at(9_000), []));
-    assert.equal(beat.running[0]?.attempt, task.attempt);
+    const heartbeat = unwrap(await client.heartbeat(call, at(9_000), []));
+    assert.equal(heartbeat.running[0]?.attempt, task.attempt);
   });
 });
 
 async function startUpstream(test: nodeTest.TestContext) {
-  const one = {id: 'u1', slots: 2, connections: 8};
+  const upstream = {id: 'u1', slots: 2, connections: 8};
   const standIn = await upstreamsStandIn.createUpstreamsStandIn({
     kind: 'upstreams',
-    upstreams: [one],
+    upstreams: [upstream],
   });
   const clock = types.clock.createSystemClock();
   const client = platform.httpUpstream.createHttpUpstream({
@@ -323,21 +334,24 @@
 }
 
 nodeTest.describe('upstream', () => {
-  nodeTest.test('answers whole and refuses over its slots', async (test) => {
-    const {send} = await startUpstream(test);
-    const sent = [1, 2, 3].map((n) =>
-      send(`r${n}`, {workMs: 200, answerBytes: 100_000}),
-    );
-    const answers = await Promise.all(sent);
-    const effects = answers.flatMap((answer) =>
-      answer.isErr ? [answer.error.effect] : [],
-    );
-    assert.deepEqual(effects, ['not_run']);
-    const whole = answers.find((answer) => answer.isOk);
-    assert.ok(whole?.isOk);
-    const chunks = await whole.value.body.toArray();
-    assert.equal(Buffer.concat(chunks as Buffer[]).length, 100_000);
-  });
+  nodeTest.test(
+    'answers completely and refuses requests beyond its slots',
+    async (test) => {
+      const {send} = await startUpstream(test);
+      const sent = [1, 2, 3].map((n) =>
+        send(`r${n}`, {workMs: 200, answerBytes: 100_000}),
+      );
+      const answers = await Promise.all(sent);
+      const effects = answers.flatMap((answer) =>
+        answer.isErr ? [answer.error.effect] : [],
+      );
+      assert.deepEqual(effects, ['not_run']);
+      const whole = answers.find((answer) => answer.isOk);
+      assert.ok(whole?.isOk);
+      const chunks = await whole.value.body.toArray();
+      assert.equal(Buffer.concat(chunks as Buffer[]).length, 100_000);
+    },
+  );
 
   nodeTest.test('a crossed answer is an unknown outcome', async (test) => {
     const {send, standIn} = await startUpstream(test);
@@ -347,20 +361,26 @@
     assert.equal(err.effect, 'unknown');
   });
 
-  nodeTest.test('half an answer fails its body', async (test) => {
-    const {send, standIn} = await startUpstream(test);
-    await control(standIn, 'upstreams/u1/fault', {mode: 'truncated'});
-    const answer = unwrap(await send('r1', {answerBytes: 50_000}));
-    await assert.rejects(answer.body.toArray());
-  });
+  nodeTest.test(
+    'a truncated answer makes reading its body fail',
+    async (test) => {
+      const {send, standIn} = await startUpstream(test);
+      await control(standIn, 'upstreams/u1/fault', {mode: 'truncated'});
+      const answer = unwrap(await send('r1', {answerBytes: 50_000}));
+      await assert.rejects(answer.body.toArray());
+    },
+  );
 
-  nodeTest.test('refuses with and without its word', async (test) => {
-    const {send, standIn} = await startUpstream(test);
-    const refuse = (proved: boolean) =>
-      control(standIn, 'upstreams/u1/fault', {mode: 'refusing', proved});
-    await refuse(true);
-    assert.equal(unwrapError(await send('r1', {})).effect, 'not_run');
-    await refuse(false);
-    assert.equal(unwrapError(await send('r2', {})).effect, 'unknown');
-  });
+  nodeTest.test(
+    'refuses with and without a guarantee that nothing ran',
+    async (test) => {
+      const {send, standIn} = await startUpstream(test);
+      const refuse = (proved: boolean) =>
+        control(standIn, 'upstreams/u1/fault', {mode: 'refusing', proved});
+      await refuse(true);
+      assert.equal(unwrapError(await send('r1', {})).effect, 'not_run');
+      await refuse(false);
+      assert.equal(unwrapError(await send('r2', {})).effect, 'unknown');
+    },
+  );
 });
--- a/packages/gypsumwall-testing/src/__tests__/domain_scheduler.test.ts
+++ b/packages/gypsumwall-testing/src/__tests__/domain_scheduler.test.ts
@@ -6,9 +6,9 @@
 const {until, maxConcurrentAttempts} = domainHarness;
 
 nodeTest.test('a start whose answer was lost runs once', async (t) => {
-  // The job is done and its task ran once.
-  // The worker starts the task, the answer is lost, and the next heartbeat
-  // shows the task running. Placing it anew at once would have run it twice.
+  // Failure: a task runs twice because the answer to its start was lost. The
+  // worker starts the task, and the next heartbeat shows it running; placing it
+  // again immediately would run it a second time.
   const domain = domainHarness.createDomainHarness(t, ['w1', 'w2']);
   domain.startFaults.set('w1', {type: 'lose_answer'});
   domain.startFaults.set('w2', {type: 'lose_answer'});
@@ -19,60 +19,66 @@
   assert.equal(domain.starts().length, 1);
 });
 
-nodeTest.test('a start held up past the claim is refused', async (t) => {
-  // The task runs once, under the new holder.
-  // The old holder decides, its start hangs on the way, its claim lapses, a
-  // new holder attaches and starts the task; then the old start arrives. The
-  // worker refuses it: its epoch is old, and its time to start has passed.
-  const domain = domainHarness.createDomainHarness(t, ['w1', 'w2']);
-  let arrive = () => undefined as void;
-  const until1 = new Promise<void>((resolve) => (arrive = resolve));
-  domain.startFaults.set('w1', {type: 'hold', until: until1});
-  domain.startFaults.set('w2', {type: 'hold', until: until1});
-  const old = domain.createHolder(1);
-  const jobId = domain.submit('a', 200);
-  await until('decided', () => old.scheduler.activeTaskCount(jobId) === 1);
-  old.deadline = undefined;
-  domain.startFaults.clear();
-  domain.createHolder(2);
-  await until('started', () => domain.starts().length === 1);
-  arrive();
-  await until('done', () => domain.jobs.job(jobId)?.phase.type === 'done');
-  assert.equal(maxConcurrentAttempts(domain.events()), 1);
-  assert.deepEqual(
-    domain.starts().map((event) => 'epoch' in event && event.epoch),
-    [2],
-  );
-});
+nodeTest.test(
+  'a start delayed past the end of the claim is refused',
+  async (t) => {
+    // Failure: a delayed start of an old holder runs a task a second time. The
+    // old holder's start is delayed in the network, its claim lapses, a new
+    // holder attaches and starts the task, and then the old start arrives. The
+    // worker refuses it, because its epoch is old and its start deadline has
+    // passed.
+    const domain = domainHarness.createDomainHarness(t, ['w1', 'w2']);
+    let deliver = () => undefined as void;
+    const delivery = new Promise<void>((resolve) => (deliver = resolve));
+    domain.startFaults.set('w1', {type: 'hold', until: delivery});
+    domain.startFaults.set('w2', {type: 'hold', until: delivery});
+    const old = domain.createHolder(1);
+    const jobId = domain.submit('a', 200);
+    await until('decided', () => old.scheduler.activeTaskCount(jobId) === 1);
+    old.deadline = undefined;
+    domain.startFaults.clear();
+    domain.createHolder(2);
+    await until('started', () => domain.starts().length === 1);
+    deliver();
+    await until('done', () => domain.jobs.job(jobId)?.phase.type === 'done');
+    assert.equal(maxConcurrentAttempts(domain.events()), 1);
+    assert.deepEqual(
+      domain.starts().map((event) => 'epoch' in event && event.epoch),
+      [2],
+    );
+  },
+);
 
-nodeTest.test('a task at a worker out of reach is waited out', async (t) => {
-  // The plan is done, and at no moment did it run in two places.
-  // It runs at a worker that the new holder can't reach. The new holder
-  // starts it elsewhere only after the old lease and its grace: by then the
-  // worker has stopped it itself.
-  const domain = domainHarness.createDomainHarness(t, ['w1', 'w2']);
-  const old = domain.createHolder(1);
-  const jobId = domain.submit('a', 400);
-  await until('started', () => domain.starts().length === 1);
-  const first = domain.starts()[0];
-  assert.ok(first !== undefined && 'workerId' in first);
-  old.deadline = undefined;
-  await old.scheduler.close();
-  const heldAt = performance.now();
-  const next = domain.createHolder(2);
-  next.unreachable.add(first.workerId);
-  await until('again', () => domain.starts().length === 2);
-  const waitedMs = performance.now() - heldAt;
-  const {taskLeaseMs} = domainHarness.DURATIONS;
-  assert.ok(waitedMs >= taskLeaseMs, `started again after ${waitedMs} ms`);
-  await until('done', () => domain.jobs.job(jobId)?.phase.type === 'done');
-  assert.equal(maxConcurrentAttempts(domain.events()), 1);
-});
+nodeTest.test(
+  'a task on an unreachable worker restarts after its lease',
+  async (t) => {
+    // Failure: a task runs on two workers because the new holder can't reach the
+    // first one. The new holder starts the task elsewhere only after the old
+    // lease and its grace period; the unreachable worker has stopped it by then.
+    const domain = domainHarness.createDomainHarness(t, ['w1', 'w2']);
+    const old = domain.createHolder(1);
+    const jobId = domain.submit('a', 400);
+    await until('started', () => domain.starts().length === 1);
+    const first = domain.starts()[0];
+    assert.ok(first !== undefined && 'workerId' in first);
+    old.deadline = undefined;
+    await old.scheduler.close();
+    const heldAt = performance.now();
+    const next = domain.createHolder(2);
+    next.unreachable.add(first.workerId);
+    await until('again', () => domain.starts().length === 2);
+    const waitedMs = performance.now() - heldAt;
+    const {taskLeaseMs} = domainHarness.DURATIONS;
+    assert.ok(waitedMs >= taskLeaseMs, `started again after ${waitedMs} ms`);
+    await until('done', () => domain.jobs.job(jobId)?.phase.type === 'done');
+    assert.equal(maxConcurrentAttempts(domain.events()), 1);
+  },
+);
 
-nodeTest.test('a new holder takes over what runs', async (t) => {
-  // The plan goes on undisturbed and its result is kept, told once.
-  // The holder dies while it runs; the next one learns of it from the worker
-  // and renews its lease.
+nodeTest.test('a new holder takes over running tasks', async (t) => {
+  // Failure: a failover interrupts a running task or loses its result. The
+  // holder dies while the task runs; the next holder finds the task on the
+  // worker and renews its lease.
   const domain = domainHarness.createDomainHarness(t, ['w1']);
   const old = domain.createHolder(1);
   const jobId = domain.submit('a', 600);
@@ -83,10 +89,10 @@
   assert.equal(domain.starts().length, 1);
 });
 
-nodeTest.test('an end that the log did not take is told again', async (t) => {
-  // The result is not lost and the task is not run a second time.
-  // It ends while the log is down. Its end is not acknowledged, so the worker
-  // tells it with each heartbeat until the record stands.
+nodeTest.test('an end that was not logged is reported again', async (t) => {
+  // Failure: a result is lost, or its task run again, because the task ended
+  // while the log was unavailable. The holder doesn't acknowledge the end, so
+  // the worker reports it with each heartbeat until the record is committed.
   const domain = domainHarness.createDomainHarness(t, ['w1']);
   domain.log.isAccepting = false;
   domain.createHolder(1);
@@ -97,24 +103,29 @@
   assert.equal(domain.starts().length, 1);
 });
 
-nodeTest.test('an end from before a takeover is not run again', async (t) => {
-  // As above, but the holder that heard the end dies before it is recorded;
-  // the new one hears it when it attaches, while its append takes its time.
-  const domain = domainHarness.createDomainHarness(t, ['w1']);
-  domain.log.isAccepting = false;
-  const old = domain.createHolder(1);
-  const jobId = domain.submit('a', 30);
-  await until('tried', () => domain.log.appended.includes('task_ended'));
-  await old.scheduler.close();
-  const next = domain.createHolder(2);
-  await until('taken', () => next.scheduler.status().recovered);
-  domain.log.isAccepting = true;
-  await until('done', () => domain.jobs.job(jobId)?.phase.type === 'done');
-  assert.equal(domain.starts().length, 1);
-});
+nodeTest.test(
+  'a task that ended before a failover is not run again',
+  async (t) => {
+    // As above, but the holder that received the end dies before it is recorded.
+    // The new holder receives the end when it attaches, and its append takes a
+    // while.
+    const domain = domainHarness.createDomainHarness(t, ['w1']);
+    domain.log.isAccepting = false;
+    const old = domain.createHolder(1);
+    const jobId = domain.submit('a', 30);
+    await until('tried', () => domain.log.appended.includes('task_ended'));
+    await old.scheduler.close();
+    const next = domain.createHolder(2);
+    await until('taken', () => next.scheduler.status().recovered);
+    domain.log.isAccepting = true;
+    await until('done', () => domain.jobs.job(jobId)?.phase.type === 'done');
+    assert.equal(domain.starts().length, 1);
+  },
+);
 
 nodeTest.test('a cancelled job stops and never starts again', async (t) => {
-  // The caller cancels while tasks run, start and wait: all end, none starts.
+  // The caller cancels while tasks are running, starting and queued: all of
+  // them end and none starts.
   const domain = domainHarness.createDomainHarness(t, ['w1']);
   const {scheduler} = domain.createHolder(1);
   const jobId = domain.submit('a', 60_000, 50);
@@ -128,7 +139,8 @@
 });
 
 nodeTest.test('a holder whose claim lapsed starts nothing', async (t) => {
-  // A paused process wakes up and believes in its queue, not in its claim.
+  // Failure: a process that was paused resumes and starts the tasks in its
+  // queue although its claim has lapsed.
   const domain = domainHarness.createDomainHarness(t, ['w1']);
   const holder = domain.createHolder(1);
   await until('attached', () => {
@@ -143,10 +155,10 @@
   await until('started', () => domain.starts().length === 1);
 });
 
-nodeTest.test('a worker that leaves hands its tasks on', async (t) => {
-  // The plan goes on at another worker, and never runs at both.
-  // The list says that its worker is leaving: the task saves its progress,
-  // stops, and is placed anew; nothing new starts at the leaving worker.
+nodeTest.test('tasks of a leaving worker move to another worker', async (t) => {
+  // Failure: a task of a leaving worker is lost, or runs on two workers. The
+  // list shows the worker as leaving: the task saves its progress, stops and is
+  // placed again; nothing new starts on the leaving worker.
   const domain = domainHarness.createDomainHarness(t, ['w1', 'w2']);
   const holder = domain.createHolder(1);
   const jobId = domain.submit('a', 300);
@@ -164,25 +176,23 @@
   assert.equal(maxConcurrentAttempts(domain.events()), 1);
 });
 
-nodeTest.test(
-  'a holder that closes waits for starts on their way',
-  async (t) => {
-    // After a planned stop the next holder claims at once, without waiting out
-    // a ttl. A start of the old one that is still on its way must have been
-    // answered by then, or the new holder's first look at the worker misses it.
-    const domain = domainHarness.createDomainHarness(t, ['w1']);
-    let arrive = () => undefined as void;
-    const held = new Promise<void>((resolve) => (arrive = resolve));
-    domain.startFaults.set('w1', {type: 'hold', until: held});
-    const {scheduler} = domain.createHolder(1);
-    const jobId = domain.submit('a', 10);
-    await until('decided', () => scheduler.activeTaskCount(jobId) === 1);
-    let isClosed = false;
-    const closed = scheduler.close().then(() => (isClosed = true));
-    await new Promise((resolve) => setImmediate(resolve));
-    assert.equal(isClosed, false);
-    arrive();
-    await closed;
-    assert.equal(domain.starts().length, 1);
-  },
-);
+nodeTest.test('a holder that closes waits for starts in flight', async (t) => {
+  // After a planned stop the next holder claims the domain immediately,
+  // without waiting for the claim's TTL. A start of the old holder that is
+  // still in flight must have been answered by then, or the new holder's
+  // first attach to the worker misses its task.
+  const domain = domainHarness.createDomainHarness(t, ['w1']);
+  let arrive = () => undefined as void;
+  const delivery = new Promise<void>((resolve) => (arrive = resolve));
+  domain.startFaults.set('w1', {type: 'hold', until: delivery});
+  const {scheduler} = domain.createHolder(1);
+  const jobId = domain.submit('a', 10);
+  await until('decided', () => scheduler.activeTaskCount(jobId) === 1);
+  let isClosed = false;
+  const closed = scheduler.close().then(() => (isClosed = true));
+  await new Promise((resolve) => setImmediate(resolve));
+  assert.equal(isClosed, false);
+  arrive();
+  await closed;
+  assert.equal(domain.starts().length, 1);
+});
--- a/packages/gypsumwall-testing/src/__tests__/examples.test.ts
+++ b/packages/gypsumwall-testing/src/__tests__/examples.test.ts
@@ -42,10 +42,13 @@
   return crypto.createHash('sha256').update(text).digest('hex');
 }
 
-nodeTest.test('a bad file is refused with its line and a remedy', () => {
-  const text = '{\n  "failureDomains": [],\n  "worker": 1\n}';
-  const parsed = jsoncFile.parseJsonc('site.jsonc', text, site.siteSchema);
-  assert.ok(parsed.isErr);
-  assert.match(parsed.error, /site\.jsonc:2: failureDomains: /);
-  assert.match(parsed.error, /remove worker or mend the spelling/);
-});
+nodeTest.test(
+  'the error of an invalid file names the line and the correction',
+  () => {
+    const text = '{\n  "failureDomains": [],\n  "worker": 1\n}';
+    const parsed = jsoncFile.parseJsonc('site.jsonc', text, site.siteSchema);
+    assert.ok(parsed.isErr);
+    assert.match(parsed.error, /site\.jsonc:2: failureDomains: /);
+    assert.match(parsed.error, /remove worker or mend the spelling/);
+  },
+);
--- a/packages/gypsumwall-testing/src/__tests__/finished_once.test.ts
+++ b/packages/gypsumwall-testing/src/__tests__/finished_once.test.ts
@@ -4,8 +4,8 @@
 import * as exampleCell from '../example_cell.js';
 import * as launchCell from '../launch_cell.js';
 
-const TOKEN_TEAM = 'route-optimisation';
-const JOBS = 6;
+const TEAM = 'route-optimisation';
+const JOB_COUNT = 6;
 const DEADLINE_MS = 30_000;
 
 const example = exampleCell.readExampleCell('skyroute');
@@ -24,10 +24,10 @@
   estimateMs: 100,
 };
 
-// A plan is worked out and its worker says so. The entry records the end; the
-// log's answer comes before the entry reads the record back. In between the
-// job's state still lacks the result: a task given back then was started a
-// second time, and a counsellor's letter would have been checked twice.
+// Failure: a task that is done is started a second time, and a counsellor's
+// letter, for example, is checked twice. The log acknowledges the record of the
+// task's end before the entry reads the record back. In between the job's state
+// doesn't have the result yet, and the task must not return to the queue.
 nodeTest.test('a task that is done is not started again', async () => {
   const cell = await launchCell.launchCell({
     ...example,
@@ -38,13 +38,13 @@
   });
   try {
     const client = cell.entries()[0]!.client;
-    const token = example.tokens.teams[TOKEN_TEAM] ?? '';
+    const token = example.tokens.teams[TEAM] ?? '';
     const jobIds: string[] = [];
-    for (let n = 0; n < JOBS; n++) {
+    for (let n = 0; n < JOB_COUNT; n++) {
       const label = `once-${n}`;
       const work = {command: 'optimise', args: {label, runMs: 20 + 10 * n}};
       const spec = {...SPEC, work};
-      const job = {callId: label, token, team: TOKEN_TEAM, label, spec};
+      const job = {callId: label, token, team: TEAM, label, spec};
       const told = await client.submit(job);
       assert.equal(told.type, 'accepted', JSON.stringify(told));
       if (told.type === 'accepted') jobIds.push(told.jobId);
@@ -58,7 +58,7 @@
     }
     const events = await cell.history();
     const starts = events.filter((event) => event.type === 'task_started');
-    assert.equal(starts.length, JOBS, JSON.stringify(starts, null, 1));
+    assert.equal(starts.length, JOB_COUNT, JSON.stringify(starts, null, 1));
   } finally {
     await cell.close();
   }
--- a/packages/gypsumwall-testing/src/__tests__/job_key.test.ts
+++ b/packages/gypsumwall-testing/src/__tests__/job_key.test.ts
@@ -22,9 +22,10 @@
 };
 
 nodeTest.test('one key is one job, through any entry', async () => {
-  // A pilot's client repeats a submission after its connection broke; the
-  // balancer sends it to an entry of another failure domain. Each entry used
-  // to accept the key for its own domain, and the plan was worked out twice.
+  // Failure: one key is accepted as several jobs and a plan is computed more
+  // than once. A client repeats a submission after its connection broke, and
+  // the balancer sends it to an entry of another failure domain; each entry
+  // used to accept the key for its own domain.
   const cell = await launchCell.launchCell({
     ...example,
     site: THREE_DOMAINS,
--- a/packages/gypsumwall-testing/src/__tests__/relay.test.ts
+++ b/packages/gypsumwall-testing/src/__tests__/relay.test.ts
@@ -37,22 +37,25 @@
 }
 
 nodeTest.describe('relay', {timeout: 10_000}, () => {
-  nodeTest.test('delivers late what a cut held back', async (test) => {
-    const path = await startEcho(test);
-    const socket = await open(path);
-    assert.equal(await echoOf(socket, 'a'), 'a');
-    path.cut();
-    const late = echoOf(socket, 'b');
-    const during = await open(path);
-    const broken = once(during, 'close');
-    path.heal();
-    assert.equal(await late, 'b');
-    await broken;
-    socket.destroy();
-  });
+  nodeTest.test(
+    'delivers the data held back by a cut after the heal',
+    async (test) => {
+      const path = await startEcho(test);
+      const socket = await open(path);
+      assert.equal(await echoOf(socket, 'a'), 'a');
+      path.cut();
+      const late = echoOf(socket, 'b');
+      const during = await open(path);
+      const broken = once(during, 'close');
+      path.heal();
+      assert.equal(await late, 'b');
+      await broken;
+      socket.destroy();
+    },
+  );
 
   nodeTest.test(
-    'refuses once its target is gone, after a cut',
+    'refuses connections to an ended target after a cut',
     async (test) => {
       const path = await startEcho(test);
       path.cut();
@@ -67,23 +70,26 @@
     },
   );
 
-  nodeTest.test('silences open connections and serves new', async (test) => {
-    const path = await startEcho(test);
-    const old = await open(path);
-    assert.equal(await echoOf(old, 'a'), 'a');
-    path.silenceOpen();
-    let answered = false;
-    old.on('data', () => (answered = true));
-    old.write('b');
-    const fresh = await open(path);
-    assert.equal(await echoOf(fresh, 'c'), 'c');
-    assert.equal(answered, false);
-    old.destroy();
-    fresh.destroy();
-  });
+  nodeTest.test(
+    'silences open connections and serves new ones',
+    async (test) => {
+      const path = await startEcho(test);
+      const old = await open(path);
+      assert.equal(await echoOf(old, 'a'), 'a');
+      path.silenceOpen();
+      let answered = false;
+      old.on('data', () => (answered = true));
+      old.write('b');
+      const fresh = await open(path);
+      assert.equal(await echoOf(fresh, 'c'), 'c');
+      assert.equal(answered, false);
+      old.destroy();
+      fresh.destroy();
+    },
+  );
 
   nodeTest.test(
-    'holds one way, and lets it go on when healed',
+    'stops one direction and forwards it again when healed',
     async (test) => {
       const path = await startEcho(test);
       const socket = await open(path);
@@ -95,7 +101,8 @@
         return text;
       });
       const during = await open(path);
-      // By the time that another path has echoed, this one would have too.
+      // Once another relay has returned three echoes, this one would have as
+      // well.
       const other = await open(await startEcho(test));
       for (const text of ['x', 'y', 'z']) await echoOf(other, text);
       assert.equal(answered, false);
@@ -108,19 +115,19 @@
     },
   );
 
-  nodeTest.test('delays both ways until it is healed', async (test) => {
+  nodeTest.test('delays both directions until it is healed', async (test) => {
     const path = await startEcho(test);
     const socket = await open(path);
     path.delay(60);
     const sentAt = performance.now();
     assert.equal(await echoOf(socket, 'a'), 'a');
-    assert.ok(performance.now() - sentAt >= 119, 'there and back');
+    assert.ok(performance.now() - sentAt >= 119, 'the round trip is too short');
     path.heal();
     assert.equal(await echoOf(socket, 'b'), 'b');
     socket.destroy();
   });
 
-  nodeTest.test('resets open connections and serves new', async (test) => {
+  nodeTest.test('resets open connections and serves new ones', async (test) => {
     const path = await startEcho(test);
     const old = await open(path);
     assert.equal(await echoOf(old, 'a'), 'a');
--- a/packages/gypsumwall-testing/src/__tests__/trace.test.ts
+++ b/packages/gypsumwall-testing/src/__tests__/trace.test.ts
@@ -31,7 +31,7 @@
   work: {command: 'optimise', args: {label: 'traced', runMs: 50}},
 };
 
-/** Sends a call as a caller whose own span has the given trace. */
+/** Sends a call with the trace context of a caller's span. */
 async function send(url: string, token: string, traceId: string, body: object) {
   const res = await undici.request(url, {
     method: 'POST',
@@ -61,8 +61,11 @@
   }
 }
 
-/** Names from a span up to the caller's, the caller's left out. */
-function pathUp(
+/**
+ * Returns the names of a span and its ancestors, without the caller's span;
+ * ends with `lost` if an ancestor is missing.
+ */
+function spanPathUp(
   spans: readonly traceCollector.CollectedSpan[],
   from: string,
 ): string[] {
@@ -97,9 +100,9 @@
     await send(requestUrl, token, REQUEST_TRACE, {workMs: 1});
     const hops = ['entry.call', 'upstream.execute'];
     const request = await waitForSpans(collector, REQUEST_TRACE, hops);
-    assert.deepEqual(pathUp(request, 'upstream.execute'), hops.reverse());
+    assert.deepEqual(spanPathUp(request, 'upstream.execute'), hops.reverse());
 
-    // One of the two isn't the holder and hands the job on to its peer.
+    // One of the two entries isn't the holder and forwards the job to its peer.
     for (const {address} of entries) {
       const jobToken = tokens['route-optimisation'] ?? '';
       await send(`${address}/v1/jobs`, jobToken, JOB_TRACE, JOB);
@@ -108,11 +111,11 @@
       'peer.forward',
       'worker.start',
     ]);
-    assert.deepEqual(pathUp(job, 'peer.forward'), [
+    assert.deepEqual(spanPathUp(job, 'peer.forward'), [
       'peer.forward',
       'entry.call',
     ]);
-    const started = pathUp(job, 'worker.start');
+    const started = spanPathUp(job, 'worker.start');
     assert.ok(!started.includes('lost'), formatTrace.formatTrace(job));
     assert.doesNotMatch(formatTrace.formatTrace(job), new RegExp(token));
   } finally {
