--- a/packages/gypsumwall-testing/src/child.ts
+++ b/packages/gypsumwall-testing/src/child.ts
@@ -1,7 +1,7 @@
 /**
  * Child processes of a test. Each prints a line of JSON when it is ready,
- * unless its standard output is a log; none outlives the process that started
- * it.
+ * unless its standard output goes to its log file. All of them are killed when
+ * the process that started them exits.
  */
 import * as childProcess from 'node:child_process';
 import * as fs from 'node:fs';
@@ -19,8 +19,9 @@
   readonly name: string;
   readonly pid: number;
   /**
-   * Its first line on standard output; fails if it ends before. Where the
-   * output goes to the log, it never resolves: ask the program itself.
+   * Resolves to the first line on standard output, parsed as JSON; rejects if
+   * the child exits before it. Never resolves if the output goes to the log
+   * file: poll the program instead.
    */
   readonly ready: Promise<unknown>;
   readonly exited: Promise<ChildExit>;
@@ -28,22 +29,27 @@
   send(signal: NodeJS.Signals): void;
 }
 
-/** What to start. */
+/** Options of a child. */
 export interface ChildOptions {
   readonly name: string;
   readonly args: readonly string[];
-  /** Where its standard error goes. */
+  /** File that standard error is appended to. */
   readonly logFile: string;
-  /** By default a line of JSON tells that the child is ready. */
+  /**
+   * `ready_line`, the default, expects a line of JSON once the child is ready;
+   * `log_file` appends standard output to the log file.
+   */
   readonly output?: 'ready_line' | 'log_file';
-  /** All of its environment; by default that of this process. */
+  /** The complete environment; by default that of this process. */
   readonly env?: Readonly<Record<string, string>>;
 }
 
 const children = new Set<childProcess.ChildProcess>();
 let hasExitHandlers = false;
 
-/** Kills what still runs when this process ends, however it ends. */
+/**
+ * Kills all remaining children when this process exits, also after a signal.
+ */
 function installExitHandlers(): void {
   if (hasExitHandlers) return;
   hasExitHandlers = true;
@@ -55,7 +61,7 @@
   }
 }
 
-/** Starts Node with the given arguments. */
+/** Starts Node.js with the given arguments. */
 export function startChild(options: ChildOptions): Child {
   installExitHandlers();
   const log = fs.openSync(options.logFile, 'a');
@@ -80,11 +86,12 @@
   const prematureExit = exited.then(({code, signal}) => {
     const log = fs.readFileSync(options.logFile, 'utf8').slice(-2_000);
     throw new Error(
-      `${options.name} ended (${code} ${signal}) before it listened: ${log}`,
+      `${options.name} ended (${code} ${signal}) before it was ready: ${log}`,
     );
   });
   const ready = Promise.race([firstLine, prematureExit]);
-  // Whoever waits on `ready` gets the failure; a later exit is no failure.
+  // Callers that await `ready` get the error; without one, an exit must not
+  // count as an unhandled rejection.
   ready.catch(() => undefined);
   prematureExit.catch(() => undefined);
   return {
@@ -110,12 +117,12 @@
   peerAddress: zod.string(),
 });
 
-/** What a stand-in says when it listens. */
+/** Waits until a stand-in listens and returns the line that it prints then. */
 export async function waitForStandIn(child: Child) {
   return standInReadyLine.parse(await child.ready);
 }
 
-/** What an entry says when it listens. */
+/** Waits until an entry listens and returns the line that it prints then. */
 export async function waitForEntry(child: Child) {
   return entryReadyLine.parse(await child.ready);
 }
--- a/packages/gypsumwall-testing/src/entry_client.ts
+++ b/packages/gypsumwall-testing/src/entry_client.ts
@@ -1,6 +1,6 @@
 /**
- * A caller of one entry: it records what it sent and what it was told, whole
- * or not, for the judge.
+ * Client of one entry. It records each call and its outcome for the judge, also
+ * when no complete answer arrived.
  */
 import * as undici from 'undici';
 import type * as types from '@gypsumwall/types';
@@ -20,7 +20,7 @@
   readonly timeoutMs?: number;
 }
 
-/** A job to hand in; `spec.work.args.label` must be its own. */
+/** A job to submit; `spec.work.args.label` must equal `label`. */
 export interface CallerJob {
   readonly callId: string;
   readonly token: string;
@@ -30,29 +30,35 @@
   readonly spec: Readonly<Record<string, unknown>>;
 }
 
-/** A publish of a subtree. */
+/** A publish of a subtree of the configuration. */
 export interface CallerPublish {
   readonly callId: string;
   readonly token: string;
   readonly path: string;
-  /** Revision that it was based on, or -1 for none. */
+  /** Revision that the new value is based on, or -1 for none. */
   readonly base: number;
   readonly value: unknown;
 }
 
-/** A setting as an entry gives it. */
+/** A setting as an entry returned it. */
 export interface SettingReading {
   readonly path: string;
   readonly revision: number;
   readonly value: unknown;
 }
 
-/** Calls to one entry. None throws: a failure is what the caller was told. */
+/**
+ * Calls to one entry. None of them throws: a failure is returned as the call's
+ * outcome.
+ */
 export interface EntryClient {
   readonly entryId: string;
   request(req: CallerRequest): Promise<historyEvent.RequestOutcome>;
   submit(job: CallerJob): Promise<historyEvent.JobOutcome>;
-  /** The job as the entry sees it; undefined when it can't tell. */
+  /**
+   * Returns the entry's view of the job; undefined if the call failed or the
+   * entry has no such job.
+   */
   job(token: string, jobId: string): Promise<types.job.JobView | undefined>;
   cancel(token: string, jobId: string): Promise<boolean>;
   publish(publish: CallerPublish): Promise<historyEvent.PublishOutcome>;
@@ -63,7 +69,7 @@
   close(): Promise<void>;
 }
 
-/** Which entry. */
+/** Options of an entry's client. */
 export interface EntryClientOptions {
   readonly entryId: string;
   readonly address: string;
@@ -84,10 +90,13 @@
   readonly body?: Buffer | string;
 }
 
-/** Longer than any deadline of the product, so that it speaks first. */
+/**
+ * Longer than any deadline of the product, so that the product's own timeout
+ * answers first.
+ */
 const CALL_TIMEOUT_MS = 30_000;
 
-/** Makes a caller of one entry. */
+/** Creates a client of one entry. */
 export function createEntryClient(options: EntryClientOptions): EntryClient {
   const {entryId, address, recorded} = options;
   const agent = new undici.Agent({connections: 256});
@@ -246,7 +255,7 @@
 
 type BrokenOutcome = Extract<historyEvent.RequestOutcome, {type: 'broken'}>;
 
-/** What a call tells, or that no whole answer came. */
+/** Returns the outcome of a call, or `broken` if no complete answer arrived. */
 async function outcomeOf<Outcome>(
   ask: () => Promise<Outcome>,
 ): Promise<Outcome | BrokenOutcome> {
@@ -259,7 +268,7 @@
   }
 }
 
-/** Reads a problem+json answer into one of the three outcomes. */
+/** Converts a problem+json answer to the outcome `not_run` or `unknown`. */
 function readProblem(
   answer: Answer,
 ): Exclude<historyEvent.RequestOutcome, {type: 'done'}> {
@@ -271,7 +280,7 @@
   const {outcome, reason = '', detail = ''} = problem;
   const message = `status ${answer.status}: ${detail}`;
   if (outcome === 'not_run') return {type: 'not_run', reason, message};
-  // Without an outcome the caller may not assume that nothing ran.
+  // If the answer names no outcome, the caller may not assume that nothing ran.
   return {type: 'unknown', message};
 }
 
--- a/packages/gypsumwall-testing/src/entry_process.ts
+++ b/packages/gypsumwall-testing/src/entry_process.ts
@@ -6,10 +6,10 @@
 import type * as history from './history.js';
 import type * as site from './site.js';
 
-/** What to start and how. */
+/** Options of an entry process. */
 export interface EntryProcessOptions {
   readonly entry: site.SiteEntry;
-  /** Arguments for Node before the settings file. */
+  /** Arguments for Node.js; the settings file is appended. */
   readonly command: readonly string[];
   readonly settings: Readonly<Record<string, unknown>>;
   readonly folder: string;
@@ -21,14 +21,14 @@
   readonly entry: site.SiteEntry;
   readonly child: child.Child;
   readonly client: entryClient.EntryClient;
-  /** Where callers reach it. */
+  /** The address for callers. */
   readonly address: string;
   readonly peerAddress: string;
-  /** Processor time so far, in milliseconds. */
+  /** Returns the processor time that the process has used, in milliseconds. */
   cpuMs(): number;
 }
 
-/** Starts it and waits until it listens. */
+/** Starts an entry and waits until it listens. */
 export async function startEntry(
   options: EntryProcessOptions,
 ): Promise<EntryProcess> {
@@ -42,35 +42,38 @@
     args: [...options.command, settingsFile],
     logFile: path.join(folder, `${id}.log`),
   });
-  const line = await child.waitForEntry(started);
+  const readyLine = await child.waitForEntry(started);
   recorded.record({type: 'entry_up', entryId: id, pid: started.pid});
   void started.exited.then(({code, signal}) => {
     recorded.record({type: 'entry_exited', entryId: id, code, signal});
   });
   const client = entryClient.createEntryClient({
     entryId: id,
-    address: line.address,
+    address: readyLine.address,
     recorded,
   });
-  const {address, peerAddress} = line;
+  const {address, peerAddress} = readyLine;
   const cpuMs = () => readCpuMs(started.pid);
   return {entry, child: started, client, address, peerAddress, cpuMs};
 }
 
-/** Clock ticks of `/proc/<pid>/stat` are hundredths of a second on Linux. */
+/**
+ * Length of a clock tick in `/proc/<pid>/stat`: a hundredth of a second on
+ * Linux.
+ */
 const TICK_MS = 10;
-/** Places of user and system time after the command's closing bracket. */
-const USER_TIME_FIELD = 11;
-const SYSTEM_TIME_FIELD = 12;
+/**
+ * Indexes of `utime` and `stime` among the fields after the closing parenthesis
+ * of the command.
+ */
+const UTIME_FIELD = 11;
+const STIME_FIELD = 12;
 
 function readCpuMs(pid: number): number {
   try {
     const text = fs.readFileSync(`/proc/${pid}/stat`, 'utf8');
-    const fields = text.slice(text.lastIndexOf(')') + 2).split(' ');
-    return (
-      (Number(fields[USER_TIME_FIELD]) + Number(fields[SYSTEM_TIME_FIELD])) *
-      TICK_MS
-    );
+    const stat = text.slice(text.lastIndexOf(')') + 2).split(' ');
+    return (Number(stat[UTIME_FIELD]) + Number(stat[STIME_FIELD])) * TICK_MS;
   } catch {
     return 0;
   }
--- a/packages/gypsumwall-testing/src/format_trace.ts
+++ b/packages/gypsumwall-testing/src/format_trace.ts
@@ -1,11 +1,13 @@
-/** A trace as text: one line a span, each below its parent. */
+/**
+ * Formats a trace as text: one line for each span, indented below its parent.
+ */
 import type * as traceCollector from './trace_collector.js';
 
 type Span = traceCollector.CollectedSpan;
 
 const INSTANCE_ATTRIBUTE = 'service.instance.id';
 
-/** The spans as a tree; a span whose parent is unknown stands at the left. */
+/** Formats spans as a tree; spans whose parent is unknown become roots. */
 export function formatTrace(spans: readonly Span[]): string {
   const known = new Set(spans.map((span) => span.spanId));
   const firstMs = Math.min(...spans.map((span) => span.startMs));
@@ -15,7 +17,10 @@
     .join('\n');
 }
 
-/** The trace that passes the most kinds of hops; undefined for none. */
+/**
+ * Returns the trace with the most different span names, or undefined if there
+ * is no trace.
+ */
 export function longestTrace(
   traces: ReadonlyMap<string, readonly Span[]>,
 ): readonly Span[] | undefined {
--- a/packages/gypsumwall-testing/src/instance_registry.ts
+++ b/packages/gypsumwall-testing/src/instance_registry.ts
@@ -1,7 +1,10 @@
-/** What truly runs in a cell; the platform's list follows it with its lag. */
+/**
+ * The instances that actually run in a cell; the platform's list shows them
+ * with a delay.
+ */
 import type * as platform from '@gypsumwall/platform';
 
-/** All instances, as the list will show them. */
+/** The current instances of a cell, in the form of the platform's list. */
 export interface InstanceRegistry {
   put(instance: platform.instanceList.ListedInstance): void;
   remove(id: string): void;
@@ -10,7 +13,7 @@
   ofDomain(failureDomain: string): string[];
 }
 
-/** Makes an empty board. */
+/** Creates an empty registry. */
 export function createInstanceRegistry(): InstanceRegistry {
   const instances = new Map<string, platform.instanceList.ListedInstance>();
   return {
--- a/packages/gypsumwall-testing/src/jsonc_file.ts
+++ b/packages/gypsumwall-testing/src/jsonc_file.ts
@@ -1,4 +1,7 @@
-/** Reads a JSON-with-comments file and checks it, naming line and remedy. */
+/**
+ * Reads and validates JSON files with comments; errors name the line and how to
+ * correct it.
+ */
 import * as fs from 'node:fs';
 import * as jsoncParser from 'jsonc-parser';
 import * as result from 'true-myth/result';
@@ -6,7 +9,9 @@
 
 const PARSE_OPTIONS: jsoncParser.ParseOptions = {allowTrailingComma: true};
 
-/** Reads and checks; the error names file, line, path and what was wrong. */
+/**
+ * Reads and validates a file; the error names the file, line, path and problem.
+ */
 export function readJsoncFile<Schema extends zod.ZodType>(
   file: string,
   schema: Schema,
@@ -20,7 +25,7 @@
   return parseJsonc(file, text, schema);
 }
 
-/** As `readJsoncFile`, with the text at hand. */
+/** Like `readJsoncFile`, for a text that was already read. */
 export function parseJsonc<Schema extends zod.ZodType>(
   file: string,
   text: string,
@@ -46,7 +51,7 @@
   return result.err(lines.join('\n'));
 }
 
-/** Reads a file whose faults end the program with their text. */
+/** Like `readJsoncFile`, but throws the error. */
 export function requireJsoncFile<Schema extends zod.ZodType>(
   file: string,
   schema: Schema,
@@ -63,7 +68,10 @@
   return issue.message;
 }
 
-/** The value that was found, in words; empty for one that is missing or long. */
+/**
+ * Formats the value found at the path; empty if it is missing, an object or an
+ * array.
+ */
 function formatValueAt(
   root: jsoncParser.Node,
   path: readonly PropertyKey[],
@@ -74,7 +82,10 @@
   return `; it is ${JSON.stringify(node.value)}`;
 }
 
-/** Where the path's node starts; its nearest ancestor if it is missing. */
+/**
+ * Returns the offset of the node at the path, or of its nearest existing
+ * ancestor.
+ */
 function offsetOf(
   root: jsoncParser.Node,
   path: readonly PropertyKey[],
--- a/packages/gypsumwall-testing/src/launch_cell.ts
+++ b/packages/gypsumwall-testing/src/launch_cell.ts
@@ -1,4 +1,4 @@
-/** Starts a whole cell as separate processes and ends it again. */
+/** Starts a complete cell as separate processes and stops it again. */
 import * as crypto from 'node:crypto';
 import * as fs from 'node:fs';
 import * as os from 'node:os';
@@ -15,17 +15,20 @@
 import * as site from './site.js';
 import * as standInGroup from './stand_in_group.js';
 
-/** What to launch. */
+/** Options of a cell. */
 export interface CellOptions {
   readonly site: site.Site;
   readonly tokens: site.Tokens;
   readonly tree: settings.cellTree.CellTree;
-  /** Arguments for Node that start an entry; the settings file follows. */
+  /** Arguments for Node that start an entry; the settings file is appended. */
   readonly entryCommand: readonly string[];
-  /** Whether every path of an entry goes through a relay, to be cut. */
+  /**
+   * Whether all connections of an entry go through relays, so that tests can
+   * cut them.
+   */
   readonly isRelayed: boolean;
   readonly seed: number;
-  /** Leaves settings and logs behind for a person to read. */
+  /** Keeps the folder with settings and logs after `close`, for debugging. */
   readonly keepFolder?: boolean;
 }
 
@@ -36,20 +39,25 @@
   readonly network: network.Network;
   readonly standIns: standInGroup.StandInGroup;
   readonly registry: instanceRegistry.InstanceRegistry;
-  /** Folder of settings and logs; gone after `close`. */
+  /**
+   * Folder of settings and logs; `close` removes it unless `keepFolder` is set.
+   */
   readonly folder: string;
-  /** Entries that run, frozen ones included. */
+  /** Returns the running entries, including frozen ones. */
   entries(): entryProcess.EntryProcess[];
   entry(id: string): entryProcess.EntryProcess;
-  /** Starts another entry and lists it. */
+  /** Starts another entry and adds it to the platform's list. */
   startEntry(entry: site.SiteEntry): Promise<entryProcess.EntryProcess>;
-  /** Kills at once; the list follows with its lag. */
+  /** Kills the entry immediately; the list shows it with its usual delay. */
   killEntry(id: string): Promise<void>;
-  /** Planned stop: listed as leaving, asked to end, waited for. */
+  /**
+   * Stops the entry as planned: lists it as leaving, sends SIGTERM and waits
+   * for its exit.
+   */
   stopEntry(id: string): Promise<void>;
-  /** Passes the board on to the platform's list. */
+  /** Sends the registry's instances to the platform's list. */
   updateList(): Promise<void>;
-  /** All recorded events in one order. */
+  /** Returns all recorded events, sorted by time. */
   history(): Promise<historyEvent.HistoryEvent[]>;
   close(): Promise<void>;
 }
@@ -58,7 +66,10 @@
 const POLL_INTERVAL_MS = 50;
 const BALANCER_POLL_MS = 100;
 
-/** Starts all, publishes the tree and waits until every entry is ready. */
+/**
+ * Starts all processes, publishes the configuration and waits until every entry
+ * is ready.
+ */
 export async function launchCell(options: CellOptions): Promise<Cell> {
   const cell = await startProcesses(options);
   try {
@@ -95,7 +106,7 @@
 
   const entryOf = (id: string): entryProcess.EntryProcess => {
     const found = running.get(id);
-    if (found === undefined) throw new Error(`no entry ${id} runs`);
+    if (found === undefined) throw new Error(`entry ${id} is not running`);
     return found;
   };
   const updateList = async (): Promise<void> => {
@@ -103,12 +114,12 @@
     const body = {instances: registry.all()};
     await standIns.control('platform', 'instances', body);
   };
-  /** Each entry sees the addresses of its own relays. */
+  /** Gives each entry a list with the addresses of its own relays. */
   const updateViews = async (): Promise<void> => {
     for (const view of running.keys()) {
       const addresses: Record<string, string> = {};
       for (const {id, address} of registry.all()) {
-        // An entry finds itself on the list by the address it listens on.
+        // An entry recognises itself on the list by the address it listens on.
         addresses[id] =
           id === view ? address : await paths.connect(view, id, address);
       }
@@ -171,7 +182,8 @@
       await updateList();
       recorded.record({type: 'entry_stopping', entryId: id});
       entry.child.send('SIGTERM');
-      // The balancer sends callers there until it sees that it isn't ready.
+      // The balancer keeps sending calls to the entry until it sees that the
+      // entry isn't ready.
       while (await entry.client.ready())
         await timers.setTimeout(BALANCER_POLL_MS);
       running.delete(id);
@@ -201,8 +213,8 @@
 
 async function publishTree(cell: Cell): Promise<void> {
   const {tree, tokens, site: targetSite} = cell.options;
-  // A site may be smaller than its example: a domain without entries would
-  // be the home of jobs that never run.
+  // A site may be smaller than its example: a failure domain without entries
+  // would be the home of jobs that never run.
   const failureDomains = targetSite.failureDomains.map(({name}) => name);
   const publisher = cell.entries()[0]?.client;
   if (publisher === undefined) throw new Error('the site has no entry');
@@ -229,13 +241,13 @@
     const publish = {callId, token, path: subtree, base: -1, value};
     const outcome = await publisher.publish(publish);
     if (outcome.type === 'accepted') return;
-    // An earlier try may have taken effect although its answer was lost.
+    // An earlier attempt may have taken effect although its answer was lost.
     const known = await publisher.setting(token, subtree);
     if (outcome.type === 'conflict' && known !== undefined) return;
     if (performance.now() > deadline) {
       throw new Error(`publishing ${subtree}: ${outcome.message}`);
     }
-    // A new entry refuses while it still reads the log.
+    // A new entry refuses publishes while it is still reading the log.
     await timers.setTimeout(POLL_INTERVAL_MS);
   }
 }
@@ -246,7 +258,7 @@
   for (const entry of cell.entries()) {
     while (!(await entry.client.ready())) {
       if (performance.now() > deadline) {
-        throw new Error(`entry ${entry.entry.id} does not get ready`);
+        throw new Error(`entry ${entry.entry.id} does not become ready`);
       }
       await timers.setTimeout(POLL_INTERVAL_MS);
     }
@@ -260,8 +272,9 @@
 }
 
 /**
- * Waits until every entry has slots of upstreams. A whole cell that starts at
- * once has none for a while, and a test would strike nothing.
+ * Waits until every entry has a share of the upstreams' slots. While a whole
+ * cell starts up it has none for a while, and faults injected then would affect
+ * nothing.
  */
 async function waitUntilServing(cell: Cell): Promise<void> {
   const deadline = types.clock.after(performance.now(), READY_TIMEOUT_MS);
@@ -272,7 +285,9 @@
       const upstreams = status?.router.upstreams ?? [];
       if (upstreams.some(({share}) => share > 0)) break;
       if (performance.now() > deadline) {
-        throw new Error(`entry ${entry.id} gets no slots of upstreams`);
+        throw new Error(
+          `entry ${entry.id} has no share of any upstream's slots`,
+        );
       }
       await timers.setTimeout(POLL_INTERVAL_MS);
     }
--- a/packages/gypsumwall-testing/src/log_store.ts
+++ b/packages/gypsumwall-testing/src/log_store.ts
@@ -1,14 +1,16 @@
-/** The streams behind the platform's stand-in, with retention. */
+/** In-memory streams of the platform's stand-in, with retention. */
 import type * as platform from '@gypsumwall/platform';
 import * as machineClock from './machine_clock.js';
 
-/** How long records are kept; either limit may drop them. */
+/**
+ * Limits of retention: a record is dropped as soon as either one is exceeded.
+ */
 export interface Retention {
   readonly keepRecords: number;
   readonly keepMs: number;
 }
 
-/** Streams in memory. */
+/** An in-memory store of log streams. */
 export interface LogStore {
   append(req: platform.platformLog.AppendRequest): number;
   read(
@@ -18,7 +20,7 @@
   ): platform.platformLog.LogPage;
   /** Resolves on the next append to the stream, or after `waitMs`. */
   waitForAppend(stream: string, waitMs: number): Promise<void>;
-  /** Drops records below the offset; gives the new first offset. */
+  /** Drops records below the offset and returns the new first offset. */
   drop(stream: string, before: number): number;
   setRetention(retention: Retention): void;
   streams(): ReadonlyArray<{
@@ -39,7 +41,7 @@
   waiters: Set<() => void>;
 }
 
-/** Makes an empty store. */
+/** Creates an empty store. */
 export function createLogStore(initial: Retention): LogStore {
   const streams = new Map<string, Stream>();
   let retention = initial;
--- a/packages/gypsumwall-testing/src/network.ts
+++ b/packages/gypsumwall-testing/src/network.ts
@@ -1,28 +1,36 @@
-/** The relays of one cell: a path for each pair of named ends. */
+/** The relays of one cell: one for each path between two named instances. */
 import * as relay from './relay.js';
 
-/** Paths between an entry and its surroundings, by name. */
+/** The paths between entries and the instances that they call. */
 export interface Network {
-  /** Makes or moves the path; gives the address that `from` has to use. */
+  /**
+   * Creates the relay of a path, or changes its target; returns the address
+   * that `from` has to use.
+   */
   connect(from: string, to: string, address: string): Promise<string>;
-  /** Cuts both directions between every `left` and every `right`. */
+  /**
+   * Cuts both directions between each instance of `left` and each of `right`.
+   */
   cut(left: readonly string[], right: readonly string[]): void;
-  /** Holds what either side sends on connections that it opened. */
+  /** Stops forwarding what either side sends on connections that it opened. */
   cutOneWay(left: readonly string[], right: readonly string[]): void;
   delay(left: readonly string[], right: readonly string[], ms: number): void;
   reset(left: readonly string[], right: readonly string[]): void;
   /** Ends cuts and delays. */
   heal(left: readonly string[], right: readonly string[]): void;
   silenceOpen(left: readonly string[], right: readonly string[]): void;
-  /** That end is gone for good: every path to it refuses connections. */
+  /** Makes every path to the instance refuse connections, permanently. */
   refuseConnections(to: string): void;
   close(): Promise<void>;
 }
 
-/** Makes a network without paths. */
+/** Creates a network without paths. */
 export function createNetwork(): Network {
   const relays = new Map<string, Map<string, relay.Relay>>();
-  /** One after another, so that two callers never lay one path twice. */
+  /**
+   * Paths are set up one after another, so that two callers never create a
+   * relay for the same path.
+   */
   let pendingSetup: Promise<unknown> = Promise.resolve();
 
   const relaysBetween = (
--- a/packages/gypsumwall-testing/src/platform_stand_in.ts
+++ b/packages/gypsumwall-testing/src/platform_stand_in.ts
@@ -1,4 +1,4 @@
-/** The platform's log and instance list, on one port. */
+/** Stand-in for the platform's log and instance list, on one port. */
 import * as crypto from 'node:crypto';
 import * as timers from 'node:timers/promises';
 import type * as fastify from 'fastify';
@@ -25,7 +25,7 @@
 });
 
 const instancesBody = zod.strictObject({
-  /** Checked by the product's own types; the list passes it on. */
+  /** Passed to the list unchecked; the product's own clients validate them. */
   instances: zod.array(zod.record(zod.string(), zod.unknown())),
 });
 
@@ -34,7 +34,10 @@
   addresses: zod.record(zod.string(), zod.string()),
 });
 
-/** Either the first offset to be kept, or how many records from the end. */
+/**
+ * Either the first offset to keep, or the number of records to keep from the
+ * end.
+ */
 const dropBody = zod.union([
   zod.strictObject({stream: zod.string(), before: zod.number().int()}),
   zod.strictObject({stream: zod.string(), keep: zod.number().int().min(0)}),
@@ -51,7 +54,7 @@
   message: 'the log is down',
 };
 
-/** Starts the log and the list. */
+/** Starts the server for the log and the list. */
 export async function createPlatformStandIn(
   cfg: standInConfig.PlatformConfig,
 ): Promise<standInServer.StandIn> {
@@ -84,7 +87,10 @@
     return standInServer.sendRefusal(reply, LOG_DOWN);
   });
 
-  /** Whether this append's answer is to be lost; counts it if so. */
+  /**
+   * Whether the answer to this append must be lost; decrements the fault's
+   * counter if so.
+   */
   const consumeAnswerLoss = (stream: string): boolean => {
     if (fault.mode !== 'lose_answers') return false;
     if (fault.stream !== undefined && fault.stream !== stream) return false;
@@ -143,7 +149,7 @@
   server.get('/control/log', () => ({fault, streams: store.streams()}));
 }
 
-/** Spaces appends out, so that all producers share the log's rate. */
+/** Delays appends so that all producers share the log's rate limit. */
 function createRateLimiter(perSecond: number): () => Promise<void> {
   const intervalMs = 1_000 / perSecond;
   let nextAt = 0;
@@ -166,7 +172,10 @@
   cfg: standInConfig.PlatformConfig,
 ): void {
   const snapshots: ListSnapshot[] = [];
-  /** Each view's own address of an instance, so that its path can be cut. */
+  /**
+   * Addresses of the instances' relays, by view and instance, so that a test
+   * can cut a single path.
+   */
   const views = new Map<string, Readonly<Record<string, string>>>();
   let lagMs = cfg.listLagMs;
 
@@ -182,8 +191,8 @@
   server.get('/views/:view/v1/instances', (req, reply) => {
     const {view} = zod.object({view: zod.string()}).parse(req.params);
     const addresses = views.get(view) ?? {};
-    // An instance whose path is not laid yet must not be seen by its own
-    // address: no cut could strike it there.
+    // An instance without a relay yet must not be listed by its real address,
+    // because its path couldn't be cut.
     const instances = listed().flatMap((instance) => {
       const address = addresses[String(instance.id)];
       return address === undefined ? [] : [{...instance, address}];
@@ -212,12 +221,12 @@
   });
 }
 
-/** The list's entries as the control API takes them. */
+/** Body of the control call that sets the list's instances. */
 export interface InstancesBody {
   readonly instances: readonly platform.instanceList.ListedInstance[];
 }
 
-/** Answers with a tag, or only that the body is the one of that tag. */
+/** Answers with an ETag, or with 304 if the client already has that version. */
 function sendWithEtag(
   req: fastify.FastifyRequest,
   reply: fastify.FastifyReply,
--- a/packages/gypsumwall-testing/src/relay.ts
+++ b/packages/gypsumwall-testing/src/relay.ts
@@ -1,42 +1,45 @@
 /**
- * A TCP pipe between two named ends that a test can cut. It stands between
- * one end and another, so that a cut strikes this one path only.
+ * A TCP relay on one path between two instances, so that a test can cut or
+ * delay this path alone.
  */
 import * as net from 'node:net';
 import * as stream from 'node:stream';
 
-/** Where a relay sends what it takes. */
+/** The address that a relay forwards to. */
 export interface RelayTarget {
   readonly host: string;
   readonly port: number;
 }
 
-/** One directed path. */
+/** A relay for connections opened from one end to the other. */
 export interface Relay {
   readonly address: string;
-  /** Sends new connections there from now on. */
+  /** Sets the target of new connections. */
   setTarget(target: RelayTarget): void;
   /**
-   * Holds all bytes, as a network does that drops packets. New connections
-   * seem to open and stay silent.
+   * Stops forwarding in both directions, like a network that drops packets. New
+   * connections are accepted but get no data.
    */
   cut(): void;
-  /** Holds bytes towards the target; those that come back go on. */
+  /**
+   * Stops forwarding towards the target only; bytes from the target still
+   * arrive.
+   */
   cutOneWay(): void;
-  /** From now on each piece of bytes takes so much longer, both ways. */
+  /** Delays each chunk by `ms`, in both directions. */
   delay(ms: number): void;
   /** Resets all open connections. */
   reset(): void;
   /**
-   * Ends cuts and delays and lets held bytes go on; what was opened during a
-   * whole cut breaks.
+   * Ends cuts and delays and forwards the bytes held back; connections that
+   * were opened during a full cut are closed.
    */
   heal(): void;
-  /** Open connections go silent for good; new ones work. */
+  /** Stops forwarding on the open connections permanently; new ones work. */
   silenceOpen(): void;
   /**
-   * The target is gone for good: new connections are refused, as its own
-   * machine would. A cut hides that until it is healed.
+   * Refuses new connections, as the target's machine does after its process has
+   * ended. During a cut this takes effect only once the cut is healed.
    */
   refuseConnections(): void;
   close(): Promise<void>;
@@ -44,12 +47,12 @@
 
 interface ConnectionPair {
   readonly inbound: net.Socket;
-  /** Absent for a connection that was opened during a cut. */
+  /** Absent for a connection that was opened during a full cut. */
   readonly outbound?: net.Socket;
   isSilenced: boolean;
 }
 
-/** Starts a relay on a port from the kernel. */
+/** Starts a relay on a port that the kernel assigns. */
 export async function createRelay(initial: RelayTarget): Promise<Relay> {
   const pairs = new Set<ConnectionPair>();
   let target = initial;
@@ -65,7 +68,7 @@
     inbound.setNoDelay(true);
     outbound?.setNoDelay(true);
     const closePair = () => {
-      // Neither end of a held connection learns that the other is gone.
+      // During a cut neither end learns that the other one closed.
       if (isCut || pair.isSilenced) return;
       destroy(pair);
       pairs.delete(pair);
@@ -173,7 +176,7 @@
     : [pair.inbound, pair.outbound];
 }
 
-/** Passes on what one end sends to the other. */
+/** Forwards what one end sends to the other. */
 function forward(from: net.Socket, to: net.Socket, delayMs: number): void {
   if (delayMs === 0) {
     from.pipe(to);
--- a/packages/gypsumwall-testing/src/site.ts
+++ b/packages/gypsumwall-testing/src/site.ts
@@ -1,4 +1,6 @@
-/** Where a cell runs: its failure domains and the sizes of what is in them. */
+/**
+ * The site of a cell: its failure domains and the instances in each of them.
+ */
 import * as zod from 'zod';
 import type * as platform from '@gypsumwall/platform';
 import * as types from '@gypsumwall/types';
@@ -6,7 +8,7 @@
 
 const count = zod.number().int().min(0);
 
-/** Shape of `site.jsonc`. */
+/** Schema of `site.jsonc`. */
 export const siteSchema = zod.strictObject({
   failureDomains: zod
     .array(
@@ -26,24 +28,27 @@
   }),
   platform: standInConfig.platformConfigSchema.omit({kind: true}).prefault({}),
   usageLagMs: count.default(500),
-  /** How far each worker's clock may be off, either way. */
+  /** Maximum offset of a worker's clock, in either direction. */
   clockSkewMs: count.default(60_000),
-  /** Settings of every entry besides its id, domain and addresses. */
+  /**
+   * Settings of every entry, in addition to its id, failure domain and
+   * addresses.
+   */
   entrySettings: zod.record(zod.string(), zod.unknown()).default({}),
 });
 
-/** Tokens of a site's callers and operators, for trials only. */
+/** Tokens of a site's callers and operators, for tests only. */
 export const tokensSchema = zod.strictObject({
   rootOperator: zod.string(),
   teams: zod.record(zod.string(), zod.string()),
   operators: zod.record(zod.string(), zod.string()),
 });
 
-/** Checked site and tokens. */
+/** Validated site and tokens. */
 export type Site = zod.infer<typeof siteSchema>;
 export type Tokens = zod.infer<typeof tokensSchema>;
 
-/** An entry to be started. */
+/** An entry to start. */
 export interface SiteEntry {
   readonly id: string;
   readonly failureDomain: types.ids.FailureDomain;
@@ -51,7 +56,7 @@
 
 type InstanceIdentity<Instance> = Omit<Instance, 'address' | 'state'>;
 
-/** All instances of a site, named `<domain>-<kind><n>`. */
+/** All instances of a site; their ids have the form `<domain>-<kind><n>`. */
 export interface SiteInstances {
   readonly entries: readonly SiteEntry[];
   readonly workers: ReadonlyArray<
@@ -62,7 +67,7 @@
   >;
 }
 
-/** Names every instance of the site. */
+/** Returns the instances of a site, with their ids. */
 export function instancesOf(site: Site): SiteInstances {
   return {
     entries: site.failureDomains.flatMap(({name, entries}) =>
--- a/packages/gypsumwall-testing/src/stand_in_config.ts
+++ b/packages/gypsumwall-testing/src/stand_in_config.ts
@@ -1,26 +1,29 @@
-/** What a stand-in process is told at its start, and what faults it takes. */
+/**
+ * Schemas of the stand-ins' configurations and of the faults that can be set at
+ * runtime.
+ */
 import * as zod from 'zod';
 
 const count = zod.number().int().min(0);
 
-/** Capacity or size of a task, as in `types.resources`. */
+/** Capacity of a worker or size of a task, as in `types.resources`. */
 export const resourcesSchema = zod.strictObject({
   cpuMillis: count,
   memoryMb: count,
   accelerators: count,
 });
 
-/** The log and the instance list. */
+/** Configuration of the log and the instance list. */
 export const platformConfigSchema = zod.strictObject({
   kind: zod.literal('platform'),
-  /** The log's own limit, shared by all producers. */
+  /** Rate limit of the log, shared by all producers. */
   appendsPerSecond: zod.number().positive().default(400),
   keepRecords: count.default(1_000_000),
   keepMs: count.default(86_400_000),
   listLagMs: count.default(0),
 });
 
-/** Many workers in one process, each on a port of its own. */
+/** Configuration of many workers in one process, each on its own port. */
 export const workersConfigSchema = zod.strictObject({
   kind: zod.literal('workers'),
   seed: zod.number().int().default(1),
@@ -29,13 +32,16 @@
     zod.strictObject({
       id: zod.string().min(1),
       capacity: resourcesSchema,
-      /** How far its clock is off; entries may not compare it with theirs. */
+      /**
+       * Offset of the worker's clock; entries may not compare it with their
+       * own.
+       */
       clockOffsetMs: zod.number().default(0),
     }),
   ),
 });
 
-/** Many upstreams in one process, each on a port of its own. */
+/** Configuration of many upstreams in one process, each on its own port. */
 export const upstreamsConfigSchema = zod.strictObject({
   kind: zod.literal('upstreams'),
   upstreams: zod.array(
@@ -47,58 +53,71 @@
   ),
 });
 
-/** Any stand-in process. */
+/** Configuration of any stand-in process. */
 export const standInConfigSchema = zod.discriminatedUnion('kind', [
   platformConfigSchema,
   workersConfigSchema,
   upstreamsConfigSchema,
 ]);
 
-/** How the log behaves. */
+/** Faults of the log; `up` is normal operation. */
 export const logFaultSchema = zod.discriminatedUnion('mode', [
   zod.strictObject({mode: zod.literal('up')}),
-  /** Answers 503 to everything; nothing takes effect. */
+  /** Answers every call with 503; nothing takes effect. */
   zod.strictObject({mode: zod.literal('down')}),
   zod.strictObject({mode: zod.literal('slow'), delayMs: count}),
-  /** Appends take effect, then the connection breaks before the answer. */
+  /** Appends take effect, but the connection is closed before the answer. */
   zod.strictObject({
     mode: zod.literal('lose_answers'),
-    /** How many appends are struck before the log is up again. */
+    /**
+     * Number of appends that are affected before the log works normally again.
+     */
     appends: zod.number().int().positive(),
-    /** Only this stream's appends; absent for all. */
+    /** The affected stream; all streams if absent. */
     stream: zod.string().optional(),
   }),
 ]);
 
-/** How one worker behaves. */
+/** Faults of one worker. */
 export const workerFaultSchema = zod.discriminatedUnion('mode', [
   zod.strictObject({mode: zod.literal('none')}),
-  /** Each task it starts fails at once. */
+  /** Every task that the worker starts fails at once. */
   zod.strictObject({mode: zod.literal('fail_all')}),
-  /** Holds every call until thawed; still stops tasks whose lease passes. */
+  /**
+   * Delays every call until the fault ends; the worker still stops tasks whose
+   * lease expires.
+   */
   zod.strictObject({mode: zod.literal('frozen')}),
-  /** Starts take effect, then the connection breaks before the answer. */
+  /** Starts take effect, but the connection is closed before the answer. */
   zod.strictObject({
     mode: zod.literal('lose_start_answers'),
     starts: zod.number().int().positive(),
   }),
 ]);
 
-/** How one upstream behaves. */
+/** Faults of one upstream. */
 export const upstreamFaultSchema = zod.discriminatedUnion('mode', [
   zod.strictObject({mode: zod.literal('none')}),
   zod.strictObject({mode: zod.literal('slow'), delayMs: count}),
-  /** Refuses; `proved` says whether it gives its word that nothing ran. */
+  /**
+   * Refuses requests; `proved` tells whether the answer guarantees that nothing
+   * ran.
+   */
   zod.strictObject({mode: zod.literal('refusing'), proved: zod.boolean()}),
-  /** Runs, declares the whole length, sends half and breaks off. */
+  /**
+   * Executes the request, declares the full length, sends half of the answer
+   * and closes the connection.
+   */
   zod.strictObject({mode: zod.literal('truncated')}),
-  /** Runs, then answers with another request's id and text. */
+  /**
+   * Executes the request, then answers with the id and text of another request.
+   */
   zod.strictObject({mode: zod.literal('crossed')}),
-  /** Runs, then never answers. */
+  /** Executes the request and never answers. */
   zod.strictObject({mode: zod.literal('silent')}),
 ]);
 
-/** Checked configurations and faults. */
+/** Validated configurations and faults. */
 export type PlatformConfig = zod.infer<typeof platformConfigSchema>;
 export type WorkersConfig = zod.infer<typeof workersConfigSchema>;
 export type UpstreamsConfig = zod.infer<typeof upstreamsConfigSchema>;
--- a/packages/gypsumwall-testing/src/stand_in_group.ts
+++ b/packages/gypsumwall-testing/src/stand_in_group.ts
@@ -1,4 +1,6 @@
-/** The three stand-in processes of a cell, and their control calls. */
+/**
+ * Starts the three stand-in processes of a cell and sends their control calls.
+ */
 import * as path from 'node:path';
 import * as url from 'node:url';
 import * as undici from 'undici';
@@ -11,7 +13,7 @@
   new URL('./bin/stand_in.js', import.meta.url),
 );
 
-/** Which stand-in a control call is for. */
+/** The stand-in that a control call addresses. */
 export type StandInKind = standInConfig.StandInConfig['kind'];
 
 /** The running stand-ins. */
@@ -20,29 +22,29 @@
   readonly platform: string;
   /** Addresses of workers and upstreams by id. */
   readonly addresses: Readonly<Record<string, string>>;
-  /** Sets a fault or another state. */
+  /** Sends a control call, for example to set a fault. */
   control(kind: StandInKind, path: string, body: object): Promise<void>;
-  /** Everything recorded so far. */
+  /** Returns all events recorded so far, by stand-in. */
   histories(): Promise<historyEvent.HistoryEvent[][]>;
   close(): Promise<void>;
 }
 
 /** Starts the platform, the workers and the upstreams of a site. */
 export async function startStandIns(
-  where: site.Site,
+  cellSite: site.Site,
   instances: site.SiteInstances,
   options: {readonly seed: number; readonly folder: string},
 ): Promise<StandInGroup> {
   const {seed, folder} = options;
-  const {clockSkewMs, usageLagMs} = where;
+  const {clockSkewMs, usageLagMs} = cellSite;
   const configs: standInConfig.StandInConfigInput[] = [
-    {kind: 'platform', ...where.platform},
+    {kind: 'platform', ...cellSite.platform},
     {
       kind: 'workers',
       seed,
       usageLagMs,
       workers: instances.workers.map(({id, capacity}, index) => {
-        // Spread over the whole skew, the same in each run.
+        // Spreads the offsets over the whole range, the same way in each run.
         const clockOffsetMs = (((index * 7) % 11) / 5 - 1) * clockSkewMs;
         return {id, capacity, clockOffsetMs};
       }),
@@ -65,9 +67,9 @@
   const addresses: Record<string, string> = {};
   const controlUrls = new Map<string, string>();
   for (const {kind, child: started} of children) {
-    const line = await child.waitForStandIn(started);
-    Object.assign(addresses, line.addresses);
-    controlUrls.set(kind, line.control);
+    const readyLine = await child.waitForStandIn(started);
+    Object.assign(addresses, readyLine.addresses);
+    controlUrls.set(kind, readyLine.control);
   }
   return {
     platform: addresses.platform ?? '',
--- a/packages/gypsumwall-testing/src/stand_in_server.ts
+++ b/packages/gypsumwall-testing/src/stand_in_server.ts
@@ -1,33 +1,35 @@
-/** What all stand-ins' HTTP servers share. */
+/** HTTP server functions that all stand-ins share. */
 import type * as net from 'node:net';
 import * as fastify from 'fastify';
 import * as zod from 'zod';
 import type * as history from './history.js';
 
-/** A refusal in the wire form of docs/PLATFORM.md. */
+/** A refusal, in the wire format of docs/PLATFORM.md. */
 export interface Refusal {
   readonly status: number;
   readonly error: string;
   readonly message: string;
 }
 
-/** A running stand-in: where its ends listen. */
+/** A running stand-in and the addresses it listens on. */
 export interface StandIn {
   /** Base address of `/control/...`. */
   readonly control: string;
-  /** Address of each instance by its id. */
+  /** Addresses of the instances by id. */
   readonly addresses: Readonly<Record<string, string>>;
   close(): Promise<void>;
 }
 
 const HOST = '127.0.0.1';
-/** Above the biggest batch of starts or records that an entry may send. */
+/**
+ * Larger than the biggest batch of starts or records that an entry may send.
+ */
 const BODY_LIMIT_BYTES = 64 * 1024 * 1024;
 
-/** A refusal that is thrown; nothing took effect. */
+/** A refusal as an error to throw; it means that the call had no effect. */
 export type RefusalError = Error & Refusal;
 
-/** Makes a refusal to throw. */
+/** Creates a refusal to throw. */
 export function createRefusalError(refusal: Refusal): RefusalError {
   return Object.assign(new Error(refusal.message), refusal);
 }
@@ -37,8 +39,8 @@
 }
 
 /**
- * Makes a server that answers thrown refusals as such, and bodies of a wrong
- * shape with 400 `invalid`.
+ * Creates a server that sends thrown refusals to the client, and answers
+ * invalid bodies with 400 `invalid`.
  */
 export function createServer(
   onRefusal: (refusal: Refusal, url: string) => void = () => undefined,
@@ -59,7 +61,7 @@
   return server;
 }
 
-/** Listens on a port from the kernel and gives the address. */
+/** Listens on a port that the kernel assigns and returns the address. */
 export async function listen(server: fastify.FastifyInstance): Promise<string> {
   await server.listen({host: HOST, port: 0});
   const {port} = server.server.address() as net.AddressInfo;
@@ -75,7 +77,7 @@
   return reply.code(refusal.status).send({error, message});
 }
 
-/** Breaks the connection without an answer. */
+/** Closes the connection without an answer. */
 export function dropConnection(
   reply: fastify.FastifyReply,
 ): fastify.FastifyReply {
--- a/packages/gypsumwall-testing/src/task_attempt.ts
+++ b/packages/gypsumwall-testing/src/task_attempt.ts
@@ -1,6 +1,6 @@
 /**
- * One task that runs at a stand-in worker: its progress, its lease and its
- * end. It ends by itself, also when nobody speaks to the worker any more.
+ * One attempt of a task on a stand-in worker: its progress, its lease and its
+ * end. The attempt ends on time even if the worker receives no more calls.
  */
 import type * as platform from '@gypsumwall/platform';
 import type * as types from '@gypsumwall/types';
@@ -8,47 +8,50 @@
 import * as machineClock from './machine_clock.js';
 import * as taskWork from './task_work.js';
 
-/** How a task's run came to its end. */
+/** How an attempt ended. */
 export interface AttemptEnd {
   readonly cause: historyEvent.EndCause;
   readonly end: types.job.TaskEnd;
   readonly ranMs: number;
-  /** Unthrottled run time that is behind it; a checkpoint keeps it. */
+  /** Run time completed so far, as if unthrottled; a checkpoint saves it. */
   readonly progressMs: number;
 }
 
-/** What a run needs to know. */
+/** Options of an attempt. */
 export interface TaskAttemptOptions {
   readonly task: platform.worker.StartTask;
   readonly work: taskWork.TaskWork;
-  /** Progress saved by an earlier attempt's checkpoint. */
+  /** Progress that a checkpoint of an earlier attempt saved. */
   readonly progressMs: number;
-  /** Whether it fails, and not at its end but at once. */
+  /** Whether the attempt succeeds, fails at its end, or fails at once. */
   readonly plannedEnd: 'done' | 'fails_at_end' | 'fails_at_once';
-  /** End of the lease on the machine's clock. */
+  /** End of the lease, on the machine's clock. */
   readonly leaseUntil: machineClock.MachineMs;
   readonly onEnd: (end: AttemptEnd) => void;
 }
 
-/** A running task. */
+/** A running attempt of a task. */
 export interface TaskAttempt {
   readonly task: platform.worker.StartTask;
   readonly work: taskWork.TaskWork;
   readonly startedAt: machineClock.MachineMs;
   leaseUntil(): machineClock.MachineMs;
-  /** Moves the lease, never back. */
+  /** Extends the lease; an earlier end is ignored. */
   renew(leaseUntil: machineClock.MachineMs): void;
-  /** 0 lifts the limit. */
+  /** Limits the processor use; 0 removes the limit. */
   throttle(cpuMillis: number): void;
-  /** What it uses now. */
+  /** Returns the resources that the attempt uses now. */
   currentUsage(): types.resources.Resources;
-  /** Ends the run now. */
+  /** Ends the attempt now. */
   stop(cause: 'stop_call' | 'checkpointed' | 'worker_restarted'): void;
-  /** Ends the run if its time or its lease is over; timers may be late. */
+  /**
+   * Ends the attempt if its run time or its lease is over; called before the
+   * state is read, since timers may fire late.
+   */
   finishIfDue(): void;
 }
 
-/** Starts a run. */
+/** Starts an attempt. */
 export function createTaskAttempt(options: TaskAttemptOptions): TaskAttempt {
   const {task, work} = options;
   const startedAt = machineClock.machineNow();
@@ -107,7 +110,7 @@
   };
   const onTimer = (): void => {
     finishIfDue();
-    // The lease may have moved since the timer was set.
+    // The lease may have been extended since the timer was set.
     scheduleTimer();
   };
   scheduleTimer();
--- a/packages/gypsumwall-testing/src/task_work.ts
+++ b/packages/gypsumwall-testing/src/task_work.ts
@@ -1,31 +1,36 @@
-/** What a task truly does, which may differ from what its job declared. */
+/**
+ * The actual behaviour of a task, which may differ from what its job declared.
+ */
 import * as zod from 'zod';
 import type * as types from '@gypsumwall/types';
 
 const workArgs = zod.object({
-  /** Run time when nothing throttles it. */
+  /** Run time without throttling. */
   runMs: zod.number().min(0).default(100),
-  /** True usage; absent: as declared. */
+  /** Actual usage; the declared size if absent. */
   cpuMillis: zod.number().min(0).optional(),
   memoryMb: zod.number().min(0).optional(),
-  /** Share of runs that end as failed. */
+  /** Share of attempts that end as failed. */
   failRate: zod.number().min(0).max(1).default(0),
-  /** Fails at once on every worker. */
+  /** Whether every attempt fails at once. */
   neverRuns: zod.boolean().default(false),
   result: zod.string().default('ok'),
-  /** Marks the job in recorded histories. */
+  /** Identifies the job in recorded histories. */
   label: zod.string().default(''),
 });
 
-/** Checked arguments of a task's work. */
+/** Validated arguments of a task's work. */
 export type TaskWork = zod.infer<typeof workArgs>;
 
-/** Reads them; keys it doesn't know are another program's. */
+/**
+ * Parses the arguments of a task's work; unknown keys are ignored, since they
+ * are meant for other programs.
+ */
 export function parseWork(work: types.job.Work): TaskWork {
   return workArgs.parse(work.args);
 }
 
-/** What the task truly uses while it runs unthrottled. */
+/** Returns the task's actual usage while it runs without throttling. */
 export function trueUsage(
   work: TaskWork,
   declared: types.resources.Resources,
--- a/packages/gypsumwall-testing/src/trace_collector.ts
+++ b/packages/gypsumwall-testing/src/trace_collector.ts
@@ -1,6 +1,6 @@
 /**
- * Stands in for a collector of traces (OTLP over HTTP, JSON form) and keeps
- * the spans that entries export.
+ * Stand-in for a trace collector (OTLP over HTTP, in JSON) that stores the
+ * spans that entries export.
  */
 import * as zod from 'zod';
 import * as standInServer from './stand_in_server.js';
@@ -10,21 +10,23 @@
   readonly name: string;
   readonly traceId: string;
   readonly spanId: string;
-  /** Absent for the first span of a trace. */
+  /** Absent for the root span of a trace. */
   readonly parentSpanId?: string;
-  /** On the exporter's wall clock, in milliseconds since the Unix epoch. */
+  /**
+   * Start on the exporter's wall clock, in milliseconds since the Unix epoch.
+   */
   readonly startMs: number;
   readonly durationMs: number;
   readonly attributes: Readonly<Record<string, string>>;
-  /** Present if the step failed. */
+  /** The error message; present only if the operation failed. */
   readonly error?: string;
 }
 
 /** A running collector. */
 export interface TraceCollector {
-  /** For the setting `tracesUrl` of an entry. */
+  /** The value for the entry setting `tracesUrl`. */
   readonly url: string;
-  /** All spans so far, by their trace. */
+  /** Returns all spans received so far, by trace id. */
   traces(): ReadonlyMap<string, readonly CollectedSpan[]>;
   close(): Promise<void>;
 }
@@ -58,7 +60,7 @@
   ),
 });
 
-/** Starts a collector on a port that the kernel gives. */
+/** Starts a collector on a port that the kernel assigns. */
 export async function startTraceCollector(): Promise<TraceCollector> {
   const traces = new Map<string, CollectedSpan[]>();
   const server = standInServer.createServer();
--- a/packages/gypsumwall-testing/src/upstream_answer.ts
+++ b/packages/gypsumwall-testing/src/upstream_answer.ts
@@ -1,8 +1,11 @@
-/** What a stand-in upstream answers: text that shows whose answer it is. */
+/**
+ * Answers of a stand-in upstream; each begins with a description of its own
+ * execution.
+ */
 import * as crypto from 'node:crypto';
 import * as zod from 'zod';
 
-/** What an execution was about. */
+/** Identifies an execution and its request. */
 export interface ExecutionInfo {
   readonly executionId: string;
   readonly upstreamId: string;
@@ -14,14 +17,17 @@
 const workSchema = zod.object({
   /** How long the execution takes. */
   workMs: zod.number().min(0).default(5),
-  /** Length of the answer, at least the length of its first line. */
+  /** Length of the answer in bytes, if that is longer than its first line. */
   answerBytes: zod.number().int().min(0).default(0),
 });
 
-/** What the request asks of the executor. */
+/** The work that a request asks for. */
 export type UpstreamWork = zod.infer<typeof workSchema>;
 
-/** Reads a request's body; one that is no such JSON asks for little work. */
+/**
+ * Parses a request's body; the defaults apply to a body that isn't valid JSON
+ * of this form.
+ */
 export function parseWork(body: Buffer): UpstreamWork {
   try {
     return workSchema.parse(JSON.parse(body.toString('utf8')));
@@ -30,12 +36,14 @@
   }
 }
 
-/** SHA-256 in hex. */
+/** Returns the SHA-256 hash in hex. */
 export function sha256Hex(bytes: Buffer | Uint8Array): string {
   return crypto.createHash('sha256').update(bytes).digest('hex');
 }
 
-/** The answer: a line of JSON, then filling up to the asked length. */
+/**
+ * Creates the answer: a line of JSON, then padding up to the requested length.
+ */
 export function makeAnswer(
   execution: ExecutionInfo,
   answerBytes: number,
--- a/packages/gypsumwall-testing/src/upstreams_stand_in.ts
+++ b/packages/gypsumwall-testing/src/upstreams_stand_in.ts
@@ -1,4 +1,6 @@
-/** Many upstreams (executors) in one process, each on its own port. */
+/**
+ * Stand-in for many upstreams (executors) in one process, each on its own port.
+ */
 import * as timers from 'node:timers/promises';
 import type * as fastify from 'fastify';
 import * as zod from 'zod';
@@ -7,7 +9,7 @@
 import * as standInServer from './stand_in_server.js';
 import * as upstreamAnswer from './upstream_answer.js';
 
-/** Operations whose effect at the authority or the bank can't be undone. */
+/** Operations with an effect at an authority or a bank that can't be undone. */
 const IRREVERSIBLE_OPERATIONS = new Set([
   'file-plan',
   'bill-pilot',
@@ -33,11 +35,14 @@
   fault: standInConfig.UpstreamFault;
   inFlight: number;
   executions: number;
-  /** The last answer, for an answer that is crossed with another's. */
+  /**
+   * The previous answer, sent in place of the right one while the fault
+   * `crossed` is set.
+   */
   lastAnswer: Buffer;
 }
 
-/** Starts the upstreams. */
+/** Starts a server for each upstream, and the control server. */
 export async function createUpstreamsStandIn(
   cfg: standInConfig.UpstreamsConfig,
 ): Promise<standInServer.StandIn> {
--- a/packages/gypsumwall-testing/src/wait_for_jobs.ts
+++ b/packages/gypsumwall-testing/src/wait_for_jobs.ts
@@ -1,9 +1,9 @@
-/** Asks after accepted jobs until they have ended. */
+/** Polls accepted jobs until they have ended. */
 import * as timers from 'node:timers/promises';
 import type * as types from '@gypsumwall/types';
 import type * as entryClient from './entry_client.js';
 
-/** A job that was accepted. */
+/** An accepted job. */
 export interface AcceptedJob {
   readonly jobId: string;
   readonly token: string;
@@ -11,12 +11,13 @@
 }
 
 const POLL_INTERVAL_MS = 100;
-/** Asked at one time, so that asking is no load of its own. */
+/** Limits the parallel polls, so that polling doesn't add noticeable load. */
 const MAX_CONCURRENT_POLLS = 8;
 
 /**
- * Resolves when each job has ended, or runs if it is a service, or at the
- * deadline on `performance.now()`. `pick` gives an entry to ask.
+ * Waits until every job has ended, or runs with all its replicas if it is a
+ * service. Resolves to false if the deadline on `performance.now()` passes
+ * first. `pick` returns the entry to poll.
  */
 export async function waitForJobs(
   jobs: readonly AcceptedJob[],
@@ -28,7 +29,7 @@
     const asked = pending.slice(0, MAX_CONCURRENT_POLLS);
     const settled = await Promise.all(asked.map((job) => isSettled(job, pick)));
     const unsettled = asked.filter((_, index) => settled[index] !== true);
-    // Unsettled ones go to the back, so that all are asked in turn.
+    // Unsettled jobs move to the end, so that all are polled in turn.
     pending = [...pending.slice(MAX_CONCURRENT_POLLS), ...unsettled];
     if (pending.length === 0) break;
     if (performance.now() > deadline) return false;
--- a/packages/gypsumwall-testing/src/worker_model.ts
+++ b/packages/gypsumwall-testing/src/worker_model.ts
@@ -1,7 +1,7 @@
 /**
- * One worker's behaviour, as docs/PLATFORM.md tells it. It does not refuse a
- * start that is over its capacity: it records it, so that the judge can see
- * the breach.
+ * Model of one worker, as docs/PLATFORM.md describes it. It accepts a start
+ * that exceeds its capacity and records it, so that the judge can detect the
+ * violation.
  */
 import type * as platform from '@gypsumwall/platform';
 import * as types from '@gypsumwall/types';
@@ -11,7 +11,7 @@
 import * as taskWork from './task_work.js';
 import * as taskAttempt from './task_attempt.js';
 
-/** A worker's surroundings. */
+/** Options of a worker. */
 export interface WorkerModelOptions {
   readonly id: string;
   readonly capacity: types.resources.Resources;
@@ -19,7 +19,7 @@
   readonly usageLagMs: number;
   readonly random: types.random.Random;
   readonly recorded: history.History;
-  /** Progress that checkpoints saved, by task id; all workers share it. */
+  /** Progress saved by checkpoints, by task id; shared by all workers. */
   readonly checkpoints: Map<string, number>;
 }
 
@@ -28,7 +28,7 @@
   readonly attempt: string;
 }
 
-/** A worker. Calls throw refusals. */
+/** A worker; its calls throw refusals. */
 export interface WorkerModel {
   attach(epoch: number): platform.worker.AttachAnswer;
   start(
@@ -48,19 +48,22 @@
     cpuMillis: number,
   ): void;
   checkpoint(call: platform.worker.HolderCall, attempt: string): void;
-  /** The process dies with its tasks and comes back as another stay. */
+  /**
+   * Ends the process with all its tasks and starts it again as a new
+   * incarnation.
+   */
   restart(): void;
   setFailsAll(failsAll: boolean): void;
 }
 
 const CONFLICT_STATUS = 409;
 
-/** Makes a worker with nothing running. */
+/** Creates a worker without running tasks. */
 export function createWorkerModel(options: WorkerModelOptions): WorkerModel {
   const {id, recorded} = options;
   const running = new Map<string, taskAttempt.TaskAttempt>();
   const finished = new Map<string, platform.worker.FinishedTask>();
-  /** Attempts that were stopped or have ended; they never start again. */
+  /** Attempts that were stopped or have ended; they are never started again. */
   const closedAttempts = new Set<string>();
   let highestEpoch = -1;
   let incarnationCount = 0;
@@ -111,7 +114,10 @@
     const key = keyOf(task);
     if (running.has(key)) return {type: 'started'};
     if (closedAttempts.has(key)) {
-      return {type: 'refused', message: 'this attempt is over'};
+      return {
+        type: 'refused',
+        message: 'this attempt has ended or was stopped',
+      };
     }
     const work = taskWork.parseWork(task.work);
     const {taskId, attempt, size} = task;
--- a/packages/gypsumwall-testing/src/workers_stand_in.ts
+++ b/packages/gypsumwall-testing/src/workers_stand_in.ts
@@ -1,4 +1,4 @@
-/** Many workers in one process, each on its own port. */
+/** Stand-in for many workers in one process, each on its own port. */
 import type * as fastify from 'fastify';
 import * as zod from 'zod';
 import type * as platform from '@gypsumwall/platform';
@@ -51,7 +51,10 @@
   attempt: zod.string(),
 });
 
-/** A worker's faults, and a gate that a frozen worker's calls wait at. */
+/**
+ * State of one worker: its model, its fault, and the promise that calls to a
+ * frozen worker wait for.
+ */
 interface WorkerState {
   readonly model: workerModel.WorkerModel;
   fault: standInConfig.WorkerFault;
@@ -61,7 +64,7 @@
 
 const workerParams = zod.object({id: zod.string()});
 
-/** Starts the workers. */
+/** Starts a server for each worker, and the control server. */
 export async function createWorkersStandIn(
   cfg: standInConfig.WorkersConfig,
 ): Promise<standInServer.StandIn> {
@@ -151,7 +154,8 @@
       message,
     });
   });
-  // A frozen process answers nothing; what it read before acts on its thaw.
+  // A frozen process answers no calls; it executes those that it already
+  // received once it resumes.
   server.addHook('preHandler', () => state.thawed);
 
   server.post('/v1/attach', (req) => {
--- a/packages/gypsumwall-testing/src/workload.ts
+++ b/packages/gypsumwall-testing/src/workload.ts
@@ -1,4 +1,4 @@
-/** Mixed work for the demo: what is sent, how often and how big. */
+/** Schema of the demo's workload: what is sent, how often and of what size. */
 import * as zod from 'zod';
 import * as standInConfig from './stand_in_config.js';
 
@@ -9,17 +9,20 @@
   team: zod.string().min(1),
   operation: zod.string().min(1),
   perSecond: positive,
-  /** How long the executor works, in milliseconds. */
+  /** How long an upstream executes the request, in milliseconds. */
   workMs: zod.number().min(0),
   answerBytes: zod.number().int().min(0),
-  /** Sent again at once, with the same key, through another entry. */
+  /**
+   * Whether each request is also sent through another entry at the same time,
+   * with the same key.
+   */
   twice: zod.boolean().default(false),
 });
 
 const jobClassSchema = zod.strictObject({
   class: zod.string().min(1),
   team: zod.string().min(1),
-  /** One of `perSecond` and `count` says how many. */
+  /** Either `perSecond` or `count` sets the number of jobs. */
   perSecond: positive.optional(),
   count: zod.number().int().positive().optional(),
   shape: zod.discriminatedUnion('kind', [
@@ -30,22 +33,22 @@
   urgency: zod.enum(['urgent', 'normal', 'overnight']),
   size: standInConfig.resourcesSchema,
   estimateMs: positive,
-  /** Finished within this time from the submit. */
+  /** Deadline of the job, counted from its submission. */
   deadlineMs: positive.optional(),
-  /** What each task truly does; see `task_work.ts`. */
+  /** What each task actually does; see `task_work.ts`. */
   args: zod.record(
     zod.string(),
     zod.union([zod.string(), zod.number(), zod.boolean()]),
   ),
 });
 
-/** Shape of `workload.jsonc`. */
+/** Schema of `workload.jsonc`. */
 export const workloadSchema = zod.strictObject({
   requests: zod.array(requestClassSchema),
   jobs: zod.array(jobClassSchema),
 });
 
-/** Checked workload and its parts. */
+/** Validated workload and its parts. */
 export type Workload = zod.infer<typeof workloadSchema>;
 export type RequestClass = zod.infer<typeof requestClassSchema>;
 export type JobClass = zod.infer<typeof jobClassSchema>;
