--- a/packages/gypsumwall-testing/src/__fixtures__/domain_harness.ts
+++ b/packages/gypsumwall-testing/src/__fixtures__/domain_harness.ts
@@ -45,7 +45,7 @@
 export interface Holder {
   readonly scheduler: Scheduler;
   /** When the claim ends; undefined if it has lapsed. */
-  deadline: types.clock.MonotonicMs | undefined;
+  claimDeadline: types.clock.MonotonicMs | undefined;
   /** Ids of the workers that this holder can't reach. */
   readonly unreachable: Set<string>;
 }
@@ -129,7 +129,7 @@
         return types.ids.brand<types.ids.AttemptId>(`${epoch}.${attempts}`);
       },
       makeWorker: ({id}) => reachableWorker(id, unreachable),
-      claimDeadline: () => holder.deadline,
+      claimDeadline: () => holder.claimDeadline,
       append: (record) => {
         if (log.isAccepting) apply(record);
         log.appended.push(record.type);
@@ -138,7 +138,7 @@
     });
     const holder: Holder = {
       scheduler,
-      deadline: types.clock.after(clock.monotonic(), 60_000),
+      claimDeadline: types.clock.after(clock.monotonic(), 60_000),
       unreachable,
     };
     listeners.add((change) => scheduler.onJobChange(change));
@@ -251,8 +251,7 @@
 ): Promise<void> {
   const deadline = performance.now() + WAIT_TIMEOUT_MS;
   while (!condition()) {
-    if (performance.now() > deadline)
-      throw new Error(`timed out waiting for: ${text}`);
+    if (performance.now() > deadline) throw new Error(`timed out: ${text}`);
     await new Promise((resolve) => setTimeout(resolve, 2));
   }
 }
--- a/packages/gypsumwall-testing/src/__tests__/contract.test.ts
+++ b/packages/gypsumwall-testing/src/__tests__/contract.test.ts
@@ -95,21 +95,18 @@
     );
   });
 
-  nodeTest.test(
-    'can lose the answer of an append that took effect',
-    async (test) => {
-      // The caller sees a broken connection. The record was appended before, so
-      // the client must not report this append as `not_run`.
-      const {log, standIn} = await startPlatform(test);
-      await control(standIn, 'log', {mode: 'lose_answers', appends: 1});
-      const append = {stream: 's', producer: 'p', sequence: 0, bodies: ['x']};
-      assert.equal(unwrapError(await log.append(append)).effect, 'unknown');
-      const page = unwrap(
-        await log.read({stream: 's', from: 0, limit: 9, waitMs: 0}),
-      );
-      assert.equal(page.records.length, 1);
-    },
-  );
+  nodeTest.test('loses the answer of an effective append', async (test) => {
+    // The caller sees a broken connection. The record was appended before, so
+    // the client must not report this append as `not_run`.
+    const {log, standIn} = await startPlatform(test);
+    await control(standIn, 'log', {mode: 'lose_answers', appends: 1});
+    const append = {stream: 's', producer: 'p', sequence: 0, bodies: ['x']};
+    assert.equal(unwrapError(await log.append(append)).effect, 'unknown');
+    const page = unwrap(
+      await log.read({stream: 's', from: 0, limit: 9, waitMs: 0}),
+    );
+    assert.equal(page.records.length, 1);
+  });
 
   nodeTest.test('is unavailable and recovers', async (test) => {
     const {log, standIn} = await startPlatform(test);
@@ -138,34 +135,31 @@
   assert.equal(unwrap(await list.fetch())[0]?.state, 'leaving');
 });
 
-nodeTest.test(
-  'the list is delayed and maps addresses for a view',
-  async (test) => {
-    const {standIn, url} = await startPlatform(test);
-    const fetch = (listUrl: string) =>
-      platform.httpInstanceList
-        .createHttpInstanceList({url: listUrl, timeoutMs: TIMEOUT_MS})
-        .fetch();
-    const instance = {
-      kind: 'upstream',
-      id: 'u1',
-      failureDomain: 'bkk-a',
-      address: 'http://127.0.0.1:1',
-      state: 'live',
-      slots: 8,
-      connections: 64,
-    };
-    await control(standIn, 'instances', {instances: [instance]});
-    const addresses = {u1: 'http://127.0.0.1:2'};
-    await control(standIn, 'views', {view: 'e1', addresses});
-    assert.equal(unwrap(await fetch(url))[0]?.address, instance.address);
-    assert.deepEqual(unwrap(await fetch(`${url}/views/e2`)), []);
-    const seen = unwrap(await fetch(`${url}/views/e1`));
-    assert.equal(seen[0]?.address, addresses.u1);
-    await control(standIn, 'list-lag', {lagMs: 60_000});
-    assert.deepEqual(unwrap(await fetch(url)), []);
-  },
-);
+nodeTest.test('the list lags and maps addresses for a view', async (test) => {
+  const {standIn, url} = await startPlatform(test);
+  const fetch = (listUrl: string) =>
+    platform.httpInstanceList
+      .createHttpInstanceList({url: listUrl, timeoutMs: TIMEOUT_MS})
+      .fetch();
+  const instance = {
+    kind: 'upstream',
+    id: 'u1',
+    failureDomain: 'bkk-a',
+    address: 'http://127.0.0.1:1',
+    state: 'live',
+    slots: 8,
+    connections: 64,
+  };
+  await control(standIn, 'instances', {instances: [instance]});
+  const addresses = {u1: 'http://127.0.0.1:2'};
+  await control(standIn, 'views', {view: 'e1', addresses});
+  assert.equal(unwrap(await fetch(url))[0]?.address, instance.address);
+  assert.deepEqual(unwrap(await fetch(`${url}/views/e2`)), []);
+  const seen = unwrap(await fetch(`${url}/views/e1`));
+  assert.equal(seen[0]?.address, addresses.u1);
+  await control(standIn, 'list-lag', {lagMs: 60_000});
+  assert.deepEqual(unwrap(await fetch(url)), []);
+});
 
 const CAPACITY = {cpuMillis: 16_000, memoryMb: 32_768, accelerators: 0};
 const SIZE = {cpuMillis: 1_000, memoryMb: 512, accelerators: 0};
@@ -334,24 +328,21 @@
 }
 
 nodeTest.describe('upstream', () => {
-  nodeTest.test(
-    'answers completely and refuses requests beyond its slots',
-    async (test) => {
-      const {send} = await startUpstream(test);
-      const sent = [1, 2, 3].map((n) =>
-        send(`r${n}`, {workMs: 200, answerBytes: 100_000}),
-      );
-      const answers = await Promise.all(sent);
-      const effects = answers.flatMap((answer) =>
-        answer.isErr ? [answer.error.effect] : [],
-      );
-      assert.deepEqual(effects, ['not_run']);
-      const whole = answers.find((answer) => answer.isOk);
-      assert.ok(whole?.isOk);
-      const chunks = await whole.value.body.toArray();
-      assert.equal(Buffer.concat(chunks as Buffer[]).length, 100_000);
-    },
-  );
+  nodeTest.test('answers, and refuses beyond its slots', async (test) => {
+    const {send} = await startUpstream(test);
+    const sent = [1, 2, 3].map((n) =>
+      send(`r${n}`, {workMs: 200, answerBytes: 100_000}),
+    );
+    const answers = await Promise.all(sent);
+    const effects = answers.flatMap((answer) =>
+      answer.isErr ? [answer.error.effect] : [],
+    );
+    assert.deepEqual(effects, ['not_run']);
+    const whole = answers.find((answer) => answer.isOk);
+    assert.ok(whole?.isOk);
+    const chunks = await whole.value.body.toArray();
+    assert.equal(Buffer.concat(chunks as Buffer[]).length, 100_000);
+  });
 
   nodeTest.test('a crossed answer is an unknown outcome', async (test) => {
     const {send, standIn} = await startUpstream(test);
@@ -361,26 +352,20 @@
     assert.equal(err.effect, 'unknown');
   });
 
-  nodeTest.test(
-    'a truncated answer makes reading its body fail',
-    async (test) => {
-      const {send, standIn} = await startUpstream(test);
-      await control(standIn, 'upstreams/u1/fault', {mode: 'truncated'});
-      const answer = unwrap(await send('r1', {answerBytes: 50_000}));
-      await assert.rejects(answer.body.toArray());
-    },
-  );
+  nodeTest.test('a truncated answer fails its body', async (test) => {
+    const {send, standIn} = await startUpstream(test);
+    await control(standIn, 'upstreams/u1/fault', {mode: 'truncated'});
+    const answer = unwrap(await send('r1', {answerBytes: 50_000}));
+    await assert.rejects(answer.body.toArray());
+  });
 
-  nodeTest.test(
-    'refuses with and without a guarantee that nothing ran',
-    async (test) => {
-      const {send, standIn} = await startUpstream(test);
-      const refuse = (proved: boolean) =>
-        control(standIn, 'upstreams/u1/fault', {mode: 'refusing', proved});
-      await refuse(true);
-      assert.equal(unwrapError(await send('r1', {})).effect, 'not_run');
-      await refuse(false);
-      assert.equal(unwrapError(await send('r2', {})).effect, 'unknown');
-    },
-  );
+  nodeTest.test('refuses with and without a not-run proof', async (test) => {
+    const {send, standIn} = await startUpstream(test);
+    const refuse = (proved: boolean) =>
+      control(standIn, 'upstreams/u1/fault', {mode: 'refusing', proved});
+    await refuse(true);
+    assert.equal(unwrapError(await send('r1', {})).effect, 'not_run');
+    await refuse(false);
+    assert.equal(unwrapError(await send('r2', {})).effect, 'unknown');
+  });
 });
--- a/packages/gypsumwall-testing/src/__tests__/domain_scheduler.test.ts
+++ b/packages/gypsumwall-testing/src/__tests__/domain_scheduler.test.ts
@@ -19,61 +19,55 @@
   assert.equal(domain.starts().length, 1);
 });
 
-nodeTest.test(
-  'a start delayed past the end of the claim is refused',
-  async (t) => {
-    // Failure: a delayed start of an old holder runs a task a second time. The
-    // old holder's start is delayed in the network, its claim lapses, a new
-    // holder attaches and starts the task, and then the old start arrives. The
-    // worker refuses it, because its epoch is old and its start deadline has
-    // passed.
-    const domain = domainHarness.createDomainHarness(t, ['w1', 'w2']);
-    let deliver = () => undefined as void;
-    const delivery = new Promise<void>((resolve) => (deliver = resolve));
-    domain.startFaults.set('w1', {type: 'hold', until: delivery});
-    domain.startFaults.set('w2', {type: 'hold', until: delivery});
-    const old = domain.createHolder(1);
-    const jobId = domain.submit('a', 200);
-    await until('decided', () => old.scheduler.activeTaskCount(jobId) === 1);
-    old.deadline = undefined;
-    domain.startFaults.clear();
-    domain.createHolder(2);
-    await until('started', () => domain.starts().length === 1);
-    deliver();
-    await until('done', () => domain.jobs.job(jobId)?.phase.type === 'done');
-    assert.equal(maxConcurrentAttempts(domain.events()), 1);
-    assert.deepEqual(
-      domain.starts().map((event) => 'epoch' in event && event.epoch),
-      [2],
-    );
-  },
-);
+nodeTest.test('a late start from an earlier epoch is refused', async (t) => {
+  // Failure: a delayed start of an old holder runs a task a second time. The
+  // old holder's start is delayed in the network, its claim lapses, a new
+  // holder attaches and starts the task, and then the old start arrives. The
+  // worker refuses it, because its epoch is old and its start deadline has
+  // passed.
+  const domain = domainHarness.createDomainHarness(t, ['w1', 'w2']);
+  let deliver = () => undefined as void;
+  const delivery = new Promise<void>((resolve) => (deliver = resolve));
+  domain.startFaults.set('w1', {type: 'hold', until: delivery});
+  domain.startFaults.set('w2', {type: 'hold', until: delivery});
+  const old = domain.createHolder(1);
+  const jobId = domain.submit('a', 200);
+  await until('decided', () => old.scheduler.activeTaskCount(jobId) === 1);
+  old.claimDeadline = undefined;
+  domain.startFaults.clear();
+  domain.createHolder(2);
+  await until('started', () => domain.starts().length === 1);
+  deliver();
+  await until('done', () => domain.jobs.job(jobId)?.phase.type === 'done');
+  assert.equal(maxConcurrentAttempts(domain.events()), 1);
+  assert.deepEqual(
+    domain.starts().map((event) => 'epoch' in event && event.epoch),
+    [2],
+  );
+});
 
-nodeTest.test(
-  'a task on an unreachable worker restarts after its lease',
-  async (t) => {
-    // Failure: a task runs on two workers because the new holder can't reach the
-    // first one. The new holder starts the task elsewhere only after the old
-    // lease and its grace period; the unreachable worker has stopped it by then.
-    const domain = domainHarness.createDomainHarness(t, ['w1', 'w2']);
-    const old = domain.createHolder(1);
-    const jobId = domain.submit('a', 400);
-    await until('started', () => domain.starts().length === 1);
-    const first = domain.starts()[0];
-    assert.ok(first !== undefined && 'workerId' in first);
-    old.deadline = undefined;
-    await old.scheduler.close();
-    const heldAt = performance.now();
-    const next = domain.createHolder(2);
-    next.unreachable.add(first.workerId);
-    await until('again', () => domain.starts().length === 2);
-    const waitedMs = performance.now() - heldAt;
-    const {taskLeaseMs} = domainHarness.DURATIONS;
-    assert.ok(waitedMs >= taskLeaseMs, `started again after ${waitedMs} ms`);
-    await until('done', () => domain.jobs.job(jobId)?.phase.type === 'done');
-    assert.equal(maxConcurrentAttempts(domain.events()), 1);
-  },
-);
+nodeTest.test('an unreachable task restarts after its lease', async (t) => {
+  // Failure: a task runs on two workers because the new holder can't reach the
+  // first one. The new holder starts the task elsewhere only after the old
+  // lease and its grace period; the unreachable worker has stopped it by then.
+  const domain = domainHarness.createDomainHarness(t, ['w1', 'w2']);
+  const old = domain.createHolder(1);
+  const jobId = domain.submit('a', 400);
+  await until('started', () => domain.starts().length === 1);
+  const first = domain.starts()[0];
+  assert.ok(first !== undefined && 'workerId' in first);
+  old.claimDeadline = undefined;
+  await old.scheduler.close();
+  const heldAt = performance.now();
+  const next = domain.createHolder(2);
+  next.unreachable.add(first.workerId);
+  await until('again', () => domain.starts().length === 2);
+  const waitedMs = performance.now() - heldAt;
+  const {taskLeaseMs} = domainHarness.DURATIONS;
+  assert.ok(waitedMs >= taskLeaseMs, `started again after ${waitedMs} ms`);
+  await until('done', () => domain.jobs.job(jobId)?.phase.type === 'done');
+  assert.equal(maxConcurrentAttempts(domain.events()), 1);
+});
 
 nodeTest.test('a new holder takes over running tasks', async (t) => {
   // Failure: a failover interrupts a running task or loses its result. The
@@ -103,25 +97,22 @@
   assert.equal(domain.starts().length, 1);
 });
 
-nodeTest.test(
-  'a task that ended before a failover is not run again',
-  async (t) => {
-    // As above, but the holder that received the end dies before it is recorded.
-    // The new holder receives the end when it attaches, and its append takes a
-    // while.
-    const domain = domainHarness.createDomainHarness(t, ['w1']);
-    domain.log.isAccepting = false;
-    const old = domain.createHolder(1);
-    const jobId = domain.submit('a', 30);
-    await until('tried', () => domain.log.appended.includes('task_ended'));
-    await old.scheduler.close();
-    const next = domain.createHolder(2);
-    await until('taken', () => next.scheduler.status().recovered);
-    domain.log.isAccepting = true;
-    await until('done', () => domain.jobs.job(jobId)?.phase.type === 'done');
-    assert.equal(domain.starts().length, 1);
-  },
-);
+nodeTest.test('an end before a failover is not run again', async (t) => {
+  // As above, but the holder that received the end dies before it is recorded.
+  // The new holder receives the end when it attaches, and its append takes a
+  // while.
+  const domain = domainHarness.createDomainHarness(t, ['w1']);
+  domain.log.isAccepting = false;
+  const old = domain.createHolder(1);
+  const jobId = domain.submit('a', 30);
+  await until('tried', () => domain.log.appended.includes('task_ended'));
+  await old.scheduler.close();
+  const next = domain.createHolder(2);
+  await until('taken', () => next.scheduler.status().recovered);
+  domain.log.isAccepting = true;
+  await until('done', () => domain.jobs.job(jobId)?.phase.type === 'done');
+  assert.equal(domain.starts().length, 1);
+});
 
 nodeTest.test('a cancelled job stops and never starts again', async (t) => {
   // The caller cancels while tasks are running, starting and queued: all of
@@ -146,16 +137,16 @@
   await until('attached', () => {
     return holder.scheduler.status().attachedWorkers === 1;
   });
-  holder.deadline = types.clock.after(domain.clock.monotonic(), -1);
+  holder.claimDeadline = types.clock.after(domain.clock.monotonic(), -1);
   domain.submit('a', 10);
   await new Promise((resolve) => setImmediate(resolve));
-  holder.deadline = types.clock.after(domain.clock.monotonic(), 60_000);
+  holder.claimDeadline = types.clock.after(domain.clock.monotonic(), 60_000);
   const before = domain.starts().length;
   assert.equal(before, 0);
   await until('started', () => domain.starts().length === 1);
 });
 
-nodeTest.test('tasks of a leaving worker move to another worker', async (t) => {
+nodeTest.test('tasks of a leaving worker move to another one', async (t) => {
   // Failure: a task of a leaving worker is lost, or runs on two workers. The
   // list shows the worker as leaving: the task saves its progress, stops and is
   // placed again; nothing new starts on the leaving worker.
--- a/packages/gypsumwall-testing/src/__tests__/examples.test.ts
+++ b/packages/gypsumwall-testing/src/__tests__/examples.test.ts
@@ -42,13 +42,10 @@
   return crypto.createHash('sha256').update(text).digest('hex');
 }
 
-nodeTest.test(
-  'the error of an invalid file names the line and the correction',
-  () => {
-    const text = '{\n  "failureDomains": [],\n  "worker": 1\n}';
-    const parsed = jsoncFile.parseJsonc('site.jsonc', text, site.siteSchema);
-    assert.ok(parsed.isErr);
-    assert.match(parsed.error, /site\.jsonc:2: failureDomains: /);
-    assert.match(parsed.error, /remove worker or mend the spelling/);
-  },
-);
+nodeTest.test('errors of an invalid file name line and correction', () => {
+  const text = '{\n  "failureDomains": [],\n  "worker": 1\n}';
+  const parsed = jsoncFile.parseJsonc('site.jsonc', text, site.siteSchema);
+  assert.ok(parsed.isErr);
+  assert.match(parsed.error, /site\.jsonc:2: failureDomains: /);
+  assert.match(parsed.error, /remove worker or mend the spelling/);
+});
--- a/packages/gypsumwall-testing/src/__tests__/relay.test.ts
+++ b/packages/gypsumwall-testing/src/__tests__/relay.test.ts
@@ -37,22 +37,19 @@
 }
 
 nodeTest.describe('relay', {timeout: 10_000}, () => {
-  nodeTest.test(
-    'delivers the data held back by a cut after the heal',
-    async (test) => {
-      const path = await startEcho(test);
-      const socket = await open(path);
-      assert.equal(await echoOf(socket, 'a'), 'a');
-      path.cut();
-      const late = echoOf(socket, 'b');
-      const during = await open(path);
-      const broken = once(during, 'close');
-      path.heal();
-      assert.equal(await late, 'b');
-      await broken;
-      socket.destroy();
-    },
-  );
+  nodeTest.test('forwards after a heal what a cut held back', async (test) => {
+    const path = await startEcho(test);
+    const socket = await open(path);
+    assert.equal(await echoOf(socket, 'a'), 'a');
+    path.cut();
+    const late = echoOf(socket, 'b');
+    const during = await open(path);
+    const broken = once(during, 'close');
+    path.heal();
+    assert.equal(await late, 'b');
+    await broken;
+    socket.destroy();
+  });
 
   nodeTest.test(
     'refuses connections to an ended target after a cut',
@@ -70,23 +67,20 @@
     },
   );
 
-  nodeTest.test(
-    'silences open connections and serves new ones',
-    async (test) => {
-      const path = await startEcho(test);
-      const old = await open(path);
-      assert.equal(await echoOf(old, 'a'), 'a');
-      path.silenceOpen();
-      let answered = false;
-      old.on('data', () => (answered = true));
-      old.write('b');
-      const fresh = await open(path);
-      assert.equal(await echoOf(fresh, 'c'), 'c');
-      assert.equal(answered, false);
-      old.destroy();
-      fresh.destroy();
-    },
-  );
+  nodeTest.test('silences open connections; new ones work', async (test) => {
+    const path = await startEcho(test);
+    const old = await open(path);
+    assert.equal(await echoOf(old, 'a'), 'a');
+    path.silenceOpen();
+    let answered = false;
+    old.on('data', () => (answered = true));
+    old.write('b');
+    const fresh = await open(path);
+    assert.equal(await echoOf(fresh, 'c'), 'c');
+    assert.equal(answered, false);
+    old.destroy();
+    fresh.destroy();
+  });
 
   nodeTest.test(
     'stops one direction and forwards it again when healed',
@@ -127,7 +121,7 @@
     socket.destroy();
   });
 
-  nodeTest.test('resets open connections and serves new ones', async (test) => {
+  nodeTest.test('resets open connections; new ones work', async (test) => {
     const path = await startEcho(test);
     const old = await open(path);
     assert.equal(await echoOf(old, 'a'), 'a');
--- a/packages/gypsumwall-testing/src/bin/demo.ts
+++ b/packages/gypsumwall-testing/src/bin/demo.ts
@@ -151,7 +151,7 @@
     const units = load.progress.sent + tasks;
     print(`\n${demoTable.formatTable(rows)}`);
     print(
-      `\npacking       ${demoTable.formatShare(packing.heldOfBusy)} of the processors of busy workers held; ${demoTable.formatShare(packing.usedOfHeld)} of what was held was used`,
+      `\npacking       ${demoTable.formatShare(packing.allocatedOfBusy)} of the processors of busy workers held; ${demoTable.formatShare(packing.usedOfAllocated)} of what was held was used`,
     );
     print(
       `control cost  ${(cpuMs / units).toFixed(2)} ms of entry processor time for each of ${units} requests, jobs and tasks; ${demoTable.formatShare(cpuMs / elapsedMs / entries.length)} of a core for each entry`,
--- a/packages/gypsumwall-testing/src/bin/scenarios.ts
+++ b/packages/gypsumwall-testing/src/bin/scenarios.ts
@@ -83,16 +83,16 @@
   }
   const built = buildWithoutSafeguard.buildWithoutSafeguard(safeguard);
   const command = [built.main, ...exampleCell.ENTRY_COMMAND.slice(1)];
-  let red = 0;
+  let failedCount = 0;
   try {
     for (const scenario of chosen) {
-      if (!(await runOne(scenario, command))) red += 1;
+      if (!(await runOne(scenario, command))) failedCount += 1;
     }
   } finally {
     built.remove();
   }
-  print(`without ${safeguard}: ${red} of ${chosen.length} turned red`);
-  return red === chosen.length ? 0 : 1;
+  print(`without ${safeguard}: ${failedCount} of ${chosen.length} turned red`);
+  return failedCount === chosen.length ? 0 : 1;
 }
 
 /**
--- a/packages/gypsumwall-testing/src/bin/soak.ts
+++ b/packages/gypsumwall-testing/src/bin/soak.ts
@@ -86,12 +86,12 @@
 }
 
 async function main(): Promise<number> {
-  const red: number[] = [];
+  const failed: number[] = [];
   const seeds = chosenSeeds();
-  for (const seed of seeds) if (!(await runSeed(seed))) red.push(seed);
-  print(`${seeds.length - red.length} of ${seeds.length} seeds passed`);
-  if (red.length > 0) print(`red: ${red.join(', ')}`);
-  return red.length === 0 ? 0 : 1;
+  for (const seed of seeds) if (!(await runSeed(seed))) failed.push(seed);
+  print(`${seeds.length - failed.length} of ${seeds.length} seeds passed`);
+  if (failed.length > 0) print(`red: ${failed.join(', ')}`);
+  return failed.length === 0 ? 0 : 1;
 }
 
 process.exitCode = await main();
--- a/packages/gypsumwall-testing/src/demo/demo_statistics.ts
+++ b/packages/gypsumwall-testing/src/demo/demo_statistics.ts
@@ -19,8 +19,8 @@
    * Milliseconds from the sending of a request to its answer, or of a job to
    * the first start of each task on a worker.
    */
-  readonly waitingP50: number | undefined;
-  readonly waitingP99: number | undefined;
+  readonly waitP50Ms: number | undefined;
+  readonly waitP99Ms: number | undefined;
 }
 
 /** How well the workers were used, as shares from 0 to 1. */
@@ -28,9 +28,9 @@
   /**
    * Allocated share of the processors of workers that ran anything, over time.
    */
-  readonly heldOfBusy: number;
+  readonly allocatedOfBusy: number;
   /** Used share of the allocated processors, over all tasks that have ended. */
-  readonly usedOfHeld: number;
+  readonly usedOfAllocated: number;
 }
 
 const MICROS_PER_MS = 1_000;
@@ -108,15 +108,15 @@
 
 function percentiles(
   waits: readonly number[],
-): Pick<ClassStatistics, 'waitingP50' | 'waitingP99'> {
-  if (waits.length === 0) return {waitingP50: undefined, waitingP99: undefined};
+): Pick<ClassStatistics, 'waitP50Ms' | 'waitP99Ms'> {
+  if (waits.length === 0) return {waitP50Ms: undefined, waitP99Ms: undefined};
   const histogram = hdr.build({numberOfSignificantValueDigits: 3});
   for (const wait of waits) {
     histogram.recordValue(Math.max(1, Math.round(wait * MICROS_PER_MS)));
   }
   const at = (percent: number) =>
     histogram.getValueAtPercentile(percent) / MICROS_PER_MS;
-  return {waitingP50: at(50), waitingP99: at(99)};
+  return {waitP50Ms: at(50), waitP99Ms: at(99)};
 }
 
 /** Computes the packing over the whole history. */
@@ -124,41 +124,40 @@
   events: readonly historyEvent.HistoryEvent[],
 ): Packing {
   const capacity = new Map<string, number>();
-  const held = new Map<string, Map<string, number>>();
-  let heldCpuTime = 0;
-  let busyCpuTime = 0;
-  let usedCpuTime = 0;
-  let endedCpuTime = 0;
+  const allocated = new Map<string, Map<string, number>>();
+  let allocatedTime = 0;
+  let busyTime = 0;
+  let usedTime = 0;
+  let endedTime = 0;
   let last = events[0]?.at ?? 0;
   const accumulateUntil = (until: number): void => {
-    const elapsedMs = until - last;
+    const spanMs = until - last;
     last = until;
-    for (const [workerId, tasks] of held) {
+    for (const [workerId, tasks] of allocated) {
       if (tasks.size === 0) continue;
-      busyCpuTime += (capacity.get(workerId) ?? 0) * elapsedMs;
-      for (const cpuMillis of tasks.values())
-        heldCpuTime += cpuMillis * elapsedMs;
+      busyTime += (capacity.get(workerId) ?? 0) * spanMs;
+      for (const size of tasks.values()) allocatedTime += size * spanMs;
     }
   };
   for (const event of events) {
     if (event.type === 'worker_up') {
       capacity.set(event.workerId, event.capacity.cpuMillis);
-      held.set(event.workerId, new Map());
+      allocated.set(event.workerId, new Map());
     }
     if (event.type !== 'task_started' && event.type !== 'task_ended') continue;
     accumulateUntil(event.at);
-    const tasks = held.get(event.workerId);
+    const tasks = allocated.get(event.workerId);
     const key = `${event.taskId} ${event.attempt}`;
     if (event.type === 'task_started') {
       tasks?.set(key, event.size.cpuMillis);
       continue;
     }
-    usedCpuTime += event.used.cpuMillis * event.ranMs;
-    endedCpuTime += (tasks?.get(key) ?? 0) * event.ranMs;
+    usedTime += event.used.cpuMillis * event.ranMs;
+    endedTime += (tasks?.get(key) ?? 0) * event.ranMs;
     tasks?.delete(key);
   }
   return {
-    heldOfBusy: busyCpuTime === 0 ? 0 : heldCpuTime / busyCpuTime,
-    usedOfHeld: endedCpuTime === 0 ? 0 : usedCpuTime / endedCpuTime,
+    allocatedOfBusy: busyTime === 0 ? 0 : allocatedTime / busyTime,
+    usedOfAllocated: endedTime === 0 ? 0 : usedTime / endedTime,
   };
 }
--- a/packages/gypsumwall-testing/src/demo/demo_table.ts
+++ b/packages/gypsumwall-testing/src/demo/demo_table.ts
@@ -21,8 +21,8 @@
     String(row.done),
     String(row.refused),
     String(row.unknown),
-    formatMs(row.waitingP50),
-    formatMs(row.waitingP99),
+    formatMs(row.waitP50Ms),
+    formatMs(row.waitP99Ms),
   ]);
   const widths = COLUMN_HEADINGS.map((head, column) =>
     Math.max(head.length, ...cells.map((row) => row[column]?.length ?? 0)),
--- a/packages/gypsumwall-testing/src/entry_client.ts
+++ b/packages/gypsumwall-testing/src/entry_client.ts
@@ -63,7 +63,7 @@
   cancel(token: string, jobId: string): Promise<boolean>;
   publish(publish: CallerPublish): Promise<historyEvent.PublishOutcome>;
   setting(token: string, path: string): Promise<SettingReading | undefined>;
-  ready(): Promise<boolean>;
+  isReady(): Promise<boolean>;
   drain(token: string): Promise<boolean>;
   status(token: string): Promise<unknown>;
   close(): Promise<void>;
@@ -223,7 +223,7 @@
       recorded.record({type: 'setting_seen', entryId, path, revision, askedAt});
       return reading;
     },
-    ready: async () => {
+    isReady: async () => {
       const answer = await tryCall({method: 'GET', path: '/readyz'});
       return answer?.status === 200;
     },
--- a/packages/gypsumwall-testing/src/judge/__tests__/judge.test.ts
+++ b/packages/gypsumwall-testing/src/judge/__tests__/judge.test.ts
@@ -429,10 +429,10 @@
   });
 }
 
-for (const {name, promise, valid: sound, violating: faulty} of CASES) {
+for (const {name, promise, valid, violating} of CASES) {
   nodeTest.test(`finds: ${name}`, () => {
-    assert.deepEqual(judge.judge(historyWithReadings(sound), BOUNDS), []);
-    const found = judge.judge(historyWithReadings(faulty), BOUNDS);
+    assert.deepEqual(judge.judge(historyWithReadings(valid), BOUNDS), []);
+    const found = judge.judge(historyWithReadings(violating), BOUNDS);
     assert.ok(found.length > 0, 'nothing found');
     for (const one of found) assert.equal(one.promise, promise, one.message);
   });
--- a/packages/gypsumwall-testing/src/judge/entry_rules.ts
+++ b/packages/gypsumwall-testing/src/judge/entry_rules.ts
@@ -109,10 +109,12 @@
 }
 
 /** Checks that a later reading at an entry never shows an older revision. */
-function checkNoRevert(readings: readonly SettingReading[]): finding.Finding[] {
+function checkNoRevert(
+  allReadings: readonly SettingReading[],
+): finding.Finding[] {
   const findings: finding.Finding[] = [];
   const groups = finding.groupBy(
-    readings,
+    allReadings,
     (event) => `${event.entryId} ${event.path}`,
   );
   for (const readings of groups.values()) {
--- a/packages/gypsumwall-testing/src/judge/judge.ts
+++ b/packages/gypsumwall-testing/src/judge/judge.ts
@@ -1,7 +1,8 @@
 /**
  * Checks a recorded history against the product's guarantees. The judge shares
- * no checking code with the product and uses none of its own reports: it reads
- * only what the stand-ins recorded and what callers received.
+ * no code with the product besides its types and doesn't rely on the product's
+ * reports about itself: it reads only what the stand-ins recorded and what
+ * callers received.
  */
 import type * as historyEvent from '../history_event.js';
 import * as entryRules from './entry_rules.js';
--- a/packages/gypsumwall-testing/src/judge/request_rules.ts
+++ b/packages/gypsumwall-testing/src/judge/request_rules.ts
@@ -130,23 +130,20 @@
 export function checkJobNotRun(
   events: readonly historyEvent.HistoryEvent[],
 ): finding.Finding[] {
-  const jobOutcomes = finding.eventsOf(events, 'job_told');
+  const answers = finding.eventsOf(events, 'job_told');
   const starts = finding.groupBy(
     finding.eventsOf(events, 'task_started'),
     (start) => start.label,
   );
   const findings: finding.Finding[] = [];
-  for (const [label, outcomes] of finding.groupBy(
-    jobOutcomes,
-    (one) => one.label,
-  )) {
-    if (outcomes.some((one) => one.told.type !== 'not_run')) continue;
+  for (const [label, group] of finding.groupBy(answers, (one) => one.label)) {
+    if (group.some((one) => one.told.type !== 'not_run')) continue;
     const ownStarts = starts.get(label) ?? [];
     if (ownStarts.length === 0) continue;
     findings.push({
       promise: 'not_run_is_true',
       message: `job ${label} received not_run but ${ownStarts.length} tasks ran`,
-      evidence: [...outcomes, ...ownStarts],
+      evidence: [...group, ...ownStarts],
     });
   }
   return findings;
--- a/packages/gypsumwall-testing/src/judge/worker_rules.ts
+++ b/packages/gypsumwall-testing/src/judge/worker_rules.ts
@@ -1,6 +1,6 @@
 /**
- * Checks what workers recorded: their allocated capacity, and where each task
- * ran.
+ * Checks what workers recorded: which tasks they ran at the same time, and
+ * where each task ran.
  */
 import * as types from '@gypsumwall/types';
 import type * as historyEvent from '../history_event.js';
@@ -17,19 +17,19 @@
 ): finding.Finding[] {
   const findings: finding.Finding[] = [];
   const capacities = new Map<string, types.resources.Resources>();
-  const held = new Map<string, Map<string, StartEvent>>();
+  const runningByWorker = new Map<string, Map<string, StartEvent>>();
   for (const event of events) {
     if (event.type === 'worker_up') {
       capacities.set(event.workerId, event.capacity);
-      held.set(event.workerId, new Map());
+      runningByWorker.set(event.workerId, new Map());
     }
     if (event.type === 'task_ended') {
-      held.get(event.workerId)?.delete(attemptKey(event));
+      runningByWorker.get(event.workerId)?.delete(attemptKey(event));
     }
     if (event.type !== 'task_started') continue;
     const runningHere =
-      held.get(event.workerId) ?? new Map<string, StartEvent>();
-    held.set(event.workerId, runningHere);
+      runningByWorker.get(event.workerId) ?? new Map<string, StartEvent>();
+    runningByWorker.set(event.workerId, runningHere);
     runningHere.set(attemptKey(event), event);
     const running = [...runningHere.values()];
     const capacity =
@@ -76,10 +76,10 @@
 }
 
 /**
- * Checks that a task is not started again after a holder received its end as
+ * Checks that a task is not started again after a holder learned that it is
  * done; a letter that is checked twice, for example, makes two advisers call
- * the same lender. The holder received the end at the latest with the last
- * answer that reported it before the acknowledgement. A task whose end no
+ * the same lender. At the latest the holder learned it from the last answer
+ * that reported the end before the end was acknowledged. A task whose end no
  * answer carried may run again once its lease has expired. Replicas of a
  * service are exempt, since they are restarted by design.
  */
@@ -111,26 +111,25 @@
 }
 
 /**
- * Returns the last report of each acknowledged done end before its
- * acknowledgement.
+ * Returns the last report of each successful end before its acknowledgement;
+ * ends that were never acknowledged are left out.
  */
 function acknowledgedEnds(
   events: readonly historyEvent.HistoryEvent[],
 ): Array<finding.EventOf<'end_told'>> {
   const done = new Set<string>();
   const lastReports = new Map<string, finding.EventOf<'end_told'>>();
-  const acknowledged: Array<finding.EventOf<'end_told'>> = [];
+  const ends: Array<finding.EventOf<'end_told'>> = [];
   for (const event of events) {
     if (event.type === 'task_ended' && event.cause === 'done') {
       done.add(attemptKey(event));
     }
     if (event.type === 'end_told') lastReports.set(attemptKey(event), event);
     if (event.type !== 'end_acknowledged') continue;
-    const lastReport = lastReports.get(attemptKey(event));
-    if (lastReport !== undefined && done.has(attemptKey(event)))
-      acknowledged.push(lastReport);
+    const report = lastReports.get(attemptKey(event));
+    if (report !== undefined && done.has(attemptKey(event))) ends.push(report);
   }
-  return acknowledged;
+  return ends;
 }
 
 interface Attempt {
--- a/packages/gypsumwall-testing/src/launch_cell.ts
+++ b/packages/gypsumwall-testing/src/launch_cell.ts
@@ -64,7 +64,8 @@
 
 const READY_TIMEOUT_MS = 60_000;
 const POLL_INTERVAL_MS = 50;
-const BALANCER_POLL_MS = 100;
+/** Interval of the balancer's readiness probes. */
+const PROBE_MS = 100;
 
 /**
  * Starts all processes, publishes the configuration and waits until every entry
@@ -96,7 +97,7 @@
     seed: options.seed,
     folder,
   });
-  const paths = network.createNetwork();
+  const relayNetwork = network.createNetwork();
   const registry = instanceRegistry.createInstanceRegistry();
   for (const instance of [...instances.workers, ...instances.upstreams]) {
     const address = standIns.addresses[instance.id] ?? '';
@@ -121,14 +122,14 @@
       for (const {id, address} of registry.all()) {
         // An entry recognises itself on the list by the address it listens on.
         addresses[id] =
-          id === view ? address : await paths.connect(view, id, address);
+          id === view ? address : await relayNetwork.connect(view, id, address);
       }
       await standIns.control('platform', 'views', {view, addresses});
     }
   };
   const platformPath = (id: string, end: 'log' | 'list'): Promise<string> =>
     options.isRelayed
-      ? paths.connect(id, end, standIns.platform)
+      ? relayNetwork.connect(id, end, standIns.platform)
       : Promise.resolve(standIns.platform);
 
   const listUrl = async (id: string): Promise<string> => {
@@ -139,7 +140,7 @@
   const cell: Cell = {
     options,
     recorded,
-    network: paths,
+    network: relayNetwork,
     standIns,
     registry,
     folder,
@@ -161,7 +162,7 @@
         recorded,
       });
       running.set(id, started);
-      void started.child.exited.then(() => paths.refuseConnections(id));
+      void started.child.exited.then(() => relayNetwork.refuseConnections(id));
       const address = started.peerAddress;
       const state = 'live';
       registry.put({kind: 'entry', id, failureDomain, address, state});
@@ -184,8 +185,7 @@
       entry.child.send('SIGTERM');
       // The balancer keeps sending calls to the entry until it sees that the
       // entry isn't ready.
-      while (await entry.client.ready())
-        await timers.setTimeout(BALANCER_POLL_MS);
+      while (await entry.client.isReady()) await timers.setTimeout(PROBE_MS);
       running.delete(id);
       await entry.child.exited;
       registry.remove(id);
@@ -203,7 +203,7 @@
         await client.close();
       }
       await standIns.close();
-      await paths.close();
+      await relayNetwork.close();
       if (options.keepFolder === true) return;
       fs.rmSync(folder, {recursive: true, force: true});
     },
@@ -256,7 +256,7 @@
 export async function waitUntilReady(cell: Cell): Promise<void> {
   const deadline = types.clock.after(performance.now(), READY_TIMEOUT_MS);
   for (const entry of cell.entries()) {
-    while (!(await entry.client.ready())) {
+    while (!(await entry.client.isReady())) {
       if (performance.now() > deadline) {
         throw new Error(`entry ${entry.entry.id} does not become ready`);
       }
--- a/packages/gypsumwall-testing/src/platform_stand_in.ts
+++ b/packages/gypsumwall-testing/src/platform_stand_in.ts
@@ -84,7 +84,7 @@
     if (!req.url.startsWith('/v1/streams/')) return;
     if (fault.mode === 'slow') await timers.setTimeout(fault.delayMs);
     if (fault.mode !== 'down') return;
-    return standInServer.sendRefusal(reply, LOG_DOWN);
+    return standInServer.refuse(reply, LOG_DOWN);
   });
 
   /**
@@ -122,8 +122,7 @@
     const page = store.read(stream, from, limit);
     if (page.records.length > 0 || waitMs === 0) return page;
     await store.waitForAppend(stream, waitMs);
-    if (fault.mode === 'down')
-      return standInServer.sendRefusal(reply, LOG_DOWN);
+    if (fault.mode === 'down') return standInServer.refuse(reply, LOG_DOWN);
     return store.read(stream, from, limit);
   });
 
@@ -181,8 +180,8 @@
 
   const listed = (): readonly Instance[] => {
     const asOf = machineClock.machineNow() - lagMs;
-    const snapshot = snapshots.filter((snapshot) => snapshot.at <= asOf).at(-1);
-    return snapshot?.instances ?? [];
+    const latest = snapshots.filter((snapshot) => snapshot.at <= asOf).at(-1);
+    return latest?.instances ?? [];
   };
 
   server.get('/v1/instances', (req, reply) =>
--- a/packages/gypsumwall-testing/src/scenario/__tests__/scenario_file.test.ts
+++ b/packages/gypsumwall-testing/src/scenario/__tests__/scenario_file.test.ts
@@ -12,26 +12,23 @@
   }
 });
 
-nodeTest.test(
-  'the error of an invalid scenario names line and correction',
-  () => {
-    const text = [
-      '{',
-      '  "promise": "p",',
-      '  "story": ["a", "b"],',
-      '  "steps": [',
-      '    {"do": "freeze", "entry": "e1", "forMs": 5},',
-      '    {"do": "explode"},',
-      '  ],',
-      '}',
-    ].join('\n');
-    const schema = scenarioSchema.scenarioSchema;
-    const parsed = jsoncFile.parseJsonc('bad.jsonc', text, schema);
-    assert.ok(parsed.isErr);
-    assert.match(parsed.error, /bad\.jsonc:5: steps\.0: remove forMs or mend/);
-    assert.match(parsed.error, /bad\.jsonc:6: steps\.1\.do: /);
-  },
-);
+nodeTest.test('errors of a bad scenario name line and correction', () => {
+  const text = [
+    '{',
+    '  "promise": "p",',
+    '  "story": ["a", "b"],',
+    '  "steps": [',
+    '    {"do": "freeze", "entry": "e1", "forMs": 5},',
+    '    {"do": "explode"},',
+    '  ],',
+    '}',
+  ].join('\n');
+  const schema = scenarioSchema.scenarioSchema;
+  const parsed = jsoncFile.parseJsonc('bad.jsonc', text, schema);
+  assert.ok(parsed.isErr);
+  assert.match(parsed.error, /bad\.jsonc:5: steps\.0: remove forMs or mend/);
+  assert.match(parsed.error, /bad\.jsonc:6: steps\.1\.do: /);
+});
 
 nodeTest.test('the error of a missing scenario names its file', () => {
   const read = scenarioFile.readScenario('no-such');
--- a/packages/gypsumwall-testing/src/scenario/call_steps.ts
+++ b/packages/gypsumwall-testing/src/scenario/call_steps.ts
@@ -28,12 +28,11 @@
   step: {readonly name: string; readonly retryForMs: number},
   send: (callId: string) => Promise<Outcome>,
 ): Promise<Outcome> {
-  const deadline = performance.now() + step.retryForMs;
+  const until = performance.now() + step.retryForMs;
   for (let attempt = 1; ; attempt += 1) {
     const callId = attempt === 1 ? step.name : `${step.name}-try-${attempt}`;
     const outcome = await send(callId);
-    if (outcome.type !== 'not_run' || performance.now() > deadline)
-      return outcome;
+    if (outcome.type !== 'not_run' || performance.now() > until) return outcome;
     await timers.setTimeout(RETRY_INTERVAL_MS);
   }
 }
@@ -160,9 +159,9 @@
   step: scenarioSchema.StepOf<'watch_setting'>,
 ): void {
   const token = state.cell.options.tokens.rootOperator;
-  let stopped = false;
+  let isStopped = false;
   const watching = (async () => {
-    while (!stopped) {
+    while (!isStopped) {
       const entries = scenarioState.activeEntries(state);
       await Promise.all(
         entries.map((entry) => entry.client.setting(token, step.path)),
@@ -171,7 +170,7 @@
     }
   })();
   state.stopWatches.add(async () => {
-    stopped = true;
+    isStopped = true;
     await watching;
   });
 }
@@ -182,7 +181,7 @@
   const token = scenarioState.tokenOf(state, team);
   const counts = {sent: 0, done: 0};
   const inFlight = new Set<Promise<void>>();
-  let stopped = false;
+  let isStopped = false;
   let nextTargetIndex = 0;
 
   const sendNext = async (): Promise<void> => {
@@ -203,11 +202,11 @@
   };
   const sendLoop = (async () => {
     const startedAt = performance.now();
-    while (!stopped) {
+    while (!isStopped) {
       const nextAt = startedAt + (counts.sent * 1_000) / step.perSecond;
       const delayMs = nextAt - performance.now();
       if (delayMs > 0) await timers.setTimeout(delayMs);
-      if (stopped) break;
+      if (isStopped) break;
       const sent = sendNext();
       inFlight.add(sent);
       void sent.finally(() => inFlight.delete(sent));
@@ -215,7 +214,7 @@
     await Promise.all(inFlight);
   })();
   const stop = async (): Promise<void> => {
-    stopped = true;
+    isStopped = true;
     await sendLoop;
   };
   state.loads.set(name, {stop, counts});
--- a/packages/gypsumwall-testing/src/scenario/conditions.ts
+++ b/packages/gypsumwall-testing/src/scenario/conditions.ts
@@ -54,9 +54,9 @@
       };
     case 'told':
       return () => {
-        const told = state.outcomes.get(condition.call);
+        const outcome = state.outcomes.get(condition.call);
         const isExpected =
-          told !== undefined && condition.outcomes.includes(told.type);
+          outcome !== undefined && condition.outcomes.includes(outcome.type);
         return Promise.resolve(isExpected);
       };
     case 'load_done': {
@@ -78,7 +78,7 @@
     case 'ready':
       return async () => {
         const client = await scenarioState.clientFor(state, condition.entry);
-        return client.ready();
+        return client.isReady();
       };
     case 'in_force':
       return () => isInForce(state, condition.path);
@@ -96,9 +96,11 @@
 }
 
 function endsOf(events: Events, label: string) {
-  const own = new Set(startsOf(events, label).map((start) => start.taskId));
+  const ownTaskIds = new Set(
+    startsOf(events, label).map((start) => start.taskId),
+  );
   const ends = finding.eventsOf(events, 'task_ended');
-  return ends.filter((end) => own.has(end.taskId));
+  return ends.filter((end) => ownTaskIds.has(end.taskId));
 }
 
 function runningTasks(events: Events, label: string): number {
--- a/packages/gypsumwall-testing/src/scenario/fault_steps.ts
+++ b/packages/gypsumwall-testing/src/scenario/fault_steps.ts
@@ -34,7 +34,7 @@
   const id = await resolveAndBind(state, step);
   recordFault(state, `kill ${id}`);
   await state.cell.killEntry(id);
-  state.frozen.delete(id);
+  state.frozenIds.delete(id);
 }
 
 /** Pauses an entry's process. */
@@ -45,7 +45,7 @@
   const id = await resolveAndBind(state, step);
   recordFault(state, `freeze ${id}`);
   state.cell.entry(id).child.send('SIGSTOP');
-  state.frozen.add(id);
+  state.frozenIds.add(id);
 }
 
 /** Resumes a paused entry. */
@@ -56,7 +56,7 @@
   const id = await scenarioState.resolveEntry(state, step.entry);
   recordFault(state, `thaw ${id}`);
   state.cell.entry(id).child.send('SIGCONT');
-  state.frozen.delete(id);
+  state.frozenIds.delete(id);
 }
 
 /** Stops an entry as planned. */
@@ -87,7 +87,7 @@
   recordFault(state, 'replace all entries');
   const old = state.cell.entries();
   await Promise.all(old.map(({entry}) => state.cell.killEntry(entry.id)));
-  state.frozen.clear();
+  state.frozenIds.clear();
   await Promise.all(
     old.map(({entry}) => {
       const {failureDomain} = entry;
--- a/packages/gypsumwall-testing/src/scenario/run_scenario.ts
+++ b/packages/gypsumwall-testing/src/scenario/run_scenario.ts
@@ -71,7 +71,7 @@
       folder: cell.folder,
     };
   } finally {
-    for (const id of state.frozen) cell.entry(id).child.send('SIGCONT');
+    for (const id of state.frozenIds) cell.entry(id).child.send('SIGCONT');
     await cell.close();
   }
 }
@@ -178,7 +178,7 @@
 ): Promise<void> {
   const deadline = performance.now() + step.withinMs;
   await Promise.all([...state.loads.values()].map((load) => load.stop()));
-  await Promise.all(state.background);
+  await Promise.all(state.backgroundSteps);
   const pick = () => scenarioState.nextClient(state);
   // The judge decides whether jobs that have not ended count as lost.
   await waitForJobs.waitForJobs([...state.jobs.values()], pick, deadline);
@@ -194,5 +194,5 @@
 ): Promise<void> {
   await Promise.all([...state.stopWatches].map((stop) => stop()));
   await Promise.all([...state.loads.values()].map((load) => load.stop()));
-  await Promise.allSettled(state.background);
+  await Promise.allSettled(state.backgroundSteps);
 }
--- a/packages/gypsumwall-testing/src/scenario/scenario_state.ts
+++ b/packages/gypsumwall-testing/src/scenario/scenario_state.ts
@@ -32,13 +32,13 @@
   readonly scenario: scenarioSchema.Scenario;
   /** Entry ids by the names that `as` defined. */
   readonly aliases: Map<string, string>;
-  readonly frozen: Set<string>;
+  readonly frozenIds: Set<string>;
   readonly jobs: Map<string, NamedJob>;
   readonly bodies: Map<string, Buffer>;
   readonly outcomes: Map<string, AnyOutcome>;
   readonly loads: Map<string, RunningLoad>;
   /** Background steps to wait for at the end. */
-  readonly background: Set<Promise<void>>;
+  readonly backgroundSteps: Set<Promise<void>>;
   readonly stopWatches: Set<() => Promise<void>>;
 }
 
@@ -58,12 +58,12 @@
     cell,
     scenario,
     aliases: new Map(),
-    frozen: new Set(),
+    frozenIds: new Set(),
     jobs: new Map(),
     bodies: new Map(),
     outcomes: new Map(),
     loads: new Map(),
-    background: new Set(),
+    backgroundSteps: new Set(),
     stopWatches: new Set(),
   };
 }
@@ -81,7 +81,7 @@
 ): entryProcess.EntryProcess[] {
   return state.cell
     .entries()
-    .filter((entry) => !state.frozen.has(entry.entry.id));
+    .filter((entry) => !state.frozenIds.has(entry.entry.id));
 }
 
 /**
@@ -176,7 +176,7 @@
 ): Promise<void> {
   const running = run();
   if (!background) return running;
-  state.background.add(running);
+  state.backgroundSteps.add(running);
   // A failure is reported when the scenario settles.
   running.catch(() => undefined);
 }
--- a/packages/gypsumwall-testing/src/stand_in_server.ts
+++ b/packages/gypsumwall-testing/src/stand_in_server.ts
@@ -52,11 +52,11 @@
   server.setErrorHandler((err, req, reply) => {
     if (isRefusal(err)) {
       onRefusal(err, req.url);
-      return sendRefusal(reply, err);
+      return refuse(reply, err);
     }
     const message =
       err instanceof zod.ZodError ? zod.prettifyError(err) : String(err);
-    return sendRefusal(reply, {status: 400, error: 'invalid', message});
+    return refuse(reply, {status: 400, error: 'invalid', message});
   });
   return server;
 }
@@ -69,7 +69,7 @@
 }
 
 /** Sends a refusal. */
-export function sendRefusal(
+export function refuse(
   reply: fastify.FastifyReply,
   refusal: Refusal,
 ): fastify.FastifyReply {
--- a/packages/gypsumwall-testing/src/wait_for_jobs.ts
+++ b/packages/gypsumwall-testing/src/wait_for_jobs.ts
@@ -10,7 +10,7 @@
   readonly kind: types.job.JobShape['kind'];
 }
 
-const POLL_INTERVAL_MS = 100;
+const POLL_MS = 100;
 /** Limits the parallel polls, so that polling doesn't add noticeable load. */
 const MAX_CONCURRENT_POLLS = 8;
 
@@ -26,15 +26,16 @@
 ): Promise<boolean> {
   let pending = [...jobs];
   while (pending.length > 0) {
-    const asked = pending.slice(0, MAX_CONCURRENT_POLLS);
-    const settled = await Promise.all(asked.map((job) => isSettled(job, pick)));
-    const unsettled = asked.filter((_, index) => settled[index] !== true);
+    const polled = pending.slice(0, MAX_CONCURRENT_POLLS);
+    const settled = await Promise.all(
+      polled.map((job) => isSettled(job, pick)),
+    );
+    const unsettled = polled.filter((_, index) => settled[index] !== true);
     // Unsettled jobs move to the end, so that all are polled in turn.
     pending = [...pending.slice(MAX_CONCURRENT_POLLS), ...unsettled];
     if (pending.length === 0) break;
     if (performance.now() > deadline) return false;
-    if (unsettled.length === asked.length)
-      await timers.setTimeout(POLL_INTERVAL_MS);
+    if (unsettled.length === polled.length) await timers.setTimeout(POLL_MS);
   }
   return true;
 }
--- a/packages/gypsumwall-testing/src/worker_model.ts
+++ b/packages/gypsumwall-testing/src/worker_model.ts
@@ -232,8 +232,7 @@
         finished.delete(key);
         recordEnd('end_acknowledged', task);
       }
-      for (const execution of running.values())
-        execution.renew(toMachineMs(leaseUntil));
+      for (const task of running.values()) task.renew(toMachineMs(leaseUntil));
       return {
         now: now(),
         running: runningTasks(),
@@ -257,8 +256,7 @@
       findExecution(attempt)?.stop('checkpointed');
     },
     restart: () => {
-      for (const execution of [...running.values()])
-        execution.stop('worker_restarted');
+      for (const task of [...running.values()]) task.stop('worker_restarted');
       finished.clear();
       closedAttempts.clear();
       highestEpoch = -1;
