--- a/packages/gypsumwall-testing/src/__tests__/contract.test.ts
+++ b/packages/gypsumwall-testing/src/__tests__/contract.test.ts
@@ -72,7 +72,7 @@
     assert.equal(page.endOffset, 3);
   });
 
-  nodeTest.test('wakes a waiting read on an append', async (test) => {
+  nodeTest.test('resolves a waiting read on an append', async (test) => {
     const {log} = await startPlatform(test);
     const read = log.read({stream: 's', from: 0, limit: 9, waitMs: 1_500});
     const append = {stream: 's', producer: 'a', sequence: 0, bodies: ['x']};
@@ -95,7 +95,7 @@
     );
   });
 
-  nodeTest.test('loses the answer of an effective append', async (test) => {
+  nodeTest.test('loses the answer of an append that ran', async (test) => {
     // The caller sees a broken connection. The record was appended before, so
     // the client must not report this append as `not_run`.
     const {log, standIn} = await startPlatform(test);
@@ -328,7 +328,7 @@
 }
 
 nodeTest.describe('upstream', () => {
-  nodeTest.test('answers, and refuses beyond its slots', async (test) => {
+  nodeTest.test('answers up to its slots and refuses more', async (test) => {
     const {send} = await startUpstream(test);
     const sent = [1, 2, 3].map((n) =>
       send(`r${n}`, {workMs: 200, answerBytes: 100_000}),
@@ -338,9 +338,9 @@
       answer.isErr ? [answer.error.effect] : [],
     );
     assert.deepEqual(effects, ['not_run']);
-    const whole = answers.find((answer) => answer.isOk);
-    assert.ok(whole?.isOk);
-    const chunks = await whole.value.body.toArray();
+    const complete = answers.find((answer) => answer.isOk);
+    assert.ok(complete?.isOk);
+    const chunks = await complete.value.body.toArray();
     assert.equal(Buffer.concat(chunks as Buffer[]).length, 100_000);
   });
 
@@ -352,7 +352,7 @@
     assert.equal(err.effect, 'unknown');
   });
 
-  nodeTest.test('a truncated answer fails its body', async (test) => {
+  nodeTest.test('reading a truncated answer fails', async (test) => {
     const {send, standIn} = await startUpstream(test);
     await control(standIn, 'upstreams/u1/fault', {mode: 'truncated'});
     const answer = unwrap(await send('r1', {answerBytes: 50_000}));
--- a/packages/gypsumwall-testing/src/__tests__/domain_scheduler.test.ts
+++ b/packages/gypsumwall-testing/src/__tests__/domain_scheduler.test.ts
@@ -97,7 +97,7 @@
   assert.equal(domain.starts().length, 1);
 });
 
-nodeTest.test('an end before a failover is not run again', async (t) => {
+nodeTest.test('a task that ended before a failover runs once', async (t) => {
   // As above, but the holder that received the end dies before it is recorded.
   // The new holder receives the end when it attaches, and its append takes a
   // while.
@@ -173,8 +173,8 @@
   // still in flight must have been answered by then, or the new holder's
   // first attach to the worker misses its task.
   const domain = domainHarness.createDomainHarness(t, ['w1']);
-  let arrive = () => undefined as void;
-  const delivery = new Promise<void>((resolve) => (arrive = resolve));
+  let deliver = () => undefined as void;
+  const delivery = new Promise<void>((resolve) => (deliver = resolve));
   domain.startFaults.set('w1', {type: 'hold', until: delivery});
   const {scheduler} = domain.createHolder(1);
   const jobId = domain.submit('a', 10);
@@ -183,7 +183,7 @@
   const closed = scheduler.close().then(() => (isClosed = true));
   await new Promise((resolve) => setImmediate(resolve));
   assert.equal(isClosed, false);
-  arrive();
+  deliver();
   await closed;
   assert.equal(domain.starts().length, 1);
 });
--- a/packages/gypsumwall-testing/src/__tests__/finished_once.test.ts
+++ b/packages/gypsumwall-testing/src/__tests__/finished_once.test.ts
@@ -45,9 +45,9 @@
       const work = {command: 'optimise', args: {label, runMs: 20 + 10 * n}};
       const spec = {...SPEC, work};
       const job = {callId: label, token, team: TEAM, label, spec};
-      const told = await client.submit(job);
-      assert.equal(told.type, 'accepted', JSON.stringify(told));
-      if (told.type === 'accepted') jobIds.push(told.jobId);
+      const outcome = await client.submit(job);
+      assert.equal(outcome.type, 'accepted', JSON.stringify(outcome));
+      if (outcome.type === 'accepted') jobIds.push(outcome.jobId);
     }
     const deadline = performance.now() + DEADLINE_MS;
     for (const jobId of jobIds) {
--- a/packages/gypsumwall-testing/src/__tests__/job_key.test.ts
+++ b/packages/gypsumwall-testing/src/__tests__/job_key.test.ts
@@ -36,9 +36,9 @@
   try {
     const token = example.tokens.teams[TEAM] ?? '';
     const clients = cell.entries().map((entry) => entry.client);
-    const submit = async (key: string, turn: number) => {
-      const told = await clients[turn]!.submit({
-        callId: `${key}-${turn}`,
+    const submit = async (key: string, index: number) => {
+      const outcome = await clients[index]!.submit({
+        callId: `${key}-${index}`,
         token,
         team: TEAM,
         key,
@@ -52,8 +52,8 @@
           work: {command: 'optimise', args: {label: key, runMs: 50}},
         },
       });
-      assert.equal(told.type, 'accepted', JSON.stringify(told));
-      return told.type === 'accepted' ? told.jobId : '';
+      assert.equal(outcome.type, 'accepted', JSON.stringify(outcome));
+      return outcome.type === 'accepted' ? outcome.jobId : '';
     };
     for (const key of KEYS) {
       const ids = await Promise.all(
--- a/packages/gypsumwall-testing/src/bin/demo.ts
+++ b/packages/gypsumwall-testing/src/bin/demo.ts
@@ -69,11 +69,11 @@
   cell: launchCell.Cell,
   load: demoLoad.DemoLoad,
 ): Promise<boolean> {
-  let turn = 0;
+  let entryIndex = 0;
   const nextClient = () => {
     const entries = cell.entries();
-    turn += 1;
-    const entry = entries[turn % entries.length];
+    entryIndex += 1;
+    const entry = entries[entryIndex % entries.length];
     if (entry === undefined) throw new Error('no entry is running');
     return entry.client;
   };
@@ -92,12 +92,12 @@
 
 /** Returns the site with entries that export their traces to the collector. */
 function withTraces(
-  where: site.Site,
+  cellSite: site.Site,
   collector: traceCollector.TraceCollector | undefined,
 ): site.Site {
-  if (collector === undefined) return where;
-  const entrySettings = {...where.entrySettings, tracesUrl: collector.url};
-  return {...where, entrySettings};
+  if (collector === undefined) return cellSite;
+  const entrySettings = {...cellSite.entrySettings, tracesUrl: collector.url};
+  return {...cellSite, entrySettings};
 }
 
 /** Prints one trace, after waiting for the entries to export it. */
@@ -151,7 +151,7 @@
     const units = load.progress.sent + tasks;
     print(`\n${demoTable.formatTable(rows)}`);
     print(
-      `\npacking       ${demoTable.formatShare(packing.allocatedOfBusy)} of the processors of busy workers held; ${demoTable.formatShare(packing.usedOfAllocated)} of what was held was used`,
+      `\npacking       ${demoTable.formatShare(packing.allocatedOfBusy)} of the processors of busy workers allocated; ${demoTable.formatShare(packing.usedOfAllocated)} of the allocated processors used`,
     );
     print(
       `control cost  ${(cpuMs / units).toFixed(2)} ms of entry processor time for each of ${units} requests, jobs and tasks; ${demoTable.formatShare(cpuMs / elapsedMs / entries.length)} of a core for each entry`,
--- a/packages/gypsumwall-testing/src/bin/scenarios.ts
+++ b/packages/gypsumwall-testing/src/bin/scenarios.ts
@@ -31,19 +31,19 @@
 
 interface NamedScenario {
   readonly name: string;
-  readonly read: scenarioFile.LoadedScenario;
+  readonly loaded: scenarioFile.LoadedScenario;
 }
 
 /** Runs a scenario and returns whether it passed. */
 async function runOne(
-  {name, read}: NamedScenario,
+  {name, loaded}: NamedScenario,
   entryCommand: readonly string[],
 ): Promise<boolean> {
-  const {scenario} = read;
+  const {scenario} = loaded;
   try {
     const verdict = await runScenario.runScenario({
       scenario,
-      site: read.site,
+      site: loaded.site,
       example: exampleCell.readExampleCell(scenario.example),
       entryCommand,
       keepFolder: values.keep,
@@ -73,10 +73,10 @@
   safeguard: string,
   scenarios: readonly NamedScenario[],
 ): Promise<number> {
-  const chosen = scenarios.filter(({read}) =>
-    read.scenario.without.includes(safeguard),
+  const selected = scenarios.filter(({loaded}) =>
+    loaded.scenario.without.includes(safeguard),
   );
-  if (chosen.length === 0) {
+  if (selected.length === 0) {
     const known = buildWithoutSafeguard.safeguardNames().join(', ');
     print(`no scenario names the safeguard "${safeguard}"; there are ${known}`);
     return 2;
@@ -85,14 +85,16 @@
   const command = [built.main, ...exampleCell.ENTRY_COMMAND.slice(1)];
   let failedCount = 0;
   try {
-    for (const scenario of chosen) {
+    for (const scenario of selected) {
       if (!(await runOne(scenario, command))) failedCount += 1;
     }
   } finally {
     built.remove();
   }
-  print(`without ${safeguard}: ${failedCount} of ${chosen.length} turned red`);
-  return failedCount === chosen.length ? 0 : 1;
+  print(
+    `without ${safeguard}: ${failedCount} of ${selected.length} turned red`,
+  );
+  return failedCount === selected.length ? 0 : 1;
 }
 
 /**
@@ -110,8 +112,8 @@
       process.stderr.write(`${generated.error}\n`);
       return undefined;
     }
-    return generated.value.map((read, index) => {
-      return {name: `random-${seed}-${index + 1}`, read};
+    return generated.value.map((loaded, index) => {
+      return {name: `random-${seed}-${index + 1}`, loaded};
     });
   }
   const names =
@@ -120,7 +122,7 @@
   for (const name of names) {
     const read = scenarioFile.readScenario(name);
     if (read.isErr) process.stderr.write(`${read.error}\n`);
-    else scenarios.push({name, read: read.value});
+    else scenarios.push({name, loaded: read.value});
   }
   return scenarios.length === names.length ? scenarios : undefined;
 }
--- a/packages/gypsumwall-testing/src/demo/demo_load.ts
+++ b/packages/gypsumwall-testing/src/demo/demo_load.ts
@@ -60,11 +60,11 @@
   const tokenOf = (team: string): string =>
     cell.options.tokens.teams[team] ?? '';
   const countOutcome = (
-    told: historyEvent.RequestOutcome | historyEvent.JobOutcome,
+    outcome: historyEvent.RequestOutcome | historyEvent.JobOutcome,
   ) => {
     progress.answered += 1;
-    if (told.type === 'done') progress.done += 1;
-    if (told.type === 'accepted') progress.accepted += 1;
+    if (outcome.type === 'done') progress.done += 1;
+    if (outcome.type === 'accepted') progress.accepted += 1;
   };
   const addClass = (name: string, kind: SentClass['kind']): SentClass => {
     const added = {name, kind, callIds: []};
@@ -97,7 +97,7 @@
       const second = {...req, callId: nextId(repeatClass)};
       calls.push(pickOtherClient(first).request(second));
     }
-    for (const told of await Promise.all(calls)) countOutcome(told);
+    for (const outcome of await Promise.all(calls)) countOutcome(outcome);
   };
 
   const submitJob = async (
@@ -107,7 +107,7 @@
     const callId = nextId(sent);
     const {team, shape, urgency, size, estimateMs, args, deadlineMs} = cls;
     const token = tokenOf(team);
-    const told = await pickClient().submit({
+    const outcome = await pickClient().submit({
       callId,
       token,
       team,
@@ -125,9 +125,9 @@
         work: {command: cls.class, args: {...args, label: callId}},
       },
     });
-    countOutcome(told);
-    if (told.type !== 'accepted') return;
-    jobs.push({jobId: told.jobId, token, kind: shape.kind});
+    countOutcome(outcome);
+    if (outcome.type !== 'accepted') return;
+    jobs.push({jobId: outcome.jobId, token, kind: shape.kind});
   };
 
   /** Sends at random times, `perSecond` on average. */
@@ -147,11 +147,11 @@
 
   const requests = work.requests.map((cls) => {
     const sent = addClass(cls.class, 'request');
-    const again = cls.twice
+    const repeatClass = cls.twice
       ? addClass(`${cls.class}, again`, 'request')
       : undefined;
     return sendAtAverageRate(cls.perSecond, () =>
-      sendRequest(cls, sent, again),
+      sendRequest(cls, sent, repeatClass),
     );
   });
   const submissions = work.jobs.map(async (cls) => {
--- a/packages/gypsumwall-testing/src/scenario/run_scenario.ts
+++ b/packages/gypsumwall-testing/src/scenario/run_scenario.ts
@@ -161,8 +161,8 @@
   step: scenarioSchema.StepOf<'wait'>,
 ): Promise<void> {
   const deadline = performance.now() + step.withinMs;
-  const holds = conditions.createCheck(state, step.until);
-  while (!(await holds())) {
+  const check = conditions.createCheck(state, step.until);
+  while (!(await check())) {
     if (performance.now() > deadline) {
       throw scenarioState.createStepFailure(
         `condition not met within ${step.withinMs} ms`,
@@ -179,9 +179,9 @@
   const deadline = performance.now() + step.withinMs;
   await Promise.all([...state.loads.values()].map((load) => load.stop()));
   await Promise.all(state.backgroundSteps);
-  const pick = () => scenarioState.nextClient(state);
+  const nextClient = () => scenarioState.nextClient(state);
   // The judge decides whether jobs that have not ended count as lost.
-  await waitForJobs.waitForJobs([...state.jobs.values()], pick, deadline);
+  await waitForJobs.waitForJobs([...state.jobs.values()], nextClient, deadline);
   state.cell.recorded.record({type: 'settled'});
 }
 
--- a/packages/gypsumwall-testing/src/scenario/scenario_file.ts
+++ b/packages/gypsumwall-testing/src/scenario/scenario_file.ts
@@ -33,10 +33,10 @@
   count: number,
   seed: number,
 ): result.Result<LoadedScenario[], string> {
-  return readSite().map((where) =>
+  return readSite().map((commonSite) =>
     randomScenario
       .randomScenarios(count, seed)
-      .map((scenario) => ({scenario, site: where})),
+      .map((scenario) => ({scenario, site: commonSite})),
   );
 }
 
--- a/packages/gypsumwall-testing/src/wait_for_jobs.ts
+++ b/packages/gypsumwall-testing/src/wait_for_jobs.ts
@@ -17,18 +17,18 @@
 /**
  * Waits until every job has ended, or runs with all its replicas if it is a
  * service. Resolves to false if the deadline on `performance.now()` passes
- * first. `pick` returns the entry to poll.
+ * first. `nextClient` returns the client for each poll.
  */
 export async function waitForJobs(
   jobs: readonly AcceptedJob[],
-  pick: () => entryClient.EntryClient,
+  nextClient: () => entryClient.EntryClient,
   deadline: number,
 ): Promise<boolean> {
   let pending = [...jobs];
   while (pending.length > 0) {
     const polled = pending.slice(0, MAX_CONCURRENT_POLLS);
     const settled = await Promise.all(
-      polled.map((job) => isSettled(job, pick)),
+      polled.map((job) => isSettled(job, nextClient)),
     );
     const unsettled = polled.filter((_, index) => settled[index] !== true);
     // Unsettled jobs move to the end, so that all are polled in turn.
@@ -42,9 +42,9 @@
 
 async function isSettled(
   job: AcceptedJob,
-  pick: () => entryClient.EntryClient,
+  nextClient: () => entryClient.EntryClient,
 ): Promise<boolean> {
-  const view = await pick().job(job.token, job.jobId);
+  const view = await nextClient().job(job.token, job.jobId);
   if (view === undefined) return false;
   switch (view.state) {
     case 'done':
