--- a/packages/gypsumwall-testing/src/judge/__tests__/judge.test.ts
+++ b/packages/gypsumwall-testing/src/judge/__tests__/judge.test.ts
@@ -410,14 +410,14 @@
 ];
 
 /**
- * Bounds for histories with one event per second; the bound of the
- * configuration must stay at 5 s if the default changes.
+ * The cases count in steps of one second, so the bound of the configuration is
+ * fixed here.
  */
 const BOUNDS = {...judge.DEFAULT_BOUNDS, configBoundMs: 5_000};
 
 /**
- * `askedAt` of a reading counts from the first event; the reading's own time
- * must not be before it.
+ * `askedAt` of a reading counts in seconds from the first event; the reading's
+ * own time must not be before it.
  */
 function historyWithReadings(
   bodies: readonly Body[],
