--- a/packages/gypsumwall-testing/src/__fixtures__/domain_harness.ts
+++ b/packages/gypsumwall-testing/src/__fixtures__/domain_harness.ts
@@ -1,6 +1,6 @@
 /**
- * One failure domain in one process: the real scheduler over worker models,
- * with a jobs' fold in place of the log and calls that can be held up.
+ * One failure domain in one process: the real scheduler with worker models, a
+ * fold of jobs in place of the log, and calls that can be delayed.
  */
 import type * as nodeTest from 'node:test';
 import * as result from 'true-myth/result';
@@ -14,16 +14,19 @@
 import type * as historyEvent from '../history_event.js';
 import * as workerModel from '../worker_model.js';
 
-/** What happens to a start on its way; told per worker. */
+/** A fault of the start calls to one worker. */
 export type StartFault =
   | {readonly type: 'none'}
-  /** Takes effect, the answer is lost. */
+  /** The start takes effect, but its answer is lost. */
   | {readonly type: 'lose_answer'}
-  /** Waits on its way until the promise resolves, then arrives. */
+  /** The start arrives only after the promise resolves. */
   | {readonly type: 'hold'; readonly until: Promise<void>};
 
-/** Spans of a test's domain: long enough to work, short enough to wait out. */
-export const SPANS: entry.schedulerOptions.SchedulerDurations = {
+/**
+ * Durations for tests: long enough for the calls to complete, short enough to
+ * wait for.
+ */
+export const DURATIONS: entry.schedulerOptions.SchedulerDurations = {
   workerHeartbeatMs: 20,
   taskLeaseMs: 300,
   serviceLeaseMs: 60_000,
@@ -38,16 +41,16 @@
 
 type Scheduler = entry.domainScheduler.DomainScheduler;
 
-/** A holder of the domain and the switches around it. */
+/** A holder of the failure domain and the switches that a test uses. */
 export interface Holder {
   readonly scheduler: Scheduler;
-  /** Until when the claim is held; undefined for lapsed. */
-  deadline: types.clock.MonotonicMs | undefined;
-  /** Workers that this holder can't reach. */
-  readonly cut: Set<string>;
+  /** When the claim ends; undefined if it has lapsed. */
+  claimDeadline: types.clock.MonotonicMs | undefined;
+  /** Ids of the workers that this holder can't reach. */
+  readonly unreachable: Set<string>;
 }
 
-/** Makes a domain with the named workers. */
+/** Creates a failure domain with the given workers. */
 export function createDomainHarness(
   context: nodeTest.TestContext,
   workerIds: readonly string[],
@@ -58,9 +61,9 @@
   const startFaults = new Map<string, StartFault>();
   const listeners = new Set<(change: records.jobFold.JobChange) => void>();
   const jobs = records.jobFold.createJobFold((change) =>
-    listeners.forEach((tell) => tell(change)),
+    listeners.forEach((listener) => listener(change)),
   );
-  const log = {takes: true, appended: [] as string[]};
+  const log = {isAccepting: true, appended: [] as string[]};
   const models = new Map(
     workerIds.map((id) => [
       id,
@@ -99,8 +102,8 @@
     offset += 1;
   }
 
-  function hold(epoch: number): Holder {
-    const cut = new Set<string>();
+  function createHolder(epoch: number): Holder {
+    const unreachable = new Set<string>();
     let attempts = 0;
     const placer = placement.createPlacer.createPlacer();
     placer.setTeam({
@@ -113,7 +116,7 @@
       epoch,
       self: types.ids.brand<types.ids.EntryId>(`holder-${epoch}`),
       hadPredecessor: epoch > 1,
-      durations: SPANS,
+      durations: DURATIONS,
       clock,
       logger: telemetry.logger.createLogger('silent'),
       tracer: telemetry.tracing.createTracer({instance: `holder-${epoch}`}),
@@ -125,18 +128,18 @@
         attempts += 1;
         return types.ids.brand<types.ids.AttemptId>(`${epoch}.${attempts}`);
       },
-      makeWorker: ({id}) => reach(id, cut),
-      claimDeadline: () => holder.deadline,
+      makeWorker: ({id}) => reachableWorker(id, unreachable),
+      claimDeadline: () => holder.claimDeadline,
       append: (record) => {
-        if (log.takes) apply(record);
+        if (log.isAccepting) apply(record);
         log.appended.push(record.type);
-        return Promise.resolve(log.takes);
+        return Promise.resolve(log.isAccepting);
       },
     });
     const holder: Holder = {
       scheduler,
-      deadline: types.clock.after(clock.monotonic(), 60_000),
-      cut,
+      claimDeadline: types.clock.after(clock.monotonic(), 60_000),
+      unreachable,
     };
     listeners.add((change) => scheduler.onJobChange(change));
     scheduler.setWorkers(listed);
@@ -144,13 +147,16 @@
     return holder;
   }
 
-  /** The model as a holder reaches it. */
-  function reach(id: string, cut: Set<string>): platform.worker.Worker {
+  /** Wraps a worker model with the calls and faults of the network. */
+  function reachableWorker(
+    id: string,
+    unreachable: Set<string>,
+  ): platform.worker.Worker {
     const model = models.get(id);
     if (model === undefined) throw new Error(`no worker "${id}"`);
     const call = async <Value>(run: () => Value) => {
       await Promise.resolve();
-      if (cut.has(id)) return result.err(failure('timeout', 'cut'));
+      if (unreachable.has(id)) return result.err(failure('timeout', 'cut'));
       try {
         return result.ok<Value, types.stepError.StepError>(run());
       } catch (thrown) {
@@ -199,8 +205,8 @@
     return jobId;
   }
 
-  /** Shows a holder a list on which the worker is leaving. */
-  function leave(holder: Holder, workerId: string): void {
+  /** Sends a holder a list of workers on which this worker is leaving. */
+  function markLeaving(holder: Holder, workerId: string): void {
     holder.scheduler.setWorkers(
       listed.map((worker) =>
         worker.id === workerId
@@ -216,9 +222,9 @@
     jobs,
     log,
     apply,
-    hold,
+    createHolder,
     submit,
-    leave,
+    markLeaving,
     startFaults,
     events,
     starts: () => events().filter((event) => event.type === 'task_started'),
@@ -233,32 +239,38 @@
   return {kind, step: 'worker.call', peer: 'model', effect, message};
 }
 
-const PATIENCE_MS = 5_000;
+const WAIT_TIMEOUT_MS = 5_000;
 
-/** Waits until the condition holds; fails with its text after a while. */
+/**
+ * Waits until the condition is true; throws an error with the text after a
+ * timeout.
+ */
 export async function until(
   text: string,
   condition: () => boolean,
 ): Promise<void> {
-  const deadline = performance.now() + PATIENCE_MS;
+  const deadline = performance.now() + WAIT_TIMEOUT_MS;
   while (!condition()) {
-    if (performance.now() > deadline) throw new Error(`never: ${text}`);
+    if (performance.now() > deadline) throw new Error(`timed out: ${text}`);
     await new Promise((resolve) => setTimeout(resolve, 2));
   }
 }
 
-/** Most runs of one task at one moment, as the workers recorded them. */
-export function mostAtOnce(
+/**
+ * Returns the maximum number of simultaneous attempts of one task, as the
+ * workers recorded them.
+ */
+export function maxConcurrentAttempts(
   events: readonly historyEvent.HistoryEvent[],
 ): number {
   const running = new Map<string, number>();
-  let most = 0;
+  let max = 0;
   for (const event of events) {
     if (event.type !== 'task_started' && event.type !== 'task_ended') continue;
     const change = event.type === 'task_started' ? 1 : -1;
     const now = (running.get(event.taskId) ?? 0) + change;
     running.set(event.taskId, now);
-    most = Math.max(most, now);
+    max = Math.max(max, now);
   }
-  return most;
+  return max;
 }
--- a/packages/gypsumwall-testing/src/__tests__/examples.test.ts
+++ b/packages/gypsumwall-testing/src/__tests__/examples.test.ts
@@ -42,7 +42,7 @@
   return crypto.createHash('sha256').update(text).digest('hex');
 }
 
-nodeTest.test('a bad file is refused with its line and a remedy', () => {
+nodeTest.test('errors of an invalid file name line and correction', () => {
   const text = '{\n  "failureDomains": [],\n  "worker": 1\n}';
   const parsed = jsoncFile.parseJsonc('site.jsonc', text, site.siteSchema);
   assert.ok(parsed.isErr);
--- a/packages/gypsumwall-testing/src/__tests__/job_key.test.ts
+++ b/packages/gypsumwall-testing/src/__tests__/job_key.test.ts
@@ -22,22 +22,23 @@
 };
 
 nodeTest.test('one key is one job, through any entry', async () => {
-  // A pilot's client repeats a submission after its connection broke; the
-  // balancer sends it to an entry of another failure domain. Each entry used
-  // to accept the key for its own domain, and the plan was worked out twice.
+  // Failure: one key is accepted as several jobs and a plan is computed more
+  // than once. A client repeats a submission after its connection broke, and
+  // the balancer sends it to an entry of another failure domain; each entry
+  // used to accept the key for its own domain.
   const cell = await launchCell.launchCell({
     ...example,
     site: THREE_DOMAINS,
     entryCommand: exampleCell.ENTRY_COMMAND,
-    relayed: false,
+    isRelayed: false,
     seed: 1,
   });
   try {
     const token = example.tokens.teams[TEAM] ?? '';
     const clients = cell.entries().map((entry) => entry.client);
-    const submit = async (key: string, turn: number) => {
-      const told = await clients[turn]!.submit({
-        callId: `${key}-${turn}`,
+    const submit = async (key: string, index: number) => {
+      const outcome = await clients[index]!.submit({
+        callId: `${key}-${index}`,
         token,
         team: TEAM,
         key,
@@ -51,8 +52,8 @@
           work: {command: 'optimise', args: {label: key, runMs: 50}},
         },
       });
-      assert.equal(told.type, 'accepted', JSON.stringify(told));
-      return told.type === 'accepted' ? told.jobId : '';
+      assert.equal(outcome.type, 'accepted', JSON.stringify(outcome));
+      return outcome.type === 'accepted' ? outcome.jobId : '';
     };
     for (const key of KEYS) {
       const ids = await Promise.all(
--- a/packages/gypsumwall-testing/src/__tests__/relay.test.ts
+++ b/packages/gypsumwall-testing/src/__tests__/relay.test.ts
@@ -37,7 +37,7 @@
 }
 
 nodeTest.describe('relay', {timeout: 10_000}, () => {
-  nodeTest.test('delivers late what a cut held back', async (test) => {
+  nodeTest.test('forwards after a heal what a cut held back', async (test) => {
     const path = await startEcho(test);
     const socket = await open(path);
     assert.equal(await echoOf(socket, 'a'), 'a');
@@ -52,11 +52,11 @@
   });
 
   nodeTest.test(
-    'refuses once its target is gone, after a cut',
+    'refuses connections to an ended target after a cut',
     async (test) => {
       const path = await startEcho(test);
       path.cut();
-      path.refuse();
+      path.refuseConnections();
       const held = await open(path);
       const broken = once(held, 'close');
       path.heal();
@@ -67,7 +67,7 @@
     },
   );
 
-  nodeTest.test('silences open connections and serves new', async (test) => {
+  nodeTest.test('silences open connections; new ones work', async (test) => {
     const path = await startEcho(test);
     const old = await open(path);
     assert.equal(await echoOf(old, 'a'), 'a');
@@ -83,7 +83,7 @@
   });
 
   nodeTest.test(
-    'holds one way, and lets it go on when healed',
+    'stops one direction and forwards it again when healed',
     async (test) => {
       const path = await startEcho(test);
       const socket = await open(path);
@@ -95,7 +95,8 @@
         return text;
       });
       const during = await open(path);
-      // By the time that another path has echoed, this one would have too.
+      // Once another relay has returned three echoes, this one would have as
+      // well.
       const other = await open(await startEcho(test));
       for (const text of ['x', 'y', 'z']) await echoOf(other, text);
       assert.equal(answered, false);
@@ -108,19 +109,19 @@
     },
   );
 
-  nodeTest.test('delays both ways until it is healed', async (test) => {
+  nodeTest.test('delays both directions until it is healed', async (test) => {
     const path = await startEcho(test);
     const socket = await open(path);
     path.delay(60);
     const sentAt = performance.now();
     assert.equal(await echoOf(socket, 'a'), 'a');
-    assert.ok(performance.now() - sentAt >= 119, 'there and back');
+    assert.ok(performance.now() - sentAt >= 119, 'the round trip is too short');
     path.heal();
     assert.equal(await echoOf(socket, 'b'), 'b');
     socket.destroy();
   });
 
-  nodeTest.test('resets open connections and serves new', async (test) => {
+  nodeTest.test('resets open connections; new ones work', async (test) => {
     const path = await startEcho(test);
     const old = await open(path);
     assert.equal(await echoOf(old, 'a'), 'a');
--- a/packages/gypsumwall-testing/src/bin/scenarios.ts
+++ b/packages/gypsumwall-testing/src/bin/scenarios.ts
@@ -1,59 +1,60 @@
 /**
  * `npm run scenarios [-- NAME ...] [--history]`: runs the scenarios one after
- * another, a line each, and ends with 1 if a promise was broken, 2 if a file
- * is bad. `--random N [--seed S]` draws scenarios instead. `--without SAFEGUARD` runs those that name the safeguard against a
- * product without it: each must turn red.
+ * another and prints a line for each. Exits with 1 if a scenario failed, and
+ * with 2 if a file is invalid. `--random N [--seed S]` runs N generated
+ * scenarios instead. `--without SAFEGUARD` builds the product without a
+ * safeguard and runs the scenarios that name it: each of them must fail.
  */
 import * as util from 'node:util';
 import * as exampleCell from '../example_cell.js';
 import * as runScenario from '../scenario/run_scenario.js';
 import * as scenarioFile from '../scenario/scenario_file.js';
 import * as scenarioReport from '../scenario/scenario_report.js';
-import * as without from '../scenario/without.js';
+import * as buildWithoutSafeguard from '../scenario/build_without_safeguard.js';
 
 const {values, positionals} = util.parseArgs({
   allowPositionals: true,
   options: {
     history: {type: 'boolean', default: false},
     without: {type: 'string'},
-    /** Draws so many scenarios with two faults each, from the seed. */
+    /** Generates this many scenarios with two faults each, from the seed. */
     random: {type: 'string'},
     seed: {type: 'string', default: '1'},
-    /** Keeps settings and logs of each cell, and says where. */
+    /** Keeps the settings and logs of each cell and prints their folder. */
     keep: {type: 'boolean', default: false},
   },
 });
 
-function say(text: string): void {
+function print(text: string): void {
   process.stdout.write(`${text}\n`);
 }
 
 interface NamedScenario {
   readonly name: string;
-  readonly read: scenarioFile.ReadScenario;
+  readonly loaded: scenarioFile.LoadedScenario;
 }
 
-/** Runs one; whether it passed. */
+/** Runs a scenario and returns whether it passed. */
 async function runOne(
-  {name, read}: NamedScenario,
+  {name, loaded}: NamedScenario,
   entryCommand: readonly string[],
 ): Promise<boolean> {
-  const {scenario} = read;
+  const {scenario} = loaded;
   try {
     const verdict = await runScenario.runScenario({
       scenario,
-      site: read.site,
+      site: loaded.site,
       example: exampleCell.readExampleCell(scenario.example),
       entryCommand,
       keepFolder: values.keep,
     });
-    say(scenarioReport.formatVerdict(name, scenario.seed, verdict));
-    if (values.random !== undefined) say(`  ${scenario.story.join(' ')}`);
-    if (values.keep) say(`  settings and logs: ${verdict.folder}`);
-    if (values.history) say(scenarioReport.formatHistory(verdict.events));
+    print(scenarioReport.formatVerdict(name, scenario.seed, verdict));
+    if (values.random !== undefined) print(`  ${scenario.story.join(' ')}`);
+    if (values.keep) print(`  settings and logs: ${verdict.folder}`);
+    if (values.history) print(scenarioReport.formatHistory(verdict.events));
     return runScenario.hasPassed(verdict);
   } catch (thrown) {
-    say(`FAIL  ${name}: the cell did not come up: ${String(thrown)}`);
+    print(`FAIL  ${name}: the cell failed to start: ${String(thrown)}`);
     return false;
   }
 }
@@ -63,51 +64,56 @@
   for (const scenario of scenarios) {
     if (await runOne(scenario, exampleCell.ENTRY_COMMAND)) passed += 1;
   }
-  say(`${passed} of ${scenarios.length} scenarios passed`);
+  print(`${passed} of ${scenarios.length} scenarios passed`);
   return passed === scenarios.length ? 0 : 1;
 }
 
-/** Each scenario that names the safeguard must fail without it. */
+/** Checks that each scenario that names the safeguard fails without it. */
 async function runWithout(
   safeguard: string,
   scenarios: readonly NamedScenario[],
 ): Promise<number> {
-  const chosen = scenarios.filter(({read}) =>
-    read.scenario.without.includes(safeguard),
+  const selected = scenarios.filter(({loaded}) =>
+    loaded.scenario.without.includes(safeguard),
   );
-  if (chosen.length === 0) {
-    const known = without.safeguardNames().join(', ');
-    say(`no scenario names the safeguard "${safeguard}"; there are ${known}`);
+  if (selected.length === 0) {
+    const known = buildWithoutSafeguard.safeguardNames().join(', ');
+    print(`no scenario names the safeguard "${safeguard}"; there are ${known}`);
     return 2;
   }
-  const built = without.buildWithout(safeguard);
+  const built = buildWithoutSafeguard.buildWithoutSafeguard(safeguard);
   const command = [built.main, ...exampleCell.ENTRY_COMMAND.slice(1)];
-  let red = 0;
+  let failedCount = 0;
   try {
-    for (const scenario of chosen) {
-      if (!(await runOne(scenario, command))) red += 1;
+    for (const scenario of selected) {
+      if (!(await runOne(scenario, command))) failedCount += 1;
     }
   } finally {
     built.remove();
   }
-  say(`without ${safeguard}: ${red} of ${chosen.length} turned red`);
-  return red === chosen.length ? 0 : 1;
+  print(
+    `without ${safeguard}: ${failedCount} of ${selected.length} turned red`,
+  );
+  return failedCount === selected.length ? 0 : 1;
 }
 
-/** Scenarios of the files, or drawn ones; errors are printed. */
+/**
+ * Returns the scenarios from the files or the generated ones; prints errors and
+ * returns undefined if there are any.
+ */
 function chooseScenarios(): NamedScenario[] | undefined {
   if (values.random !== undefined) {
     const {seed} = values;
-    const drawn = scenarioFile.drawScenarios(
+    const generated = scenarioFile.generateScenarios(
       Number(values.random),
       Number(seed),
     );
-    if (drawn.isErr) {
-      process.stderr.write(`${drawn.error}\n`);
+    if (generated.isErr) {
+      process.stderr.write(`${generated.error}\n`);
       return undefined;
     }
-    return drawn.value.map((read, index) => {
-      return {name: `random-${seed}-${index + 1}`, read};
+    return generated.value.map((loaded, index) => {
+      return {name: `random-${seed}-${index + 1}`, loaded};
     });
   }
   const names =
@@ -116,7 +122,7 @@
   for (const name of names) {
     const read = scenarioFile.readScenario(name);
     if (read.isErr) process.stderr.write(`${read.error}\n`);
-    else scenarios.push({name, read: read.value});
+    else scenarios.push({name, loaded: read.value});
   }
   return scenarios.length === names.length ? scenarios : undefined;
 }
--- a/packages/gypsumwall-testing/src/demo/demo_load.ts
+++ b/packages/gypsumwall-testing/src/demo/demo_load.ts
@@ -1,13 +1,13 @@
-/** Sends the demo's mixed work for some seconds. */
+/** Sends the demo's mixed work for a number of seconds. */
 import * as timers from 'node:timers/promises';
 import type * as types from '@gypsumwall/types';
 import type * as entryClient from '../entry_client.js';
 import type * as historyEvent from '../history_event.js';
-import type * as jobWatch from '../job_watch.js';
+import type * as waitForJobs from '../wait_for_jobs.js';
 import type * as launchCell from '../launch_cell.js';
 import type * as workload from '../workload.js';
 
-/** What to send. */
+/** Options of the load. */
 export interface DemoLoadOptions {
   readonly cell: launchCell.Cell;
   readonly work: workload.Workload;
@@ -15,15 +15,15 @@
   readonly random: types.random.Random;
 }
 
-/** Counts while it runs. */
+/** Counters of the running load. */
 export interface DemoProgress {
   sent: number;
-  told: number;
+  answered: number;
   done: number;
   accepted: number;
 }
 
-/** What was sent of one class. */
+/** The calls sent for one class. */
 export interface SentClass {
   readonly name: string;
   readonly kind: 'request' | 'job';
@@ -34,35 +34,37 @@
 export interface DemoLoad {
   readonly progress: Readonly<DemoProgress>;
   readonly classes: readonly SentClass[];
-  readonly jobs: readonly jobWatch.AcceptedJob[];
-  /** Resolves when all is sent and every caller was told. */
+  readonly jobs: readonly waitForJobs.AcceptedJob[];
+  /** Resolves when everything is sent and every caller has an outcome. */
   readonly finished: Promise<void>;
 }
 
-/** Starts sending. */
+/** Starts sending the load. */
 export function startDemoLoad(options: DemoLoadOptions): DemoLoad {
   const {cell, work, random} = options;
   const until = performance.now() + options.seconds * 1_000;
-  const progress = {sent: 0, told: 0, done: 0, accepted: 0};
-  const jobs: jobWatch.AcceptedJob[] = [];
+  const progress = {sent: 0, answered: 0, done: 0, accepted: 0};
+  const jobs: waitForJobs.AcceptedJob[] = [];
   const classes: SentClass[] = [];
 
-  const pick = (): entryClient.EntryClient => {
+  const pickClient = (): entryClient.EntryClient => {
     const entries = cell.entries();
     const entry = entries[random.integer(0, entries.length - 1)];
-    if (entry === undefined) throw new Error('no entry runs');
+    if (entry === undefined) throw new Error('no entry is running');
     return entry.client;
   };
-  const pickOther = (first: entryClient.EntryClient) => {
-    const second = pick();
-    return second.entryId === first.entryId ? pick() : second;
+  const pickOtherClient = (first: entryClient.EntryClient) => {
+    const second = pickClient();
+    return second.entryId === first.entryId ? pickClient() : second;
   };
   const tokenOf = (team: string): string =>
     cell.options.tokens.teams[team] ?? '';
-  const count = (told: historyEvent.RequestTold | historyEvent.JobTold) => {
-    progress.told += 1;
-    if (told.type === 'done') progress.done += 1;
-    if (told.type === 'accepted') progress.accepted += 1;
+  const countOutcome = (
+    outcome: historyEvent.RequestOutcome | historyEvent.JobOutcome,
+  ) => {
+    progress.answered += 1;
+    if (outcome.type === 'done') progress.done += 1;
+    if (outcome.type === 'accepted') progress.accepted += 1;
   };
   const addClass = (name: string, kind: SentClass['kind']): SentClass => {
     const added = {name, kind, callIds: []};
@@ -79,7 +81,7 @@
   const sendRequest = async (
     cls: workload.RequestClass,
     sent: SentClass,
-    again: SentClass | undefined,
+    repeatClass: SentClass | undefined,
   ): Promise<void> => {
     const callId = nextId(sent);
     const {team, operation, workMs, answerBytes} = cls;
@@ -89,13 +91,13 @@
     const key = `key of ${callId}`.replaceAll(' ', '-');
     const token = tokenOf(team);
     const req = {callId, token, team, operation, key, body};
-    const first = pick();
+    const first = pickClient();
     const calls = [first.request(req)];
-    if (again !== undefined) {
-      const second = {...req, callId: nextId(again)};
-      calls.push(pickOther(first).request(second));
+    if (repeatClass !== undefined) {
+      const second = {...req, callId: nextId(repeatClass)};
+      calls.push(pickOtherClient(first).request(second));
     }
-    for (const told of await Promise.all(calls)) count(told);
+    for (const outcome of await Promise.all(calls)) countOutcome(outcome);
   };
 
   const submitJob = async (
@@ -105,7 +107,7 @@
     const callId = nextId(sent);
     const {team, shape, urgency, size, estimateMs, args, deadlineMs} = cls;
     const token = tokenOf(team);
-    const told = await pick().submit({
+    const outcome = await pickClient().submit({
       callId,
       token,
       team,
@@ -123,39 +125,41 @@
         work: {command: cls.class, args: {...args, label: callId}},
       },
     });
-    count(told);
-    if (told.type !== 'accepted') return;
-    jobs.push({jobId: told.jobId, token, kind: shape.kind});
+    countOutcome(outcome);
+    if (outcome.type !== 'accepted') return;
+    jobs.push({jobId: outcome.jobId, token, kind: shape.kind});
   };
 
-  /** Sends at random moments, `perSecond` on average. */
-  const sendOften = async (
+  /** Sends at random times, `perSecond` on average. */
+  const sendAtAverageRate = async (
     perSecond: number,
     send: () => Promise<void>,
   ): Promise<void> => {
-    const underWay: Array<Promise<void>> = [];
+    const inFlight: Array<Promise<void>> = [];
     for (;;) {
-      const spanMs = (-Math.log(1 - random.next()) / perSecond) * 1_000;
-      if (performance.now() + spanMs > until) break;
-      await timers.setTimeout(spanMs);
-      underWay.push(send());
+      const delayMs = (-Math.log(1 - random.next()) / perSecond) * 1_000;
+      if (performance.now() + delayMs > until) break;
+      await timers.setTimeout(delayMs);
+      inFlight.push(send());
     }
-    await Promise.all(underWay);
+    await Promise.all(inFlight);
   };
 
   const requests = work.requests.map((cls) => {
     const sent = addClass(cls.class, 'request');
-    const again = cls.twice
+    const repeatClass = cls.twice
       ? addClass(`${cls.class}, again`, 'request')
       : undefined;
-    return sendOften(cls.perSecond, () => sendRequest(cls, sent, again));
+    return sendAtAverageRate(cls.perSecond, () =>
+      sendRequest(cls, sent, repeatClass),
+    );
   });
   const submissions = work.jobs.map(async (cls) => {
     const sent = addClass(cls.class, 'job');
     for (let n = 0; n < (cls.count ?? 0); n += 1) await submitJob(cls, sent);
     const {perSecond} = cls;
     if (perSecond === undefined) return;
-    await sendOften(perSecond, () => submitJob(cls, sent));
+    await sendAtAverageRate(perSecond, () => submitJob(cls, sent));
   });
   const finished = Promise.all([...requests, ...submissions]).then(() => {});
   return {progress, classes, jobs, finished};
--- a/packages/gypsumwall-testing/src/demo/demo_figures.ts
+++ b/packages/gypsumwall-testing/src/demo/demo_statistics.ts
@@ -1,59 +1,64 @@
-/** The demo's figures, worked out from recorded histories alone. */
+/** Statistics of the demo, computed from recorded histories alone. */
 import * as hdr from 'hdr-histogram-js';
 import type * as historyEvent from '../history_event.js';
 import * as finding from '../judge/finding.js';
 import type * as demoLoad from './demo_load.js';
 
-/** One row of the table. */
-export interface ClassFigures {
+/** Statistics of one class: a row of the table. */
+export interface ClassStatistics {
   readonly name: string;
   readonly sent: number;
-  /** Requests with a whole answer; jobs done; services that came up. */
+  /**
+   * Requests with a complete answer, jobs that are done, and services with all
+   * replicas running.
+   */
   readonly done: number;
   readonly refused: number;
   readonly unknown: number;
   /**
-   * Milliseconds from sending: a request's to its answer, each task's to its
-   * first start at a worker.
+   * Milliseconds from the sending of a request to its answer, or of a job to
+   * the first start of each task on a worker.
    */
-  readonly waitingP50: number | undefined;
-  readonly waitingP99: number | undefined;
+  readonly waitP50Ms: number | undefined;
+  readonly waitP99Ms: number | undefined;
 }
 
-/** How well workers were used, each a share from 0 to 1. */
+/** How well the workers were used, as shares from 0 to 1. */
 export interface Packing {
-  /** Processors held, of those of workers that held anything, over time. */
-  readonly heldOfBusy: number;
-  /** Processors truly used, of those held, over all ended tasks. */
-  readonly usedOfHeld: number;
+  /**
+   * Allocated share of the processors of workers that ran anything, over time.
+   */
+  readonly allocatedOfBusy: number;
+  /** Used share of the allocated processors, over all tasks that have ended. */
+  readonly usedOfAllocated: number;
 }
 
-const MICROS_IN_MS = 1_000;
+const MICROS_PER_MS = 1_000;
 
-/** Figures of one class. */
-export function classFigures(
+/** Computes the statistics of one class. */
+export function classStatistics(
   sent: demoLoad.SentClass,
   events: readonly historyEvent.HistoryEvent[],
-): ClassFigures {
+): ClassStatistics {
   const callIds = new Set(sent.callIds);
   const isOwn = (event: {readonly callId: string}) => callIds.has(event.callId);
   return sent.kind === 'request'
-    ? requestFigures(sent.name, events, isOwn)
-    : jobFigures(sent.name, events, isOwn);
+    ? requestStatistics(sent.name, events, isOwn)
+    : jobStatistics(sent.name, events, isOwn);
 }
 
 type IsOwn = (event: {readonly callId: string}) => boolean;
 
-function requestFigures(
+function requestStatistics(
   name: string,
   events: readonly historyEvent.HistoryEvent[],
   isOwn: IsOwn,
-): ClassFigures {
+): ClassStatistics {
   const sent = finding.eventsOf(events, 'request_sent').filter(isOwn);
   const sentAt = new Map(sent.map((event) => [event.callId, event.at]));
   const told = finding.eventsOf(events, 'request_told').filter(isOwn);
   const done = told.filter((event) => event.told.type === 'done');
-  const waits = done.map((event) => {
+  const waitsMs = done.map((event) => {
     return event.at - (sentAt.get(event.callId) ?? event.at);
   });
   const refused = told.filter((event) => event.told.type === 'not_run').length;
@@ -63,15 +68,15 @@
     done: done.length,
     refused,
     unknown: sent.length - done.length - refused,
-    ...percentiles(waits),
+    ...percentiles(waitsMs),
   };
 }
 
-function jobFigures(
+function jobStatistics(
   name: string,
   events: readonly historyEvent.HistoryEvent[],
   isOwn: IsOwn,
-): ClassFigures {
+): ClassStatistics {
   const sent = finding.eventsOf(events, 'job_sent').filter(isOwn);
   const sentAt = new Map(sent.map((event) => [event.label, event.at]));
   const told = finding.eventsOf(events, 'job_told').filter(isOwn);
@@ -103,45 +108,45 @@
 
 function percentiles(
   waits: readonly number[],
-): Pick<ClassFigures, 'waitingP50' | 'waitingP99'> {
-  if (waits.length === 0) return {waitingP50: undefined, waitingP99: undefined};
+): Pick<ClassStatistics, 'waitP50Ms' | 'waitP99Ms'> {
+  if (waits.length === 0) return {waitP50Ms: undefined, waitP99Ms: undefined};
   const histogram = hdr.build({numberOfSignificantValueDigits: 3});
   for (const wait of waits) {
-    histogram.recordValue(Math.max(1, Math.round(wait * MICROS_IN_MS)));
+    histogram.recordValue(Math.max(1, Math.round(wait * MICROS_PER_MS)));
   }
   const at = (percent: number) =>
-    histogram.getValueAtPercentile(percent) / MICROS_IN_MS;
-  return {waitingP50: at(50), waitingP99: at(99)};
+    histogram.getValueAtPercentile(percent) / MICROS_PER_MS;
+  return {waitP50Ms: at(50), waitP99Ms: at(99)};
 }
 
-/** Packing over the whole history. */
-export function packingFigures(
+/** Computes the packing over the whole history. */
+export function packingStatistics(
   events: readonly historyEvent.HistoryEvent[],
 ): Packing {
   const capacity = new Map<string, number>();
-  const held = new Map<string, Map<string, number>>();
-  let heldTime = 0;
+  const allocated = new Map<string, Map<string, number>>();
+  let allocatedTime = 0;
   let busyTime = 0;
   let usedTime = 0;
   let endedTime = 0;
   let last = events[0]?.at ?? 0;
-  const addTime = (until: number): void => {
+  const accumulateUntil = (until: number): void => {
     const spanMs = until - last;
     last = until;
-    for (const [workerId, tasks] of held) {
+    for (const [workerId, tasks] of allocated) {
       if (tasks.size === 0) continue;
       busyTime += (capacity.get(workerId) ?? 0) * spanMs;
-      for (const cpuMillis of tasks.values()) heldTime += cpuMillis * spanMs;
+      for (const size of tasks.values()) allocatedTime += size * spanMs;
     }
   };
   for (const event of events) {
     if (event.type === 'worker_up') {
       capacity.set(event.workerId, event.capacity.cpuMillis);
-      held.set(event.workerId, new Map());
+      allocated.set(event.workerId, new Map());
     }
     if (event.type !== 'task_started' && event.type !== 'task_ended') continue;
-    addTime(event.at);
-    const tasks = held.get(event.workerId);
+    accumulateUntil(event.at);
+    const tasks = allocated.get(event.workerId);
     const key = `${event.taskId} ${event.attempt}`;
     if (event.type === 'task_started') {
       tasks?.set(key, event.size.cpuMillis);
@@ -152,7 +157,7 @@
     tasks?.delete(key);
   }
   return {
-    heldOfBusy: busyTime === 0 ? 0 : heldTime / busyTime,
-    usedOfHeld: endedTime === 0 ? 0 : usedTime / endedTime,
+    allocatedOfBusy: busyTime === 0 ? 0 : allocatedTime / busyTime,
+    usedOfAllocated: endedTime === 0 ? 0 : usedTime / endedTime,
   };
 }
--- a/packages/gypsumwall-testing/src/demo/demo_table.ts
+++ b/packages/gypsumwall-testing/src/demo/demo_table.ts
@@ -1,7 +1,7 @@
-/** Prints the demo's figures for a person. */
-import type * as demoFigures from './demo_figures.js';
+/** Formats the demo's statistics as a table. */
+import type * as demoStatistics from './demo_statistics.js';
 
-const HEADS = [
+const COLUMN_HEADINGS = [
   'class',
   'sent',
   'done',
@@ -11,18 +11,20 @@
   'wait p99 ms',
 ];
 
-/** The table, one row a class. */
-export function formatTable(rows: readonly demoFigures.ClassFigures[]): string {
+/** Formats the table, with one row for each class. */
+export function formatTable(
+  rows: readonly demoStatistics.ClassStatistics[],
+): string {
   const cells = rows.map((row) => [
     row.name,
     String(row.sent),
     String(row.done),
     String(row.refused),
     String(row.unknown),
-    formatMs(row.waitingP50),
-    formatMs(row.waitingP99),
+    formatMs(row.waitP50Ms),
+    formatMs(row.waitP99Ms),
   ]);
-  const widths = HEADS.map((head, column) =>
+  const widths = COLUMN_HEADINGS.map((head, column) =>
     Math.max(head.length, ...cells.map((row) => row[column]?.length ?? 0)),
   );
   const line = (row: readonly string[]): string =>
@@ -33,14 +35,14 @@
       })
       .join('  ');
   const rule = widths.map((width) => '-'.repeat(width));
-  return [line(HEADS), line(rule), ...cells.map(line)].join('\n');
+  return [line(COLUMN_HEADINGS), line(rule), ...cells.map(line)].join('\n');
 }
 
 function formatMs(value: number | undefined): string {
   return value === undefined ? '-' : value.toFixed(1);
 }
 
-/** A share as a percentage. */
+/** Formats a share as a percentage. */
 export function formatShare(share: number): string {
   return `${(share * 100).toFixed(1)} %`;
 }
--- a/packages/gypsumwall-testing/src/entry_client.ts
+++ b/packages/gypsumwall-testing/src/entry_client.ts
@@ -1,6 +1,6 @@
 /**
- * A caller of one entry: it records what it sent and what it was told, whole
- * or not, for the judge.
+ * Client of one entry. It records each call and its outcome for the judge, also
+ * when no complete answer arrived.
  */
 import * as undici from 'undici';
 import type * as types from '@gypsumwall/types';
@@ -20,7 +20,7 @@
   readonly timeoutMs?: number;
 }
 
-/** A job to hand in; `spec.work.args.label` must be its own. */
+/** A job to submit; `spec.work.args.label` must equal `label`. */
 export interface CallerJob {
   readonly callId: string;
   readonly token: string;
@@ -30,40 +30,46 @@
   readonly spec: Readonly<Record<string, unknown>>;
 }
 
-/** A publish of a subtree. */
+/** A publish of a subtree of the configuration. */
 export interface CallerPublish {
   readonly callId: string;
   readonly token: string;
   readonly path: string;
-  /** Revision that it was based on, or -1 for none. */
+  /** Revision that the new value is based on, or -1 for none. */
   readonly base: number;
   readonly value: unknown;
 }
 
-/** A setting as an entry gives it. */
-export interface SeenSetting {
+/** A setting as an entry returned it. */
+export interface SettingReading {
   readonly path: string;
   readonly revision: number;
   readonly value: unknown;
 }
 
-/** Calls to one entry. None throws: a failure is what the caller was told. */
+/**
+ * Calls to one entry. None of them throws: a failure is returned as the call's
+ * outcome.
+ */
 export interface EntryClient {
   readonly entryId: string;
-  request(req: CallerRequest): Promise<historyEvent.RequestTold>;
-  submit(job: CallerJob): Promise<historyEvent.JobTold>;
-  /** The job as the entry sees it; undefined when it can't tell. */
+  request(req: CallerRequest): Promise<historyEvent.RequestOutcome>;
+  submit(job: CallerJob): Promise<historyEvent.JobOutcome>;
+  /**
+   * Returns the entry's view of the job; undefined if the call failed or the
+   * entry has no such job.
+   */
   job(token: string, jobId: string): Promise<types.job.JobView | undefined>;
   cancel(token: string, jobId: string): Promise<boolean>;
-  publish(publish: CallerPublish): Promise<historyEvent.PublishTold>;
-  setting(token: string, path: string): Promise<SeenSetting | undefined>;
-  ready(): Promise<boolean>;
+  publish(publish: CallerPublish): Promise<historyEvent.PublishOutcome>;
+  setting(token: string, path: string): Promise<SettingReading | undefined>;
+  isReady(): Promise<boolean>;
   drain(token: string): Promise<boolean>;
   status(token: string): Promise<unknown>;
   close(): Promise<void>;
 }
 
-/** Which entry. */
+/** Options of an entry's client. */
 export interface EntryClientOptions {
   readonly entryId: string;
   readonly address: string;
@@ -84,10 +90,13 @@
   readonly body?: Buffer | string;
 }
 
-/** Longer than any deadline of the product, so that it speaks first. */
+/**
+ * Longer than any deadline of the product, so that the product's own timeout
+ * answers first.
+ */
 const CALL_TIMEOUT_MS = 30_000;
 
-/** Makes a caller of one entry. */
+/** Creates a client of one entry. */
 export function createEntryClient(options: EntryClientOptions): EntryClient {
   const {entryId, address, recorded} = options;
   const agent = new undici.Agent({connections: 256});
@@ -121,7 +130,7 @@
     entryId,
     request: async (req) => {
       const {callId, team, operation, key = ''} = req;
-      const bodyHash = upstreamAnswer.hashOf(req.body);
+      const bodyHash = upstreamAnswer.sha256Hex(req.body);
       recorded.record({
         type: 'request_sent',
         callId,
@@ -131,7 +140,7 @@
         key,
         bodyHash,
       });
-      const told = await tell(async () => {
+      const told = await outcomeOf(async () => {
         const answer = await call({
           method: 'POST',
           path: `/v1/requests/${encodeURIComponent(operation)}`,
@@ -147,7 +156,7 @@
     submit: async (job) => {
       const {callId, team, key = '', label} = job;
       recorded.record({type: 'job_sent', callId, entryId, team, key, label});
-      const told = await tell(async () => {
+      const told = await outcomeOf(async () => {
         const answer = await call({
           method: 'POST',
           path: '/v1/jobs',
@@ -167,7 +176,7 @@
         recorded.record({type: 'job_missing', entryId, jobId});
       }
       if (answer?.status !== 200) return undefined;
-      const view = parse(answer) as types.job.JobView;
+      const view = parseBody(answer) as types.job.JobView;
       recorded.record({type: 'job_seen', entryId, view});
       return view;
     },
@@ -180,7 +189,7 @@
     },
     publish: async (publish) => {
       const {callId, path, base} = publish;
-      const told = await tell(async () => {
+      const told = await outcomeOf(async () => {
         const answer = await call({
           method: 'PUT',
           path: `/v1/settings/${path}`,
@@ -209,12 +218,12 @@
       };
       const answer = await tryCall(call);
       if (answer?.status !== 200) return undefined;
-      const seen = parse(answer) as SeenSetting;
-      const {revision} = seen;
+      const reading = parseBody(answer) as SettingReading;
+      const {revision} = reading;
       recorded.record({type: 'setting_seen', entryId, path, revision, askedAt});
-      return seen;
+      return reading;
     },
-    ready: async () => {
+    isReady: async () => {
       const answer = await tryCall({method: 'GET', path: '/readyz'});
       return answer?.status === 200;
     },
@@ -224,7 +233,7 @@
     },
     status: async (token) => {
       const answer = await tryCall({method: 'GET', path: '/v1/status', token});
-      return answer?.status === 200 ? parse(answer) : undefined;
+      return answer?.status === 200 ? parseBody(answer) : undefined;
     },
     close: () => agent.destroy(),
   };
@@ -240,14 +249,16 @@
     : {'gypsumwall-timeout-ms': String(timeoutMs)};
 }
 
-function parse(answer: Answer): unknown {
+function parseBody(answer: Answer): unknown {
   return JSON.parse(answer.body.toString('utf8'));
 }
 
-type Broken = Extract<historyEvent.RequestTold, {type: 'broken'}>;
+type BrokenOutcome = Extract<historyEvent.RequestOutcome, {type: 'broken'}>;
 
-/** What a call tells, or that no whole answer came. */
-async function tell<Told>(ask: () => Promise<Told>): Promise<Told | Broken> {
+/** Returns the outcome of a call, or `broken` if no complete answer arrived. */
+async function outcomeOf<Outcome>(
+  ask: () => Promise<Outcome>,
+): Promise<Outcome | BrokenOutcome> {
   try {
     return await ask();
   } catch (thrown) {
@@ -257,11 +268,11 @@
   }
 }
 
-/** Reads a problem+json answer into one of the three outcomes. */
+/** Converts a problem+json answer to the outcome `not_run` or `unknown`. */
 function readProblem(
   answer: Answer,
-): Exclude<historyEvent.RequestTold, {type: 'done'}> {
-  const problem = parse(answer) as {
+): Exclude<historyEvent.RequestOutcome, {type: 'done'}> {
+  const problem = parseBody(answer) as {
     outcome?: string;
     reason?: string;
     detail?: string;
@@ -269,25 +280,25 @@
   const {outcome, reason = '', detail = ''} = problem;
   const message = `status ${answer.status}: ${detail}`;
   if (outcome === 'not_run') return {type: 'not_run', reason, message};
-  // Without an outcome the caller may not assume that nothing ran.
+  // If the answer names no outcome, the caller may not assume that nothing ran.
   return {type: 'unknown', message};
 }
 
-function readRequestAnswer(answer: Answer): historyEvent.RequestTold {
+function readRequestAnswer(answer: Answer): historyEvent.RequestOutcome {
   if (answer.status !== 200) return readProblem(answer);
-  const answerHash = upstreamAnswer.hashOf(answer.body);
+  const answerHash = upstreamAnswer.sha256Hex(answer.body);
   return {type: 'done', answerHash, bytes: answer.body.length};
 }
 
-function readJobAnswer(answer: Answer): historyEvent.JobTold {
+function readJobAnswer(answer: Answer): historyEvent.JobOutcome {
   if (answer.status !== 202) return readProblem(answer);
-  const {jobId} = parse(answer) as {jobId: string};
+  const {jobId} = parseBody(answer) as {jobId: string};
   return {type: 'accepted', jobId};
 }
 
-function readPublishAnswer(answer: Answer): historyEvent.PublishTold {
+function readPublishAnswer(answer: Answer): historyEvent.PublishOutcome {
   if (answer.status === 200) {
-    const {revision} = parse(answer) as {revision: number};
+    const {revision} = parseBody(answer) as {revision: number};
     return {type: 'accepted', revision};
   }
   const message = `status ${answer.status}: ${answer.body.toString('utf8')}`;
--- a/packages/gypsumwall-testing/src/history.ts
+++ b/packages/gypsumwall-testing/src/history.ts
@@ -1,15 +1,15 @@
-/** Records events in order, each with its moment. */
+/** Records events in order, each with its time. */
 import type * as historyEvent from './history_event.js';
 import * as machineClock from './machine_clock.js';
 
-/** One process's recorded events. */
+/** The recorded events of one process. */
 export interface History {
   record(body: historyEvent.EventBody): void;
-  /** Events from the given number on. */
+  /** Returns the events whose number is at least `number`. */
   since(number: number): readonly historyEvent.HistoryEvent[];
 }
 
-/** Makes an empty history of the named recorder. */
+/** Creates an empty history; `source` names the recording process. */
 export function createHistory(source: string): History {
   const events: historyEvent.HistoryEvent[] = [];
   return {
@@ -21,8 +21,8 @@
   };
 }
 
-/** All recorders' events in one order of time. */
-export function merge(
+/** Merges the events of several processes, sorted by time. */
+export function mergeHistories(
   histories: ReadonlyArray<readonly historyEvent.HistoryEvent[]>,
 ): historyEvent.HistoryEvent[] {
   return histories
@@ -30,24 +30,24 @@
     .sort((left, right) => left.at - right.at || left.number - right.number);
 }
 
-/** One event as a line of text, with its moment relative to `from`. */
-export function describe(
+/** Formats an event as a line of text, with its time relative to `from`. */
+export function formatEvent(
   event: historyEvent.HistoryEvent,
   from: machineClock.MachineMs,
 ): string {
   const {at, source, number, type, ...rest} = event;
   const seconds = ((at - from) / 1_000).toFixed(3).padStart(8);
   const fields = Object.entries(rest)
-    .map(([key, value]) => `${key}=${fieldText(value)}`)
+    .map(([key, value]) => `${key}=${formatField(value)}`)
     .join(' ');
   return `${seconds} ${source}#${number} ${type} ${fields}`;
 }
 
-const LONGEST_FIELD = 200;
+const MAX_FIELD_CHARS = 200;
 
-function fieldText(value: unknown): string {
+function formatField(value: unknown): string {
   const text = typeof value === 'string' ? value : JSON.stringify(value);
-  return text.length > LONGEST_FIELD
-    ? `${text.slice(0, LONGEST_FIELD)}...`
+  return text.length > MAX_FIELD_CHARS
+    ? `${text.slice(0, MAX_FIELD_CHARS)}...`
     : text;
 }
--- a/packages/gypsumwall-testing/src/instance_board.ts
+++ b/packages/gypsumwall-testing/src/instance_registry.ts
@@ -1,8 +1,11 @@
-/** What truly runs in a cell; the platform's list follows it with its lag. */
+/**
+ * The instances that actually run in a cell; the platform's list shows them
+ * with a delay.
+ */
 import type * as platform from '@gypsumwall/platform';
 
-/** All instances, as the list will show them. */
-export interface InstanceBoard {
+/** The current instances of a cell, in the form of the platform's list. */
+export interface InstanceRegistry {
   put(instance: platform.instanceList.ListedInstance): void;
   remove(id: string): void;
   setState(id: string, state: 'live' | 'leaving'): void;
@@ -10,8 +13,8 @@
   ofDomain(failureDomain: string): string[];
 }
 
-/** Makes an empty board. */
-export function createInstanceBoard(): InstanceBoard {
+/** Creates an empty registry. */
+export function createInstanceRegistry(): InstanceRegistry {
   const instances = new Map<string, platform.instanceList.ListedInstance>();
   return {
     put: (instance) => void instances.set(instance.id, instance),
--- a/packages/gypsumwall-testing/src/judge/entry_rules.ts
+++ b/packages/gypsumwall-testing/src/judge/entry_rules.ts
@@ -1,12 +1,18 @@
-/** Planned stops and the configuration, as callers and operators saw them. */
+/**
+ * Checks planned stops and the configuration, as callers and operators observed
+ * them.
+ */
 import type * as historyEvent from '../history_event.js';
 import * as finding from './finding.js';
 
-/** A planned stop cuts off no call in flight at the entry. */
+/**
+ * Checks that a planned stop breaks no call in flight at the entry and that the
+ * process exits with 0.
+ */
 export function checkPlannedStop(
   events: readonly historyEvent.HistoryEvent[],
 ): finding.Finding[] {
-  const told = new Map(
+  const outcomes = new Map(
     [
       ...finding.eventsOf(events, 'request_told'),
       ...finding.eventsOf(events, 'job_told'),
@@ -26,30 +32,35 @@
     for (const call of sent) {
       if (call.entryId !== entryId) continue;
       if (exit !== undefined && call.at > exit.at) continue;
-      const end = told.get(call.callId);
-      if (end === undefined || end.at < stopping.at) continue;
-      if (end.told.type !== 'broken' || end.told.neverSent) continue;
+      const outcome = outcomes.get(call.callId);
+      if (outcome === undefined || outcome.at < stopping.at) continue;
+      if (outcome.told.type !== 'broken' || outcome.told.neverSent) continue;
       findings.push({
         promise: 'planned_stop',
-        message: `the planned stop of ${entryId} cut off call ${call.callId}`,
-        evidence: [call, stopping, end, ...(exit === undefined ? [] : [exit])],
+        message: `the planned stop of ${entryId} broke call ${call.callId}`,
+        evidence: [
+          call,
+          stopping,
+          outcome,
+          ...(exit === undefined ? [] : [exit]),
+        ],
       });
     }
     if (exit === undefined || exit.code === 0) continue;
     findings.push({
       promise: 'planned_stop',
-      message: `the planned stop of ${entryId} ended with ${exit.code ?? exit.signal}`,
+      message: `the planned stop of ${entryId} exited with ${exit.code ?? exit.signal}`,
       evidence: [stopping, exit],
     });
   }
   return findings;
 }
 
-type Seen = finding.EventOf<'setting_seen'>;
-type Published = finding.EventOf<'publish_told'>;
+type SettingReading = finding.EventOf<'setting_seen'>;
+type PublishOutcome = finding.EventOf<'publish_told'>;
 
 interface AcceptedPublish {
-  readonly event: Published;
+  readonly event: PublishOutcome;
   readonly revision: number;
 }
 
@@ -62,45 +73,52 @@
   });
 }
 
-/** Accepted settings are in force within the bound and never revert. */
+/**
+ * Checks that accepted settings take effect within the bound and never revert.
+ */
 export function checkConfiguration(
   events: readonly historyEvent.HistoryEvent[],
   boundMs: number,
 ): finding.Finding[] {
-  const seen = finding.eventsOf(events, 'setting_seen');
+  const readings = finding.eventsOf(events, 'setting_seen');
   const accepted = acceptedPublishes(events);
   return [
     ...checkOneWinner(accepted),
-    ...checkNoRevert(seen),
-    ...checkInForce(events, seen, accepted, boundMs),
+    ...checkNoRevert(readings),
+    ...checkInForce(events, readings, accepted, boundMs),
   ];
 }
 
-/** Of publishes on one base, one wins. */
+/**
+ * Checks that of several publishes based on one revision at most one is
+ * accepted.
+ */
 function checkOneWinner(
   accepted: readonly AcceptedPublish[],
 ): finding.Finding[] {
-  const byBase = finding.groupBy(
+  const winnersByBase = finding.groupBy(
     accepted,
     ({event}) => `${event.path} on revision ${event.base}`,
   );
-  return [...byBase].flatMap(([what, winners]) => {
+  return [...winnersByBase].flatMap(([description, winners]) => {
     if (winners.length < 2) return [];
-    const message = `${winners.length} publishes of ${what} were accepted`;
+    const message = `${winners.length} publishes of ${description} were accepted`;
     const evidence = winners.map(({event}) => event);
     return [{promise: 'configuration', message, evidence}];
   });
 }
 
-/** A later reading at an entry never shows an older revision. */
-function checkNoRevert(seen: readonly Seen[]): finding.Finding[] {
+/** Checks that a later reading at an entry never shows an older revision. */
+function checkNoRevert(
+  allReadings: readonly SettingReading[],
+): finding.Finding[] {
   const findings: finding.Finding[] = [];
   const groups = finding.groupBy(
-    seen,
+    allReadings,
     (event) => `${event.entryId} ${event.path}`,
   );
   for (const readings of groups.values()) {
-    let newest: Seen | undefined;
+    let newest: SettingReading | undefined;
     for (const reading of readings) {
       if (
         newest !== undefined &&
@@ -121,15 +139,18 @@
   return findings;
 }
 
-/** The bound counts from the acceptance, or from the last change of faults. */
+/**
+ * Checks that accepted revisions become visible within the bound, which counts
+ * from the acceptance or from the last injected or repaired fault.
+ */
 function checkInForce(
   events: readonly historyEvent.HistoryEvent[],
-  seen: readonly Seen[],
+  readings: readonly SettingReading[],
   accepted: readonly AcceptedPublish[],
   boundMs: number,
 ): finding.Finding[] {
   const faults = finding.eventsOf(events, 'fault');
-  return seen.flatMap((reading) => {
+  return readings.flatMap((reading) => {
     const fault = faults.filter((event) => event.at < reading.askedAt).at(-1);
     if (fault !== undefined && reading.askedAt < fault.at + boundMs) return [];
     const missed = accepted.find(
@@ -139,7 +160,7 @@
         event.at + boundMs < reading.askedAt,
     );
     if (missed === undefined) return [];
-    const message = `${reading.path} at ${reading.entryId} is still ${reading.revision}, accepted was ${missed.revision}`;
+    const message = `${reading.path} at ${reading.entryId} still has revision ${reading.revision}, but ${missed.revision} was accepted`;
     const evidence = [missed.event, reading];
     return [{promise: 'configuration', message, evidence}];
   });
--- a/packages/gypsumwall-testing/src/judge/request_rules.ts
+++ b/packages/gypsumwall-testing/src/judge/request_rules.ts
@@ -1,29 +1,31 @@
-/** What upstreams recorded, held against what callers were told. */
+/** Compares what upstreams executed with the outcomes that callers received. */
 import type * as historyEvent from '../history_event.js';
 import * as finding from './finding.js';
 
 type Execution = finding.EventOf<'execution_started'>;
-type Sent = finding.EventOf<'request_sent'>;
-type Told = finding.EventOf<'request_told'>;
+type SentEvent = finding.EventOf<'request_sent'>;
+type OutcomeEvent = finding.EventOf<'request_told'>;
 
-/** A call from its sending to what the caller was told, if it was. */
+/**
+ * A call and its outcome; the outcome is absent if the caller received none.
+ */
 interface Call {
-  readonly sent: Sent;
-  readonly told?: Told;
+  readonly sent: SentEvent;
+  readonly outcomeEvent?: OutcomeEvent;
 }
 
-/** All calls by the hash of what they carried. */
+/** Groups calls by the hash of their body. */
 function callsByBody(
   events: readonly historyEvent.HistoryEvent[],
 ): Map<string, Call[]> {
-  const told = new Map(
+  const outcomeEvents = new Map(
     finding.eventsOf(events, 'request_told').map((event) => {
       return [event.callId, event] as const;
     }),
   );
   const calls = finding
     .eventsOf(events, 'request_sent')
-    .map((sent) => ({sent, told: told.get(sent.callId)}));
+    .map((sent) => ({sent, outcomeEvent: outcomeEvents.get(sent.callId)}));
   return finding.groupBy(calls, (call) => call.sent.bodyHash);
 }
 
@@ -34,7 +36,9 @@
   return finding.groupBy(started, (execution) => execution.bodyHash);
 }
 
-/** A `done` answer is one that an execution of this very request gave. */
+/**
+ * Checks that every `done` answer came from an execution of the same request.
+ */
 export function checkWholeAnswer(
   events: readonly historyEvent.HistoryEvent[],
 ): finding.Finding[] {
@@ -46,93 +50,109 @@
   );
   const findings: finding.Finding[] = [];
   for (const [bodyHash, calls] of callsByBody(events)) {
-    const own = executions.get(bodyHash) ?? [];
-    for (const {sent, told} of calls) {
-      if (told?.told.type !== 'done') continue;
-      const {answerHash} = told.told;
-      const fits = own.some(
+    const ownExecutions = executions.get(bodyHash) ?? [];
+    for (const {sent, outcomeEvent} of calls) {
+      if (outcomeEvent?.told.type !== 'done') continue;
+      const {answerHash} = outcomeEvent.told;
+      const isOwnAnswer = ownExecutions.some(
         (execution) =>
           execution.team === sent.team &&
           ends.get(execution.executionId)?.answerHash === answerHash,
       );
-      if (fits) continue;
+      if (isOwnAnswer) continue;
       const others = [...ends.values()].filter(
         (end) => end.answerHash === answerHash,
       );
-      const what =
-        others.length > 0 ? "another request's answer" : 'no whole answer';
+      const description =
+        others.length > 0
+          ? "another request's answer"
+          : 'an answer that no execution produced';
       findings.push({
         promise: 'whole_answer',
-        message: `call ${sent.callId} was given ${what} as done`,
-        evidence: [sent, ...own, ...others, told],
+        message: `call ${sent.callId} received ${description} as done`,
+        evidence: [sent, ...ownExecutions, ...others, outcomeEvent],
       });
     }
   }
   return findings;
 }
 
-/** What was told `not_run` has no execution that only it could explain. */
+/**
+ * Checks that no request ran whose caller received `not_run`, unless another
+ * call with the same body can account for the execution.
+ */
 export function checkRequestNotRun(
   events: readonly historyEvent.HistoryEvent[],
 ): finding.Finding[] {
   const executions = executionsByBody(events);
   const findings: finding.Finding[] = [];
   for (const [bodyHash, calls] of callsByBody(events)) {
-    const own = executions.get(bodyHash) ?? [];
+    const ownExecutions = executions.get(bodyHash) ?? [];
     for (const call of calls) {
-      if (call.told?.told.type !== 'not_run') continue;
-      const {told} = call;
+      if (call.outcomeEvent?.told.type !== 'not_run') continue;
+      const {outcomeEvent} = call;
       const others = calls.filter(
-        (other) => other !== call && other.told?.told.type !== 'not_run',
+        (other) =>
+          other !== call && other.outcomeEvent?.told.type !== 'not_run',
       );
-      const ran = own.filter((execution) => !isExplained(execution, others));
-      // Told of a key that another call of it already ran: a lie as well,
-      // unless the reason says that just this is the case.
-      const before =
-        call.told.told.reason === 'key_in_use'
+      const unexplained = ownExecutions.filter(
+        (execution) => !isExplained(execution, others),
+      );
+      // `not_run` is also false if the same request had already run for an
+      // earlier call, unless the reason is that its key is in use.
+      const earlier =
+        call.outcomeEvent.told.reason === 'key_in_use'
           ? []
-          : own.filter((execution) => execution.at < told.at);
-      const evidence = [...new Set([...ran, ...before])];
+          : ownExecutions.filter((execution) => execution.at < outcomeEvent.at);
+      const evidence = [...new Set([...unexplained, ...earlier])];
       if (evidence.length === 0) continue;
       findings.push({
         promise: 'not_run_is_true',
-        message: `call ${call.sent.callId} was told not_run but ran`,
-        evidence: [call.sent, ...evidence, call.told],
+        message: `call ${call.sent.callId} received not_run but ran`,
+        evidence: [call.sent, ...evidence, call.outcomeEvent],
       });
     }
   }
   return findings;
 }
 
-/** Whether another call of the same work was out when it started. */
+/**
+ * Whether another call with the same body was sent before the execution began.
+ */
 function isExplained(execution: Execution, others: readonly Call[]): boolean {
   return others.some((other) => other.sent.at <= execution.at);
 }
 
-/** A job told `not_run` has no task anywhere. */
+/**
+ * Checks that no task ran of a job whose submissions were all answered
+ * `not_run`.
+ */
 export function checkJobNotRun(
   events: readonly historyEvent.HistoryEvent[],
 ): finding.Finding[] {
-  const told = finding.eventsOf(events, 'job_told');
+  const answers = finding.eventsOf(events, 'job_told');
   const starts = finding.groupBy(
     finding.eventsOf(events, 'task_started'),
     (start) => start.label,
   );
   const findings: finding.Finding[] = [];
-  for (const [label, tellings] of finding.groupBy(told, (one) => one.label)) {
-    if (tellings.some((one) => one.told.type !== 'not_run')) continue;
-    const own = starts.get(label) ?? [];
-    if (own.length === 0) continue;
+  for (const [label, group] of finding.groupBy(answers, (one) => one.label)) {
+    if (group.some((one) => one.told.type !== 'not_run')) continue;
+    const ownStarts = starts.get(label) ?? [];
+    if (ownStarts.length === 0) continue;
     findings.push({
       promise: 'not_run_is_true',
-      message: `job ${label} was told not_run but ${own.length} tasks ran`,
-      evidence: [...tellings, ...own],
+      message: `job ${label} received not_run but ${ownStarts.length} tasks ran`,
+      evidence: [...group, ...ownStarts],
     });
   }
   return findings;
 }
 
-/** Work with a key, or with the authority, runs at most once. */
+/**
+ * Checks that a keyed request, and a request with an irrevocable effect, runs
+ * at most once.
+ */
 export function checkAtMostOnce(
   events: readonly historyEvent.HistoryEvent[],
 ): finding.Finding[] {
@@ -141,23 +161,26 @@
     started.filter((execution) => execution.key !== ''),
     (execution) => `key ${execution.key} of ${execution.team}`,
   );
-  const filed = finding.groupBy(
+  const irrevocable = finding.groupBy(
     started.filter((execution) => execution.authority),
     (execution) => `${execution.operation} with body ${execution.bodyHash}`,
   );
   const findings: finding.Finding[] = [];
-  for (const [what, executions] of [...keyed, ...filed]) {
+  for (const [description, executions] of [...keyed, ...irrevocable]) {
     if (executions.length < 2) continue;
     findings.push({
       promise: 'at_most_once',
-      message: `${what} ran ${executions.length} times`,
+      message: `${description} ran ${executions.length} times`,
       evidence: executions,
     });
   }
   return findings;
 }
 
-/** A leaving upstream gets nothing new after the bound. */
+/**
+ * Checks that an upstream gets no new executions once it has been leaving for
+ * longer than the bound.
+ */
 export function checkLeavingUpstream(
   events: readonly historyEvent.HistoryEvent[],
   boundMs: number,
@@ -170,7 +193,7 @@
         execution.at > leaving.at + boundMs,
     );
     if (late.length === 0) return [];
-    const message = `${leaving.upstreamId} got ${late.length} new executions over ${boundMs} ms after it was leaving`;
+    const message = `${leaving.upstreamId} got ${late.length} new executions more than ${boundMs} ms after it was listed as leaving`;
     return [
       {promise: 'leaving_upstream', message, evidence: [leaving, ...late]},
     ];
--- a/packages/gypsumwall-testing/src/launch_cell.ts
+++ b/packages/gypsumwall-testing/src/launch_cell.ts
@@ -1,4 +1,4 @@
-/** Starts a whole cell as separate processes and ends it again. */
+/** Starts a complete cell as separate processes and stops it again. */
 import * as crypto from 'node:crypto';
 import * as fs from 'node:fs';
 import * as os from 'node:os';
@@ -10,22 +10,25 @@
 import * as entryProcess from './entry_process.js';
 import * as history from './history.js';
 import type * as historyEvent from './history_event.js';
-import * as instanceBoard from './instance_board.js';
+import * as instanceRegistry from './instance_registry.js';
 import * as network from './network.js';
 import * as site from './site.js';
 import * as standInGroup from './stand_in_group.js';
 
-/** What to launch. */
+/** Options of a cell. */
 export interface CellOptions {
   readonly site: site.Site;
   readonly tokens: site.Tokens;
   readonly tree: settings.cellTree.CellTree;
-  /** Arguments for Node that start an entry; the settings file follows. */
+  /** Arguments for Node that start an entry; the settings file is appended. */
   readonly entryCommand: readonly string[];
-  /** Whether every path of an entry goes through a relay, to be cut. */
-  readonly relayed: boolean;
+  /**
+   * Whether all connections of an entry go through relays, so that tests can
+   * cut them.
+   */
+  readonly isRelayed: boolean;
   readonly seed: number;
-  /** Leaves settings and logs behind for a person to read. */
+  /** Keeps the folder with settings and logs after `close`, for debugging. */
   readonly keepFolder?: boolean;
 }
 
@@ -35,30 +38,39 @@
   readonly recorded: history.History;
   readonly network: network.Network;
   readonly standIns: standInGroup.StandInGroup;
-  readonly board: instanceBoard.InstanceBoard;
-  /** Folder of settings and logs; gone after `close`. */
+  readonly registry: instanceRegistry.InstanceRegistry;
+  /**
+   * Folder of settings and logs; `close` removes it unless `keepFolder` is set.
+   */
   readonly folder: string;
-  /** Entries that run, frozen ones included. */
+  /** Returns the running entries, including frozen ones. */
   entries(): entryProcess.EntryProcess[];
   entry(id: string): entryProcess.EntryProcess;
-  /** Starts another entry and lists it. */
+  /** Starts another entry and adds it to the platform's list. */
   startEntry(entry: site.SiteEntry): Promise<entryProcess.EntryProcess>;
-  /** Kills at once; the list follows with its lag. */
+  /** Kills the entry immediately; the list shows it with its usual delay. */
   killEntry(id: string): Promise<void>;
-  /** Planned stop: listed as leaving, asked to end, waited for. */
+  /**
+   * Stops the entry as planned: lists it as leaving, sends SIGTERM and waits
+   * for its exit.
+   */
   stopEntry(id: string): Promise<void>;
-  /** Passes the board on to the platform's list. */
+  /** Sends the registry's instances to the platform's list. */
   updateList(): Promise<void>;
-  /** All recorded events in one order. */
+  /** Returns all recorded events, sorted by time. */
   history(): Promise<historyEvent.HistoryEvent[]>;
   close(): Promise<void>;
 }
 
 const READY_TIMEOUT_MS = 60_000;
-const POLL_MS = 50;
-const BALANCER_MS = 100;
+const POLL_INTERVAL_MS = 50;
+/** Interval of the balancer's readiness probes. */
+const PROBE_MS = 100;
 
-/** Starts all, publishes the tree and waits until every entry is ready. */
+/**
+ * Starts all processes, publishes the configuration and waits until every entry
+ * is ready.
+ */
 export async function launchCell(options: CellOptions): Promise<Cell> {
   const cell = await startProcesses(options);
   try {
@@ -85,52 +97,52 @@
     seed: options.seed,
     folder,
   });
-  const paths = network.createNetwork();
-  const board = instanceBoard.createInstanceBoard();
+  const relayNetwork = network.createNetwork();
+  const registry = instanceRegistry.createInstanceRegistry();
   for (const instance of [...instances.workers, ...instances.upstreams]) {
     const address = standIns.addresses[instance.id] ?? '';
-    board.put({...instance, address, state: 'live'});
+    registry.put({...instance, address, state: 'live'});
   }
   const running = new Map<string, entryProcess.EntryProcess>();
 
   const entryOf = (id: string): entryProcess.EntryProcess => {
     const found = running.get(id);
-    if (found === undefined) throw new Error(`no entry ${id} runs`);
+    if (found === undefined) throw new Error(`entry ${id} is not running`);
     return found;
   };
   const updateList = async (): Promise<void> => {
-    if (options.relayed) await updateViews();
-    const body = {instances: board.all()};
+    if (options.isRelayed) await updateViews();
+    const body = {instances: registry.all()};
     await standIns.control('platform', 'instances', body);
   };
-  /** Each entry sees the addresses of its own relays. */
+  /** Gives each entry a list with the addresses of its own relays. */
   const updateViews = async (): Promise<void> => {
     for (const view of running.keys()) {
       const addresses: Record<string, string> = {};
-      for (const {id, address} of board.all()) {
-        // An entry finds itself on the list by the address it listens on.
+      for (const {id, address} of registry.all()) {
+        // An entry recognises itself on the list by the address it listens on.
         addresses[id] =
-          id === view ? address : await paths.connect(view, id, address);
+          id === view ? address : await relayNetwork.connect(view, id, address);
       }
       await standIns.control('platform', 'views', {view, addresses});
     }
   };
   const platformPath = (id: string, end: 'log' | 'list'): Promise<string> =>
-    options.relayed
-      ? paths.connect(id, end, standIns.platform)
+    options.isRelayed
+      ? relayNetwork.connect(id, end, standIns.platform)
       : Promise.resolve(standIns.platform);
 
   const listUrl = async (id: string): Promise<string> => {
     const address = await platformPath(id, 'list');
-    return options.relayed ? `${address}/views/${id}` : address;
+    return options.isRelayed ? `${address}/views/${id}` : address;
   };
 
   const cell: Cell = {
     options,
     recorded,
-    network: paths,
+    network: relayNetwork,
     standIns,
-    board,
+    registry,
     folder,
     entries: () => [...running.values()],
     entry: entryOf,
@@ -150,10 +162,10 @@
         recorded,
       });
       running.set(id, started);
-      void started.child.exited.then(() => paths.refuse(id));
+      void started.child.exited.then(() => relayNetwork.refuseConnections(id));
       const address = started.peerAddress;
       const state = 'live';
-      board.put({kind: 'entry', id, failureDomain, address, state});
+      registry.put({kind: 'entry', id, failureDomain, address, state});
       await updateList();
       return started;
     },
@@ -162,26 +174,27 @@
       running.delete(id);
       entry.child.send('SIGKILL');
       await entry.child.exited;
-      board.remove(id);
+      registry.remove(id);
       await updateList();
     },
     stopEntry: async (id) => {
       const entry = entryOf(id);
-      board.setState(id, 'leaving');
+      registry.setState(id, 'leaving');
       await updateList();
       recorded.record({type: 'entry_stopping', entryId: id});
       entry.child.send('SIGTERM');
-      // The balancer sends callers there until it sees that it isn't ready.
-      while (await entry.client.ready()) await timers.setTimeout(BALANCER_MS);
+      // The balancer keeps sending calls to the entry until it sees that the
+      // entry isn't ready.
+      while (await entry.client.isReady()) await timers.setTimeout(PROBE_MS);
       running.delete(id);
       await entry.child.exited;
-      board.remove(id);
+      registry.remove(id);
       await updateList();
     },
     updateList,
     history: async () => {
       const others = await standIns.histories();
-      return history.merge([recorded.since(0), ...others]);
+      return history.mergeHistories([recorded.since(0), ...others]);
     },
     close: async () => {
       for (const {child} of running.values()) child.send('SIGKILL');
@@ -190,7 +203,7 @@
         await client.close();
       }
       await standIns.close();
-      await paths.close();
+      await relayNetwork.close();
       if (options.keepFolder === true) return;
       fs.rmSync(folder, {recursive: true, force: true});
     },
@@ -199,10 +212,10 @@
 }
 
 async function publishTree(cell: Cell): Promise<void> {
-  const {tree, tokens, site: where} = cell.options;
-  // A site may be smaller than its example: a domain without entries would
-  // be the home of jobs that never run.
-  const failureDomains = where.failureDomains.map(({name}) => name);
+  const {tree, tokens, site: targetSite} = cell.options;
+  // A site may be smaller than its example: a failure domain without entries
+  // would be the home of jobs that never run.
+  const failureDomains = targetSite.failureDomains.map(({name}) => name);
   const publisher = cell.entries()[0]?.client;
   if (publisher === undefined) throw new Error('the site has no entry');
   const subtrees: Array<[string, unknown]> = [
@@ -212,11 +225,11 @@
     }),
   ];
   for (const [subtree, value] of subtrees) {
-    await publishOne(publisher, tokens.rootOperator, subtree, value);
+    await publishSubtree(publisher, tokens.rootOperator, subtree, value);
   }
 }
 
-async function publishOne(
+async function publishSubtree(
   publisher: entryClient.EntryClient,
   token: string,
   subtree: string,
@@ -226,16 +239,16 @@
   for (;;) {
     const callId = `launch-${subtree}`;
     const publish = {callId, token, path: subtree, base: -1, value};
-    const told = await publisher.publish(publish);
-    if (told.type === 'accepted') return;
-    // An earlier try may have taken effect although its answer was lost.
+    const outcome = await publisher.publish(publish);
+    if (outcome.type === 'accepted') return;
+    // An earlier attempt may have taken effect although its answer was lost.
     const known = await publisher.setting(token, subtree);
-    if (told.type === 'conflict' && known !== undefined) return;
+    if (outcome.type === 'conflict' && known !== undefined) return;
     if (performance.now() > deadline) {
-      throw new Error(`publishing ${subtree}: ${told.message}`);
+      throw new Error(`publishing ${subtree}: ${outcome.message}`);
     }
-    // A new entry refuses while it still reads the log.
-    await timers.setTimeout(POLL_MS);
+    // A new entry refuses publishes while it is still reading the log.
+    await timers.setTimeout(POLL_INTERVAL_MS);
   }
 }
 
@@ -243,37 +256,40 @@
 export async function waitUntilReady(cell: Cell): Promise<void> {
   const deadline = types.clock.after(performance.now(), READY_TIMEOUT_MS);
   for (const entry of cell.entries()) {
-    while (!(await entry.client.ready())) {
+    while (!(await entry.client.isReady())) {
       if (performance.now() > deadline) {
-        throw new Error(`entry ${entry.entry.id} does not get ready`);
+        throw new Error(`entry ${entry.entry.id} does not become ready`);
       }
-      await timers.setTimeout(POLL_MS);
+      await timers.setTimeout(POLL_INTERVAL_MS);
     }
   }
 }
 
-interface SeenStatus {
+interface EntryStatus {
   readonly router: {
     readonly upstreams: ReadonlyArray<{readonly share: number}>;
   };
 }
 
 /**
- * Waits until every entry has slots of upstreams. A whole cell that starts at
- * once has none for a while, and a test would strike nothing.
+ * Waits until every entry has a share of the upstreams' slots. While a whole
+ * cell starts up it has none for a while, and faults injected then would affect
+ * nothing.
  */
 async function waitUntilServing(cell: Cell): Promise<void> {
   const deadline = types.clock.after(performance.now(), READY_TIMEOUT_MS);
   const token = cell.options.tokens.rootOperator;
   for (const {entry, client} of cell.entries()) {
     for (;;) {
-      const status = (await client.status(token)) as SeenStatus | undefined;
+      const status = (await client.status(token)) as EntryStatus | undefined;
       const upstreams = status?.router.upstreams ?? [];
       if (upstreams.some(({share}) => share > 0)) break;
       if (performance.now() > deadline) {
-        throw new Error(`entry ${entry.id} gets no slots of upstreams`);
+        throw new Error(
+          `entry ${entry.id} has no share of any upstream's slots`,
+        );
       }
-      await timers.setTimeout(POLL_MS);
+      await timers.setTimeout(POLL_INTERVAL_MS);
     }
   }
 }
--- a/packages/gypsumwall-testing/src/network.ts
+++ b/packages/gypsumwall-testing/src/network.ts
@@ -1,44 +1,55 @@
-/** The relays of one cell: a path for each pair of named ends. */
+/** The relays of one cell: one for each path between two named instances. */
 import * as relay from './relay.js';
 
-/** Paths between an entry and its surroundings, by name. */
+/** The paths between entries and the instances that they call. */
 export interface Network {
-  /** Makes or moves the path; gives the address that `from` has to use. */
+  /**
+   * Creates the relay of a path, or changes its target; returns the address
+   * that `from` has to use.
+   */
   connect(from: string, to: string, address: string): Promise<string>;
-  /** Cuts both directions between every `left` and every `right`. */
+  /**
+   * Cuts both directions between each instance of `left` and each of `right`.
+   */
   cut(left: readonly string[], right: readonly string[]): void;
-  /** Holds what either side sends on connections that it opened. */
+  /** Stops forwarding what either side sends on connections that it opened. */
   cutOneWay(left: readonly string[], right: readonly string[]): void;
   delay(left: readonly string[], right: readonly string[], ms: number): void;
   reset(left: readonly string[], right: readonly string[]): void;
   /** Ends cuts and delays. */
   heal(left: readonly string[], right: readonly string[]): void;
   silenceOpen(left: readonly string[], right: readonly string[]): void;
-  /** That end is gone for good: every path to it refuses connections. */
-  refuse(to: string): void;
+  /** Makes every path to the instance refuse connections, permanently. */
+  refuseConnections(to: string): void;
   close(): Promise<void>;
 }
 
-/** Makes a network without paths. */
+/** Creates a network without paths. */
 export function createNetwork(): Network {
   const relays = new Map<string, Map<string, relay.Relay>>();
-  /** One after another, so that two callers never lay one path twice. */
-  let laying: Promise<unknown> = Promise.resolve();
+  /**
+   * Paths are set up one after another, so that two callers never create a
+   * relay for the same path.
+   */
+  let pendingSetup: Promise<unknown> = Promise.resolve();
 
-  const between = (
+  const relaysBetween = (
     left: readonly string[],
     right: readonly string[],
   ): relay.Relay[] => {
     const found: Array<relay.Relay | undefined> = [];
-    for (const one of left) {
-      for (const other of right) {
-        found.push(relays.get(one)?.get(other), relays.get(other)?.get(one));
+    for (const leftEnd of left) {
+      for (const rightEnd of right) {
+        found.push(
+          relays.get(leftEnd)?.get(rightEnd),
+          relays.get(rightEnd)?.get(leftEnd),
+        );
       }
     }
     return found.filter((path) => path !== undefined);
   };
 
-  const lay = async (
+  const setUpPath = async (
     from: string,
     to: string,
     address: string,
@@ -56,30 +67,30 @@
 
   return {
     connect: (from, to, address) => {
-      const laid = laying.then(() => lay(from, to, address));
-      laying = laid;
-      return laid;
+      const setup = pendingSetup.then(() => setUpPath(from, to, address));
+      pendingSetup = setup;
+      return setup;
     },
     cut: (left, right) => {
-      for (const path of between(left, right)) path.cut();
+      for (const path of relaysBetween(left, right)) path.cut();
     },
     cutOneWay: (left, right) => {
-      for (const path of between(left, right)) path.cutOneWay();
+      for (const path of relaysBetween(left, right)) path.cutOneWay();
     },
     delay: (left, right, ms) => {
-      for (const path of between(left, right)) path.delay(ms);
+      for (const path of relaysBetween(left, right)) path.delay(ms);
     },
     reset: (left, right) => {
-      for (const path of between(left, right)) path.reset();
+      for (const path of relaysBetween(left, right)) path.reset();
     },
     heal: (left, right) => {
-      for (const path of between(left, right)) path.heal();
+      for (const path of relaysBetween(left, right)) path.heal();
     },
     silenceOpen: (left, right) => {
-      for (const path of between(left, right)) path.silenceOpen();
+      for (const path of relaysBetween(left, right)) path.silenceOpen();
     },
-    refuse: (to) => {
-      for (const paths of relays.values()) paths.get(to)?.refuse();
+    refuseConnections: (to) => {
+      for (const paths of relays.values()) paths.get(to)?.refuseConnections();
     },
     close: async () => {
       const all = [...relays.values()].flatMap((paths) => [...paths.values()]);
--- a/packages/gypsumwall-testing/src/scenario/__tests__/scenario_file.test.ts
+++ b/packages/gypsumwall-testing/src/scenario/__tests__/scenario_file.test.ts
@@ -12,7 +12,7 @@
   }
 });
 
-nodeTest.test('a bad scenario is refused with line and remedy', () => {
+nodeTest.test('errors of a bad scenario name line and correction', () => {
   const text = [
     '{',
     '  "promise": "p",',
@@ -30,7 +30,7 @@
   assert.match(parsed.error, /bad\.jsonc:6: steps\.1\.do: /);
 });
 
-nodeTest.test('a missing scenario is refused by its name', () => {
+nodeTest.test('the error of a missing scenario names its file', () => {
   const read = scenarioFile.readScenario('no-such');
   assert.ok(read.isErr);
   assert.match(
@@ -39,9 +39,9 @@
   );
 });
 
-nodeTest.test('a seed draws the same scenarios again', () => {
-  const draw = () => randomScenario.randomScenarios(20, 7);
-  assert.deepEqual(draw(), draw());
-  const stories = new Set(draw().map(({story}) => story.join()));
-  assert.ok(stories.size > 15, `${stories.size} different ones`);
+nodeTest.test('a seed always generates the same scenarios', () => {
+  const generate = () => randomScenario.randomScenarios(20, 7);
+  assert.deepEqual(generate(), generate());
+  const stories = new Set(generate().map(({story}) => story.join()));
+  assert.ok(stories.size > 15, `${stories.size} different stories`);
 });
--- a/packages/gypsumwall-testing/src/scenario/conditions.ts
+++ b/packages/gypsumwall-testing/src/scenario/conditions.ts
@@ -1,4 +1,7 @@
-/** What steps wait for. Only history and callers' answers decide. */
+/**
+ * The conditions that steps wait for. They depend only on the history and on
+ * the answers that callers receive.
+ */
 import type * as historyEvent from '../history_event.js';
 import * as finding from '../judge/finding.js';
 import * as upstreamAnswer from '../upstream_answer.js';
@@ -7,7 +10,7 @@
 
 type State = scenarioState.ScenarioState;
 
-/** Makes a check that is asked over and over until it holds. */
+/** Creates a check that is repeated until it returns true. */
 export function createCheck(
   state: State,
   condition: scenarioSchema.Condition,
@@ -37,31 +40,31 @@
       return async () => {
         const events = await state.cell.history();
         const ends = endsOf(events, condition.job);
-        const wanted = ends.filter((end) => end.cause === condition.cause);
-        return wanted.length >= condition.atLeast;
+        const matching = ends.filter((end) => end.cause === condition.cause);
+        return matching.length >= condition.atLeast;
       };
     case 'executing':
       return async () => {
         const body = state.bodies.get(condition.request);
         if (body === undefined) return false;
-        const bodyHash = upstreamAnswer.hashOf(body);
+        const bodyHash = upstreamAnswer.sha256Hex(body);
         const events = await state.cell.history();
         const started = finding.eventsOf(events, 'execution_started');
         return started.some((event) => event.bodyHash === bodyHash);
       };
     case 'told':
       return () => {
-        const told = state.told.get(condition.call);
-        const fits =
-          told !== undefined && condition.outcomes.includes(told.type);
-        return Promise.resolve(fits);
+        const outcome = state.outcomes.get(condition.call);
+        const isExpected =
+          outcome !== undefined && condition.outcomes.includes(outcome.type);
+        return Promise.resolve(isExpected);
       };
     case 'load_done': {
       const counts = state.loads.get(condition.load)?.counts;
       const before = counts?.done ?? 0;
       return () => {
-        const more = (counts?.done ?? 0) - before;
-        return Promise.resolve(more >= condition.atLeast);
+        const newlyDone = (counts?.done ?? 0) - before;
+        return Promise.resolve(newlyDone >= condition.atLeast);
       };
     }
     case 'holder':
@@ -69,13 +72,13 @@
         const {domain, other} = condition;
         const holders = await scenarioState.holdersOf(state, domain);
         if (other === undefined) return holders.length > 0;
-        const not = await scenarioState.resolveEntry(state, other);
-        return holders.some((holder) => holder !== not);
+        const excluded = await scenarioState.resolveEntry(state, other);
+        return holders.some((holder) => holder !== excluded);
       };
     case 'ready':
       return async () => {
         const client = await scenarioState.clientFor(state, condition.entry);
-        return client.ready();
+        return client.isReady();
       };
     case 'in_force':
       return () => isInForce(state, condition.path);
@@ -93,9 +96,11 @@
 }
 
 function endsOf(events: Events, label: string) {
-  const own = new Set(startsOf(events, label).map((start) => start.taskId));
+  const ownTaskIds = new Set(
+    startsOf(events, label).map((start) => start.taskId),
+  );
   const ends = finding.eventsOf(events, 'task_ended');
-  return ends.filter((end) => own.has(end.taskId));
+  return ends.filter((end) => ownTaskIds.has(end.taskId));
 }
 
 function runningTasks(events: Events, label: string): number {
@@ -111,12 +116,12 @@
     );
   const newest = Math.max(-1, ...accepted);
   const token = state.cell.options.tokens.rootOperator;
-  const seen = await Promise.all(
+  const settings = await Promise.all(
     scenarioState
-      .awakeEntries(state)
+      .activeEntries(state)
       .map(({client}) => client.setting(token, path)),
   );
-  return seen.every(
+  return settings.every(
     (setting) => setting !== undefined && setting.revision >= newest,
   );
 }
--- a/packages/gypsumwall-testing/src/scenario/fault_steps.ts
+++ b/packages/gypsumwall-testing/src/scenario/fault_steps.ts
@@ -1,4 +1,7 @@
-/** Steps that strike the cell: each is recorded, so that a history shows it. */
+/**
+ * Scenario steps that inject faults into the cell or repair them. Each fault is
+ * recorded in the history.
+ */
 import * as launchCell from '../launch_cell.js';
 import * as site from '../site.js';
 import type * as scenarioSchema from './scenario_schema.js';
@@ -6,12 +9,12 @@
 
 type State = scenarioState.ScenarioState;
 
-function note(state: State, text: string): void {
+function recordFault(state: State, text: string): void {
   state.cell.recorded.record({type: 'fault', text});
 }
 
-/** The entry's id, bound to the step's `as`. */
-async function bind(
+/** Resolves the step's entry and binds its id to the name in `as`. */
+async function resolveAndBind(
   state: State,
   step: {
     readonly entry: scenarioSchema.EntryRef;
@@ -23,68 +26,68 @@
   return id;
 }
 
-/** Kills an entry at once. */
+/** Kills an entry immediately. */
 export async function kill(
   state: State,
   step: scenarioSchema.StepOf<'kill'>,
 ): Promise<void> {
-  const id = await bind(state, step);
-  note(state, `kill ${id}`);
+  const id = await resolveAndBind(state, step);
+  recordFault(state, `kill ${id}`);
   await state.cell.killEntry(id);
-  state.frozen.delete(id);
+  state.frozenIds.delete(id);
 }
 
-/** Pauses an entry. */
+/** Pauses an entry's process. */
 export async function freeze(
   state: State,
   step: scenarioSchema.StepOf<'freeze'>,
 ): Promise<void> {
-  const id = await bind(state, step);
-  note(state, `freeze ${id}`);
+  const id = await resolveAndBind(state, step);
+  recordFault(state, `freeze ${id}`);
   state.cell.entry(id).child.send('SIGSTOP');
-  state.frozen.add(id);
+  state.frozenIds.add(id);
 }
 
-/** Lets a paused entry go on. */
+/** Resumes a paused entry. */
 export async function thaw(
   state: State,
   step: scenarioSchema.StepOf<'thaw'>,
 ): Promise<void> {
   const id = await scenarioState.resolveEntry(state, step.entry);
-  note(state, `thaw ${id}`);
+  recordFault(state, `thaw ${id}`);
   state.cell.entry(id).child.send('SIGCONT');
-  state.frozen.delete(id);
+  state.frozenIds.delete(id);
 }
 
-/** Asks an entry to end in a planned way. */
+/** Stops an entry as planned. */
 export async function stop(
   state: State,
   step: scenarioSchema.StepOf<'stop'>,
 ): Promise<void> {
-  const id = await bind(state, step);
+  const id = await resolveAndBind(state, step);
   await scenarioState.runMaybeInBackground(state, step.background, () =>
     state.cell.stopEntry(id),
   );
 }
 
-/** Starts one more entry. */
+/** Starts an additional entry. */
 export async function startEntry(
   state: State,
   step: scenarioSchema.StepOf<'start_entry'>,
 ): Promise<void> {
-  note(state, `start ${step.entry}`);
+  recordFault(state, `start ${step.entry}`);
   const id = step.entry;
   const failureDomain = step.failureDomain as site.SiteEntry['failureDomain'];
   await state.cell.startEntry({id, failureDomain});
   if (step.ready) await launchCell.waitUntilReady(state.cell);
 }
 
-/** Kills all entries and starts as many that know nothing. */
+/** Kills all entries and starts as many new ones, which have no state. */
 export async function replaceAll(state: State): Promise<void> {
-  note(state, 'replace all entries');
+  recordFault(state, 'replace all entries');
   const old = state.cell.entries();
   await Promise.all(old.map(({entry}) => state.cell.killEntry(entry.id)));
-  state.frozen.clear();
+  state.frozenIds.clear();
   await Promise.all(
     old.map(({entry}) => {
       const {failureDomain} = entry;
@@ -94,17 +97,20 @@
   await launchCell.waitUntilReady(state.cell);
 }
 
-type Ends = readonly scenarioSchema.EntryRef[];
+type Endpoints = readonly scenarioSchema.EntryRef[];
 
-/** Names of single instances behind the ends of a path. */
-async function expand(state: State, ends: Ends): Promise<string[]> {
+/** Expands the endpoints of a path to the ids of single instances. */
+async function expandEndpoints(
+  state: State,
+  endpoints: Endpoints,
+): Promise<string[]> {
   const names = await Promise.all(
-    ends.map(async (end) => {
+    endpoints.map(async (end) => {
       if (typeof end !== 'string') {
         return [await scenarioState.resolveEntry(state, end)];
       }
       if (end === 'platform') return ['log', 'list'];
-      const inDomain = state.cell.board.ofDomain(end);
+      const inDomain = state.cell.registry.ofDomain(end);
       if (inDomain.length > 0) return inDomain;
       return [state.aliases.get(end) ?? end];
     }),
@@ -112,8 +118,8 @@
   return names.flat();
 }
 
-/** Cuts, heals or silences paths. */
-export async function strikePaths(
+/** Applies a step that cuts, delays, resets, silences or heals paths. */
+export async function applyPathStep(
   state: State,
   step:
     | scenarioSchema.StepOf<'cut'>
@@ -123,9 +129,9 @@
     | scenarioSchema.StepOf<'heal'>
     | scenarioSchema.StepOf<'silence'>,
 ): Promise<void> {
-  const left = await expand(state, step.between[0]);
-  const right = await expand(state, step.between[1]);
-  note(state, `${step.do} ${left.join(',')} | ${right.join(',')}`);
+  const left = await expandEndpoints(state, step.between[0]);
+  const right = await expandEndpoints(state, step.between[1]);
+  recordFault(state, `${step.do} ${left.join(',')} | ${right.join(',')}`);
   switch (step.do) {
     case 'cut':
       return state.cell.network.cut(left, right);
@@ -142,31 +148,31 @@
   }
 }
 
-/** Lets retention pass over a stream. */
+/** Drops records of a stream, as retention does. */
 export async function dropRecords(
   state: State,
   step: scenarioSchema.StepOf<'drop_records'>,
 ): Promise<void> {
-  note(state, `drop records of ${step.stream}, keep ${step.keep}`);
+  recordFault(state, `drop records of ${step.stream}, keep ${step.keep}`);
   const {stream, keep} = step;
   await state.cell.standIns.control('platform', 'log/drop', {stream, keep});
 }
 
 /** Sets a fault of the log. */
-export async function strikeLog(
+export async function setLogFault(
   state: State,
   step: scenarioSchema.StepOf<'log'>,
 ): Promise<void> {
-  note(state, `log ${JSON.stringify(step.fault)}`);
+  recordFault(state, `log ${JSON.stringify(step.fault)}`);
   await state.cell.standIns.control('platform', 'log', step.fault);
 }
 
 /** Sets a fault of a worker. */
-export async function strikeWorker(
+export async function setWorkerFault(
   state: State,
   step: scenarioSchema.StepOf<'worker'>,
 ): Promise<void> {
-  note(state, `worker ${step.worker} ${JSON.stringify(step.fault)}`);
+  recordFault(state, `worker ${step.worker} ${JSON.stringify(step.fault)}`);
   const path = `workers/${step.worker}/fault`;
   await state.cell.standIns.control('workers', path, step.fault);
 }
@@ -176,38 +182,38 @@
   state: State,
   step: scenarioSchema.StepOf<'restart_worker'>,
 ): Promise<void> {
-  note(state, `restart ${step.worker}`);
+  recordFault(state, `restart ${step.worker}`);
   const path = `workers/${step.worker}/restart`;
   await state.cell.standIns.control('workers', path, {});
 }
 
 /** Sets a fault of an upstream. */
-export async function strikeUpstream(
+export async function setUpstreamFault(
   state: State,
   step: scenarioSchema.StepOf<'upstream'>,
 ): Promise<void> {
-  note(state, `upstream ${step.upstream} ${JSON.stringify(step.fault)}`);
+  recordFault(state, `upstream ${step.upstream} ${JSON.stringify(step.fault)}`);
   const path = `upstreams/${step.upstream}/fault`;
   await state.cell.standIns.control('upstreams', path, step.fault);
 }
 
 /** Lists an upstream as leaving. */
-export async function leave(
+export async function markLeaving(
   state: State,
   step: scenarioSchema.StepOf<'leave'>,
 ): Promise<void> {
   const upstreamId = step.upstream;
   state.cell.recorded.record({type: 'upstream_leaving', upstreamId});
-  state.cell.board.setState(upstreamId, 'leaving');
+  state.cell.registry.setState(upstreamId, 'leaving');
   await state.cell.updateList();
 }
 
-/** Sets how far the list lags behind. */
+/** Sets the delay of the platform's list. */
 export async function setListLag(
   state: State,
   step: scenarioSchema.StepOf<'list_lag'>,
 ): Promise<void> {
-  note(state, `list lags ${step.lagMs} ms`);
+  recordFault(state, `list lags ${step.lagMs} ms`);
   const {lagMs} = step;
   await state.cell.standIns.control('platform', 'list-lag', {lagMs});
 }
--- a/packages/gypsumwall-testing/src/scenario/run_scenario.ts
+++ b/packages/gypsumwall-testing/src/scenario/run_scenario.ts
@@ -1,7 +1,7 @@
-/** Runs one scenario on a cell of its own and judges what was recorded. */
+/** Runs one scenario on its own cell and judges the recorded history. */
 import * as timers from 'node:timers/promises';
 import type * as historyEvent from '../history_event.js';
-import * as jobWatch from '../job_watch.js';
+import * as waitForJobs from '../wait_for_jobs.js';
 import type * as finding from '../judge/finding.js';
 import * as judge from '../judge/judge.js';
 import * as launchCell from '../launch_cell.js';
@@ -13,23 +13,26 @@
 import type * as scenarioSchema from './scenario_schema.js';
 import * as scenarioState from './scenario_state.js';
 
-/** How a run ended. */
+/** Result of a scenario's run. */
 export interface ScenarioVerdict {
-  /** Why a step failed; empty when none did. */
+  /** Error of the step that failed; empty if none did. */
   readonly failure: string;
   readonly findings: readonly finding.Finding[];
   readonly events: readonly historyEvent.HistoryEvent[];
-  readonly spanMs: number;
-  /** Settings and logs of the cell; gone unless it was to be kept. */
+  readonly durationMs: number;
+  /**
+   * Folder with the cell's settings and logs; removed unless `keepFolder` was
+   * set.
+   */
   readonly folder: string;
 }
 
-/** Whether no step failed and no promise was broken. */
+/** Whether no step failed and the judge found no violation. */
 export function hasPassed(verdict: ScenarioVerdict): boolean {
   return verdict.failure === '' && verdict.findings.length === 0;
 }
 
-/** What to run it on. */
+/** Options of a scenario's run. */
 export interface RunOptions {
   readonly scenario: scenarioSchema.Scenario;
   readonly example: exampleCell.ExampleCell;
@@ -38,7 +41,7 @@
   readonly keepFolder: boolean;
 }
 
-/** Runs it. Throws only when the cell doesn't come up. */
+/** Runs a scenario. Throws only if the cell fails to start. */
 export async function runScenario(
   options: RunOptions,
 ): Promise<ScenarioVerdict> {
@@ -49,20 +52,26 @@
     tokens: example.tokens,
     tree: example.tree,
     entryCommand,
-    relayed: true,
+    isRelayed: true,
     keepFolder: options.keepFolder,
     seed: scenario.seed,
   });
   const state = scenarioState.createScenarioState(cell, scenario);
   try {
     const failure = await runSteps(state);
-    await endBackground(state);
+    await stopBackgroundWork(state);
     const events = await cell.history();
     const findings = judge.judge(events, scenario);
-    const spanMs = performance.now() - startedAt;
-    return {failure, findings, events, spanMs, folder: cell.folder};
+    const durationMs = performance.now() - startedAt;
+    return {
+      failure,
+      findings,
+      events,
+      durationMs,
+      folder: cell.folder,
+    };
   } finally {
-    for (const id of state.frozen) cell.entry(id).child.send('SIGCONT');
+    for (const id of state.frozenIds) cell.entry(id).child.send('SIGCONT');
     await cell.close();
   }
 }
@@ -86,7 +95,7 @@
 }
 
 const DEFAULT_SETTLE_MS = 30_000;
-const POLL_MS = 25;
+const POLL_INTERVAL_MS = 25;
 
 async function runStep(
   state: scenarioState.ScenarioState,
@@ -125,19 +134,19 @@
     case 'delay':
     case 'reset':
     case 'silence':
-      return faultSteps.strikePaths(state, step);
+      return faultSteps.applyPathStep(state, step);
     case 'log':
-      return faultSteps.strikeLog(state, step);
+      return faultSteps.setLogFault(state, step);
     case 'drop_records':
       return faultSteps.dropRecords(state, step);
     case 'worker':
-      return faultSteps.strikeWorker(state, step);
+      return faultSteps.setWorkerFault(state, step);
     case 'restart_worker':
       return faultSteps.restartWorker(state, step);
     case 'upstream':
-      return faultSteps.strikeUpstream(state, step);
+      return faultSteps.setUpstreamFault(state, step);
     case 'leave':
-      return faultSteps.leave(state, step);
+      return faultSteps.markLeaving(state, step);
     case 'list_lag':
       return faultSteps.setListLag(state, step);
     case 'wait':
@@ -152,12 +161,14 @@
   step: scenarioSchema.StepOf<'wait'>,
 ): Promise<void> {
   const deadline = performance.now() + step.withinMs;
-  const holds = conditions.createCheck(state, step.until);
-  while (!(await holds())) {
+  const check = conditions.createCheck(state, step.until);
+  while (!(await check())) {
     if (performance.now() > deadline) {
-      throw scenarioState.stepFailure(`not within ${step.withinMs} ms`);
+      throw scenarioState.createStepFailure(
+        `condition not met within ${step.withinMs} ms`,
+      );
     }
-    await timers.setTimeout(POLL_MS);
+    await timers.setTimeout(POLL_INTERVAL_MS);
   }
 }
 
@@ -167,18 +178,21 @@
 ): Promise<void> {
   const deadline = performance.now() + step.withinMs;
   await Promise.all([...state.loads.values()].map((load) => load.stop()));
-  await Promise.all(state.background);
-  const pick = () => scenarioState.nextClient(state);
-  // The judge decides whether what is not settled counts as lost.
-  await jobWatch.watchJobs([...state.jobs.values()], pick, deadline);
+  await Promise.all(state.backgroundSteps);
+  const nextClient = () => scenarioState.nextClient(state);
+  // The judge decides whether jobs that have not ended count as lost.
+  await waitForJobs.waitForJobs([...state.jobs.values()], nextClient, deadline);
   state.cell.recorded.record({type: 'settled'});
 }
 
-/** Ends what a failed step left running, so that the cell can be closed. */
-async function endBackground(
+/**
+ * Stops the background work that a failed step left running, so that the cell
+ * can be closed.
+ */
+async function stopBackgroundWork(
   state: scenarioState.ScenarioState,
 ): Promise<void> {
-  await Promise.all([...state.watches].map((stop) => stop()));
+  await Promise.all([...state.stopWatches].map((stop) => stop()));
   await Promise.all([...state.loads.values()].map((load) => load.stop()));
-  await Promise.allSettled(state.background);
+  await Promise.allSettled(state.backgroundSteps);
 }
--- a/packages/gypsumwall-testing/src/scenario/scenario_state.ts
+++ b/packages/gypsumwall-testing/src/scenario/scenario_state.ts
@@ -1,49 +1,55 @@
-/** What a running scenario knows: its cell and the names that steps gave. */
+/**
+ * State of a running scenario: its cell and the names that its steps defined.
+ */
 import * as entryClient from '../entry_client.js';
 import type * as entryProcess from '../entry_process.js';
 import type * as historyEvent from '../history_event.js';
-import type * as jobWatch from '../job_watch.js';
+import type * as waitForJobs from '../wait_for_jobs.js';
 import type * as launchCell from '../launch_cell.js';
 import type * as scenarioSchema from './scenario_schema.js';
 
-/** A job that a step handed in and that was accepted. */
-export interface NamedJob extends jobWatch.AcceptedJob {
+/** An accepted job that a step submitted. */
+export interface NamedJob extends waitForJobs.AcceptedJob {
   readonly label: string;
 }
 
-/** A steady load of requests. */
+/** A running load of requests. */
 export interface RunningLoad {
-  /** Sends nothing more and waits until every caller was told. */
+  /** Stops sending and waits until every call has an outcome. */
   stop(): Promise<void>;
   readonly counts: {sent: number; done: number};
 }
 
-/** What callers were told, by the name of their step. */
-export type AnyTold =
-  historyEvent.RequestTold | historyEvent.JobTold | historyEvent.PublishTold;
+/** The outcome of any call. */
+export type AnyOutcome =
+  | historyEvent.RequestOutcome
+  | historyEvent.JobOutcome
+  | historyEvent.PublishOutcome;
 
-/** State of one run. */
+/** State of one scenario's run. */
 export interface ScenarioState {
   readonly cell: launchCell.Cell;
   readonly scenario: scenarioSchema.Scenario;
-  /** Entry ids by the names that `as` gave. */
+  /** Entry ids by the names that `as` defined. */
   readonly aliases: Map<string, string>;
-  readonly frozen: Set<string>;
+  readonly frozenIds: Set<string>;
   readonly jobs: Map<string, NamedJob>;
   readonly bodies: Map<string, Buffer>;
-  readonly told: Map<string, AnyTold>;
+  readonly outcomes: Map<string, AnyOutcome>;
   readonly loads: Map<string, RunningLoad>;
-  /** Background steps, to be waited for at the end. */
-  readonly background: Set<Promise<void>>;
-  readonly watches: Set<() => Promise<void>>;
+  /** Background steps to wait for at the end. */
+  readonly backgroundSteps: Set<Promise<void>>;
+  readonly stopWatches: Set<() => Promise<void>>;
 }
 
-/** A step that could not be done or was answered against its expectation. */
-export function stepFailure(message: string): Error {
+/**
+ * Creates the error of a step that couldn't run or had an unexpected outcome.
+ */
+export function createStepFailure(message: string): Error {
   return new Error(message);
 }
 
-/** Makes the state of a run. */
+/** Creates the state of a run. */
 export function createScenarioState(
   cell: launchCell.Cell,
   scenario: scenarioSchema.Scenario,
@@ -52,38 +58,41 @@
     cell,
     scenario,
     aliases: new Map(),
-    frozen: new Set(),
+    frozenIds: new Set(),
     jobs: new Map(),
     bodies: new Map(),
-    told: new Map(),
+    outcomes: new Map(),
     loads: new Map(),
-    background: new Set(),
-    watches: new Set(),
+    backgroundSteps: new Set(),
+    stopWatches: new Set(),
   };
 }
 
-/** The token of a team. */
+/** Returns the token of a team. */
 export function tokenOf(state: ScenarioState, team: string): string {
   const token = state.cell.options.tokens.teams[team];
-  if (token === undefined) throw stepFailure(`no team "${team}"`);
+  if (token === undefined) throw createStepFailure(`no team "${team}"`);
   return token;
 }
 
-/** Entries that run and are not frozen. */
-export function awakeEntries(
+/** Returns the entries that are running and not frozen. */
+export function activeEntries(
   state: ScenarioState,
 ): entryProcess.EntryProcess[] {
   return state.cell
     .entries()
-    .filter((entry) => !state.frozen.has(entry.entry.id));
+    .filter((entry) => !state.frozenIds.has(entry.entry.id));
 }
 
-/** Entries that hold their failure domain, as they say themselves. */
+/**
+ * Returns the entries that hold the failure domain, according to their own
+ * status.
+ */
 export async function holdersOf(
   state: ScenarioState,
   domain: string,
 ): Promise<string[]> {
-  const inDomain = awakeEntries(state).filter(
+  const inDomain = activeEntries(state).filter(
     (entry) => entry.entry.failureDomain === domain,
   );
   const token = state.cell.options.tokens.rootOperator;
@@ -91,15 +100,15 @@
     inDomain.map(async ({entry, client}) => {
       const status = (await client.status(token)) as
         {scheduler?: unknown} | undefined;
-      const holds =
+      const isHolder =
         status?.scheduler !== undefined && status.scheduler !== null;
-      return holds ? [entry.id] : [];
+      return isHolder ? [entry.id] : [];
     }),
   );
   return holders.flat();
 }
 
-/** The id of the entry that a step means. */
+/** Returns the id of the entry that a step refers to. */
 export async function resolveEntry(
   state: ScenarioState,
   ref: scenarioSchema.EntryRef,
@@ -110,19 +119,19 @@
   const found =
     'holderOf' in ref
       ? holders[0]
-      : awakeEntries(state)
+      : activeEntries(state)
           .filter((entry) => entry.entry.failureDomain === domain)
           .map((entry) => entry.entry.id)
           .find((id) => !holders.includes(id));
   if (found === undefined) {
-    throw stepFailure(`no entry fits ${JSON.stringify(ref)}`);
+    throw createStepFailure(`no entry matches ${JSON.stringify(ref)}`);
   }
   return found;
 }
 
-let turn = 0;
+let nextEntryIndex = 0;
 
-/** A caller of the given entry, or of the next one in turn. */
+/** Returns a client of the given entry, or of the next active one. */
 export async function clientFor(
   state: ScenarioState,
   ref: scenarioSchema.EntryRef | undefined,
@@ -134,32 +143,32 @@
 }
 
 /**
- * A caller of one of these entries in turn, as a balancer picks it: one that
- * runs, or any that is awake.
+ * Returns a client of one of these entries that is running, chosen by `index`
+ * as a balancer does; if none of them is, a client of the next active entry.
  */
-export async function runningClient(
+export async function nextClientOf(
   state: ScenarioState,
   refs: readonly scenarioSchema.EntryRef[],
-  turnOfRefs: number,
+  index: number,
 ): Promise<entryClient.EntryClient> {
   const ids = await Promise.all(refs.map((ref) => resolveEntry(state, ref)));
   const running = state.cell.entries().filter(({entry}) => {
     return ids.includes(entry.id);
   });
-  const chosen = running[turnOfRefs % running.length];
+  const chosen = running[index % running.length];
   return chosen?.client ?? nextClient(state);
 }
 
-/** A caller of the next awake entry in turn. */
+/** Returns a client of the next active entry, in turn. */
 export function nextClient(state: ScenarioState): entryClient.EntryClient {
-  const awake = awakeEntries(state);
-  turn += 1;
-  const entry = awake[turn % awake.length];
-  if (entry === undefined) throw stepFailure('no entry is awake');
+  const active = activeEntries(state);
+  nextEntryIndex += 1;
+  const entry = active[nextEntryIndex % active.length];
+  if (entry === undefined) throw createStepFailure('no entry is active');
   return entry.client;
 }
 
-/** Runs a step to its end, or in the background. */
+/** Runs a step, and waits for it unless it is a background step. */
 export async function runMaybeInBackground(
   state: ScenarioState,
   background: boolean,
@@ -167,7 +176,7 @@
 ): Promise<void> {
   const running = run();
   if (!background) return running;
-  state.background.add(running);
-  // Its failure shows when the scenario settles.
+  state.backgroundSteps.add(running);
+  // A failure is reported when the scenario settles.
   running.catch(() => undefined);
 }
--- a/packages/gypsumwall-testing/src/scenario/soak_scenario.ts
+++ b/packages/gypsumwall-testing/src/scenario/soak_scenario.ts
@@ -1,45 +1,48 @@
 /**
- * Scenarios of the soak: series of faults drawn at random that overlap, on a
- * mixed load whose clients keep their connections. Each end that a series
- * strikes has two faults one after the other; all series run at once. A seed
- * gives the same scenario again.
+ * Generates the scenarios of the soak test: series of random faults that
+ * overlap, on a mixed load whose clients keep their connections open. Each
+ * affected target gets two faults one after the other, and all series run at
+ * the same time. A seed always gives the same scenario.
  */
 import * as fastCheck from 'fast-check';
 import * as randomFaults from './random_faults.js';
 import * as scenarioSchema from './scenario_schema.js';
 
 const {DOMAIN} = randomFaults;
-/** The fewest series that run at once. */
-const FEWEST_SERIES = 3;
+/** Minimum number of series that run at the same time. */
+const MIN_SERIES = 3;
 /**
- * Spans from one strike or mend to the next, in milliseconds: from well below
- * a lease of the scenarios' site, which is 3 s, to above it.
+ * Intervals between the steps of a series, in milliseconds: from well below the
+ * lease on the scenarios' site, which is 3 s, to above it.
+ */
+const MIN_INTERVAL_MS = 100;
+const MAX_INTERVAL_MS = 4_000;
+/**
+ * Delays of a slow path in milliseconds: that of a path to another region, and
+ * that of a congested path.
  */
-const SHORTEST_MS = 100;
-const LONGEST_MS = 4_000;
-/** Delays of a slow path: of another region, and of a path that is choked. */
 const DELAYS_MS = [30, 250];
 
-/** Something that happens at a moment after the load has begun. */
+/** Steps that run at a time after the load has started. */
 interface TimedSteps {
   readonly atMs: number;
   readonly steps: readonly randomFaults.StepInput[];
 }
 
-/** Faults of the paths between an entry and its surroundings. */
+/** Faults of the paths between an entry and the instances that it calls. */
 function pathFaults(entry: string): randomFaults.Fault[] {
   const between = [[entry], [DOMAIN, 'platform']];
-  const mend = [{do: 'heal', between}];
+  const repair = [{do: 'heal', between}];
   return [
-    {strike: [{do: 'cut_one_way', between}], mend},
-    {strike: [{do: 'reset', between}], mend: []},
-    {strike: [{do: 'silence', between}], mend: []},
-    ...DELAYS_MS.map((ms) => ({strike: [{do: 'delay', between, ms}], mend})),
+    {inject: [{do: 'cut_one_way', between}], repair},
+    {inject: [{do: 'reset', between}], repair: []},
+    {inject: [{do: 'silence', between}], repair: []},
+    ...DELAYS_MS.map((ms) => ({inject: [{do: 'delay', between, ms}], repair})),
   ];
 }
 
-/** The ends that may be struck, each with its faults. */
-const STRUCK: readonly (readonly randomFaults.Fault[])[] = [
+/** The targets that may be affected, each with its faults. */
+const FAULT_TARGETS: readonly (readonly randomFaults.Fault[])[] = [
   randomFaults.entryFaults(`${DOMAIN}-entry1`),
   pathFaults(`${DOMAIN}-entry2`),
   randomFaults.logFaults(),
@@ -48,69 +51,75 @@
   randomFaults.upstreamFaults(`${DOMAIN}-upstream1`),
 ];
 
-const span = fastCheck.integer({min: SHORTEST_MS, max: LONGEST_MS});
+const interval = fastCheck.integer({
+  min: MIN_INTERVAL_MS,
+  max: MAX_INTERVAL_MS,
+});
 
-/** Two faults of one end; what ends an entry or an upstream is the last. */
-function seriesOf(
+/**
+ * Generates two faults of one target; only the second may end an entry or an
+ * upstream, because a later fault of it would fail.
+ */
+function faultSeries(
   faults: readonly randomFaults.Fault[],
 ): fastCheck.Arbitrary<TimedSteps[]> {
-  const passing = faults.filter((fault) => !endsSomething(fault));
-  const strike = (among: readonly randomFaults.Fault[]) =>
+  const nonTerminal = faults.filter((fault) => !isTerminal(fault));
+  const timedFault = (among: readonly randomFaults.Fault[]) =>
     fastCheck.record({
       fault: fastCheck.constantFrom(...among),
-      afterMs: span,
-      holdMs: span,
+      afterMs: interval,
+      holdMs: interval,
     });
   return fastCheck
-    .tuple(strike(passing), strike(faults))
-    .map((strikes) => timed(strikes));
+    .tuple(timedFault(nonTerminal), timedFault(faults))
+    .map((timedFaults) => toTimedSteps(timedFaults));
 }
 
-function endsSomething({strike}: randomFaults.Fault): boolean {
+function isTerminal({inject}: randomFaults.Fault): boolean {
   const ending = ['kill', 'stop', 'leave'];
-  return strike.some((step) => ending.includes(String(step['do'])));
+  return inject.some((step) => ending.includes(String(step['do'])));
 }
 
-function timed(
-  strikes: readonly {
+function toTimedSteps(
+  timedFaults: readonly {
     readonly fault: randomFaults.Fault;
     readonly afterMs: number;
     readonly holdMs: number;
   }[],
 ): TimedSteps[] {
-  const found: TimedSteps[] = [];
+  const timedSteps: TimedSteps[] = [];
   let atMs = 0;
-  for (const {fault, afterMs, holdMs} of strikes) {
+  for (const {fault, afterMs, holdMs} of timedFaults) {
     atMs += afterMs;
-    found.push({atMs, steps: fault.strike});
+    timedSteps.push({atMs, steps: fault.inject});
     atMs += holdMs;
-    found.push({atMs, steps: fault.mend});
+    timedSteps.push({atMs, steps: fault.repair});
   }
-  return found;
+  return timedSteps;
 }
 
-const overlapping = fastCheck
-  .subarray([...STRUCK], {minLength: FEWEST_SERIES})
-  .chain((struck) => fastCheck.tuple(...struck.map(seriesOf)))
+const overlappingSeries = fastCheck
+  .subarray([...FAULT_TARGETS], {minLength: MIN_SERIES})
+  .chain((targets) => fastCheck.tuple(...targets.map(faultSeries)))
   .map((series) => series.flat().sort((a, b) => a.atMs - b.atMs));
 
-/** The scenario of a seed. */
+/** Generates the scenario of a seed. */
 export function soakScenario(seed: number): scenarioSchema.Scenario {
-  const [happenings] = fastCheck.sample(overlapping, {numRuns: 1, seed});
+  const [timedSteps] = fastCheck.sample(overlappingSeries, {numRuns: 1, seed});
   const steps: randomFaults.StepInput[] = [...randomFaults.LOAD];
-  let passedMs = 0;
-  for (const {atMs, steps: now} of happenings ?? []) {
-    if (atMs > passedMs) steps.push(randomFaults.pause(atMs - passedMs));
-    passedMs = Math.max(passedMs, atMs);
-    steps.push(...now);
+  let elapsedMs = 0;
+  for (const {atMs, steps: stepsNow} of timedSteps ?? []) {
+    if (atMs > elapsedMs) steps.push(randomFaults.waitStep(atMs - elapsedMs));
+    elapsedMs = Math.max(elapsedMs, atMs);
+    steps.push(...stepsNow);
   }
   return scenarioSchema.scenarioSchema.parse({
     promise: 'All promises hold under series of faults that overlap.',
     story: [
-      `Seed ${seed}: ${happenings?.length} strikes and mends in ${passedMs} ms.`,
-      'Callers go on all the while, and all that was accepted must end.',
+      `Seed ${seed}: ${timedSteps?.length} injections and repairs in ${elapsedMs} ms.`,
+      'Callers keep sending, and every accepted job must end.',
     ],
     seed,
-    steps: [...steps, ...randomFaults.AFTERWARDS],
+    steps: [...steps, ...randomFaults.FINAL_STEPS],
   });
 }
--- a/packages/gypsumwall-testing/src/trace_collector.ts
+++ b/packages/gypsumwall-testing/src/trace_collector.ts
@@ -1,6 +1,6 @@
 /**
- * Stands in for a collector of traces (OTLP over HTTP, JSON form) and keeps
- * the spans that entries export.
+ * Stand-in for a trace collector (OTLP over HTTP, in JSON) that stores the
+ * spans that entries export.
  */
 import * as zod from 'zod';
 import * as standInServer from './stand_in_server.js';
@@ -10,26 +10,28 @@
   readonly name: string;
   readonly traceId: string;
   readonly spanId: string;
-  /** Absent for the first span of a trace. */
+  /** Absent for the root span of a trace. */
   readonly parentSpanId?: string;
-  /** On the exporter's wall clock, in milliseconds since the Unix epoch. */
+  /**
+   * Start on the exporter's wall clock, in milliseconds since the Unix epoch.
+   */
   readonly startMs: number;
   readonly durationMs: number;
   readonly attributes: Readonly<Record<string, string>>;
-  /** Present if the step failed. */
+  /** The error message; present only if the operation failed. */
   readonly error?: string;
 }
 
 /** A running collector. */
 export interface TraceCollector {
-  /** For the setting `tracesUrl` of an entry. */
+  /** The value for the entry setting `tracesUrl`. */
   readonly url: string;
-  /** All spans so far, by their trace. */
+  /** Returns all spans received so far, by trace id. */
   traces(): ReadonlyMap<string, readonly CollectedSpan[]>;
   close(): Promise<void>;
 }
 
-const PATH = '/v1/traces';
+const TRACES_PATH = '/v1/traces';
 const NANOS_PER_MS = 1e6;
 
 const spanSchema = zod.object({
@@ -58,11 +60,11 @@
   ),
 });
 
-/** Starts a collector on a port that the kernel gives. */
+/** Starts a collector on a port that the kernel assigns. */
 export async function startTraceCollector(): Promise<TraceCollector> {
   const traces = new Map<string, CollectedSpan[]>();
   const server = standInServer.createServer();
-  server.post(PATH, (req) => {
+  server.post(TRACES_PATH, (req) => {
     for (const span of readSpans(req.body)) {
       traces.set(span.traceId, [...(traces.get(span.traceId) ?? []), span]);
     }
@@ -70,7 +72,7 @@
   });
   const address = await server.listen({port: 0, host: '127.0.0.1'});
   return {
-    url: `${address}${PATH}`,
+    url: `${address}${TRACES_PATH}`,
     traces: () => traces,
     close: () => server.close(),
   };
@@ -81,10 +83,10 @@
     .parse(body)
     .resourceSpans.flatMap((resource) => resource.scopeSpans)
     .flatMap((scope) => scope.spans)
-    .map(collectedSpan);
+    .map(toCollectedSpan);
 }
 
-function collectedSpan(span: zod.infer<typeof spanSchema>): CollectedSpan {
+function toCollectedSpan(span: zod.infer<typeof spanSchema>): CollectedSpan {
   const startMs = Number(span.startTimeUnixNano) / NANOS_PER_MS;
   const endMs = Number(span.endTimeUnixNano) / NANOS_PER_MS;
   return {
