--- a/packages/gypsumwall-testing/src/launch_cell.ts
+++ b/packages/gypsumwall-testing/src/launch_cell.ts
@@ -172,7 +172,7 @@
     killEntry: async (id) => {
       const entry = entryOf(id);
       running.delete(id);
-      entry.child.send('SIGKILL');
+      entry.child.sendSignal('SIGKILL');
       await entry.child.exited;
       registry.remove(id);
       await updateList();
@@ -182,7 +182,7 @@
       registry.setState(id, 'leaving');
       await updateList();
       recorded.record({type: 'entry_stopping', entryId: id});
-      entry.child.send('SIGTERM');
+      entry.child.sendSignal('SIGTERM');
       // The balancer keeps sending calls to the entry until it sees that the
       // entry isn't ready.
       while (await entry.client.isReady()) await timers.setTimeout(PROBE_MS);
@@ -197,7 +197,7 @@
       return history.mergeHistories([recorded.since(0), ...others]);
     },
     close: async () => {
-      for (const {child} of running.values()) child.send('SIGKILL');
+      for (const {child} of running.values()) child.sendSignal('SIGKILL');
       for (const {child, client} of running.values()) {
         await child.exited;
         await client.close();
--- a/packages/gypsumwall-testing/src/scenario/fault_steps.ts
+++ b/packages/gypsumwall-testing/src/scenario/fault_steps.ts
@@ -44,7 +44,7 @@
 ): Promise<void> {
   const id = await resolveAndBind(state, step);
   recordFault(state, `freeze ${id}`);
-  state.cell.entry(id).child.send('SIGSTOP');
+  state.cell.entry(id).child.sendSignal('SIGSTOP');
   state.frozenIds.add(id);
 }
 
@@ -55,7 +55,7 @@
 ): Promise<void> {
   const id = await scenarioState.resolveEntry(state, step.entry);
   recordFault(state, `thaw ${id}`);
-  state.cell.entry(id).child.send('SIGCONT');
+  state.cell.entry(id).child.sendSignal('SIGCONT');
   state.frozenIds.delete(id);
 }
 
--- a/packages/gypsumwall-testing/src/scenario/run_scenario.ts
+++ b/packages/gypsumwall-testing/src/scenario/run_scenario.ts
@@ -71,7 +71,8 @@
       folder: cell.folder,
     };
   } finally {
-    for (const id of state.frozenIds) cell.entry(id).child.send('SIGCONT');
+    for (const id of state.frozenIds)
+      cell.entry(id).child.sendSignal('SIGCONT');
     await cell.close();
   }
 }
--- a/packages/gypsumwall-testing/src/stand_in_group.ts
+++ b/packages/gypsumwall-testing/src/stand_in_group.ts
@@ -86,7 +86,7 @@
         [...controlUrls.values()].map((control) => fetchHistory(control)),
       ),
     close: async () => {
-      for (const {child: started} of children) started.send('SIGKILL');
+      for (const {child: started} of children) started.sendSignal('SIGKILL');
       await Promise.all(children.map(({child: started}) => started.exited));
     },
   };
