--- a/packages/gypsumwall-emulator/src/__fixtures__/built_program.ts
+++ b/packages/gypsumwall-emulator/src/__fixtures__/built_program.ts
@@ -6,7 +6,7 @@
 import * as nodeTest from 'node:test';
 
 /** Builds before the file's tests into the folder that is returned. */
-export function buildForTests(): string {
+export function buildProgramForTests(): string {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'gypsumwall-built-'));
   nodeTest.before(() =>
     childProcess.execFileSync(process.execPath, [
--- a/packages/gypsumwall-emulator/src/__fixtures__/plain_step.ts
+++ b/packages/gypsumwall-emulator/src/__fixtures__/plain_step.ts
@@ -1,7 +1,7 @@
 /** A step of one small task, unless told otherwise. */
 import type * as jobCatalog from '../model/job_catalog.js';
 
-export function plainStep(
+export function createPlainStep(
   fields: Partial<jobCatalog.StepSpec> = {},
 ): jobCatalog.StepSpec {
   return {
--- a/packages/gypsumwall-emulator/src/__tests__/crashing_tasks.test.ts
+++ b/packages/gypsumwall-emulator/src/__tests__/crashing_tasks.test.ts
@@ -17,18 +17,18 @@
 import * as emulatedCell from '../rig/emulated_cell.js';
 
 const {test} = nodeTest;
-const READY_WITHIN_MS = 15_000;
-const SETTLE_WITHIN_MS = 40_000;
+const READY_TIMEOUT_MS = 15_000;
+const SETTLE_TIMEOUT_MS = 40_000;
 const POLL_MS = 100;
-const SHORT_EVERY_MS = 200;
+const SHORT_JOB_INTERVAL_MS = 200;
 const config = emulatorConfig.readEmulatorConfig(
   'packages/gypsumwall-emulator/examples/demo.jsonc',
 );
-const builtInto = builtProgram.buildForTests();
+const builtInto = builtProgram.buildProgramForTests();
 
 type Cell = emulatedCell.EmulatedCell;
 
-const STEP = plainStep.plainStep({
+const STEP = plainStep.createPlainStep({
   taskCount: 8,
   size: {cpuMillis: 1_000, memoryMb: 512, accelerators: 0},
 });
@@ -42,7 +42,7 @@
 }
 
 /** Jobs of eight tasks: ten a second need more than a quarter of the cell. */
-function makeFilling(): () => jobCatalog.JobSpec {
+function createFillerJobFactory(): () => jobCatalog.JobSpec {
   let sent = 0;
   return () => {
     const jobId = `${sent++}`.padStart(16, 'f');
@@ -51,7 +51,7 @@
   };
 }
 
-async function until(
+async function waitUntil(
   cell: Cell,
   isDone: () => boolean | Promise<boolean>,
   withinMs: number,
@@ -62,13 +62,13 @@
   }
 }
 
-const crashesIn = ({model}: Cell) =>
+const countTaskCrashes = ({model}: Cell) =>
   model.history
     .events()
     .filter((event) => event.type === 'worker_crashed' && event.culprit).length;
 
 /** Plays something beside mixed jobs; the broken promises. */
-async function playBesideJobs(
+async function runBesideMixedJobs(
   play: (cell: Cell) => Promise<jobCatalog.JobSpec[]>,
 ): Promise<readonly finding.Finding[]> {
   const cell = await emulatedCell.startEmulatedCell({
@@ -78,19 +78,24 @@
   });
   try {
     const {clock} = cell;
-    const within = types.clock.after(clock.monotonic(), READY_WITHIN_MS);
-    await cell.untilReady(within);
+    const readyBy = types.clock.after(clock.monotonic(), READY_TIMEOUT_MS);
+    await cell.untilReady(readyBy);
     const jobs = mixedJobs.createMixedJobs(config.seed);
-    const lasting = jobs.make('lasting');
-    await cell.callers.submit(lasting);
-    const over = new AbortController();
+    const longRunningJob = jobs.make('lasting');
+    await cell.callers.submit(longRunningJob);
+    const stopSending = new AbortController();
     const makeShort = () => jobs.make('short');
-    const shorts = jobTraffic.sendEvery(cell, makeShort, SHORT_EVERY_MS, over);
+    const shortJobs = jobTraffic.sendPeriodically(
+      cell,
+      makeShort,
+      SHORT_JOB_INTERVAL_MS,
+      stopSending,
+    );
     const special = await play(cell);
-    over.abort();
-    const sent = [lasting, ...(await shorts), ...special];
-    const settledBy = types.clock.after(clock.monotonic(), SETTLE_WITHIN_MS);
-    await jobTraffic.settle(cell, sent, settledBy);
+    stopSending.abort();
+    const sent = [longRunningJob, ...(await shortJobs), ...special];
+    const settledBy = types.clock.after(clock.monotonic(), SETTLE_TIMEOUT_MS);
+    await jobTraffic.waitForFinalStates(cell, sent, settledBy);
     cell.model.history.record({type: 'history_closed'});
     return judge.judge(cell.model.history.events());
   } finally {
@@ -101,10 +106,10 @@
 // Guards against tasks that crash their workers and are started without end by
 // the deployed program, also by one that takes over.
 test('tasks that crash their workers are given up while the holder is killed', async () => {
-  const findings = await playBesideJobs(async (cell) => {
+  const findings = await runBesideMixedJobs(async (cell) => {
     const jobs = [crashingJob(1, 1), crashingJob(2, 1), crashingJob(3, 6)];
     for (const job of jobs) await cell.callers.submit(job);
-    await until(cell, () => crashesIn(cell) >= 4, 15_000);
+    await waitUntil(cell, () => countTaskCrashes(cell) >= 4, 15_000);
     const holder = await cell.findHolder();
     cell.model.history.record({type: 'disruption', what: 'holder killed'});
     holder?.kill();
@@ -117,7 +122,7 @@
 // Guards against sound jobs that are given up for a loss of power, and against
 // workers that are filled beyond a capacity which has shrunk.
 test('promises hold while zones lose power and capacities change', async () => {
-  const findings = await playBesideJobs(async (cell) => {
+  const findings = await runBesideMixedJobs(async (cell) => {
     const {machines} = cell.model;
     const {capacity} = config.pools[0]!;
     const cpuMillis = capacity.cpuMillis / 4;
@@ -125,7 +130,12 @@
       machine.setCapacity({...capacity, cpuMillis});
     }
     const over = new AbortController();
-    const filling = jobTraffic.sendEvery(cell, makeFilling(), POLL_MS, over);
+    const fillerJobs = jobTraffic.sendPeriodically(
+      cell,
+      createFillerJobFactory(),
+      POLL_MS,
+      over,
+    );
     await types.clock.sleepFor(cell.clock, 6_000);
     over.abort();
     for (const machine of machines) machine.setCapacity(capacity);
@@ -137,7 +147,7 @@
       }
       await types.clock.sleepFor(cell.clock, 4_000);
     }
-    return filling;
+    return fillerJobs;
   });
   assert.deepEqual(findings, []);
 });
--- a/packages/gypsumwall-emulator/src/__tests__/demo_platform.test.ts
+++ b/packages/gypsumwall-emulator/src/__tests__/demo_platform.test.ts
@@ -14,32 +14,34 @@
 const config = emulatorConfig.readEmulatorConfig(
   'packages/gypsumwall-emulator/examples/demo.jsonc',
 );
-const builtInto = builtProgram.buildForTests();
-const SPANS: runDemo.DemoSpans = {
-  shortJobEveryMs: 150,
-  gangEveryMs: 2_000,
-  beforeLeavingMs: 1_500,
+const builtInto = builtProgram.buildProgramForTests();
+const DURATIONS: runDemo.DemoDurations = {
+  shortJobIntervalMs: 150,
+  gangIntervalMs: 2_000,
+  beforeDrainMs: 1_500,
   beforeKillMs: 500,
   afterKillMs: 4_000,
-  settleMs: 6_000,
+  settleTimeoutMs: 6_000,
 };
 
-function play(
-  options: Partial<Pick<runDemo.DemoOptions, 'config' | 'spans' | 'planted'>>,
+function runDemoWith(
+  options: Partial<
+    Pick<runDemo.DemoOptions, 'config' | 'durations' | 'injectedFaults'>
+  >,
 ): Promise<runDemo.DemoResult> {
   return runDemo.runDemo({
     config,
-    spans: SPANS,
+    durations: DURATIONS,
     deployFile: 'deploy/system.toml',
     builtInto,
     keepsLogs: false,
-    say: () => undefined,
+    print: () => undefined,
     ...options,
   });
 }
 
 /** Ids of the first jobs of the demo. */
-function firstIds(): {readonly lasting: string; readonly short: string} {
+function createFirstIds(): {readonly lasting: string; readonly short: string} {
   const jobs = mixedJobs.createMixedJobs(config.seed);
   return {
     lasting: jobs.make('lasting').jobId,
@@ -48,7 +50,7 @@
 }
 
 test('promises hold while a worker leaves and the holder is killed', async () => {
-  const {findings, events} = await play({});
+  const {findings, events} = await runDemoWith({});
   assert.deepEqual(findings, []);
   const done = events.filter(
     (event) => event.type === 'run_ended' && event.how === 'done',
@@ -58,15 +60,15 @@
 
 // Guards against a judge that passes a lasting task which no longer runs.
 test('a worker that hides the end of a lasting task is caught', async () => {
-  const {lasting} = firstIds();
-  const planted: platformModel.PlantedFaults = {
-    hidesEnd: (taskId) => taskId === `${lasting}.0.0.0`,
+  const {lasting} = createFirstIds();
+  const injectedFaults: platformModel.InjectedFaults = {
+    shouldHideEnd: (taskId) => taskId === `${lasting}.0.0.0`,
   };
   const pools = config.pools.map((pool) => ({...pool, lastingFailsMs: 500}));
-  const {findings} = await play({
-    planted,
+  const {findings} = await runDemoWith({
+    injectedFaults,
     config: {...config, pools},
-    spans: {...SPANS, afterKillMs: 6_000},
+    durations: {...DURATIONS, afterKillMs: 6_000},
   });
   assert.ok(
     findings.some(
@@ -80,11 +82,11 @@
 
 // Guards against a judge that passes a job which was accepted and forgotten.
 test('a store that drops an acknowledged job is caught', async () => {
-  const {short} = firstIds();
-  const planted: platformModel.PlantedFaults = {
-    drops: (_topic, entry) => entry.key.includes(short),
+  const {short} = createFirstIds();
+  const planted: platformModel.InjectedFaults = {
+    shouldDrop: (_topic, entry) => entry.key.includes(short),
   };
-  const {findings} = await play({planted});
+  const {findings} = await runDemoWith({injectedFaults: planted});
   assert.ok(
     findings.some(
       ({promise, detail}) =>
--- a/packages/gypsumwall-emulator/src/__tests__/emulator_config.test.ts
+++ b/packages/gypsumwall-emulator/src/__tests__/emulator_config.test.ts
@@ -7,7 +7,7 @@
 const DEMO = 'packages/gypsumwall-emulator/examples/demo.jsonc';
 const text = fs.readFileSync(DEMO, 'utf8');
 
-function errorOf(changed: string): string {
+function parseError(changed: string): string {
   const parsed = emulatorConfig.parseEmulatorConfig('platform.jsonc', changed);
   assert.ok(parsed.isErr);
   return parsed.error;
@@ -21,12 +21,12 @@
 });
 
 test('an unknown key is refused with its place', () => {
-  const error = errorOf(text.replace('"stopMs"', '"stopsMs"'));
+  const error = parseError(text.replace('"stopMs"', '"stopsMs"'));
   assert.match(error, /platform\.jsonc:\d+: workers: remove stopsMs or mend/);
 });
 
 test('a bad value is named with its remedy', () => {
-  const error = errorOf(text.replace('0.3', '1.3'));
+  const error = parseError(text.replace('0.3', '1.3'));
   assert.match(
     error,
     /:\d+: adviserRefusedShare: give a share from 0 to 1; it is 1\.3/,
@@ -34,6 +34,6 @@
 });
 
 test('a queue of a pool that is not there is refused', () => {
-  const error = errorOf(text.replace('"pool": "general"', '"pool": "fast"'));
+  const error = parseError(text.replace('"pool": "general"', '"pool": "fast"'));
   assert.match(error, /queues\.0\.pool: name one of the pools: general; it is/);
 });
--- a/packages/gypsumwall-emulator/src/bin/demo_platform.ts
+++ b/packages/gypsumwall-emulator/src/bin/demo_platform.ts
@@ -12,16 +12,16 @@
 import * as runDemo from '../demo/run_demo.js';
 
 /** The package, as seen from the compiled file. */
-const PACKAGE = url.fileURLToPath(new URL('../../', import.meta.url));
-const DEMO_CONFIG = path.join(PACKAGE, 'examples/demo.jsonc');
+const PACKAGE_FOLDER = url.fileURLToPath(new URL('../../', import.meta.url));
+const DEMO_CONFIG = path.join(PACKAGE_FOLDER, 'examples/demo.jsonc');
 const DEPLOY_FILE = 'deploy/system.toml';
-const SPANS: runDemo.DemoSpans = {
-  shortJobEveryMs: 100,
-  gangEveryMs: 5_000,
-  beforeLeavingMs: 4_000,
+const DURATIONS: runDemo.DemoDurations = {
+  shortJobIntervalMs: 100,
+  gangIntervalMs: 5_000,
+  beforeDrainMs: 4_000,
   beforeKillMs: 4_000,
   afterKillMs: 12_000,
-  settleMs: 15_000,
+  settleTimeoutMs: 15_000,
 };
 
 const {values} = util.parseArgs({
@@ -33,35 +33,36 @@
   },
 });
 
-function say(line: string): void {
+function printLine(line: string): void {
   process.stdout.write(`${line}\n`);
 }
 
-async function play(): Promise<number> {
-  const read = emulatorConfig.readEmulatorConfig(values.config);
-  const seed = values.seed === undefined ? read.seed : Number(values.seed);
+async function main(): Promise<number> {
+  const fileConfig = emulatorConfig.readEmulatorConfig(values.config);
+  const seed =
+    values.seed === undefined ? fileConfig.seed : Number(values.seed);
   if (!Number.isInteger(seed)) {
     throw new Error(`--seed = ${values.seed}: give a whole number`);
   }
   const startedAt = performance.now();
-  const stamped = (line: string) => {
+  const printWithTime = (line: string) => {
     const seconds = ((performance.now() - startedAt) / 1_000).toFixed(1);
-    say(`${seconds.padStart(5)} s  ${line}`);
+    printLine(`${seconds.padStart(5)} s  ${line}`);
   };
   const result = await runDemo.runDemo({
-    config: {...read, seed},
+    config: {...fileConfig, seed},
     deployFile: DEPLOY_FILE,
     builtInto: values.program,
-    spans: SPANS,
+    durations: DURATIONS,
     keepsLogs: values['keep-logs'],
-    say: stamped,
+    print: printWithTime,
   });
-  say(`\n${demoReport.formatReport(result)}`);
+  printLine(`\n${demoReport.formatReport(result)}`);
   return result.findings.length === 0 ? 0 : 1;
 }
 
 try {
-  process.exitCode = await play();
+  process.exitCode = await main();
 } catch (thrown) {
   process.stderr.write(`the demo broke off: ${String(thrown)}\n`);
   process.exitCode = 1;
--- a/packages/gypsumwall-emulator/src/config/emulator_config.ts
+++ b/packages/gypsumwall-emulator/src/config/emulator_config.ts
@@ -3,10 +3,13 @@
 import type * as result from 'true-myth/result';
 import * as zod from 'zod';
 
-const name = zod.string().min(1, 'give a name');
-const count = zod.number().int().min(1, 'give a whole number from 1');
-const spanMs = zod.number().min(0, 'give milliseconds from 0');
-const share = zod
+const nameSchema = zod.string().min(1, 'give a name');
+const positiveIntegerSchema = zod
+  .number()
+  .int()
+  .min(1, 'give a whole number from 1');
+const durationMsSchema = zod.number().min(0, 'give milliseconds from 0');
+const shareSchema = zod
   .number()
   .min(0, 'give a share from 0 to 1')
   .max(1, 'give a share from 0 to 1');
@@ -18,37 +21,41 @@
 });
 
 const queueSchema = zod.strictObject({
-  name,
-  host: name,
+  name: nameSchema,
+  host: nameSchema,
   pathPrefix: zod.string().regex(/^\/.*\/$/, 'give a path, such as /batch/'),
-  pool: name,
+  pool: nameSchema,
   priority: zod.number().int().min(0, 'give a whole number from 0').default(0),
-  maxAttempts: count.default(3),
+  maxAttempts: positiveIntegerSchema.default(3),
   slackFactor: zod.number().min(1, 'give a number from 1').default(2),
-  targetMs: spanMs.default(1_000),
+  targetMs: durationMsSchema.default(1_000),
   /** Steps of the queue need the adviser's tickets. */
   advice: zod
-    .strictObject({callMs: spanMs, perWorkerMs: spanMs, validMs: spanMs})
+    .strictObject({
+      callMs: durationMsSchema,
+      perWorkerMs: durationMsSchema,
+      validMs: durationMsSchema,
+    })
     .optional(),
 });
 
 const poolSchema = zod.strictObject({
-  name,
-  workersPerZone: count,
-  workersPerRack: count.default(8),
-  kind: name.default('general'),
+  name: nameSchema,
+  workersPerZone: positiveIntegerSchema,
+  workersPerRack: positiveIntegerSchema.default(8),
+  kind: nameSchema.default('general'),
   capacity: resourcesSchema,
   refusesExcess: zod.boolean().default(false),
-  failShare: share.default(0),
+  failShare: shareSchema.default(0),
   /** Lasting tasks fail after a span up to this. */
-  lastingFailsMs: spanMs.optional(),
+  lastingFailsMs: durationMsSchema.optional(),
 });
 
 const storeSchema = zod.strictObject({
-  writesPerS: count.default(600),
-  readsPerS: count.default(2_000),
-  appendMs: spanMs.default(4),
-  keepMs: spanMs.default(300_000),
+  writesPerS: positiveIntegerSchema.default(600),
+  readsPerS: positiveIntegerSchema.default(2_000),
+  appendMs: durationMsSchema.default(4),
+  keepMs: durationMsSchema.default(300_000),
 });
 
 const workersSchema = zod.strictObject({
@@ -58,27 +65,27 @@
     .min(0.98, 'give a rate from 0.98 to 1')
     .max(1, 'give a rate from 0.98 to 1')
     .default(0.98),
-  heartbeatMs: spanMs.default(1_500),
-  longestLeaseMs: spanMs.default(10_000),
-  startupMs: spanMs.default(50),
-  restoreMs: spanMs.default(250),
-  checkpointMs: spanMs.default(500),
-  stopMs: spanMs.default(900),
-  gangTimeoutMs: spanMs.default(3_000),
-  drainMs: spanMs.default(2_000),
-  restartMs: spanMs.default(1_000),
+  heartbeatMs: durationMsSchema.default(1_500),
+  longestLeaseMs: durationMsSchema.default(10_000),
+  startupMs: durationMsSchema.default(50),
+  restoreMs: durationMsSchema.default(250),
+  checkpointMs: durationMsSchema.default(500),
+  stopMs: durationMsSchema.default(900),
+  gangTimeoutMs: durationMsSchema.default(3_000),
+  drainMs: durationMsSchema.default(2_000),
+  restartMs: durationMsSchema.default(1_000),
 });
 
 const callersSchema = zod.strictObject({
-  patienceMs: spanMs.default(3_000),
-  attempts: count.default(5),
-  retryPauseMs: spanMs.default(100),
+  patienceMs: durationMsSchema.default(3_000),
+  attempts: positiveIntegerSchema.default(5),
+  retryPauseMs: durationMsSchema.default(100),
 });
 
 const entriesSchema = zod.strictObject({
-  graceMs: spanMs.default(6_000),
-  restartMs: spanMs.default(1_000),
-  statusKeepMs: spanMs.default(120_000),
+  graceMs: durationMsSchema.default(6_000),
+  restartMs: durationMsSchema.default(1_000),
+  statusKeepMs: durationMsSchema.default(120_000),
 });
 
 /** The whole file. */
@@ -86,11 +93,11 @@
   .strictObject({
     seed: zod.number().int('give a whole number').default(1),
     /** One entry runs in each. */
-    zones: zod.array(name).min(1, 'name a zone'),
+    zones: zod.array(nameSchema).min(1, 'name a zone'),
     pools: zod.array(poolSchema).min(1, 'describe a pool'),
     queues: zod.array(queueSchema).min(1, 'describe a queue'),
     /** Share of the workers that the adviser refuses a step. */
-    adviserRefusedShare: share.default(0),
+    adviserRefusedShare: shareSchema.default(0),
     store: storeSchema.prefault({}),
     workers: workersSchema.prefault({}),
     callers: callersSchema.prefault({}),
--- a/packages/gypsumwall-emulator/src/demo/demo_report.ts
+++ b/packages/gypsumwall-emulator/src/demo/demo_report.ts
@@ -1,7 +1,7 @@
 /** What the demo prints: what callers saw, and which promises held. */
 import * as hdr from 'hdr-histogram-js';
 import * as finding from '../judge/finding.js';
-import * as taskRuns from '../judge/task_runs.js';
+import * as taskAttempts from '../judge/task_attempts.js';
 import type * as history from '../model/history.js';
 import * as mixedJobs from './mixed_jobs.js';
 import type * as runDemo from './run_demo.js';
@@ -17,15 +17,15 @@
   readonly starts: hdr.Histogram;
 }
 
-const COLUMN = 10;
-const MOST_DETAILS = 5;
+const COLUMN_WIDTH = 10;
+const MAX_DETAILS = 5;
 
 /** Writes the report. */
 export function formatReport(result: runDemo.DemoResult): string {
   const rows = collectRows(result);
   const {reads, writes} = result.storeCalls;
   const lines = [
-    line(
+    formatLine(
       'kind',
       ...['sent', 'accepted', 'refused', 'unknown', 'completed'],
       ...['start p50', 'start p95', 'start max'],
@@ -35,15 +35,19 @@
     `ends of runs: ${countEnds(result.events)}`,
     `calls to the store: ${reads} reads, ${writes} writes`,
     '',
-    ...finding.PROMISES.map((promise) => verdict(promise, result.findings)),
+    ...finding.PROMISES.map((promise) =>
+      formatVerdict(promise, result.findings),
+    ),
   ];
   return lines.join('\n');
 }
 
 function collectRows(result: runDemo.DemoResult): Row[] {
-  const rows = new Map(mixedJobs.KINDS.map((kind) => [kind, emptyRow(kind)]));
+  const rows = new Map(
+    mixedJobs.KINDS.map((kind) => [kind, createEmptyRow(kind)]),
+  );
   const rowOf = (jobId: string) =>
-    rows.get(result.kindOf(jobId) ?? 'short') ?? emptyRow('short');
+    rows.get(result.kindOf(jobId) ?? 'short') ?? createEmptyRow('short');
   const completed = new Set<string>();
   for (const event of result.events) {
     if (event.type === 'job_sent') rowOf(event.job.jobId).sent += 1;
@@ -53,32 +57,32 @@
     }
   }
   for (const jobId of completed) rowOf(jobId).completed += 1;
-  for (const [jobId, waitedMs] of startWaits(result.events)) {
+  for (const [jobId, waitedMs] of collectStartWaits(result.events)) {
     rowOf(jobId).starts.recordValue(Math.max(1, Math.round(waitedMs)));
   }
   return [...rows.values()];
 }
 
-function emptyRow(kind: mixedJobs.JobKind): Row {
+function createEmptyRow(kind: mixedJobs.JobKind): Row {
   const none = {sent: 0, accepted: 0, refused: 0, unknown: 0, completed: 0};
   return {kind, ...none, starts: hdr.build()};
 }
 
-function startWaits(
+function collectStartWaits(
   events: readonly history.HistoryEvent[],
 ): Map<string, number> {
   const sentAt = new Map<string, number>();
-  const waits = new Map<string, number>();
+  const waitsMs = new Map<string, number>();
   for (const event of events) {
     if (event.type === 'job_sent') sentAt.set(event.job.jobId, event.at);
     if (event.type !== 'run_started') continue;
     const jobId = event.taskId.split('.', 1)[0] ?? '';
     const sent = sentAt.get(jobId);
-    if (sent !== undefined && !waits.has(jobId)) {
-      waits.set(jobId, event.at - sent);
+    if (sent !== undefined && !waitsMs.has(jobId)) {
+      waitsMs.set(jobId, event.at - sent);
     }
   }
-  return waits;
+  return waitsMs;
 }
 
 function formatRow(row: Row): string {
@@ -95,30 +99,35 @@
     // A lasting job has no end of its own.
     row.kind === 'lasting' ? '-' : row.completed,
   ];
-  return line(row.kind, ...counts, at(50), at(95), at(100));
+  return formatLine(row.kind, ...counts, at(50), at(95), at(100));
 }
 
-function line(first: string, ...rest: readonly (string | number)[]): string {
-  const cells = rest.map((cell) => String(cell).padStart(COLUMN));
-  return first.padEnd(COLUMN) + cells.join(' ');
+function formatLine(
+  first: string,
+  ...rest: readonly (string | number)[]
+): string {
+  const cells = rest.map((cell) => String(cell).padStart(COLUMN_WIDTH));
+  return first.padEnd(COLUMN_WIDTH) + cells.join(' ');
 }
 
 function countEnds(events: readonly history.HistoryEvent[]): string {
   const counts = new Map<string, number>();
-  for (const run of [...taskRuns.collectTaskRuns(events).values()].flat()) {
+  for (const run of [
+    ...taskAttempts.collectTaskAttempts(events).values(),
+  ].flat()) {
     counts.set(run.how, (counts.get(run.how) ?? 0) + 1);
   }
   return [...counts].map(([how, count]) => `${count} ${how}`).join(', ');
 }
 
-function verdict(
+function formatVerdict(
   promise: finding.PromiseName,
   findings: readonly finding.Finding[],
 ): string {
   const broken = findings.filter((one) => one.promise === promise);
   if (broken.length === 0) return `held    ${promise}`;
   const details = broken
-    .slice(0, MOST_DETAILS)
+    .slice(0, MAX_DETAILS)
     .map(({detail}) => `          ${detail}`);
   const more = broken.length - details.length;
   if (more > 0) details.push(`          and ${more} more`);
--- a/packages/gypsumwall-emulator/src/demo/job_traffic.ts
+++ b/packages/gypsumwall-emulator/src/demo/job_traffic.ts
@@ -7,26 +7,26 @@
 const POLL_MS = 200;
 
 /** Sends jobs at a steady pace, whatever becomes of those before. */
-export async function sendEvery(
+export async function sendPeriodically(
   cell: emulatedCell.EmulatedCell,
-  make: () => jobCatalog.JobSpec,
-  everyMs: number,
-  over: AbortController,
+  createJob: () => jobCatalog.JobSpec,
+  intervalMs: number,
+  stopSending: AbortController,
 ): Promise<jobCatalog.JobSpec[]> {
   const sent: jobCatalog.JobSpec[] = [];
-  const open: Promise<unknown>[] = [];
-  while (!over.signal.aborted) {
-    const job = make();
+  const pending: Promise<unknown>[] = [];
+  while (!stopSending.signal.aborted) {
+    const job = createJob();
     sent.push(job);
-    open.push(cell.callers.submit(job));
-    await types.clock.sleepFor(cell.clock, everyMs, over.signal);
+    pending.push(cell.callers.submit(job));
+    await types.clock.sleepFor(cell.clock, intervalMs, stopSending.signal);
   }
-  await Promise.all(open);
+  await Promise.all(pending);
   return sent;
 }
 
 /** Asks for the state of the accepted jobs until all have ended. */
-export async function settle(
+export async function waitForFinalStates(
   cell: emulatedCell.EmulatedCell,
   jobs: readonly jobCatalog.JobSpec[],
   deadline: types.clock.MonotonicMs,
@@ -45,15 +45,15 @@
     const states = await Promise.all(
       open.map((job) => cell.callers.stateOf(job)),
     );
-    open = open.filter((job, nth) => !hasSettled(job, states[nth]));
+    open = open.filter((job, nth) => !hasReachedFinalState(job, states[nth]));
     if (open.length > 0) await types.clock.sleepFor(cell.clock, POLL_MS);
   }
 }
 
 /** A lasting job never ends; that it runs is all that is asked. */
-function hasSettled(
+function hasReachedFinalState(
   job: jobCatalog.JobSpec,
   state: history.JobState | undefined,
 ): boolean {
-  return state === jobCatalog.lastStateOf(job);
+  return state === jobCatalog.expectedFinalState(job);
 }
--- a/packages/gypsumwall-emulator/src/demo/mixed_jobs.ts
+++ b/packages/gypsumwall-emulator/src/demo/mixed_jobs.ts
@@ -15,52 +15,62 @@
 }
 
 const ID_DIGITS = 16;
-const HEX = 15;
-const PLAIN = {
+const MAX_HEX_DIGIT = 15;
+const DEFAULT_STEP = {
   after: [],
   gang: false,
   lasting: false,
   savesProgress: false,
 } satisfies Partial<jobCatalog.StepSpec>;
 
-const QUEUES: Readonly<Record<JobKind, string>> = {
+const QUEUE_BY_KIND: Readonly<Record<JobKind, string>> = {
   short: 'checks',
   gang: 'plans',
   lasting: 'services',
 };
 
 /** Number of tasks of a lasting job. */
-export const LASTING_TASKS = 4;
+export const LONG_RUNNING_TASK_COUNT = 4;
 
-const STEPS: Readonly<Record<JobKind, readonly jobCatalog.StepSpec[]>> = {
-  short: [
-    {...PLAIN, taskCount: 2, size: size(1_000, 512), workMs: 300},
-    {...PLAIN, taskCount: 1, size: size(500, 256), workMs: 150, after: [0]},
-  ],
-  gang: [
-    {
-      ...PLAIN,
-      taskCount: 12,
-      // Two workers have room for all of it beside other work: the adviser may
-      // refuse most of the others.
-      size: size(1_500, 2_048),
-      workMs: 2_500,
-      gang: true,
-      savesProgress: true,
-    },
-  ],
-  lasting: [
-    {
-      ...PLAIN,
-      taskCount: LASTING_TASKS,
-      size: size(2_000, 1_024),
-      workMs: 0,
-      lasting: true,
-    },
-  ],
-};
+const STEPS_BY_KIND: Readonly<Record<JobKind, readonly jobCatalog.StepSpec[]>> =
+  {
+    short: [
+      {...DEFAULT_STEP, taskCount: 2, size: makeSize(1_000, 512), workMs: 300},
+      {
+        ...DEFAULT_STEP,
+        taskCount: 1,
+        size: makeSize(500, 256),
+        workMs: 150,
+        after: [0],
+      },
+    ],
+    gang: [
+      {
+        ...DEFAULT_STEP,
+        taskCount: 12,
+        // Two workers have room for all of it beside other work: the adviser may
+        // refuse most of the others.
+        size: makeSize(1_500, 2_048),
+        workMs: 2_500,
+        gang: true,
+        savesProgress: true,
+      },
+    ],
+    lasting: [
+      {
+        ...DEFAULT_STEP,
+        taskCount: LONG_RUNNING_TASK_COUNT,
+        size: makeSize(2_000, 1_024),
+        workMs: 0,
+        lasting: true,
+      },
+    ],
+  };
 
-function size(cpuMillis: number, memoryMb: number): types.resources.Resources {
+function makeSize(
+  cpuMillis: number,
+  memoryMb: number,
+): types.resources.Resources {
   return {cpuMillis, memoryMb, accelerators: 0};
 }
 
@@ -75,7 +85,7 @@
   };
 
   function drawId(random: types.random.Random): string {
-    const digit = () => random.integer(0, HEX).toString(16);
+    const digit = () => random.integer(0, MAX_HEX_DIGIT).toString(16);
     return Array.from({length: ID_DIGITS}, digit).join('');
   }
 
@@ -85,7 +95,12 @@
       const jobId = drawId(randoms[kind]);
       kinds.set(jobId, kind);
       const payload = `${kind} ${jobId}`;
-      return {jobId, queue: QUEUES[kind], payload, steps: STEPS[kind]};
+      return {
+        jobId,
+        queue: QUEUE_BY_KIND[kind],
+        payload,
+        steps: STEPS_BY_KIND[kind],
+      };
     },
   };
 }
--- a/packages/gypsumwall-emulator/src/demo/run_demo.ts
+++ b/packages/gypsumwall-emulator/src/demo/run_demo.ts
@@ -11,25 +11,25 @@
 
 /** How the demo is played. */
 export interface DemoOptions extends emulatedCell.EmulatedCellOptions {
-  readonly spans: DemoSpans;
+  readonly durations: DemoDurations;
   /** By default the entries' logs stay only if a promise was broken. */
   readonly keepsLogs?: boolean | undefined;
   /** Takes a line of progress. */
-  readonly say: (line: string) => void;
+  readonly print: (line: string) => void;
 }
 
 /** How long its parts take, in milliseconds. */
-export interface DemoSpans {
-  readonly shortJobEveryMs: number;
-  readonly gangEveryMs: number;
+export interface DemoDurations {
+  readonly shortJobIntervalMs: number;
+  readonly gangIntervalMs: number;
   /** Work before the worker leaves. */
-  readonly beforeLeavingMs: number;
+  readonly beforeDrainMs: number;
   /** Work between the worker's leaving and the holder's end. */
   readonly beforeKillMs: number;
   /** Work after the holder's end. */
   readonly afterKillMs: number;
   /** Accepted jobs that haven't ended by then are found to be lost. */
-  readonly settleMs: number;
+  readonly settleTimeoutMs: number;
 }
 
 /** What the demo saw. */
@@ -40,8 +40,8 @@
   readonly storeCalls: {readonly reads: number; readonly writes: number};
 }
 
-const READY_WITHIN_MS = 15_000;
-const HOLDER_WITHIN_MS = 5_000;
+const READY_TIMEOUT_MS = 15_000;
+const HOLDER_TIMEOUT_MS = 5_000;
 const POLL_MS = 200;
 
 /** Plays the demo and judges it. */
@@ -50,13 +50,13 @@
   let keepsLogs = true;
   try {
     const jobs = mixedJobs.createMixedJobs(options.config.seed);
-    await play(cell, jobs, options);
-    const {history: seen, store} = cell.model;
-    seen.record({type: 'history_closed'});
-    const events = [...seen.events()];
+    await runScenario(cell, jobs, options);
+    const {history: eventHistory, store} = cell.model;
+    eventHistory.record({type: 'history_closed'});
+    const events = [...eventHistory.events()];
     const findings = judge.judge(events);
     keepsLogs = options.keepsLogs ?? findings.length > 0;
-    const storeCalls = store.calls();
+    const storeCalls = store.callCounts();
     return {
       events,
       findings,
@@ -65,60 +65,66 @@
     };
   } finally {
     await cell.close(keepsLogs);
-    if (keepsLogs) options.say(`logs of the entries: ${cell.folder}`);
+    if (keepsLogs) options.print(`logs of the entries: ${cell.folder}`);
   }
 }
 
-async function play(
+async function runScenario(
   cell: emulatedCell.EmulatedCell,
   jobs: mixedJobs.MixedJobs,
-  {spans, say}: DemoOptions,
+  {durations, print}: DemoOptions,
 ): Promise<void> {
   const {clock, model} = cell;
-  const within = (spanMs: number) =>
-    types.clock.after(clock.monotonic(), spanMs);
-  await cell.untilReady(within(READY_WITHIN_MS));
-  const holder = await untilHolder(cell, within(HOLDER_WITHIN_MS));
-  say(`${cell.entries.length} entries are ready; ${holder.name} places work.`);
+  const deadlineAfter = (delayMs: number) =>
+    types.clock.after(clock.monotonic(), delayMs);
+  await cell.untilReady(deadlineAfter(READY_TIMEOUT_MS));
+  const holder = await waitForHolder(cell, deadlineAfter(HOLDER_TIMEOUT_MS));
+  print(
+    `${cell.entries.length} entries are ready; ${holder.name} places work.`,
+  );
 
   const lasting = jobs.make('lasting');
-  const told = await cell.callers.submit(lasting);
-  if (told !== 'accepted') throw new Error(`the lasting job is ${told}`);
-  const over = new AbortController();
+  const result = await cell.callers.submit(lasting);
+  if (result !== 'accepted') throw new Error(`the lasting job is ${result}`);
+  const stopSending = new AbortController();
   const streams = [
-    jobTraffic.sendEvery(
+    jobTraffic.sendPeriodically(
       cell,
       () => jobs.make('short'),
-      spans.shortJobEveryMs,
-      over,
+      durations.shortJobIntervalMs,
+      stopSending,
     ),
-    jobTraffic.sendEvery(
+    jobTraffic.sendPeriodically(
       cell,
       () => jobs.make('gang'),
-      spans.gangEveryMs,
-      over,
+      durations.gangIntervalMs,
+      stopSending,
     ),
   ];
-  await types.clock.sleepFor(clock, spans.beforeLeavingMs);
+  await types.clock.sleepFor(clock, durations.beforeDrainMs);
 
-  const leaver = machineOf(cell, lasting);
-  say(`${leaver.name} announces that it leaves.`);
-  await leaver.leave();
-  say(`${leaver.name} has left.`);
-  await types.clock.sleepFor(clock, spans.beforeKillMs);
+  const leavingMachine = findMachineRunning(cell, lasting);
+  print(`${leavingMachine.name} announces that it leaves.`);
+  await leavingMachine.leave();
+  print(`${leavingMachine.name} has left.`);
+  await types.clock.sleepFor(clock, durations.beforeKillMs);
 
   const killed = (await cell.findHolder()) ?? holder;
   model.history.record({type: 'disruption', what: `${killed.name} killed`});
   killed.kill();
-  say(`${killed.name}, which placed the work, is killed.`);
-  await types.clock.sleepFor(clock, spans.afterKillMs);
-  over.abort();
+  print(`${killed.name}, which placed the work, is killed.`);
+  await types.clock.sleepFor(clock, durations.afterKillMs);
+  stopSending.abort();
   const sent = [lasting, ...(await Promise.all(streams)).flat()];
-  say(`${sent.length} jobs were sent; waiting for the accepted ones.`);
-  await jobTraffic.settle(cell, sent, within(spans.settleMs));
+  print(`${sent.length} jobs were sent; waiting for the accepted ones.`);
+  await jobTraffic.waitForFinalStates(
+    cell,
+    sent,
+    deadlineAfter(durations.settleTimeoutMs),
+  );
 }
 
-async function untilHolder(
+async function waitForHolder(
   cell: emulatedCell.EmulatedCell,
   deadline: types.clock.MonotonicMs,
 ): Promise<emulatedCell.EmulatedCell['entries'][number]> {
@@ -133,17 +139,17 @@
 }
 
 /** A machine that runs a task of the job; any if none does. */
-function machineOf(
+function findMachineRunning(
   cell: emulatedCell.EmulatedCell,
   job: jobCatalog.JobSpec,
 ): workerMachine.WorkerMachine {
   const {machines} = cell.model;
-  const runs = (machine: workerMachine.WorkerMachine) =>
+  const runsTask = (machine: workerMachine.WorkerMachine) =>
     machine
       .worker()
       ?.running()
       .some((run) => run.taskId.startsWith(job.jobId));
-  const found = machines.find(runs) ?? machines[0];
+  const found = machines.find(runsTask) ?? machines[0];
   if (found === undefined) throw new Error('the platform has no workers');
   return found;
 }
--- a/packages/gypsumwall-emulator/src/judge/__tests__/judge.test.ts
+++ b/packages/gypsumwall-emulator/src/judge/__tests__/judge.test.ts
@@ -7,63 +7,69 @@
 import * as judge from '../judge.js';
 
 const {test} = nodeTest;
-const STEP = plainStep.plainStep();
+const STEP = plainStep.createPlainStep();
 
-function jobOf(step: Partial<jobCatalog.StepSpec>): jobCatalog.JobSpec {
+function createJob(step: Partial<jobCatalog.StepSpec>): jobCatalog.JobSpec {
   return {jobId: 'j', queue: 'q', payload: '', steps: [{...STEP, ...step}]};
 }
 
 /** Events, one each second. */
-function events(...seen: history.Seen[]): history.HistoryEvent[] {
+function createEvents(...seen: history.EventDetails[]): history.HistoryEvent[] {
   return seen.map((one, nth) => ({
     ...one,
     at: (nth * 1_000) as types.clock.MonotonicMs,
   }));
 }
 
-const about = (workerId: string, attempt: number) => ({
+const attemptOn = (workerId: string, attempt: number) => ({
   workerId,
   taskId: 'j.0.0.0',
   attempt,
 });
-const started = (workerId: string, attempt: number): history.Seen => ({
+const started = (workerId: string, attempt: number): history.EventDetails => ({
   type: 'run_started',
-  ...about(workerId, attempt),
+  ...attemptOn(workerId, attempt),
 });
 const ended = (
   workerId: string,
   attempt: number,
-  how: history.RunEnd,
-): history.Seen => ({type: 'run_ended', ...about(workerId, attempt), how});
-const noted = (
+  how: history.AttemptEnd,
+): history.EventDetails => ({
+  type: 'run_ended',
+  ...attemptOn(workerId, attempt),
+  how,
+});
+const acknowledged = (
   workerId: string,
   attempt: number,
-  how: history.RunEnd,
-): history.Seen => ({
+  how: history.AttemptEnd,
+): history.EventDetails => ({
   type: 'end_acknowledged',
-  ...about(workerId, attempt),
+  ...attemptOn(workerId, attempt),
   how,
 });
-const shown = (state: history.JobState): history.Seen => ({
+const shown = (state: history.JobState): history.EventDetails => ({
   type: 'state_shown',
   jobId: 'j',
   state,
 });
-const told = (how: 'accepted' | 'refused'): history.Seen => ({
+const told = (how: 'accepted' | 'refused'): history.EventDetails => ({
   type: 'job_told',
   jobId: 'j',
   told: how,
 });
-const sent = (step: Partial<jobCatalog.StepSpec> = {}): history.Seen => ({
+const sent = (
+  step: Partial<jobCatalog.StepSpec> = {},
+): history.EventDetails => ({
   type: 'job_sent',
-  job: jobOf(step),
+  job: createJob(step),
 });
-const second: history.Seen = {type: 'disruption', what: 'none'};
-const seconds = (count: number): history.Seen[] =>
-  Array.from({length: count}, () => second);
+const filler: history.EventDetails = {type: 'disruption', what: 'none'};
+const fillers = (count: number): history.EventDetails[] =>
+  Array.from({length: count}, () => filler);
 
-function promisesOf(seen: readonly history.Seen[]): string[] {
-  return judge.judge(events(...seen)).map(({promise}) => promise);
+function brokenPromises(seen: readonly history.EventDetails[]): string[] {
+  return judge.judge(createEvents(...seen)).map(({promise}) => promise);
 }
 
 test('a job that is done as promised breaks nothing', () => {
@@ -74,25 +80,25 @@
     ended('w', 1, 'failed'),
     started('v', 2),
     ended('v', 2, 'done'),
-    noted('v', 2, 'done'),
+    acknowledged('v', 2, 'done'),
     shown('completed'),
   ];
-  assert.deepEqual(promisesOf(seen), []);
+  assert.deepEqual(brokenPromises(seen), []);
 });
 
 test('two runs at a time are found, also one that never ended', () => {
   const seen = [started('w', 1), started('v', 2), ended('v', 2, 'done')];
-  assert.deepEqual(promisesOf(seen), ['no task runs twice at a time']);
+  assert.deepEqual(brokenPromises(seen), ['no task runs twice at a time']);
 });
 
 test('a start after a noted end is found', () => {
   const seen = [
     started('w', 1),
     ended('w', 1, 'done'),
-    noted('w', 1, 'done'),
+    acknowledged('w', 1, 'done'),
     started('v', 2),
   ];
-  assert.deepEqual(promisesOf(seen), ['no task runs twice at a time']);
+  assert.deepEqual(brokenPromises(seen), ['no task runs twice at a time']);
 });
 
 test('a run that its worker took along allows another', () => {
@@ -101,57 +107,83 @@
     {type: 'worker_left', workerId: 'w'} as const,
     started('v', 2),
   ];
-  assert.deepEqual(promisesOf(seen), []);
+  assert.deepEqual(brokenPromises(seen), []);
 });
 
 test('accepted jobs that are forgotten, unfinished or shown too soon', () => {
-  const lost = 'nothing accepted is lost';
+  const promise = 'nothing accepted is lost';
   const accepted = [sent(), told('accepted')];
-  assert.deepEqual(promisesOf(accepted), [lost]);
-  const forgotten = [...accepted, ...seconds(4), shown('absent')];
-  assert.deepEqual(promisesOf(forgotten), [lost, lost]);
-  assert.deepEqual(promisesOf([...accepted, shown('completed')]), [lost]);
+  assert.deepEqual(brokenPromises(accepted), [promise]);
+  const forgotten = [...accepted, ...fillers(4), shown('absent')];
+  assert.deepEqual(brokenPromises(forgotten), [promise, promise]);
+  assert.deepEqual(brokenPromises([...accepted, shown('completed')]), [
+    promise,
+  ]);
 });
 
 test('a lasting task that is away too long is found', () => {
   const job = [sent({lasting: true}), told('accepted'), started('w', 1)];
   const failed = ended('w', 1, 'failed');
   const shownRunning = shown('running');
-  const late = [...job, failed, ...seconds(10), started('v', 2), shownRunning];
-  assert.deepEqual(promisesOf(late), ['lasting tasks run again in time']);
-  const never = [...job, failed, ...seconds(10), shownRunning];
-  assert.deepEqual(promisesOf(never), ['lasting tasks run again in time']);
-  const soon = [...job, failed, ...seconds(7), started('v', 2), shownRunning];
-  assert.deepEqual(promisesOf(soon), []);
+  const lateRestart = [
+    ...job,
+    failed,
+    ...fillers(10),
+    started('v', 2),
+    shownRunning,
+  ];
+  assert.deepEqual(brokenPromises(lateRestart), [
+    'lasting tasks run again in time',
+  ]);
+  const noRestart = [...job, failed, ...fillers(10), shownRunning];
+  assert.deepEqual(brokenPromises(noRestart), [
+    'lasting tasks run again in time',
+  ]);
+  const timelyRestart = [
+    ...job,
+    failed,
+    ...fillers(7),
+    started('v', 2),
+    shownRunning,
+  ];
+  assert.deepEqual(brokenPromises(timelyRestart), []);
 });
 
 test('a member that waits in vain is excused by a disruption only', () => {
   const seen = [started('w', 1), ended('w', 1, 'alone')];
-  assert.deepEqual(promisesOf(seen), ['gangs start whole']);
-  assert.deepEqual(promisesOf([...seen, second]), []);
+  assert.deepEqual(brokenPromises(seen), ['gangs start whole']);
+  assert.deepEqual(brokenPromises([...seen, filler]), []);
 });
 
 test('a task of a refused job is found', () => {
   const seen = [sent(), told('refused'), started('w', 1)];
-  assert.deepEqual(promisesOf(seen), ['nothing runs that was not asked for']);
+  assert.deepEqual(brokenPromises(seen), [
+    'nothing runs that was not asked for',
+  ]);
 });
 
 test('a task that begins before the step it waits for is found', () => {
   const steps = [STEP, {...STEP, after: [0]}];
   const job = {jobId: 'j', queue: 'q', payload: '', steps};
-  const later: history.Seen = {
+  const later: history.EventDetails = {
     type: 'run_started',
     workerId: 'v',
     taskId: 'j.0.1.0',
     attempt: 1,
   };
-  const before: history.Seen[] = [{type: 'job_sent', job}, started('w', 1)];
+  const before: history.EventDetails[] = [
+    {type: 'job_sent', job},
+    started('w', 1),
+  ];
   const early = [...before, later, ended('w', 1, 'done')];
-  assert.deepEqual(promisesOf(early), ['steps keep their order']);
-  assert.deepEqual(promisesOf([...before, ended('w', 1, 'done'), later]), []);
+  assert.deepEqual(brokenPromises(early), ['steps keep their order']);
+  assert.deepEqual(
+    brokenPromises([...before, ended('w', 1, 'done'), later]),
+    [],
+  );
 });
 
-const crashed = (workerId: string): history.Seen => ({
+const crashed = (workerId: string): history.EventDetails => ({
   type: 'worker_crashed',
   workerId,
   culprit: 'j.0.0.0',
@@ -166,10 +198,10 @@
       crashed(`w${nth}`),
     ]).flat();
   const givenUp = [...job, ...starts(5), shown('failed')];
-  assert.deepEqual(promisesOf(givenUp), []);
-  const never = [...job, ...starts(6), shown('failed')];
+  assert.deepEqual(brokenPromises(givenUp), []);
+  const tooManyStarts = [...job, ...starts(6), shown('failed')];
   const promise = 'tasks that crash workers are given up';
-  assert.deepEqual(promisesOf(never), [promise]);
+  assert.deepEqual(brokenPromises(tooManyStarts), [promise]);
 });
 
 test('a sound job that is shown as failed is found', () => {
@@ -180,5 +212,5 @@
     {type: 'worker_crashed', workerId: 'w'} as const,
     shown('failed'),
   ];
-  assert.deepEqual(promisesOf(seen), ['nothing accepted is lost']);
+  assert.deepEqual(brokenPromises(seen), ['nothing accepted is lost']);
 });
--- a/packages/gypsumwall-emulator/src/judge/run_rules.ts
+++ b/packages/gypsumwall-emulator/src/judge/attempt_rules.ts
@@ -1,34 +1,36 @@
 /** Rules on single runs. */
 import type * as history from '../model/history.js';
 import type * as finding from './finding.js';
-import type * as taskRuns from './task_runs.js';
+import type * as taskAttempts from './task_attempts.js';
 
 /** Two runs at a time, or a start after an end `done` that was noted. */
-export function findDoubleRuns(runs: taskRuns.TaskRuns): finding.Finding[] {
-  return [...runs.values()].flatMap((ofTask) =>
+export function findOverlappingAttempts(
+  attempts: taskAttempts.TaskAttempts,
+): finding.Finding[] {
+  return [...attempts.values()].flatMap((ofTask) =>
     ofTask.flatMap((run, nth) =>
-      ofTask.slice(0, nth).flatMap((earlier) => compare(earlier, run)),
+      ofTask.slice(0, nth).flatMap((earlier) => compareAttempts(earlier, run)),
     ),
   );
 }
 
-function compare(
-  earlier: taskRuns.TaskRun,
-  run: taskRuns.TaskRun,
+function compareAttempts(
+  earlier: taskAttempts.TaskAttempt,
+  later: taskAttempts.TaskAttempt,
 ): finding.Finding[] {
   const promise = 'no task runs twice at a time';
-  const names = `${run.taskId}: attempt ${run.attempt} on ${run.workerId}`;
-  if (earlier.endedAt > run.startedAt) {
-    const detail = `${names} began beside attempt ${earlier.attempt} on ${earlier.workerId}`;
+  const description = `${later.taskId}: attempt ${later.attempt} on ${later.workerId}`;
+  if (earlier.endedAt > later.startedAt) {
+    const detail = `${description} began beside attempt ${earlier.attempt} on ${earlier.workerId}`;
     return [{promise, detail}];
   }
-  if (earlier.how !== 'done' || earlier.notedAt === Infinity) return [];
-  const detail = `${names} began after attempt ${earlier.attempt} was done`;
+  if (earlier.how !== 'done' || earlier.acknowledgedAt === Infinity) return [];
+  const detail = `${description} began after attempt ${earlier.attempt} was done`;
   return [{promise, detail}];
 }
 
 /** Starts of what nobody sent, or that a worker has no room for. */
-export function findUnasked(
+export function findUnaskedStarts(
   events: readonly history.HistoryEvent[],
 ): finding.Finding[] {
   const promise = 'nothing runs that was not asked for';
--- a/packages/gypsumwall-emulator/src/judge/gang_rules.ts
+++ b/packages/gypsumwall-emulator/src/judge/gang_rules.ts
@@ -6,10 +6,10 @@
  * A disruption excuses a gang that waits in vain this long before and after:
  * whoever was starting its members may be gone.
  */
-const DISRUPTION_EXCUSES_MS = 6_000;
+const DISRUPTION_WINDOW_MS = 6_000;
 
 /** Members that waited in vain for the others, with no disruption near. */
-export function findPartGangs(
+export function findIncompleteGangs(
   events: readonly history.HistoryEvent[],
 ): finding.Finding[] {
   const disruptedAt = events
@@ -18,7 +18,7 @@
   return events.flatMap((event) => {
     if (event.type !== 'run_ended' || event.how !== 'alone') return [];
     const isExcused = disruptedAt.some(
-      (at) => Math.abs(at - event.at) <= DISRUPTION_EXCUSES_MS,
+      (at) => Math.abs(at - event.at) <= DISRUPTION_WINDOW_MS,
     );
     if (isExcused) return [];
     const detail = `${event.taskId}: attempt ${event.attempt} on ${event.workerId} waited for the others in vain`;
--- a/packages/gypsumwall-emulator/src/judge/job_rules.ts
+++ b/packages/gypsumwall-emulator/src/judge/job_rules.ts
@@ -2,9 +2,9 @@
 import type * as history from '../model/history.js';
 import * as jobCatalog from '../model/job_catalog.js';
 import type * as finding from './finding.js';
-import * as taskRuns from './task_runs.js';
+import * as taskAttempts from './task_attempts.js';
 
-interface SeenJob {
+interface ObservedJob {
   readonly job: jobCatalog.JobSpec;
   acceptedAt: number;
   cancelled: boolean;
@@ -12,7 +12,7 @@
 }
 
 /** An accepted job is known to every entry after so long. */
-const VISIBLE_MS = 3_000;
+const VISIBILITY_DELAY_MS = 3_000;
 
 /**
  * Accepted jobs that an entry doesn't know, that aren't completed at the end
@@ -20,18 +20,18 @@
  */
 export function findLostJobs(
   events: readonly history.HistoryEvent[],
-  runs: taskRuns.TaskRuns,
+  attempts: taskAttempts.TaskAttempts,
 ): finding.Finding[] {
   return [...collectJobs(events).values()]
     .filter((seen) => seen.acceptedAt < Infinity && !seen.cancelled)
-    .flatMap((seen) => faultsOf(seen, runs))
+    .flatMap((seen) => listFaults(seen, attempts))
     .map((detail) => ({promise: 'nothing accepted is lost', detail}));
 }
 
 function collectJobs(
   events: readonly history.HistoryEvent[],
-): Map<string, SeenJob> {
-  const jobs = new Map<string, SeenJob>();
+): Map<string, ObservedJob> {
+  const jobs = new Map<string, ObservedJob>();
   for (const event of events) {
     if (event.type === 'job_sent') {
       const {job} = event;
@@ -50,27 +50,36 @@
   return jobs;
 }
 
-function faultsOf(seen: SeenJob, runs: taskRuns.TaskRuns): string[] {
-  const {job, states, acceptedAt} = seen;
+function listFaults(
+  observed: ObservedJob,
+  attempts: taskAttempts.TaskAttempts,
+): string[] {
+  const {job, states, acceptedAt} = observed;
   const faults: string[] = [];
-  const isForgotten = states.some(
-    ({state, at}) => state === 'absent' && at > acceptedAt + VISIBLE_MS,
+  const isUnknownLater = states.some(
+    ({state, at}) =>
+      state === 'absent' && at > acceptedAt + VISIBILITY_DELAY_MS,
   );
-  if (isForgotten) faults.push(`${job.jobId}: accepted, later unknown`);
-  const last = states.at(-1)?.state;
-  const ends = jobCatalog.lastStateOf(job);
-  if (last !== ends) {
-    faults.push(`${job.jobId}: ${last ?? 'no state'} at the end, not ${ends}`);
+  if (isUnknownLater) faults.push(`${job.jobId}: accepted, later unknown`);
+  const lastState = states.at(-1)?.state;
+  const expectedState = jobCatalog.expectedFinalState(job);
+  if (lastState !== expectedState) {
+    faults.push(
+      `${job.jobId}: ${lastState ?? 'no state'} at the end, not ${expectedState}`,
+    );
   }
   const completedAt = states.find(({state}) => state === 'completed')?.at;
   if (completedAt === undefined) return faults;
-  const undone = jobCatalog
-    .taskIdsOf(job)
+  const unfinishedTaskIds = jobCatalog
+    .listTaskIds(job)
     .filter(
-      (taskId) => !taskRuns.isDoneBy(runs.get(taskId) ?? [], completedAt),
+      (taskId) =>
+        !taskAttempts.isDoneBy(attempts.get(taskId) ?? [], completedAt),
+    );
+  if (unfinishedTaskIds.length > 0) {
+    faults.push(
+      `${job.jobId}: completed, and not ${unfinishedTaskIds.join(', ')}`,
     );
-  if (undone.length > 0) {
-    faults.push(`${job.jobId}: completed, and not ${undone.join(', ')}`);
   }
   return faults;
 }
--- a/packages/gypsumwall-emulator/src/judge/lasting_rules.ts
+++ b/packages/gypsumwall-emulator/src/judge/long_running_rules.ts
@@ -2,35 +2,39 @@
 import type * as history from '../model/history.js';
 import * as jobCatalog from '../model/job_catalog.js';
 import type * as finding from './finding.js';
-import type * as taskRuns from './task_runs.js';
+import type * as taskAttempts from './task_attempts.js';
 
 /** A task that lasts runs again within this, however its run ended. */
-const LONGEST_ABSENCE_MS = 9_000;
+const MAX_DOWNTIME_MS = 9_000;
 
 /** Absences of lasting tasks of accepted jobs that took too long. */
-export function findLongAbsences(
+export function findLongDowntimes(
   events: readonly history.HistoryEvent[],
-  runs: taskRuns.TaskRuns,
+  attempts: taskAttempts.TaskAttempts,
 ): finding.Finding[] {
-  return lastingJobs(events).flatMap(({job, from, until}) =>
-    jobCatalog.taskIdsOf(job).flatMap((taskId) => {
-      const longest = longestAbsence(runs.get(taskId) ?? [], from, until);
-      if (longest <= LONGEST_ABSENCE_MS) return [];
-      const detail = `${taskId}: not at work for ${Math.round(longest)} ms`;
+  return listLongRunningJobs(events).flatMap(({job, from, until}) =>
+    jobCatalog.listTaskIds(job).flatMap((taskId) => {
+      const downtimeMs = findLongestDowntime(
+        attempts.get(taskId) ?? [],
+        from,
+        until,
+      );
+      if (downtimeMs <= MAX_DOWNTIME_MS) return [];
+      const detail = `${taskId}: not at work for ${Math.round(downtimeMs)} ms`;
       return [{promise: 'lasting tasks run again in time' as const, detail}];
     }),
   );
 }
 
-interface LastingJob {
+interface LongRunningJob {
   readonly job: jobCatalog.JobSpec;
   readonly from: number;
   readonly until: number;
 }
 
-function lastingJobs(
+function listLongRunningJobs(
   events: readonly history.HistoryEvent[],
-): readonly LastingJob[] {
+): readonly LongRunningJob[] {
   const closedAt = events.at(-1)?.at ?? 0;
   return events.flatMap((event) => {
     if (event.type !== 'job_sent') return [];
@@ -51,16 +55,16 @@
 }
 
 /** The longest span without a run, in milliseconds. */
-function longestAbsence(
-  ofTask: readonly taskRuns.TaskRun[],
+function findLongestDowntime(
+  attempts: readonly taskAttempts.TaskAttempt[],
   from: number,
   until: number,
 ): number {
-  let longest = 0;
-  let absentFrom = from;
-  for (const run of ofTask) {
-    longest = Math.max(longest, run.startedAt - absentFrom);
-    absentFrom = Math.max(absentFrom, run.endedAt);
+  let longestMs = 0;
+  let downSince = from;
+  for (const run of attempts) {
+    longestMs = Math.max(longestMs, run.startedAt - downSince);
+    downSince = Math.max(downSince, run.endedAt);
   }
-  return Math.max(longest, until - absentFrom);
+  return Math.max(longestMs, until - downSince);
 }
--- a/packages/gypsumwall-emulator/src/judge/order_rules.ts
+++ b/packages/gypsumwall-emulator/src/judge/order_rules.ts
@@ -2,12 +2,12 @@
 import type * as history from '../model/history.js';
 import type * as jobCatalog from '../model/job_catalog.js';
 import type * as finding from './finding.js';
-import * as taskRuns from './task_runs.js';
+import * as taskAttempts from './task_attempts.js';
 
 /** Starts of tasks whose step waits for others that weren't done. */
 export function findEarlyStarts(
   events: readonly history.HistoryEvent[],
-  runs: taskRuns.TaskRuns,
+  attempts: taskAttempts.TaskAttempts,
 ): finding.Finding[] {
   const jobs = new Map(
     events.flatMap((event) =>
@@ -17,17 +17,20 @@
   return events.flatMap((event) => {
     if (event.type !== 'run_started') return [];
     const [jobId = '', , step = ''] = event.taskId.split('.');
-    const missing = tasksBefore(jobs.get(jobId), Number(step)).find(
-      (taskId) => !taskRuns.isDoneBy(runs.get(taskId) ?? [], event.at),
+    const unfinishedTaskId = listPrerequisiteTaskIds(
+      jobs.get(jobId),
+      Number(step),
+    ).find(
+      (taskId) => !taskAttempts.isDoneBy(attempts.get(taskId) ?? [], event.at),
     );
-    if (missing === undefined) return [];
-    const detail = `${event.taskId} began before ${missing} was done`;
+    if (unfinishedTaskId === undefined) return [];
+    const detail = `${event.taskId} began before ${unfinishedTaskId} was done`;
     return [{promise: 'steps keep their order', detail}];
   });
 }
 
 /** Tasks of the steps that a step waits for. */
-function tasksBefore(
+function listPrerequisiteTaskIds(
   job: jobCatalog.JobSpec | undefined,
   step: number,
 ): string[] {
--- a/packages/gypsumwall-emulator/src/judge/task_runs.ts
+++ b/packages/gypsumwall-emulator/src/judge/task_attempts.ts
@@ -2,35 +2,35 @@
 import type * as history from '../model/history.js';
 
 /** One run. */
-export interface TaskRun extends history.RunId {
+export interface TaskAttempt extends history.AttemptId {
   readonly workerId: string;
   readonly startedAt: number;
   /** Infinite while it runs on. */
   endedAt: number;
   /** `lost` with its worker. */
-  how: history.RunEnd | 'lost' | 'running';
+  how: history.AttemptEnd | 'lost' | 'running';
   /** When the system noted the end; infinite if it didn't. */
-  notedAt: number;
+  acknowledgedAt: number;
 }
 
 /** Runs by task, in the order of their starts. */
-export type TaskRuns = ReadonlyMap<string, readonly TaskRun[]>;
+export type TaskAttempts = ReadonlyMap<string, readonly TaskAttempt[]>;
 
 /** Collects the runs of a history. */
-export function collectTaskRuns(
+export function collectTaskAttempts(
   events: readonly history.HistoryEvent[],
-): TaskRuns {
-  const byTask = new Map<string, TaskRun[]>();
+): TaskAttempts {
+  const byTask = new Map<string, TaskAttempt[]>();
 
-  const find = (
+  const findAttempt = (
     workerId: string,
-    {taskId, attempt}: history.RunId,
-  ): TaskRun | undefined =>
+    {taskId, attempt}: history.AttemptId,
+  ): TaskAttempt | undefined =>
     byTask
       .get(taskId)
       ?.find((run) => run.workerId === workerId && run.attempt === attempt);
 
-  function loseRunsOf(workerId: string, at: number): void {
+  function markAttemptsLost(workerId: string, at: number): void {
     for (const run of [...byTask.values()].flat()) {
       if (run.workerId !== workerId || run.how !== 'running') continue;
       run.endedAt = at;
@@ -41,35 +41,38 @@
   for (const event of events) {
     if (event.type === 'run_started') {
       const {taskId, attempt, workerId, at} = event;
-      const run: TaskRun = {
+      const run: TaskAttempt = {
         taskId,
         attempt,
         workerId,
         startedAt: at,
         endedAt: Infinity,
         how: 'running',
-        notedAt: Infinity,
+        acknowledgedAt: Infinity,
       };
       byTask.set(taskId, [...(byTask.get(taskId) ?? []), run]);
     } else if (event.type === 'run_ended') {
-      const run = find(event.workerId, event);
+      const run = findAttempt(event.workerId, event);
       if (run === undefined) continue;
       run.endedAt = event.at;
       run.how = event.how;
     } else if (event.type === 'end_acknowledged') {
-      const run = find(event.workerId, event);
-      if (run !== undefined) run.notedAt = event.at;
+      const run = findAttempt(event.workerId, event);
+      if (run !== undefined) run.acknowledgedAt = event.at;
     } else if (
       event.type === 'worker_left' ||
       event.type === 'worker_crashed'
     ) {
-      loseRunsOf(event.workerId, event.at);
+      markAttemptsLost(event.workerId, event.at);
     }
   }
   return byTask;
 }
 
 /** Whether one of a task's runs had ended `done` by the moment. */
-export function isDoneBy(ofTask: readonly TaskRun[], at: number): boolean {
-  return ofTask.some((run) => run.how === 'done' && run.endedAt <= at);
+export function isDoneBy(
+  attempts: readonly TaskAttempt[],
+  at: number,
+): boolean {
+  return attempts.some((run) => run.how === 'done' && run.endedAt <= at);
 }
--- a/packages/gypsumwall-emulator/src/model/__tests__/adviser.test.ts
+++ b/packages/gypsumwall-emulator/src/model/__tests__/adviser.test.ts
@@ -7,20 +7,20 @@
 const POLICY = {callMs: 100, perWorkerMs: 10, validMs: 2_000};
 const WORKERS = Array.from({length: 40}, (_, nth) => `w${nth}`);
 
-function makeAdviser(refusedShare = 0) {
+function createFixture(refusedShare = 0) {
   const clock = types.virtualClock.createVirtualClock();
   const adviser = advisers.createAdviser({
     clock,
     seed: 1,
     refusedShare,
     policies: new Map([['plans', POLICY]]),
-    queueOf: () => 'plans',
+    findQueue: () => 'plans',
   });
   return {clock, adviser};
 }
 
 test('calls of one caller wait for each other, those of others do not', async () => {
-  const {clock, adviser} = makeAdviser();
+  const {clock, adviser} = createFixture();
   const ended: string[] = [];
   const ask = async (caller: string) => {
     await adviser.ask(caller, 'job.0.0', ['w1']);
@@ -33,7 +33,7 @@
 });
 
 test('a caller with 32 calls waiting is throttled', async () => {
-  const {clock, adviser} = makeAdviser();
+  const {clock, adviser} = createFixture();
   const calls = Array.from({length: 33}, () => adviser.ask('a', 's', []));
   await clock.runUntil(10_000);
   const answers = await Promise.all(calls);
@@ -42,7 +42,7 @@
 });
 
 test('refusals of a step stay, and another step has others', async () => {
-  const {clock, adviser} = makeAdviser(0.5);
+  const {clock, adviser} = createFixture(0.5);
   const approvedFor = async (step: string) => {
     const asked = adviser.ask('a', step, WORKERS);
     await clock.runUntil(clock.monotonic() + 1_000);
@@ -57,14 +57,14 @@
 });
 
 test('a ticket is good for its step and worker, and ends', async () => {
-  const {clock, adviser} = makeAdviser();
+  const {clock, adviser} = createFixture();
   const asked = adviser.ask('a', 's', ['w1']);
   await clock.runUntil(200);
   const answer = await asked;
   assert.ok(answer.type === 'approved');
   const ticket = answer.tickets[0]?.[1] ?? '';
-  assert.equal(adviser.accepts(ticket, 's', 'w1'), true);
-  assert.equal(adviser.accepts(ticket, 's', 'w2'), false);
+  assert.equal(adviser.acceptsTicket(ticket, 's', 'w1'), true);
+  assert.equal(adviser.acceptsTicket(ticket, 's', 'w2'), false);
   await clock.runUntil(110 + POLICY.validMs);
-  assert.equal(adviser.accepts(ticket, 's', 'w1'), false);
+  assert.equal(adviser.acceptsTicket(ticket, 's', 'w1'), false);
 });
--- a/packages/gypsumwall-emulator/src/model/__tests__/caller.test.ts
+++ b/packages/gypsumwall-emulator/src/model/__tests__/caller.test.ts
@@ -10,13 +10,13 @@
 const JOB = {jobId: 'j', queue: 'q', payload: '', steps: []};
 const LONG_MS = 20_000;
 
-function makeCallers(answers: readonly callers.CallAnswer['type'][]) {
+function createFixture(answers: readonly callers.CallAnswer['type'][]) {
   const clock = types.virtualClock.createVirtualClock();
   const asked: string[] = [];
   const balancer = balancers.startBalancer({
     clock,
     entries: ['a', 'b', 'c'],
-    asksReady: (entry) => Promise.resolve(entry !== 'c'),
+    checkReady: (entry) => Promise.resolve(entry !== 'c'),
   });
   const made = callers.createCallers({
     clock,
@@ -42,7 +42,7 @@
   ['unknown', ['refused', 'unknown', 'refused', 'refused']],
 ] as const) {
   test(`a caller takes ${answers.join(', ')} as ${told}`, async () => {
-    const {clock, callers: made, asked, balancer} = makeCallers(answers);
+    const {clock, callers: made, asked, balancer} = createFixture(answers);
     await clock.runUntil(10);
     const submitted = made.submit(JOB);
     await clock.runUntil(LONG_MS);
--- a/packages/gypsumwall-emulator/src/model/__tests__/keyed_log.test.ts
+++ b/packages/gypsumwall-emulator/src/model/__tests__/keyed_log.test.ts
@@ -6,7 +6,7 @@
 const {test} = nodeTest;
 const KEEP_MS = 1_000;
 
-function makeLog() {
+function createFixture() {
   const clock = types.virtualClock.createVirtualClock();
   return {clock, log: keyedLog.createKeyedLog({clock, keepMs: KEEP_MS})};
 }
@@ -17,14 +17,14 @@
 const entry = (key: string, value = 'x') => [{key, value}];
 
 test('an append at an offset is refused once the log has moved', () => {
-  const {log} = makeLog();
-  log.append(entry('a'), {onlyAt: 0});
-  const second = log.append(entry('b'), {onlyAt: 0});
+  const {log} = createFixture();
+  log.append(entry('a'), {expectedEndOffset: 0});
+  const second = log.append(entry('b'), {expectedEndOffset: 0});
   assert.deepEqual(second, {type: 'moved', endOffset: 1});
 });
 
 test('an epoch shuts out lower ones and numbers its appends', () => {
-  const {log} = makeLog();
+  const {log} = createFixture();
   assert.equal(log.append(entry('a'), fence(3, 7)).type, 'appended');
   assert.equal(log.append(entry('b'), fence(2, 0)).type, 'fenced');
   const skipped = log.append(entry('b'), fence(3, 9));
@@ -33,28 +33,28 @@
 });
 
 test('a repeated append gets its first answer and adds nothing', () => {
-  const {log} = makeLog();
+  const {log} = createFixture();
   const first = log.append(entry('a'), fence(1, 0));
   assert.deepEqual(log.append(entry('a'), fence(1, 0)), first);
   assert.equal(log.endOffset(), 1);
 });
 
 test('an empty append sets the epoch', () => {
-  const {log} = makeLog();
+  const {log} = createFixture();
   log.append([], fence(5, 0));
   assert.equal(log.append(entry('a'), fence(4, 0)).type, 'fenced');
   assert.equal(log.endOffset(), 0);
 });
 
 test('old records expire, the newest of each key stays', async () => {
-  const {clock, log} = makeLog();
+  const {clock, log} = createFixture();
   log.append(entry('a', 'old'), {});
   log.append(entry('a', 'new'), {});
   log.append(entry('gone'), {});
   log.append(entry('gone', ''), {});
   await clock.runUntil(2 * KEEP_MS);
   assert.deepEqual(log.read(0, 1_000), {type: 'compacted', firstOffset: 4});
-  const {records} = log.newest('');
+  const {records} = log.readNewest('');
   assert.deepEqual(
     records.map(({key, value}) => key + value),
     ['anew'],
--- a/packages/gypsumwall-emulator/src/model/__tests__/store.test.ts
+++ b/packages/gypsumwall-emulator/src/model/__tests__/store.test.ts
@@ -7,7 +7,7 @@
 const APPEND = {topic: 'jobs', entries: [{key: 'a', value: 'x'}]};
 const LONG_MS = 100_000;
 
-function makeStore(options: Partial<stores.StoreOptions> = {}) {
+function createStoreFixture(options: Partial<stores.StoreOptions> = {}) {
   const clock = types.virtualClock.createVirtualClock();
   const store = stores.createStore({
     clock,
@@ -21,7 +21,7 @@
   return {clock, store};
 }
 
-async function typesOf(
+async function answerTypes(
   clock: types.virtualClock.VirtualClock,
   calls: readonly Promise<{readonly type: string}>[],
 ): Promise<string[]> {
@@ -31,9 +31,9 @@
 }
 
 test('calls over the rate are throttled, for all callers together', async () => {
-  const {clock, store} = makeStore({writesPerS: 2});
+  const {clock, store} = createStoreFixture({writesPerS: 2});
   const calls = ['a', 'b', 'c'].map((caller) => store.append(caller, APPEND));
-  assert.deepEqual(await typesOf(clock, calls), [
+  assert.deepEqual(await answerTypes(clock, calls), [
     'answer',
     'answer',
     'throttled',
@@ -41,9 +41,9 @@
 });
 
 test('a log with over two seconds of appends waiting refuses more', async () => {
-  const {clock, store} = makeStore({appendMs: 1_000});
+  const {clock, store} = createStoreFixture({appendMs: 1_000});
   const calls = [1, 2, 3, 4].map(() => store.append('a', APPEND));
-  assert.deepEqual(await typesOf(clock, calls), [
+  assert.deepEqual(await answerTypes(clock, calls), [
     'answer',
     'answer',
     'answer',
@@ -52,10 +52,10 @@
 });
 
 test('a fault of one caller leaves the others alone', async () => {
-  const {clock, store} = makeStore();
+  const {clock, store} = createStoreFixture();
   store.setFault('a', {type: 'unavailable'});
   const calls = ['a', 'b'].map((caller) => store.append(caller, APPEND));
-  assert.deepEqual(await typesOf(clock, calls), ['unavailable', 'answer']);
+  assert.deepEqual(await answerTypes(clock, calls), ['unavailable', 'answer']);
 });
 
 test('a lost answer belongs to an append that was done, now or later', async () => {
@@ -63,28 +63,28 @@
     [1, 0],
     [0, 1],
   ] as const) {
-    const {clock, store} = makeStore();
-    const latestMs = 3_000;
-    store.setFault('all', {type: 'lossy', lostShare, lateShare, latestMs});
+    const {clock, store} = createStoreFixture();
+    const maxDelayMs = 3_000;
+    store.setFault('all', {type: 'lossy', lostShare, lateShare, maxDelayMs});
     const calls = [store.append('a', APPEND)];
-    assert.deepEqual(await typesOf(clock, calls), ['lost']);
+    assert.deepEqual(await answerTypes(clock, calls), ['lost']);
     assert.equal(store.log('jobs').endOffset(), 1);
   }
 });
 
 test('the system may not write where the platform does', async () => {
-  const {clock, store} = makeStore();
+  const {clock, store} = createStoreFixture();
   const topic = stores.WORKERS_TOPIC;
   const calls = [store.append('a', {...APPEND, topic})];
-  assert.deepEqual(await typesOf(clock, calls), ['forbidden']);
+  assert.deepEqual(await answerTypes(clock, calls), ['forbidden']);
 });
 
 test('a read waits for the next record', async () => {
-  const {clock, store} = makeStore();
+  const {clock, store} = createStoreFixture();
   const reading = store.read('a', {
     topic: 'jobs',
     from: 0,
-    mostBytes: 1_000,
+    maxBytes: 1_000,
     waitMs: 5_000,
   });
   const calls = [store.append('b', APPEND)];
--- a/packages/gypsumwall-emulator/src/model/__tests__/worker.test.ts
+++ b/packages/gypsumwall-emulator/src/model/__tests__/worker.test.ts
@@ -18,7 +18,7 @@
   stopMs: 900,
   gangTimeoutMs: 3_000,
 };
-const STEP = plainStep.plainStep({taskCount: 2});
+const STEP = plainStep.createPlainStep({taskCount: 2});
 const CAPACITY = {cpuMillis: 1_500, memoryMb: 1_000, accelerators: 0};
 const OPTIONS = {
   capacity: CAPACITY,
@@ -30,14 +30,14 @@
   onCrash: () => undefined,
 };
 
-function makeWorld(step: Partial<jobCatalogs.StepSpec> = {}) {
+function createFixture(step: Partial<jobCatalogs.StepSpec> = {}) {
   const clock = types.virtualClock.createVirtualClock();
   const random = types.random.createRandom(1);
   const history = histories.createHistory(clock);
   const catalog = jobCatalogs.createJobCatalog();
   const steps = [{...STEP, ...step}];
   catalog.add({jobId: 'job', queue: 'q', payload: 'p', steps});
-  const around: workers.WorkerSurroundings = {
+  const context: workers.WorkerContext = {
     clock,
     random,
     history,
@@ -51,7 +51,7 @@
   const addWorker = (
     id: string,
     options: Partial<workers.WorkerOptions> = {},
-  ) => workers.createWorker(around, {...OPTIONS, id, ...options});
+  ) => workers.createWorker(context, {...OPTIONS, id, ...options});
   const ends = () =>
     history
       .events()
@@ -63,7 +63,7 @@
   return {clock, history, addWorker, ends};
 }
 
-function start(
+function startTask(
   worker: workers.Worker,
   index: number,
   changes: Partial<workerOrders.StartOrder> = {},
@@ -73,20 +73,20 @@
     attempt: 1,
     payload: 'p',
     leaseUntil: worker.clockMs() + LEASE_MS,
-    token: 1,
+    fencingToken: 1,
     checkpoint: '',
     ticket: undefined,
     ...changes,
   });
 }
 
-const reasonOf = (answer: workerOrders.OrderAnswer) =>
+const describeAnswer = (answer: workerOrders.OrderAnswer) =>
   answer.type === 'refused' ? answer.reason : answer.type;
 
 test('a task runs to its end, which is listed until it is noted', async () => {
-  const {clock, addWorker, ends} = makeWorld();
+  const {clock, addWorker, ends} = createFixture();
   const worker = addWorker('w');
-  assert.equal(start(worker, 0).type, 'accepted');
+  assert.equal(startTask(worker, 0).type, 'accepted');
   await clock.runUntil(2_000);
   assert.deepEqual(ends(), ['job.0.0.0 done 1050']);
   const call = {token: 1, leaseUntil: undefined, waitMs: 0};
@@ -97,34 +97,43 @@
 });
 
 test('orders are refused for the reasons of the protocol', async () => {
-  const {clock, addWorker} = makeWorld();
+  const {clock, addWorker} = createFixture();
   const worker = addWorker('w');
-  assert.equal(reasonOf(start(worker, 0, {token: 2})), 'accepted');
-  assert.equal(reasonOf(start(worker, 1, {token: 1})), 'fence');
-  assert.equal(reasonOf(start(worker, 1, {token: 2})), 'room');
+  assert.equal(
+    describeAnswer(startTask(worker, 0, {fencingToken: 2})),
+    'accepted',
+  );
+  assert.equal(
+    describeAnswer(startTask(worker, 1, {fencingToken: 1})),
+    'fence',
+  );
+  assert.equal(describeAnswer(startTask(worker, 1, {fencingToken: 2})), 'room');
   const other = addWorker('other');
-  assert.equal(reasonOf(start(other, 1, {leaseUntil: undefined})), 'late');
+  assert.equal(
+    describeAnswer(startTask(other, 1, {leaseUntil: undefined})),
+    'late',
+  );
   other.stop({taskId: 'job.0.0.1', attempt: 1, token: 1});
-  assert.equal(reasonOf(start(other, 1)), 'old');
-  assert.equal(reasonOf(start(other, 1, {attempt: 2})), 'accepted');
+  assert.equal(describeAnswer(startTask(other, 1)), 'old');
+  assert.equal(describeAnswer(startTask(other, 1, {attempt: 2})), 'accepted');
   await clock.runUntil(2_000);
-  assert.equal(reasonOf(start(worker, 0, {token: 2})), 'old');
+  assert.equal(describeAnswer(startTask(worker, 0, {fencingToken: 2})), 'old');
 });
 
 test('a lease ends everything, later on a slow clock', async () => {
-  const {clock, addWorker, ends} = makeWorld({workMs: 60_000});
-  start(addWorker('w'), 0);
+  const {clock, addWorker, ends} = createFixture({workMs: 60_000});
+  startTask(addWorker('w'), 0);
   await clock.runUntil(10_000);
   assert.deepEqual(ends(), [`job.0.0.0 lapsed ${Math.round(4_000 / 0.98)}`]);
 });
 
 test('a stop takes its time, saves, and another run resumes', async () => {
-  const {clock, addWorker, ends} = makeWorld({
+  const {clock, addWorker, ends} = createFixture({
     workMs: 2_000,
     savesProgress: true,
   });
   const worker = addWorker('w');
-  start(worker, 0);
+  startTask(worker, 0);
   await clock.runUntil(1_000);
   worker.stop({taskId: 'job.0.0.0', attempt: 1, token: 1});
   await clock.runUntil(1_950);
@@ -137,7 +146,7 @@
   assert.ok(shown.type === 'report');
   const checkpoint = shown.ends[0]?.checkpoint ?? '';
   assert.notEqual(checkpoint, '');
-  start(worker, 0, {attempt: 2, checkpoint});
+  startTask(worker, 0, {attempt: 2, checkpoint});
   await clock.runUntil(4_000);
   const [stopped, done] = ends();
   assert.equal(stopped, 'job.0.0.0 stopped 1900');
@@ -145,27 +154,27 @@
 });
 
 test('a gang works once it is whole and ends together', async () => {
-  const {clock, addWorker, ends} = makeWorld({gang: true});
+  const {clock, addWorker, ends} = createFixture({gang: true});
   const [left, right] = [addWorker('left'), addWorker('right')];
-  start(left, 0);
+  startTask(left, 0);
   await clock.runUntil(1_000);
-  start(right, 1);
+  startTask(right, 1);
   await clock.runUntil(3_000);
   assert.deepEqual(ends(), ['job.0.0.0 done 2050', 'job.0.0.1 done 2050']);
 });
 
 test('a member of a gang that stays alone ends so', async () => {
-  const {clock, addWorker, ends} = makeWorld({gang: true});
-  start(addWorker('w'), 0);
+  const {clock, addWorker, ends} = createFixture({gang: true});
+  startTask(addWorker('w'), 0);
   await clock.runUntil(3_500);
   assert.deepEqual(ends(), ['job.0.0.0 alone 3050']);
 });
 
 test('the end of one member breaks the gang', async () => {
-  const {clock, addWorker, ends} = makeWorld({gang: true, workMs: 9_000});
+  const {clock, addWorker, ends} = createFixture({gang: true, workMs: 9_000});
   const [left, right] = [addWorker('left'), addWorker('right')];
-  start(left, 0);
-  start(right, 1);
+  startTask(left, 0);
+  startTask(right, 1);
   await clock.runUntil(500);
   left.stop({taskId: 'job.0.0.0', attempt: 1, token: 1});
   await clock.runUntil(2_000);
@@ -176,11 +185,11 @@
 });
 
 test('starts that nobody asked for are recorded', () => {
-  const {history, addWorker} = makeWorld();
+  const {history, addWorker} = createFixture();
   const worker = addWorker('w');
-  assert.equal(start(worker, 7).type, 'invalid');
-  start(worker, 0, {payload: 'another'});
-  start(worker, 1, {checkpoint: 'of another'});
+  assert.equal(startTask(worker, 7).type, 'invalid');
+  startTask(worker, 0, {payload: 'another'});
+  startTask(worker, 1, {checkpoint: 'of another'});
   const reasons = history
     .events()
     .flatMap((event) => (event.type === 'start_unasked' ? [event.reason] : []));
@@ -189,14 +198,14 @@
 
 test('the task that is told to crashes its worker, and no other', async () => {
   const crash = {index: 1, afterMs: 300};
-  const {clock, addWorker} = makeWorld({crash});
+  const {clock, addWorker} = createFixture({crash});
   const crashed: string[] = [];
   const worker = addWorker('w', {
     refusesExcess: false,
     onCrash: (taskId) => crashed.push(`${taskId} ${clock.monotonic()}`),
   });
-  start(worker, 0);
-  start(worker, 1);
+  startTask(worker, 0);
+  startTask(worker, 1);
   await clock.runUntil(299);
   assert.deepEqual(crashed, []);
   await clock.runUntil(500);
@@ -204,14 +213,14 @@
 });
 
 test('a start beyond a capacity that has shrunk is recorded after the notice', async () => {
-  const {clock, history, addWorker} = makeWorld();
+  const {clock, history, addWorker} = createFixture();
   const worker = addWorker('w', {refusesExcess: false});
-  const excesses = () =>
+  const countExcesses = () =>
     history.events().filter((event) => event.type === 'start_unasked').length;
   worker.setCapacity(types.resources.NO_RESOURCES);
-  start(worker, 0);
-  assert.equal(excesses(), 0);
+  startTask(worker, 0);
+  assert.equal(countExcesses(), 0);
   await clock.runUntil(1_000);
-  start(worker, 1);
-  assert.equal(excesses(), 1);
+  startTask(worker, 1);
+  assert.equal(countExcesses(), 1);
 });
--- a/packages/gypsumwall-emulator/src/model/__tests__/worker_machine.test.ts
+++ b/packages/gypsumwall-emulator/src/model/__tests__/worker_machine.test.ts
@@ -26,7 +26,7 @@
   },
 }`;
 
-function makeMachine() {
+function createFixture() {
   const parsed = emulatorConfig.parseEmulatorConfig('test.jsonc', CONFIG);
   assert.ok(parsed.isOk);
   const config = parsed.value;
@@ -34,7 +34,7 @@
   const model = platformModel.createPlatformModel({
     clock,
     config,
-    forms: {
+    encoders: {
       config: String,
       listing: ({draining, leavesInMs}) =>
         JSON.stringify([draining, leavesInMs]),
@@ -44,13 +44,13 @@
   assert.ok(place !== undefined);
   const machine = model.addMachine(place, '127.0.0.1:1');
   const list = model.store.log(stores.WORKERS_TOPIC);
-  const listed = () =>
-    list.newest('').records.map(({key, value}) => `${key} ${value}`);
-  return {clock, model, machine, listed};
+  const listEntries = () =>
+    list.readNewest('').records.map(({key, value}) => `${key} ${value}`);
+  return {clock, model, machine, listed: listEntries};
 }
 
 test('a worker leaves at the moment that it announced', async () => {
-  const {clock, machine, listed} = makeMachine();
+  const {clock, machine, listed} = createFixture();
   assert.deepEqual(listed(), ['p-z-0-1 [false,null]']);
   const left = machine.leave();
   assert.deepEqual(listed(), [`p-z-0-1 [true,${DRAIN_MS}]`]);
@@ -63,7 +63,7 @@
 });
 
 test('a crashed worker stays listed for three heartbeats and comes back as another', async () => {
-  const {clock, machine, listed} = makeMachine();
+  const {clock, machine, listed} = createFixture();
   const crashed = machine.crash();
   await clock.runUntil(2 * HEARTBEAT_MS);
   assert.deepEqual(listed(), ['p-z-0-1 [false,null]']);
--- a/packages/gypsumwall-emulator/src/model/adviser.ts
+++ b/packages/gypsumwall-emulator/src/model/adviser.ts
@@ -28,13 +28,13 @@
 /** The adviser. */
 export interface Adviser {
   /** Whether starts on the queue need a ticket. */
-  advises(queue: string): boolean;
+  needsTicket(queue: string): boolean;
   ask(
     caller: string,
     stepRunId: string,
     workerIds: readonly string[],
   ): Promise<AdviceAnswer>;
-  accepts(ticket: string, stepRunId: string, workerId: string): boolean;
+  acceptsTicket(ticket: string, stepRunId: string, workerId: string): boolean;
 }
 
 /** What the adviser is made with. */
@@ -45,17 +45,17 @@
   readonly refusedShare: number;
   /** Policies by queue; others need no ticket. */
   readonly policies: ReadonlyMap<string, AdvicePolicy>;
-  readonly queueOf: (stepRunId: string) => string | undefined;
+  readonly findQueue: (stepRunId: string) => string | undefined;
 }
 
-const MOST_WAITING = 32;
-const MOST_WORKERS = 100;
+const MAX_WAITING_CALLS = 32;
+const MAX_WORKERS_PER_CALL = 100;
 
 /** Creates the adviser. */
 export function createAdviser(options: AdviserOptions): Adviser {
   const {clock, policies, seed} = options;
   /** The end of each caller's last call, and how many wait. */
-  const lines = new Map<string, {last: Promise<void>; waiting: number}>();
+  const callQueues = new Map<string, {last: Promise<void>; waiting: number}>();
   const validUntil = new Map<string, types.clock.MonotonicMs>();
 
   function mayRun(stepRunId: string, workerId: string): boolean {
@@ -67,7 +67,7 @@
     return random.next() >= options.refusedShare;
   }
 
-  function issue(
+  function issueTicket(
     stepRunId: string,
     workerId: string,
     validMs: number,
@@ -78,38 +78,46 @@
   }
 
   /** Runs the caller's calls one after another. */
-  async function inTurn(caller: string, spanMs: number): Promise<boolean> {
-    const line = lines.get(caller) ?? {last: Promise.resolve(), waiting: 0};
-    lines.set(caller, line);
-    if (line.waiting >= MOST_WAITING) return false;
-    line.waiting += 1;
-    const mine = line.last.then(() => types.clock.sleepFor(clock, spanMs));
-    line.last = mine;
-    await mine;
-    line.waiting -= 1;
+  async function waitForTurn(
+    caller: string,
+    durationMs: number,
+  ): Promise<boolean> {
+    const callQueue = callQueues.get(caller) ?? {
+      last: Promise.resolve(),
+      waiting: 0,
+    };
+    callQueues.set(caller, callQueue);
+    if (callQueue.waiting >= MAX_WAITING_CALLS) return false;
+    callQueue.waiting += 1;
+    const turn = callQueue.last.then(() =>
+      types.clock.sleepFor(clock, durationMs),
+    );
+    callQueue.last = turn;
+    await turn;
+    callQueue.waiting -= 1;
     return true;
   }
 
   return {
-    advises: (queue) => policies.has(queue),
+    needsTicket: (queue) => policies.has(queue),
     async ask(caller, stepRunId, workerIds) {
-      const policy = policies.get(options.queueOf(stepRunId) ?? '');
+      const policy = policies.get(options.findQueue(stepRunId) ?? '');
       if (policy === undefined) {
         return {type: 'invalid', message: `${stepRunId}: needs no advice`};
       }
-      if (workerIds.length > MOST_WORKERS) {
-        const message = `${workerIds.length} workers: name up to ${MOST_WORKERS}`;
+      if (workerIds.length > MAX_WORKERS_PER_CALL) {
+        const message = `${workerIds.length} workers: name up to ${MAX_WORKERS_PER_CALL}`;
         return {type: 'invalid', message};
       }
       const spanMs = policy.callMs + policy.perWorkerMs * workerIds.length;
-      if (!(await inTurn(caller, spanMs))) return {type: 'throttled'};
+      if (!(await waitForTurn(caller, spanMs))) return {type: 'throttled'};
       const {validMs} = policy;
       const tickets = workerIds
         .filter((workerId) => mayRun(stepRunId, workerId))
-        .map((workerId) => issue(stepRunId, workerId, validMs));
+        .map((workerId) => issueTicket(stepRunId, workerId, validMs));
       return {type: 'approved', tickets, validMs};
     },
-    accepts(ticket, stepRunId, workerId) {
+    acceptsTicket(ticket, stepRunId, workerId) {
       if (ticket !== `${stepRunId}/${workerId}`) return false;
       return (validUntil.get(ticket) ?? -Infinity) > clock.monotonic();
     },
--- a/packages/gypsumwall-emulator/src/model/balancer.ts
+++ b/packages/gypsumwall-emulator/src/model/balancer.ts
@@ -5,7 +5,7 @@
 export interface Balancer {
   /** An entry for the caller's next attempt. */
   pick(caller: number, attempt: number): string;
-  ready(): readonly string[];
+  listReady(): readonly string[];
   stop(): void;
 }
 
@@ -13,42 +13,47 @@
 export interface BalancerOptions {
   readonly clock: types.clock.Clock;
   readonly entries: readonly string[];
-  readonly asksReady: (entry: string) => Promise<boolean>;
+  readonly checkReady: (entry: string) => Promise<boolean>;
 }
 
-const ASK_EVERY_MS = 1_000;
+const PROBE_INTERVAL_MS = 1_000;
 /** So many misses on end take an entry out. */
-const MISSES = 2;
+const MAX_FAILED_PROBES = 2;
 
 /** Starts to ask the entries. */
 export function startBalancer(options: BalancerOptions): Balancer {
   const {clock, entries} = options;
-  const missed = new Map(entries.map((entry) => [entry, MISSES]));
+  const failedProbes = new Map(
+    entries.map((entry) => [entry, MAX_FAILED_PROBES]),
+  );
   const stopped = new AbortController();
 
-  async function ask(entry: string): Promise<void> {
-    const isReady = await options.asksReady(entry);
-    missed.set(entry, isReady ? 0 : (missed.get(entry) ?? 0) + 1);
+  async function probe(entry: string): Promise<void> {
+    const isReady = await options.checkReady(entry);
+    failedProbes.set(entry, isReady ? 0 : (failedProbes.get(entry) ?? 0) + 1);
   }
 
-  async function askAll(): Promise<void> {
+  async function probeAll(): Promise<void> {
     while (!stopped.signal.aborted) {
-      await Promise.all(entries.map(ask));
-      await types.clock.sleepFor(clock, ASK_EVERY_MS, stopped.signal);
+      await Promise.all(entries.map(probe));
+      await types.clock.sleepFor(clock, PROBE_INTERVAL_MS, stopped.signal);
     }
   }
 
-  const ready = () =>
-    entries.filter((entry) => (missed.get(entry) ?? MISSES) < MISSES);
+  const listReady = () =>
+    entries.filter(
+      (entry) =>
+        (failedProbes.get(entry) ?? MAX_FAILED_PROBES) < MAX_FAILED_PROBES,
+    );
 
-  void askAll();
+  void probeAll();
   return {
-    ready,
+    listReady,
     stop: () => stopped.abort(),
     pick(caller, attempt) {
-      const inRotation = ready();
-      const from = inRotation.length > 0 ? inRotation : entries;
-      return from[(caller + attempt) % from.length] ?? '';
+      const inRotation = listReady();
+      const candidates = inRotation.length > 0 ? inRotation : entries;
+      return candidates[(caller + attempt) % candidates.length] ?? '';
     },
   };
 }
--- a/packages/gypsumwall-emulator/src/model/caller.ts
+++ b/packages/gypsumwall-emulator/src/model/caller.ts
@@ -48,22 +48,22 @@
   readonly retryPauseMs: number;
 }
 
-const CALLERS = 1_000;
+const CALLER_COUNT = 1_000;
 
 /** Creates the callers. */
 export function createCallers(options: CallersOptions): Callers {
-  const {clock, random, history: seen} = options;
+  const {clock, random, history: eventHistory} = options;
 
   /** Answers of the attempts, until one settles the call. */
-  async function attempt(
+  async function sendWithRetries(
     kind: CallKind,
     job: jobCatalog.JobSpec,
   ): Promise<readonly CallAnswer[]> {
-    const caller = random.integer(0, CALLERS);
-    const until = types.clock.after(clock.monotonic(), options.patienceMs);
+    const caller = random.integer(0, CALLER_COUNT);
+    const deadline = types.clock.after(clock.monotonic(), options.patienceMs);
     const answers: CallAnswer[] = [];
     for (let nth = 0; nth < options.attempts; nth++) {
-      const timeoutMs = until - clock.monotonic();
+      const timeoutMs = deadline - clock.monotonic();
       if (timeoutMs <= 0) break;
       const entry = options.balancer.pick(caller, nth);
       const answer = await options.send(entry, kind, job, timeoutMs);
@@ -78,10 +78,10 @@
     job: jobCatalog.JobSpec,
   ): Promise<'accepted' | 'refused' | 'unknown'> {
     options.catalog.add(job);
-    seen.record({type: 'job_sent', job});
-    const answers = await attempt('submit', job);
-    const told = toldOf(answers);
-    seen.record({type: 'job_told', jobId: job.jobId, told});
+    eventHistory.record({type: 'job_sent', job});
+    const answers = await sendWithRetries('submit', job);
+    const told = summarizeAnswers(answers);
+    eventHistory.record({type: 'job_told', jobId: job.jobId, told});
     return told;
   }
 
@@ -89,28 +89,32 @@
     submit,
     async stateOf(job) {
       const {jobId} = job;
-      const last = (await attempt('state', job)).at(-1);
-      const state = last?.type === 'absent' ? 'absent' : stateIn(last);
-      if (state !== undefined) seen.record({type: 'state_shown', jobId, state});
+      const last = (await sendWithRetries('state', job)).at(-1);
+      const state = last?.type === 'absent' ? 'absent' : extractState(last);
+      if (state !== undefined)
+        eventHistory.record({type: 'state_shown', jobId, state});
       return state;
     },
     async cancel(job) {
       const {jobId} = job;
-      seen.record({type: 'cancel_sent', jobId});
-      const last = (await attempt('cancel', job)).at(-1);
-      const isDone = last?.type === 'ok' || last?.type === 'absent';
-      if (isDone) seen.record({type: 'cancel_acknowledged', jobId});
-      return isDone;
+      eventHistory.record({type: 'cancel_sent', jobId});
+      const last = (await sendWithRetries('cancel', job)).at(-1);
+      const isAcknowledged = last?.type === 'ok' || last?.type === 'absent';
+      if (isAcknowledged)
+        eventHistory.record({type: 'cancel_acknowledged', jobId});
+      return isAcknowledged;
     },
   };
 }
 
-function stateIn(answer: CallAnswer | undefined): history.JobState | undefined {
+function extractState(
+  answer: CallAnswer | undefined,
+): history.JobState | undefined {
   return answer?.type === 'ok' ? answer.state : undefined;
 }
 
 /** A job that every attempt was refused never runs. */
-function toldOf(
+function summarizeAnswers(
   answers: readonly CallAnswer[],
 ): 'accepted' | 'refused' | 'unknown' {
   if (answers.some((answer) => answer.type === 'ok')) return 'accepted';
--- a/packages/gypsumwall-emulator/src/model/checkpoints.ts
+++ b/packages/gypsumwall-emulator/src/model/checkpoints.ts
@@ -6,25 +6,26 @@
   /** `owner` is a task's id, or that of a gang's step. */
   save(owner: string, progressMs: number): string;
   /** Undefined for a value that isn't the owner's. */
-  progressOf(owner: string, value: string): number | undefined;
+  findProgress(owner: string, value: string): number | undefined;
 }
 
-const HIGHEST = 2 ** 32 - 1;
-const HEX_DIGITS = 8;
+const MAX_RANDOM_SUFFIX = 2 ** 32 - 1;
+const SUFFIX_HEX_DIGITS = 8;
 
 /** Creates a table without checkpoints. */
 export function createCheckpoints(random: types.random.Random): Checkpoints {
   const saved = new Map<string, {owner: string; progressMs: number}>();
   return {
     save(owner, progressMs) {
-      const draw = random.integer(0, HIGHEST).toString(16);
+      const randomSuffix = random.integer(0, MAX_RANDOM_SUFFIX).toString(16);
       const count = saved.size.toString(16);
       const value =
-        count.padStart(HEX_DIGITS, '0') + draw.padStart(HEX_DIGITS, '0');
+        count.padStart(SUFFIX_HEX_DIGITS, '0') +
+        randomSuffix.padStart(SUFFIX_HEX_DIGITS, '0');
       saved.set(value, {owner, progressMs});
       return value;
     },
-    progressOf(owner, value) {
+    findProgress(owner, value) {
       if (value === '') return 0;
       const found = saved.get(value);
       return found?.owner === owner ? found.progressMs : undefined;
--- a/packages/gypsumwall-emulator/src/model/gangs.ts
+++ b/packages/gypsumwall-emulator/src/model/gangs.ts
@@ -10,7 +10,7 @@
 }
 
 /** One member's place in its gang. */
-export interface GangPlace {
+export interface GangMembership {
   isComplete(): boolean;
   /** This member has done its share; the last one ends the run for all. */
   finish(): void;
@@ -25,7 +25,7 @@
     attempt: number,
     size: number,
     member: GangMember,
-  ): GangPlace;
+  ): GangMembership;
 }
 
 interface Gang {
@@ -39,21 +39,21 @@
   const gangs = new Map<string, Gang>();
 
   function gangOf(key: string): Gang {
-    const known = gangs.get(key);
-    if (known !== undefined) return known;
-    const made = {
+    const existing = gangs.get(key);
+    if (existing !== undefined) return existing;
+    const created = {
       members: new Set<GangMember>(),
       finished: new Set<GangMember>(),
       complete: false,
     };
-    gangs.set(key, made);
-    return made;
+    gangs.set(key, created);
+    return created;
   }
 
-  function endAll(
+  function endGang(
     key: string,
     gang: Gang,
-    how: Extract<history.RunEnd, 'done' | 'broken'>,
+    how: Extract<history.AttemptEnd, 'done' | 'broken'>,
   ): void {
     gangs.delete(key);
     const members = [...gang.members];
@@ -74,11 +74,11 @@
         isComplete: () => gang.complete,
         finish() {
           gang.finished.add(member);
-          if (gang.finished.size === size) endAll(key, gang, 'done');
+          if (gang.finished.size === size) endGang(key, gang, 'done');
         },
         leave() {
           if (!gang.members.delete(member)) return;
-          if (gang.complete) endAll(key, gang, 'broken');
+          if (gang.complete) endGang(key, gang, 'broken');
         },
       };
     },
--- a/packages/gypsumwall-emulator/src/model/history.ts
+++ b/packages/gypsumwall-emulator/src/model/history.ts
@@ -3,7 +3,7 @@
 import type * as jobCatalog from './job_catalog.js';
 
 /** How a run ended at its worker. */
-export type RunEnd =
+export type AttemptEnd =
   | 'done'
   | 'failed'
   | 'stopped'
@@ -19,13 +19,13 @@
   'queued' | 'running' | 'completed' | 'failed' | 'cancelled' | 'absent';
 
 /** One run of one task. */
-export interface RunId {
+export interface AttemptId {
   readonly taskId: string;
   readonly attempt: number;
 }
 
 /** Something that was seen. */
-export type Seen =
+export type EventDetails =
   | {readonly type: 'job_sent'; readonly job: jobCatalog.JobSpec}
   | {
       readonly type: 'job_told';
@@ -62,19 +62,19 @@
       readonly workerId: string;
       readonly capacity: types.resources.Resources;
     }
-  | (RunId & {readonly type: 'run_started'; readonly workerId: string})
-  | (RunId & {readonly type: 'run_at_work'; readonly workerId: string})
-  | (RunId & {
+  | (AttemptId & {readonly type: 'run_started'; readonly workerId: string})
+  | (AttemptId & {readonly type: 'run_at_work'; readonly workerId: string})
+  | (AttemptId & {
       readonly type: 'run_ended';
       readonly workerId: string;
-      readonly how: RunEnd;
+      readonly how: AttemptEnd;
     })
-  | (RunId & {
+  | (AttemptId & {
       readonly type: 'end_acknowledged';
       readonly workerId: string;
-      readonly how: RunEnd;
+      readonly how: AttemptEnd;
     })
-  | (RunId & {
+  | (AttemptId & {
       readonly type: 'start_unasked';
       readonly workerId: string;
       readonly reason: string;
@@ -83,11 +83,13 @@
   | {readonly type: 'history_closed'};
 
 /** Something that was seen, and when. */
-export type HistoryEvent = Seen & {readonly at: types.clock.MonotonicMs};
+export type HistoryEvent = EventDetails & {
+  readonly at: types.clock.MonotonicMs;
+};
 
 /** Collects events. */
 export interface History {
-  record(seen: Seen): void;
+  record(seen: EventDetails): void;
   events(): readonly HistoryEvent[];
 }
 
--- a/packages/gypsumwall-emulator/src/model/job_catalog.ts
+++ b/packages/gypsumwall-emulator/src/model/job_catalog.ts
@@ -31,7 +31,7 @@
 }
 
 /** A task's place in its job. */
-export interface TaskPlace {
+export interface CatalogTask {
   readonly job: JobSpec;
   readonly step: StepSpec;
   /** `<job>.<occurrence>.<step>`. */
@@ -42,7 +42,7 @@
 export interface JobCatalog {
   add(job: JobSpec): void;
   /** Undefined for what no caller has sent. */
-  findTask(taskId: string): TaskPlace | undefined;
+  findTask(taskId: string): CatalogTask | undefined;
 }
 
 /** Creates an empty catalog. */
@@ -65,7 +65,7 @@
 }
 
 /** Ids of all tasks of a job. */
-export function taskIdsOf(job: JobSpec): string[] {
+export function listTaskIds(job: JobSpec): string[] {
   return job.steps.flatMap((step, nth) =>
     Array.from(
       {length: step.taskCount},
@@ -75,7 +75,9 @@
 }
 
 /** What a job comes to if all goes well. */
-export function lastStateOf(job: JobSpec): 'running' | 'completed' | 'failed' {
+export function expectedFinalState(
+  job: JobSpec,
+): 'running' | 'completed' | 'failed' {
   if (job.steps.some((step) => step.crash !== undefined)) return 'failed';
   return job.steps.some((step) => step.lasting) ? 'running' : 'completed';
 }
--- a/packages/gypsumwall-emulator/src/model/keyed_log.ts
+++ b/packages/gypsumwall-emulator/src/model/keyed_log.ts
@@ -25,7 +25,7 @@
 /** On what an append depends. */
 export interface AppendConditions {
   /** The log must end there. */
-  readonly onlyAt?: number;
+  readonly expectedEndOffset?: number;
   readonly fence?: Fence;
 }
 
@@ -63,11 +63,14 @@
     entries: readonly KeyedEntry[],
     conditions: AppendConditions,
   ): AppendOutcome;
-  read(from: number, mostBytes: number): ReadOutcome;
-  newest(after: string): NewestPage;
+  read(from: number, maxBytes: number): ReadOutcome;
+  readNewest(after: string): NewestPage;
   endOffset(): number;
   /** Resolves once the log ends beyond the offset, or at the deadline. */
-  waitBeyond(offset: number, deadline: types.clock.MonotonicMs): Promise<void>;
+  waitPastOffset(
+    offset: number,
+    deadline: types.clock.MonotonicMs,
+  ): Promise<void>;
   /** Forgets all records but the newest of each key. */
   compact(): void;
 }
@@ -83,28 +86,28 @@
   readonly epoch: number;
   readonly nextSequence: number;
   /** The last appends, the newest last. */
-  readonly answers: readonly {sequence: number; outcome: AppendOutcome}[];
+  readonly recentAppends: readonly {sequence: number; outcome: AppendOutcome}[];
 }
 
 /** So many appends of a producer can be repeated. */
-const REPEATABLE_APPENDS = 5;
+const REMEMBERED_APPENDS = 5;
 const PAGE_RECORDS = 500;
 const PAGE_BYTES = 1_000_000;
 /** Lengths of a record and its key. */
-const RECORD_HEAD_BYTES = 5;
+const RECORD_HEADER_BYTES = 5;
 
 /** Creates an empty log. */
 export function createKeyedLog(options: KeyedLogOptions): KeyedLog {
   const {clock, keepMs} = options;
   let records: (KeyedRecord & {at: types.clock.MonotonicMs})[] = [];
   let firstOffset = 0;
-  const newestOf = new Map<string, KeyedRecord>();
+  const newestByKey = new Map<string, KeyedRecord>();
   const producers = new Map<string, Producer>();
   const waiters = new Set<AbortController>();
 
   const endOffset = () => firstOffset + records.length;
 
-  function dropBefore(offset: number): void {
+  function dropRecordsBefore(offset: number): void {
     if (offset <= firstOffset) return;
     records = records.slice(offset - firstOffset);
     firstOffset = offset;
@@ -112,25 +115,25 @@
 
   function expire(): void {
     const oldest = clock.monotonic() - keepMs;
-    const live = records.findIndex((record) => record.at >= oldest);
-    dropBefore(live < 0 ? endOffset() : firstOffset + live);
+    const firstLive = records.findIndex((record) => record.at >= oldest);
+    dropRecordsBefore(firstLive < 0 ? endOffset() : firstOffset + firstLive);
   }
 
-  function add(entries: readonly KeyedEntry[]): AppendOutcome {
+  function appendRecords(entries: readonly KeyedEntry[]): AppendOutcome {
     const from = endOffset();
     const at = clock.monotonic();
     for (const entry of entries) {
       const record = {...entry, offset: endOffset()};
       records.push({...record, at});
-      if (entry.value === '') newestOf.delete(entry.key);
-      else newestOf.set(entry.key, record);
+      if (entry.value === '') newestByKey.delete(entry.key);
+      else newestByKey.set(entry.key, record);
     }
     for (const waiter of waiters) waiter.abort();
     return {type: 'appended', firstOffset: from, endOffset: endOffset()};
   }
 
   /** The answer that the producer's state gives; undefined lets it pass. */
-  function fenceOutcome({
+  function checkFence({
     producer,
     epoch,
     sequence,
@@ -138,51 +141,58 @@
     const known = producers.get(producer);
     if (known === undefined || epoch > known.epoch) return undefined;
     if (epoch < known.epoch) return {type: 'fenced'};
-    const repeated = known.answers.find((one) => one.sequence === sequence);
+    const repeated = known.recentAppends.find(
+      (one) => one.sequence === sequence,
+    );
     if (repeated !== undefined) return repeated.outcome;
     if (sequence === known.nextSequence) return undefined;
     return {type: 'out_of_sequence', expected: known.nextSequence};
   }
 
-  function noteAppend(fence: Fence, outcome: AppendOutcome): void {
+  function recordProducerAppend(fence: Fence, outcome: AppendOutcome): void {
     const {producer, epoch, sequence} = fence;
     const known = producers.get(producer);
-    const earlier = known?.epoch === epoch ? known.answers : [];
+    const earlier = known?.epoch === epoch ? known.recentAppends : [];
     producers.set(producer, {
       epoch,
       nextSequence: sequence + 1,
-      answers: [...earlier, {sequence, outcome}].slice(-REPEATABLE_APPENDS),
+      recentAppends: [...earlier, {sequence, outcome}].slice(
+        -REMEMBERED_APPENDS,
+      ),
     });
   }
 
   return {
     endOffset,
-    append(entries, {onlyAt, fence}) {
-      const answer = fence === undefined ? undefined : fenceOutcome(fence);
+    append(entries, {expectedEndOffset, fence}) {
+      const answer = fence === undefined ? undefined : checkFence(fence);
       if (answer !== undefined) return answer;
-      if (onlyAt !== undefined && onlyAt !== endOffset()) {
+      if (
+        expectedEndOffset !== undefined &&
+        expectedEndOffset !== endOffset()
+      ) {
         return {type: 'moved', endOffset: endOffset()};
       }
-      const outcome = add(entries);
-      if (fence !== undefined) noteAppend(fence, outcome);
+      const outcome = appendRecords(entries);
+      if (fence !== undefined) recordProducerAppend(fence, outcome);
       return outcome;
     },
-    read(from, mostBytes) {
+    read(from, maxBytes) {
       expire();
       if (from < firstOffset) return {type: 'compacted', firstOffset};
-      const found = takeUpTo(records.slice(from - firstOffset), mostBytes);
+      const found = limitBytes(records.slice(from - firstOffset), maxBytes);
       const end = endOffset();
       return {type: 'records', records: found, firstOffset, endOffset: end};
     },
-    newest(after) {
-      const later = [...newestOf.values()]
+    readNewest(after) {
+      const later = [...newestByKey.values()]
         .filter((record) => record.key > after)
         .sort((left, right) => (left.key < right.key ? -1 : 1));
-      const page = takeUpTo(later.slice(0, PAGE_RECORDS), PAGE_BYTES);
+      const page = limitBytes(later.slice(0, PAGE_RECORDS), PAGE_BYTES);
       const hasMore = page.length < later.length;
       return {records: page, hasMore, endOffset: endOffset()};
     },
-    async waitBeyond(offset, deadline) {
+    async waitPastOffset(offset, deadline) {
       while (endOffset() <= offset && clock.monotonic() < deadline) {
         const waiter = new AbortController();
         waiters.add(waiter);
@@ -190,19 +200,19 @@
         waiters.delete(waiter);
       }
     },
-    compact: () => dropBefore(endOffset()),
+    compact: () => dropRecordsBefore(endOffset()),
   };
 }
 
 /** The first records within the limit. */
-function takeUpTo<Found extends KeyedRecord>(
+function limitBytes<Found extends KeyedRecord>(
   records: readonly Found[],
-  mostBytes: number,
+  maxBytes: number,
 ): Found[] {
-  let left = mostBytes;
+  let left = maxBytes;
   const end = records.findIndex(({key, value}) => {
     left -=
-      RECORD_HEAD_BYTES + Buffer.byteLength(key) + Buffer.byteLength(value);
+      RECORD_HEADER_BYTES + Buffer.byteLength(key) + Buffer.byteLength(value);
     return left < 0;
   });
   return records.slice(0, end < 0 ? records.length : end);
--- a/packages/gypsumwall-emulator/src/model/lease_clock.ts
+++ b/packages/gypsumwall-emulator/src/model/lease_clock.ts
@@ -4,7 +4,7 @@
 /** A clock and the lease on it. */
 export interface LeaseClock {
   /** The reading, in whole milliseconds. */
-  read(): number;
+  readMs(): number;
   /** Moves the lease; it never gets shorter, nor longer than the most. */
   extend(until: number | undefined): void;
   /** The moment of the lease's end on the platform's clock. */
@@ -16,25 +16,27 @@
   readonly clock: types.clock.Clock;
   /** Milliseconds on this clock for one of the platform's. */
   readonly rate: number;
-  readonly startsAt: number;
-  readonly longestMs: number;
+  readonly initialReadingMs: number;
+  readonly maxLeaseMs: number;
 }
 
 /** Creates a clock without a lease. */
 export function createLeaseClock(options: LeaseClockOptions): LeaseClock {
-  const {clock, rate, startsAt, longestMs} = options;
-  const bornAt = clock.monotonic();
-  let leaseUntil = startsAt;
+  const {clock, rate, initialReadingMs, maxLeaseMs} = options;
+  const createdAt = clock.monotonic();
+  let leaseUntil = initialReadingMs;
 
-  const exact = () => startsAt + (clock.monotonic() - bornAt) * rate;
+  const exactReadingMs = () =>
+    initialReadingMs + (clock.monotonic() - createdAt) * rate;
 
   return {
-    read: () => Math.floor(exact()),
+    readMs: () => Math.floor(exactReadingMs()),
     extend(until) {
       if (until === undefined) return;
-      const capped = Math.min(until, exact() + longestMs);
-      leaseUntil = Math.max(leaseUntil, capped);
+      const cappedUntil = Math.min(until, exactReadingMs() + maxLeaseMs);
+      leaseUntil = Math.max(leaseUntil, cappedUntil);
     },
-    endsAt: () => types.clock.after(bornAt, (leaseUntil - startsAt) / rate),
+    endsAt: () =>
+      types.clock.after(createdAt, (leaseUntil - initialReadingMs) / rate),
   };
 }
--- a/packages/gypsumwall-emulator/src/model/platform_model.ts
+++ b/packages/gypsumwall-emulator/src/model/platform_model.ts
@@ -17,15 +17,15 @@
 import * as workerMachine from './worker_machine.js';
 
 /** Faults that a test of the judge plants in the platform itself. */
-export interface PlantedFaults {
+export interface InjectedFaults {
   /** Such records are acknowledged and not kept. */
-  readonly drops?: (topic: string, entry: keyedLog.KeyedEntry) => boolean;
+  readonly shouldDrop?: (topic: string, entry: keyedLog.KeyedEntry) => boolean;
   /** Such ends are never listed. */
-  readonly hidesEnd?: (taskId: string) => boolean;
+  readonly shouldHideEnd?: (taskId: string) => boolean;
 }
 
 /** Forms of the records that the platform itself writes. */
-export interface RecordForms {
+export interface RecordEncoders {
   readonly config: (
     version: number,
     config: operators.OperatorConfig,
@@ -37,8 +37,8 @@
 export interface PlatformModelOptions {
   readonly clock: types.clock.Clock;
   readonly config: emulatorConfig.EmulatorConfig;
-  readonly forms: RecordForms;
-  readonly planted?: PlantedFaults | undefined;
+  readonly encoders: RecordEncoders;
+  readonly injectedFaults?: InjectedFaults | undefined;
 }
 
 /** The model. */
@@ -53,12 +53,12 @@
   /** Puts the configuration of the queues in force. */
   publish(): number;
   /** Adds a worker that is reached at the address. */
-  addMachine(place: MachinePlace, address: string): workerMachine.WorkerMachine;
+  addMachine(spec: MachineSpec, address: string): workerMachine.WorkerMachine;
   stop(): void;
 }
 
 /** A machine that the configuration describes. */
-export interface MachinePlace {
+export interface MachineSpec {
   readonly name: string;
   readonly zone: string;
   readonly rack: string;
@@ -68,7 +68,7 @@
 /** All machines that the configuration describes. */
 export function listMachines(
   config: emulatorConfig.EmulatorConfig,
-): MachinePlace[] {
+): MachineSpec[] {
   return config.pools.flatMap((pool) =>
     config.zones.flatMap((zone) =>
       Array.from({length: pool.workersPerZone}, (_, nth) => ({
@@ -85,25 +85,30 @@
 export function createPlatformModel(
   options: PlatformModelOptions,
 ): PlatformModel {
-  const {clock, config, forms, planted} = options;
+  const {clock, config, encoders, injectedFaults} = options;
   const random = types.random.createRandom(config.seed);
   const history = histories.createHistory(clock);
   const catalog = jobCatalogs.createJobCatalog();
-  const drops = planted?.drops;
-  const store = stores.createStore({clock, random, ...config.store, drops});
+  const shouldDrop = injectedFaults?.shouldDrop;
+  const store = stores.createStore({
+    clock,
+    random,
+    ...config.store,
+    shouldDrop,
+  });
   const operator = operators.createOperator(
     store.log(stores.OPERATOR_TOPIC),
-    forms.config,
+    encoders.config,
   );
   const list = workerLists.createWorkerList({
     clock,
     log: store.log(stores.WORKERS_TOPIC),
     heartbeatMs: config.workers.heartbeatMs,
-    encode: forms.listing,
+    encode: encoders.listing,
   });
   const adviser = createAdviser(options, catalog);
   const machines: workerMachine.WorkerMachine[] = [];
-  const around: worker.WorkerSurroundings = {
+  const context: worker.WorkerContext = {
     clock,
     random,
     history,
@@ -113,10 +118,10 @@
     checkpoints: checkpoints.createCheckpoints(random),
     durations: config.workers,
     longestLeaseMs: config.workers.longestLeaseMs,
-    hidesEnd: planted?.hidesEnd,
+    shouldHideEnd: injectedFaults?.shouldHideEnd,
   };
 
-  function clockRate(): number {
+  function drawClockRate(): number {
     const {slowestClock} = config.workers;
     return slowestClock + random.next() * (1 - slowestClock);
   }
@@ -131,7 +136,7 @@
     publish: () => operator.publish(config),
     addMachine({name, zone, rack, pool}, address) {
       const {heartbeatMs, drainMs, restartMs} = config.workers;
-      const machine = workerMachine.createWorkerMachine(around, list, {
+      const machine = workerMachine.createWorkerMachine(context, list, {
         name,
         zone,
         rack,
@@ -144,7 +149,7 @@
         worker: {
           capacity: pool.capacity,
           refusesExcess: pool.refusesExcess,
-          clockRate: clockRate(),
+          clockRate: drawClockRate(),
           failShare: pool.failShare,
           lastingFailsMs: pool.lastingFailsMs,
         },
@@ -174,6 +179,6 @@
     seed: config.seed,
     refusedShare: config.adviserRefusedShare,
     policies,
-    queueOf: (stepRunId) => catalog.findTask(`${stepRunId}.0`)?.job.queue,
+    findQueue: (stepRunId) => catalog.findTask(`${stepRunId}.0`)?.job.queue,
   });
 }
--- a/packages/gypsumwall-emulator/src/model/rate_limit.ts
+++ b/packages/gypsumwall-emulator/src/model/rate_limit.ts
@@ -4,7 +4,7 @@
 /** Grants calls up to a rate. */
 export interface RateLimit {
   /** False if the call is over the rate. */
-  take(): boolean;
+  tryAcquire(): boolean;
 }
 
 const SECOND_MS = 1_000;
@@ -15,13 +15,13 @@
   perSecond: number,
 ): RateLimit {
   let tokens = perSecond;
-  let filledAt = clock.monotonic();
+  let refilledAt = clock.monotonic();
   return {
-    take() {
+    tryAcquire() {
       const now = clock.monotonic();
-      const gained = ((now - filledAt) / SECOND_MS) * perSecond;
+      const gained = ((now - refilledAt) / SECOND_MS) * perSecond;
       tokens = Math.min(perSecond, tokens + gained);
-      filledAt = now;
+      refilledAt = now;
       if (tokens < 1) return false;
       tokens -= 1;
       return true;
--- a/packages/gypsumwall-emulator/src/model/store.ts
+++ b/packages/gypsumwall-emulator/src/model/store.ts
@@ -25,7 +25,7 @@
       readonly lostShare: number;
       /** Share of calls that are not answered and done later. */
       readonly lateShare: number;
-      readonly latestMs: number;
+      readonly maxDelayMs: number;
     };
 
 /** How a call is answered. */
@@ -48,7 +48,7 @@
 export interface ReadCall {
   readonly topic: string;
   readonly from: number;
-  readonly mostBytes: number;
+  readonly maxBytes: number;
   readonly waitMs: number;
 }
 
@@ -59,7 +59,7 @@
     call: AppendCall,
   ): Promise<Delivery<keyedLog.AppendOutcome>>;
   read(caller: string, call: ReadCall): Promise<Delivery<keyedLog.ReadOutcome>>;
-  newest(
+  readNewest(
     caller: string,
     topic: string,
     after: string,
@@ -69,9 +69,9 @@
   /** Applies to one caller, or to `all`. */
   setFault(caller: string, fault: StoreFault): void;
   /** Forgets the history of every log. */
-  compact(): void;
+  compactLogs(): void;
   /** Calls that were taken or refused, by kind. */
-  calls(): {readonly reads: number; readonly writes: number};
+  callCounts(): {readonly reads: number; readonly writes: number};
 }
 
 /** What a store is made with. */
@@ -87,12 +87,12 @@
    * Planted, for tests of the judge: acknowledges such records without
    * keeping them.
    */
-  readonly drops?: (topic: string, entry: keyedLog.KeyedEntry) => boolean;
+  readonly shouldDrop?: (topic: string, entry: keyedLog.KeyedEntry) => boolean;
 }
 
 /** A log with more than this waiting refuses appends. */
-const LONGEST_LINE_MS = 2_000;
-const ALL = 'all';
+const MAX_QUEUE_MS = 2_000;
+const ALL_CALLERS = 'all';
 const NO_FAULT: StoreFault = {type: 'none'};
 
 /** Creates an empty store. */
@@ -114,7 +114,7 @@
   }
 
   const faultOf = (caller: string): StoreFault =>
-    faults.get(caller) ?? faults.get(ALL) ?? NO_FAULT;
+    faults.get(caller) ?? faults.get(ALL_CALLERS) ?? NO_FAULT;
 
   /** Lets the call pass, or says how it ends without being done. */
   async function admit(
@@ -135,7 +135,7 @@
       case 'lossy':
         break;
     }
-    return limit.take() ? undefined : {type: 'throttled'};
+    return limit.tryAcquire() ? undefined : {type: 'throttled'};
   }
 
   /** Runs the call now, or later and unanswered. */
@@ -147,7 +147,7 @@
     if (fault.type !== 'lossy') return {type: 'answer', value: run()};
     const draw = random.next();
     if (draw < fault.lateShare) {
-      await types.clock.sleepFor(clock, random.integer(0, fault.latestMs));
+      await types.clock.sleepFor(clock, random.integer(0, fault.maxDelayMs));
       run();
       return {type: 'lost'};
     }
@@ -158,10 +158,10 @@
   }
 
   /** Waits for the log's turn; false if too many wait already. */
-  async function takeTurn(topic: string): Promise<boolean> {
+  async function waitForTurn(topic: string): Promise<boolean> {
     const now = clock.monotonic();
     const start = Math.max(now, busyUntil.get(topic) ?? now);
-    if (start - now > LONGEST_LINE_MS) return false;
+    if (start - now > MAX_QUEUE_MS) return false;
     const end = types.clock.after(
       start as types.clock.MonotonicMs,
       options.appendMs,
@@ -172,18 +172,18 @@
   }
 
   function appendNow(call: AppendCall): keyedLog.AppendOutcome {
-    const {drops} = options;
+    const {shouldDrop} = options;
     const kept = call.entries.filter(
-      (entry) => drops?.(call.topic, entry) !== true,
+      (entry) => shouldDrop?.(call.topic, entry) !== true,
     );
     return log(call.topic).append(kept, call);
   }
 
   return {
     log,
-    calls: () => ({...counts}),
+    callCounts: () => ({...counts}),
     setFault: (caller, fault) => void faults.set(caller, fault),
-    compact() {
+    compactLogs() {
       for (const one of logs.values()) one.compact();
     },
     async append(caller, call) {
@@ -193,22 +193,22 @@
       if (call.topic === OPERATOR_TOPIC || call.topic === WORKERS_TOPIC) {
         return {type: 'forbidden'};
       }
-      if (!(await takeTurn(call.topic))) return {type: 'unavailable'};
+      if (!(await waitForTurn(call.topic))) return {type: 'unavailable'};
       return deliver(caller, () => appendNow(call));
     },
-    async read(caller, {topic, from, mostBytes, waitMs}) {
+    async read(caller, {topic, from, maxBytes, waitMs}) {
       counts.reads += 1;
       const refused = await admit(caller, reads);
       if (refused !== undefined) return refused;
       const until = types.clock.after(clock.monotonic(), waitMs);
-      await log(topic).waitBeyond(from, until);
-      return deliver(caller, () => log(topic).read(from, mostBytes));
+      await log(topic).waitPastOffset(from, until);
+      return deliver(caller, () => log(topic).read(from, maxBytes));
     },
-    async newest(caller, topic, after) {
+    async readNewest(caller, topic, after) {
       counts.reads += 1;
       const refused = await admit(caller, reads);
       if (refused !== undefined) return refused;
-      return deliver(caller, () => log(topic).newest(after));
+      return deliver(caller, () => log(topic).readNewest(after));
     },
   };
 }
--- a/packages/gypsumwall-emulator/src/model/worker.ts
+++ b/packages/gypsumwall-emulator/src/model/worker.ts
@@ -11,10 +11,10 @@
 import * as leaseClock from './lease_clock.js';
 import * as workerEnds from './worker_ends.js';
 import type * as workerOrders from './worker_orders.js';
-import * as workerRun from './worker_run.js';
+import * as workerAttempt from './worker_attempt.js';
 
 /** What all workers of a platform share. */
-export interface WorkerSurroundings {
+export interface WorkerContext {
   readonly clock: types.clock.Clock;
   readonly random: types.random.Random;
   readonly history: history.History;
@@ -22,13 +22,13 @@
   readonly gangs: gangs.Gangs;
   readonly checkpoints: checkpoints.Checkpoints;
   readonly adviser: adviser.Adviser | undefined;
-  readonly durations: workerRun.RunDurations;
+  readonly durations: workerAttempt.AttemptDurations;
   readonly longestLeaseMs: number;
   /**
    * Planted, for tests of the judge: such ends are never listed, the run is
    * shown as running.
    */
-  readonly hidesEnd?: (taskId: string) => boolean;
+  readonly shouldHideEnd?: (taskId: string) => boolean;
 }
 
 /** One worker. */
@@ -55,91 +55,99 @@
   start(order: workerOrders.StartOrder): workerOrders.OrderAnswer;
   stop(order: workerOrders.StopOrder): workerOrders.OrderAnswer;
   hold(call: workerOrders.HoldCall): Promise<workerOrders.HoldAnswer>;
-  running(): readonly history.RunId[];
+  running(): readonly history.AttemptId[];
   /** Work done a millisecond. */
-  setPace(pace: number): void;
-  setFailsAll(failsAll: boolean): void;
+  setSpeed(speed: number): void;
+  setShouldFailAll(shouldFailAll: boolean): void;
   setCapacity(capacity: types.resources.Resources): void;
   /** Everything on it is gone without a trace. */
-  end(): void;
+  terminate(): void;
 }
 
 /** The first reading of a worker's clock is drawn below this. */
-const LATEST_CLOCK_START_MS = 1_000_000;
+const MAX_INITIAL_CLOCK_MS = 1_000_000;
 
 /** Creates a worker with nothing running. */
 export function createWorker(
-  around: WorkerSurroundings,
+  context: WorkerContext,
   options: WorkerOptions,
 ): Worker {
-  const {clock, random, history: seen, durations} = around;
+  const {clock, random, history: eventHistory, durations} = context;
   const workerId = options.id;
   const lease = leaseClock.createLeaseClock({
     clock,
     rate: options.clockRate,
-    startsAt: random.integer(0, LATEST_CLOCK_START_MS),
-    longestMs: around.longestLeaseMs,
+    initialReadingMs: random.integer(0, MAX_INITIAL_CLOCK_MS),
+    maxLeaseMs: context.longestLeaseMs,
   });
-  const runs = new Map<string, workerRun.WorkerRun>();
+  const attempts = new Map<string, workerAttempt.WorkerAttempt>();
   /** Runs whose planted fault hides their end. */
-  const hidden: workerRun.WorkerRun[] = [];
+  const hiddenAttempts: workerAttempt.WorkerAttempt[] = [];
   const ends = workerEnds.createWorkerEnds();
   /** Highest attempt of each task that was stopped or has ended here. */
-  const overUpTo = new Map<string, number>();
-  const gone = new AbortController();
-  let endNoticed = new AbortController();
-  let highestToken = 0;
+  const lastEndedAttempt = new Map<string, number>();
+  const terminated = new AbortController();
+  let endAdded = new AbortController();
+  let highestFencingToken = 0;
   let {capacity} = options;
   /** Starts that fit into it aren't held against anyone until then. */
-  let noticed: {readonly until: types.clock.MonotonicMs} & {
+  let previousCapacity: {readonly until: types.clock.MonotonicMs} & {
     readonly capacity: types.resources.Resources;
   } = {until: clock.monotonic(), capacity};
   let pace = 1;
   let failsAll = false;
-  let guarding = false;
+  let isGuardingLease = false;
 
-  function passesFence(token: number): boolean {
-    if (token < highestToken) return false;
-    highestToken = token;
+  function checkFencingToken(token: number): boolean {
+    if (token < highestFencingToken) return false;
+    highestFencingToken = token;
     return true;
   }
 
   /** Ends all runs once the lease is over. */
   async function guardLease(): Promise<void> {
-    if (guarding) return;
-    guarding = true;
-    while (runs.size > 0 && !gone.signal.aborted) {
-      await clock.sleepUntil(lease.endsAt(), gone.signal);
+    if (isGuardingLease) return;
+    isGuardingLease = true;
+    while (attempts.size > 0 && !terminated.signal.aborted) {
+      await clock.sleepUntil(lease.endsAt(), terminated.signal);
       if (clock.monotonic() < lease.endsAt()) continue;
-      for (const run of [...runs.values()]) run.kill('lapsed');
+      for (const run of [...attempts.values()]) run.kill('lapsed');
     }
-    guarding = false;
+    isGuardingLease = false;
   }
 
-  function noteOver({taskId, attempt}: history.RunId): void {
-    overUpTo.set(taskId, Math.max(attempt, overUpTo.get(taskId) ?? 0));
+  function markEnded({taskId, attempt}: history.AttemptId): void {
+    lastEndedAttempt.set(
+      taskId,
+      Math.max(attempt, lastEndedAttempt.get(taskId) ?? 0),
+    );
   }
 
   function onEnd(
-    run: history.RunId,
-    how: history.RunEnd,
+    run: history.AttemptId,
+    how: history.AttemptEnd,
     checkpoint: string,
   ): void {
     const {taskId, attempt} = run;
-    noteOver(run);
-    seen.record({type: 'run_ended', workerId, taskId, attempt, how});
-    const ended = runs.get(keyOf(run));
-    runs.delete(keyOf(run));
-    if (ended !== undefined && around.hidesEnd?.(taskId) === true) {
-      hidden.push(ended);
+    markEnded(run);
+    eventHistory.record({type: 'run_ended', workerId, taskId, attempt, how});
+    const endedAttempt = attempts.get(attemptKey(run));
+    attempts.delete(attemptKey(run));
+    if (
+      endedAttempt !== undefined &&
+      context.shouldHideEnd?.(taskId) === true
+    ) {
+      hiddenAttempts.push(endedAttempt);
       return;
     }
     ends.add({taskId, attempt, how, checkpoint});
-    endNoticed.abort();
-    endNoticed = new AbortController();
+    endAdded.abort();
+    endAdded = new AbortController();
   }
 
-  function drawFate(step: jobCatalog.StepSpec): workerRun.RunFate {
+  function drawOutcome(
+    step: jobCatalog.StepSpec,
+  ): workerAttempt.AttemptOutcome {
     if (failsAll) return {how: 'failed', afterMs: 0};
     if (step.lasting) {
       const {lastingFailsMs} = options;
@@ -151,11 +159,11 @@
     return {how: fails ? 'failed' : 'done', afterMs: step.workMs};
   }
 
-  function fitsBeside(
+  function fitsWithRunning(
     size: types.resources.Resources,
     within = capacity,
   ): boolean {
-    const used = [...runs.values()]
+    const used = [...attempts.values()]
       .map((run) => run.size)
       .reduce(types.resources.add, types.resources.NO_RESOURCES);
     const free = types.resources.subtract(within, used);
@@ -163,105 +171,122 @@
   }
 
   /** Whether a start takes more than whoever sent it could know of. */
-  function exceeds(size: types.resources.Resources): boolean {
-    if (fitsBeside(size)) return false;
-    const isNew = clock.monotonic() < noticed.until;
-    return !isNew || !fitsBeside(size, noticed.capacity);
+  function exceedsKnownCapacity(size: types.resources.Resources): boolean {
+    if (fitsWithRunning(size)) return false;
+    const isWithinNotice = clock.monotonic() < previousCapacity.until;
+    return !isWithinNotice || !fitsWithRunning(size, previousCapacity.capacity);
   }
 
-  async function crashLater(
-    {taskId, attempt}: history.RunId,
+  async function crashAfterDelay(
+    {taskId, attempt}: history.AttemptId,
     {index, afterMs}: NonNullable<jobCatalog.StepSpec['crash']>,
   ): Promise<void> {
     if (!taskId.endsWith(`.${index}`)) return;
-    await types.clock.sleepFor(clock, afterMs, gone.signal);
-    if (runs.has(keyOf({taskId, attempt}))) options.onCrash(taskId);
+    await types.clock.sleepFor(clock, afterMs, terminated.signal);
+    if (attempts.has(attemptKey({taskId, attempt}))) options.onCrash(taskId);
   }
 
-  function refusalOf(
+  function findRefusal(
     order: workerOrders.StartOrder,
-    place: jobCatalog.TaskPlace,
+    place: jobCatalog.CatalogTask,
   ): Extract<workerOrders.OrderAnswer, {type: 'refused'}> | undefined {
     const refused = (reason: 'old' | 'late' | 'room' | 'ticket') =>
       ({type: 'refused', reason}) as const;
     lease.extend(order.leaseUntil);
-    if ((overUpTo.get(order.taskId) ?? 0) >= order.attempt) {
+    if ((lastEndedAttempt.get(order.taskId) ?? 0) >= order.attempt) {
       return refused('old');
     }
     if (lease.endsAt() <= clock.monotonic()) return refused('late');
     if (!hasTicket(order, place)) return refused('ticket');
-    if (!options.refusesExcess || fitsBeside(place.step.size)) return undefined;
+    if (!options.refusesExcess || fitsWithRunning(place.step.size))
+      return undefined;
     return refused('room');
   }
 
   function hasTicket(
     order: workerOrders.StartOrder,
-    place: jobCatalog.TaskPlace,
+    place: jobCatalog.CatalogTask,
   ): boolean {
-    const {adviser: advising} = around;
-    if (advising === undefined || !advising.advises(place.job.queue)) {
+    const {adviser: taskAdviser} = context;
+    if (
+      taskAdviser === undefined ||
+      !taskAdviser.needsTicket(place.job.queue)
+    ) {
       return true;
     }
-    return advising.accepts(order.ticket ?? '', place.stepRunId, workerId);
+    return taskAdviser.acceptsTicket(
+      order.ticket ?? '',
+      place.stepRunId,
+      workerId,
+    );
   }
 
   /** Records orders that nothing asked for; they are carried out all the same. */
   function recordStart(
     order: workerOrders.StartOrder,
-    place: jobCatalog.TaskPlace,
-    resumesAtMs: number | undefined,
+    place: jobCatalog.CatalogTask,
+    initialProgressMs: number | undefined,
   ): void {
     const {taskId, attempt} = order;
     const about = {workerId, taskId, attempt};
-    const unasked = (reason: string) =>
-      seen.record({type: 'start_unasked', reason, ...about});
-    if (order.payload !== place.job.payload) unasked('another payload');
-    if (resumesAtMs === undefined) unasked('a checkpoint of another task');
-    if (exceeds(place.step.size)) unasked('over the capacity');
-    seen.record({type: 'run_started', ...about});
+    const recordUnasked = (reason: string) =>
+      eventHistory.record({type: 'start_unasked', reason, ...about});
+    if (order.payload !== place.job.payload) recordUnasked('another payload');
+    if (initialProgressMs === undefined)
+      recordUnasked('a checkpoint of another task');
+    if (exceedsKnownCapacity(place.step.size))
+      recordUnasked('over the capacity');
+    eventHistory.record({type: 'run_started', ...about});
   }
 
-  function launch(
+  function launchAttempt(
     order: workerOrders.StartOrder,
-    place: jobCatalog.TaskPlace,
+    place: jobCatalog.CatalogTask,
   ): void {
     const {taskId, attempt, checkpoint} = order;
     const owner = place.step.gang ? place.stepRunId : taskId;
-    const progress = around.checkpoints.progressOf(owner, checkpoint);
-    recordStart(order, place, progress);
+    const progressMs = context.checkpoints.findProgress(owner, checkpoint);
+    recordStart(order, place, progressMs);
     const about = {workerId, taskId, attempt};
-    const run = workerRun.startWorkerRun(
+    const startedAttempt = workerAttempt.startWorkerAttempt(
       {
         taskId,
         attempt,
-        place,
+        task: place,
         owner,
-        resumesAtMs: checkpoint === '' ? undefined : (progress ?? 0),
+        initialProgressMs: checkpoint === '' ? undefined : (progressMs ?? 0),
       },
       {
         clock,
         durations,
-        gangs: around.gangs,
-        checkpoints: around.checkpoints,
-        pace: () => pace,
-        drawFate,
-        onAtWork: () => seen.record({type: 'run_at_work', ...about}),
+        gangs: context.gangs,
+        checkpoints: context.checkpoints,
+        speed: () => pace,
+        drawOutcome,
+        onWorkStarted: () =>
+          eventHistory.record({type: 'run_at_work', ...about}),
         onEnd: (how, value) => onEnd(order, how, value),
       },
     );
-    runs.set(keyOf(order), run);
+    attempts.set(attemptKey(order), startedAttempt);
     void guardLease();
     if (place.step.crash !== undefined) {
-      void crashLater(order, place.step.crash);
+      void crashAfterDelay(order, place.step.crash);
     }
   }
 
-  function unknownTask(
+  function rejectUnknownTask(
     order: workerOrders.StartOrder,
   ): workerOrders.OrderAnswer {
     const {taskId, attempt} = order;
     const reason = 'no caller sent the task';
-    seen.record({type: 'start_unasked', workerId, taskId, attempt, reason});
+    eventHistory.record({
+      type: 'start_unasked',
+      workerId,
+      taskId,
+      attempt,
+      reason,
+    });
     return {type: 'invalid', message: `${taskId}: ${reason}`};
   }
 
@@ -270,67 +295,67 @@
     const until = types.clock.after(clock.monotonic(), waitMs);
     await clock.sleepUntil(
       until,
-      AbortSignal.any([endNoticed.signal, gone.signal]),
+      AbortSignal.any([endAdded.signal, terminated.signal]),
     );
   }
 
   return {
     id: workerId,
-    clockMs: () => lease.read(),
-    running: () => [...runs.values()],
-    setPace: (wanted) => void (pace = wanted),
-    setFailsAll: (wanted) => void (failsAll = wanted),
+    clockMs: () => lease.readMs(),
+    running: () => [...attempts.values()],
+    setSpeed: (wanted) => void (pace = wanted),
+    setShouldFailAll: (wanted) => void (failsAll = wanted),
     setCapacity(wanted) {
       const until = types.clock.after(
         clock.monotonic(),
         options.capacityNoticeMs,
       );
-      noticed = {capacity, until};
+      previousCapacity = {capacity, until};
       capacity = wanted;
-      seen.record({type: 'capacity_changed', workerId, capacity});
+      eventHistory.record({type: 'capacity_changed', workerId, capacity});
     },
     start(order) {
-      if (!passesFence(order.token)) {
+      if (!checkFencingToken(order.fencingToken)) {
         return {type: 'refused', reason: 'fence'};
       }
-      const place = around.catalog.findTask(order.taskId);
-      if (place === undefined) return unknownTask(order);
-      if (runs.has(keyOf(order))) {
+      const task = context.catalog.findTask(order.taskId);
+      if (task === undefined) return rejectUnknownTask(order);
+      if (attempts.has(attemptKey(order))) {
         lease.extend(order.leaseUntil);
         return {type: 'accepted'};
       }
-      const refused = refusalOf(order, place);
+      const refused = findRefusal(order, task);
       if (refused !== undefined) return refused;
-      launch(order, place);
+      launchAttempt(order, task);
       return {type: 'accepted'};
     },
     stop(order) {
-      if (!passesFence(order.token)) {
+      if (!checkFencingToken(order.token)) {
         return {type: 'refused', reason: 'fence'};
       }
-      noteOver(order);
-      runs.get(keyOf(order))?.stop();
+      markEnded(order);
+      attempts.get(attemptKey(order))?.stop();
       return {type: 'accepted'};
     },
     async hold({token, acknowledged, leaseUntil, waitMs}) {
-      if (!passesFence(token)) return {type: 'refused', reason: 'fence'};
+      if (!checkFencingToken(token)) return {type: 'refused', reason: 'fence'};
       lease.extend(leaseUntil);
       for (const {taskId, attempt, how} of ends.acknowledge(acknowledged)) {
         const about = {workerId, taskId, attempt, how};
-        seen.record({type: 'end_acknowledged', ...about});
+        eventHistory.record({type: 'end_acknowledged', ...about});
       }
       await waitForEnd(waitMs);
-      const running = [...runs.values(), ...hidden];
+      const running = [...attempts.values(), ...hiddenAttempts];
       return {type: 'report', running, ends: ends.list()};
     },
-    end() {
-      gone.abort();
-      for (const run of runs.values()) run.vanish();
-      runs.clear();
+    terminate() {
+      terminated.abort();
+      for (const run of attempts.values()) run.discard();
+      attempts.clear();
     },
   };
 }
 
-function keyOf({taskId, attempt}: history.RunId): string {
+function attemptKey({taskId, attempt}: history.AttemptId): string {
   return `${taskId} ${attempt}`;
 }
--- a/packages/gypsumwall-emulator/src/model/worker_ends.ts
+++ b/packages/gypsumwall-emulator/src/model/worker_ends.ts
@@ -2,10 +2,10 @@
 import type * as history from './history.js';
 
 /** A listed end. */
-export interface ListedEnd extends history.RunId {
+export interface ListedEnd extends history.AttemptId {
   /** From 1 in each life of a worker, rising. */
   readonly sequence: number;
-  readonly how: history.RunEnd;
+  readonly how: history.AttemptEnd;
   readonly checkpoint: string;
 }
 
@@ -17,7 +17,7 @@
   list(): readonly ListedEnd[];
 }
 
-const MOST_LISTED = 500;
+const MAX_LISTED_ENDS = 500;
 
 /** Creates an empty list. */
 export function createWorkerEnds(): WorkerEnds {
@@ -29,10 +29,10 @@
       ends.push({...end, sequence});
     },
     acknowledge(upTo) {
-      const known = ends.filter((end) => end.sequence <= upTo);
-      ends = ends.slice(known.length);
-      return known;
+      const acknowledged = ends.filter((end) => end.sequence <= upTo);
+      ends = ends.slice(acknowledged.length);
+      return acknowledged;
     },
-    list: () => ends.slice(0, MOST_LISTED),
+    list: () => ends.slice(0, MAX_LISTED_ENDS),
   };
 }
--- a/packages/gypsumwall-emulator/src/model/worker_list.ts
+++ b/packages/gypsumwall-emulator/src/model/worker_list.ts
@@ -38,7 +38,7 @@
 }
 
 /** An entry is removed after so many heartbeats of silence. */
-const SILENT_HEARTBEATS = 3;
+const EXPIRY_HEARTBEATS = 3;
 
 /** Creates an empty list. */
 export function createWorkerList(options: WorkerListOptions): WorkerList {
@@ -50,7 +50,7 @@
     if (expiresAt.delete(key)) log.append([{key, value: ''}], {});
   }
 
-  async function expire(): Promise<void> {
+  async function removeExpired(): Promise<void> {
     while (!stopped.signal.aborted) {
       await types.clock.sleepFor(clock, options.heartbeatMs, stopped.signal);
       for (const [workerId, at] of [...expiresAt]) {
@@ -59,14 +59,14 @@
     }
   }
 
-  void expire();
+  void removeExpired();
   return {
     remove,
     stop: () => stopped.abort(),
     put(listing) {
-      const spanMs = options.heartbeatMs * SILENT_HEARTBEATS;
-      const until = types.clock.after(clock.monotonic(), spanMs);
-      expiresAt.set(listing.id, until);
+      const expiryMs = options.heartbeatMs * EXPIRY_HEARTBEATS;
+      const expiry = types.clock.after(clock.monotonic(), expiryMs);
+      expiresAt.set(listing.id, expiry);
       const value = options.encode(listing);
       log.append([{key: listing.id, value}], {});
     },
--- a/packages/gypsumwall-emulator/src/model/worker_machine.ts
+++ b/packages/gypsumwall-emulator/src/model/worker_machine.ts
@@ -9,7 +9,7 @@
   /** Orders are refused and not carried out. */
   | {readonly type: 'unhealthy'}
   /** Orders get no answer, and are carried out later. */
-  | {readonly type: 'late_orders'; readonly latestMs: number};
+  | {readonly type: 'late_orders'; readonly maxDelayMs: number};
 
 /** What the machine is. */
 export interface MachineOptions {
@@ -52,22 +52,22 @@
 
 /** Creates a machine with a worker on it. */
 export function createWorkerMachine(
-  around: worker.WorkerSurroundings,
+  context: worker.WorkerContext,
   list: workerList.WorkerList,
   options: MachineOptions,
 ): WorkerMachine {
-  const {clock, history} = around;
+  const {clock, history} = context;
   const stopped = new AbortController();
-  let lives = 0;
+  let incarnations = 0;
   let current: worker.Worker | undefined;
   let fault: MachineFault = {type: 'none'};
   let leavesAt: types.clock.MonotonicMs | undefined;
   let {capacity} = options.worker;
 
-  function beginLife(): void {
-    lives += 1;
-    const id = `${options.name}-${lives}`;
-    current = worker.createWorker(around, {
+  function startWorker(): void {
+    incarnations += 1;
+    const id = `${options.name}-${incarnations}`;
+    current = worker.createWorker(context, {
       ...options.worker,
       id,
       capacity,
@@ -75,18 +75,18 @@
       onCrash: (taskId) => void crash(taskId),
     });
     history.record({type: 'worker_up', workerId: id, capacity});
-    void beat(current);
+    void sendHeartbeats(current);
   }
 
-  async function beat(life: worker.Worker): Promise<void> {
+  async function sendHeartbeats(life: worker.Worker): Promise<void> {
     for (let sequence = 1; current === life; sequence++) {
       if (stopped.signal.aborted) return;
-      announce(life, sequence);
+      publishListing(life, sequence);
       await types.clock.sleepFor(clock, options.heartbeatMs, stopped.signal);
     }
   }
 
-  function announce(life: worker.Worker, sequence: number): void {
+  function publishListing(life: worker.Worker, sequence: number): void {
     const {pool, zone, rack, kind, address} = options;
     list.put({
       id: life.id,
@@ -108,22 +108,22 @@
     return Math.max(0, Math.floor(leavesAt - clock.monotonic()));
   }
 
-  function endLife(): worker.Worker | undefined {
+  function endWorker(): worker.Worker | undefined {
     const life = current;
     current = undefined;
-    life?.end();
+    life?.terminate();
     return life;
   }
 
   async function crash(culprit?: string): Promise<void> {
-    const life = endLife();
+    const life = endWorker();
     if (life === undefined) return;
     history.record({type: 'worker_crashed', workerId: life.id, culprit});
     await types.clock.sleepFor(clock, options.restartMs, stopped.signal);
-    if (!stopped.signal.aborted) beginLife();
+    if (!stopped.signal.aborted) startWorker();
   }
 
-  beginLife();
+  startWorker();
   return {
     name: options.name,
     worker: () => current,
@@ -134,10 +134,10 @@
       if (life === undefined) return;
       leavesAt = types.clock.after(clock.monotonic(), options.drainMs);
       history.record({type: 'worker_draining', workerId: life.id});
-      announce(life, 0);
+      publishListing(life, 0);
       await clock.sleepUntil(leavesAt, stopped.signal);
       if (current !== life) return;
-      endLife();
+      endWorker();
       list.remove(life.id);
       history.record({type: 'worker_left', workerId: life.id});
     },
@@ -148,7 +148,7 @@
     },
     stop() {
       stopped.abort();
-      endLife();
+      endWorker();
     },
   };
 }
--- a/packages/gypsumwall-emulator/src/model/worker_orders.ts
+++ b/packages/gypsumwall-emulator/src/model/worker_orders.ts
@@ -1,20 +1,20 @@
 /** What a worker is told and asked, and how it answers. */
 import type * as history from './history.js';
 import type * as workerEnds from './worker_ends.js';
-import type * as workerRun from './worker_run.js';
+import type * as workerAttempt from './worker_attempt.js';
 
 /** An order to start a run. */
-export interface StartOrder extends history.RunId {
+export interface StartOrder extends history.AttemptId {
   readonly payload: string;
   /** On the worker's clock. */
   readonly leaseUntil: number | undefined;
-  readonly token: number;
+  readonly fencingToken: number;
   readonly checkpoint: string;
   readonly ticket: string | undefined;
 }
 
 /** An order to stop a run. */
-export interface StopOrder extends history.RunId {
+export interface StopOrder extends history.AttemptId {
   readonly token: number;
 }
 
@@ -40,7 +40,7 @@
 export type HoldAnswer =
   | {
       readonly type: 'report';
-      readonly running: readonly workerRun.WorkerRun[];
+      readonly running: readonly workerAttempt.WorkerAttempt[];
       readonly ends: readonly workerEnds.ListedEnd[];
     }
   | {readonly type: 'refused'; readonly reason: 'fence'};
--- a/packages/gypsumwall-emulator/src/rig/deploy_file.ts
+++ b/packages/gypsumwall-emulator/src/rig/deploy_file.ts
@@ -10,10 +10,10 @@
   readonly metricsPath: string;
 }
 
-const RUN = /^run = "node (.+)"$/m;
-const METRICS = /^metrics = "(\d+)\/(.+)"$/m;
+const RUN_LINE = /^run = "node (.+)"$/m;
+const METRICS_LINE = /^metrics = "(\d+)\/(.+)"$/m;
 
-const TARGET = 'target/';
+const TARGET_PREFIX = 'target/';
 
 /**
  * Reads the file; throws on one that doesn't tell. The program may have been
@@ -21,16 +21,16 @@
  */
 export function readDeployFile(file: string, builtInto?: string): DeployedRole {
   const text = fs.readFileSync(file, 'utf8');
-  const [, run] = RUN.exec(text) ?? [];
-  const [, port, metricsPath] = METRICS.exec(text) ?? [];
+  const [, run] = RUN_LINE.exec(text) ?? [];
+  const [, port, metricsPath] = METRICS_LINE.exec(text) ?? [];
   if (run === undefined || port === undefined || metricsPath === undefined) {
     throw new Error(`${file}: needs lines run = "node …" and metrics = "…"`);
   }
   const args = run
     .split(' ')
     .map((arg) =>
-      builtInto !== undefined && arg.startsWith(TARGET)
-        ? path.join(builtInto, arg.slice(TARGET.length))
+      builtInto !== undefined && arg.startsWith(TARGET_PREFIX)
+        ? path.join(builtInto, arg.slice(TARGET_PREFIX.length))
         : arg,
     );
   return {args, metricsPort: Number(port), metricsPath};
--- a/packages/gypsumwall-emulator/src/rig/emulated_cell.ts
+++ b/packages/gypsumwall-emulator/src/rig/emulated_cell.ts
@@ -42,7 +42,7 @@
   readonly deployFile: string;
   /** Where the program was built, if not where the deploy file says. */
   readonly builtInto?: string | undefined;
-  readonly planted?: platformModels.PlantedFaults | undefined;
+  readonly injectedFaults?: platformModels.InjectedFaults | undefined;
 }
 
 const POLL_MS = 50;
@@ -57,8 +57,8 @@
   const model = platformModels.createPlatformModel({
     clock,
     config,
-    planted: options.planted,
-    forms: {
+    injectedFaults: options.injectedFaults,
+    encoders: {
       config: configRecord.encodeConfig,
       listing: listingRecord.encodeListing,
     },
@@ -75,7 +75,7 @@
   const balancer = balancers.startBalancer({
     clock,
     entries: entries.map((entry) => entry.name),
-    asksReady: (entry) => client.isReady(entry),
+    checkReady: (entry) => client.isReady(entry),
   });
   for (const entry of entries) entry.start();
 
@@ -86,7 +86,7 @@
         random: model.random,
       });
       servers.push(server);
-      server.serve(model.addMachine(place, server.address));
+      server.serveMachine(model.addMachine(place, server.address));
     }
   }
 
@@ -96,11 +96,11 @@
       options.builtInto,
     );
     const random = types.random.createRandom(crypto.randomInt(2 ** 31));
-    const made: entryMachine.EntryMachine[] = [];
+    const machines: entryMachine.EntryMachine[] = [];
     for (const zone of config.zones) {
       const name = `entry-${zone}`;
       const {restartMs, ...durations} = config.entries;
-      made.push(
+      machines.push(
         await entryMachine.createEntryMachine({
           clock,
           random,
@@ -118,7 +118,7 @@
         }),
       );
     }
-    return made;
+    return machines;
   }
 
   async function serveStore(caller: string): Promise<string> {
@@ -129,8 +129,8 @@
 
   async function serveAdviser(caller: string): Promise<string | undefined> {
     if (model.adviser === undefined) return undefined;
-    const served = model.adviser;
-    const server = await adviserServer.startAdviserServer(served, caller);
+    const adviser = model.adviser;
+    const server = await adviserServer.startAdviserServer(adviser, caller);
     servers.push(server);
     return server.address;
   }
@@ -150,19 +150,19 @@
       ...config.callers,
     }),
     async untilReady(deadline) {
-      while (balancer.ready().length < entries.length) {
+      while (balancer.listReady().length < entries.length) {
         if (clock.monotonic() >= deadline) {
-          const ready = balancer.ready().join(', ') || 'none';
+          const ready = balancer.listReady().join(', ') || 'none';
           throw new Error(`entries in rotation: ${ready}; logs in ${folder}`);
         }
         await types.clock.sleepFor(clock, POLL_MS);
       }
     },
     async findHolder() {
-      const holds = await Promise.all(
-        entries.map((entry) => client.gauge(entry.name, HOLDER_GAUGE)),
+      const gauges = await Promise.all(
+        entries.map((entry) => client.readGauge(entry.name, HOLDER_GAUGE)),
       );
-      return entries.find((_, nth) => holds[nth] === 1);
+      return entries.find((_, nth) => gauges[nth] === 1);
     },
     async close(keepsFolder) {
       balancer.stop();
--- a/packages/gypsumwall-emulator/src/rig/entry_machine.ts
+++ b/packages/gypsumwall-emulator/src/rig/entry_machine.ts
@@ -69,10 +69,10 @@
       env: {[SETTINGS_VARIABLE]: settingsPath, PATH: process.env.PATH ?? ''},
     });
     child = started;
-    void started.exited.then(startAgain);
+    void started.exited.then(restartAfterDelay);
   }
 
-  async function startAgain(): Promise<void> {
+  async function restartAfterDelay(): Promise<void> {
     await types.clock.sleepFor(clock, options.restartMs, stopped.signal);
     if (!stopped.signal.aborted) start();
   }
--- a/packages/gypsumwall-emulator/src/rig/loopback.ts
+++ b/packages/gypsumwall-emulator/src/rig/loopback.ts
@@ -2,18 +2,18 @@
 import * as net from 'node:net';
 import type * as types from '@gypsumwall/types';
 
-const LOWEST_BYTE = 1;
-const HIGHEST_BYTE = 254;
-const TRIES = 50;
+const MIN_BYTE = 1;
+const MAX_BYTE = 254;
+const MAX_TRIES = 50;
 
 /** An address where the port is free. */
 export async function findFreeIp(
   random: types.random.Random,
   port: number,
 ): Promise<string> {
-  for (let nth = 0; nth < TRIES; nth++) {
+  for (let nth = 0; nth < MAX_TRIES; nth++) {
     const bytes = Array.from({length: 3}, () =>
-      random.integer(LOWEST_BYTE, HIGHEST_BYTE),
+      random.integer(MIN_BYTE, MAX_BYTE),
     );
     const ip = ['127', ...bytes].join('.');
     if ((await tryPort(ip, port)) !== undefined) return ip;
@@ -29,11 +29,14 @@
 }
 
 /** The port that could be listened on; undefined if it is taken. */
-function tryPort(ip: string, wanted: number): Promise<number | undefined> {
+function tryPort(
+  ip: string,
+  requestedPort: number,
+): Promise<number | undefined> {
   return new Promise((resolve) => {
     const server = net.createServer();
     server.once('error', () => resolve(undefined));
-    server.listen(wanted, ip, () => {
+    server.listen(requestedPort, ip, () => {
       const {port} = server.address() as net.AddressInfo;
       server.close(() => resolve(port));
     });
--- a/packages/gypsumwall-emulator/src/wire/__tests__/servers.test.ts
+++ b/packages/gypsumwall-emulator/src/wire/__tests__/servers.test.ts
@@ -24,7 +24,7 @@
 const CALLER = 'entry';
 const JOB_ID = '5c0e7a21d94b36f8';
 /** Longer than an answer on loopback takes; milliseconds. */
-const SILENCE_MS = 300;
+const RESPONSE_TIMEOUT_MS = 300;
 
 async function startPlatform() {
   const parsed = emulatorConfig.parseEmulatorConfig('test.jsonc', CONFIG);
@@ -34,7 +34,7 @@
   const model = platformModel.createPlatformModel({
     clock,
     config,
-    forms: {
+    encoders: {
       config: configRecord.encodeConfig,
       listing: listingRecord.encodeListing,
     },
@@ -44,7 +44,7 @@
   const [place] = platformModel.listMachines(config);
   assert.ok(place !== undefined);
   const machine = model.addMachine(place, worker.address);
-  worker.serve(machine);
+  worker.serveMachine(machine);
   const log = await storeServer.startStoreServer(store, CALLER);
   const agent = new undici.Agent();
 
@@ -53,7 +53,7 @@
       dispatcher: agent,
       method: body === undefined ? 'GET' : 'POST',
       body: body ?? null,
-      signal: AbortSignal.timeout(SILENCE_MS),
+      signal: AbortSignal.timeout(RESPONSE_TIMEOUT_MS),
     });
     const bytes = Buffer.from(await answer.body.arrayBuffer());
     return {status: answer.statusCode, bytes};
@@ -75,7 +75,7 @@
 
 type Platform = Awaited<ReturnType<typeof startPlatform>>;
 
-async function onPlatform(play: (platform: Platform) => Promise<void>) {
+async function withPlatform(play: (platform: Platform) => Promise<void>) {
   const platform = await startPlatform();
   try {
     await play(platform);
@@ -84,7 +84,7 @@
   }
 }
 
-const json = ({bytes}: {readonly bytes: Buffer}): unknown =>
+const parseBody = ({bytes}: {readonly bytes: Buffer}): unknown =>
   JSON.parse(bytes.toString());
 
 /** A record of the key `k` and the value `v`. */
@@ -92,9 +92,9 @@
 const APPEND = '/v1/log-append?topic=keyed.t&part=0';
 
 test('a record is appended once, read back and found by its key', () =>
-  onPlatform(async ({callStore}) => {
+  withPlatform(async ({callStore}) => {
     const appended = await callStore(`${APPEND}&at=0`, RECORD);
-    assert.deepEqual(json(appended), {offset: 0, endOffset: 1});
+    assert.deepEqual(parseBody(appended), {offset: 0, endOffset: 1});
     const again = await callStore(`${APPEND}&at=0`, RECORD);
     assert.equal(again.status, 412);
     const read = await callStore('/v1/log-read?topic=keyed.t&part=0&from=0');
@@ -103,21 +103,21 @@
     assert.deepEqual(read.bytes, Buffer.concat([head, RECORD]));
     const newest = await callStore('/v1/log-newest?topic=keyed.t&part=0');
     const items = [{key: 'k', value: 'dg==', offset: 0}];
-    assert.deepEqual(json(newest), {items, hasMore: false, endOffset: 1});
+    assert.deepEqual(parseBody(newest), {items, hasMore: false, endOffset: 1});
   }));
 
 test('a lower epoch and a skipped sequence are told apart', () =>
-  onPlatform(async ({callStore}) => {
-    const numbered = (epoch: number, seq: number) =>
+  withPlatform(async ({callStore}) => {
+    const appendNumbered = (epoch: number, seq: number) =>
       callStore(`${APPEND}&producer=h&epoch=${epoch}&seq=${seq}`, RECORD);
-    assert.equal((await numbered(2, 0)).status, 200);
-    assert.deepEqual(json(await numbered(1, 1)), {reason: 'fenced'});
-    const skipped = json(await numbered(2, 5));
+    assert.equal((await appendNumbered(2, 0)).status, 200);
+    assert.deepEqual(parseBody(await appendNumbered(1, 1)), {reason: 'fenced'});
+    const skipped = parseBody(await appendNumbered(2, 5));
     assert.deepEqual(skipped, {reason: 'seq', expected: 1});
   }));
 
 test('faults of the store reach the machine that they are for', () =>
-  onPlatform(async ({model, callStore}) => {
+  withPlatform(async ({model, callStore}) => {
     model.store.setFault(CALLER, {type: 'unavailable'});
     assert.equal((await callStore(APPEND, RECORD)).status, 503);
     model.store.setFault(CALLER, {type: 'throttled'});
@@ -126,7 +126,7 @@
       type: 'lossy',
       lostShare: 1,
       lateShare: 0,
-      latestMs: 0,
+      maxDelayMs: 0,
     });
     await assert.rejects(callStore(APPEND, RECORD), {name: 'TimeoutError'});
     assert.equal(model.store.log('keyed.t').endOffset(), 1);
@@ -151,35 +151,35 @@
 }
 
 test('a start is carried out, its end listed until it is noted', () =>
-  onPlatform(async (platform) => {
+  withPlatform(async (platform) => {
     const {callWorker} = platform;
     addJob(platform);
     assert.equal((await callWorker('/v1/run-start', START)).status, 200);
     const held = await callWorker('/v1/hold', {fencingToken: 2, waitMs: 250});
-    const {finished} = json(held) as {finished: unknown[]};
+    const {finished} = parseBody(held) as {finished: unknown[]};
     assert.deepEqual(finished, [[1, START.task, 1, 'done', '']]);
     const noted = await callWorker('/v1/hold', {fencingToken: 2, ackCursor: 1});
-    assert.deepEqual((json(noted) as {finished: unknown[]}).finished, []);
+    assert.deepEqual((parseBody(noted) as {finished: unknown[]}).finished, []);
     const fenced = await callWorker('/v1/hold', {fencingToken: 1});
-    assert.equal((json(fenced) as {reason: string}).reason, 'fence');
+    assert.equal((parseBody(fenced) as {reason: string}).reason, 'fence');
   }));
 
 test('an order to a troubled worker is refused, or done late and unanswered', () =>
-  onPlatform(async (platform) => {
+  withPlatform(async (platform) => {
     const {machine, callWorker} = platform;
     addJob(platform);
     machine.setFault({type: 'unhealthy'});
     assert.equal((await callWorker('/v1/run-start', START)).status, 503);
     assert.deepEqual(machine.worker()?.running(), []);
-    machine.setFault({type: 'late_orders', latestMs: 10});
+    machine.setFault({type: 'late_orders', maxDelayMs: 10});
     const late = callWorker('/v1/run-start', START);
     await assert.rejects(late, {name: 'TimeoutError'});
     const held = await callWorker('/v1/hold', {fencingToken: 2});
-    assert.equal((json(held) as {finished: unknown[]}).finished.length, 1);
+    assert.equal((parseBody(held) as {finished: unknown[]}).finished.length, 1);
   }));
 
 test('a body of a wrong form is refused with its field', () =>
-  onPlatform(async ({callWorker}) => {
+  withPlatform(async ({callWorker}) => {
     const answer = await callWorker('/v1/run-stop', {task: 7, attempt: 1});
     assert.equal(answer.status, 400);
     assert.match(answer.bytes.toString(), /task/);
--- a/packages/gypsumwall-emulator/src/wire/config_record.ts
+++ b/packages/gypsumwall-emulator/src/wire/config_record.ts
@@ -1,7 +1,7 @@
 /** The configuration as it stands in the store. */
 import type * as operator from '../model/operator.js';
 
-const TIMEOUT_MS = 3_000;
+const ROUTE_TIMEOUT_MS = 3_000;
 const MAX_CONNECTIONS = 64;
 const LIMITS = {
   maxHeaderBytes: 16_384,
@@ -38,7 +38,7 @@
     host: queue.host,
     pathPrefix: queue.pathPrefix,
     kind: 'unsafe',
-    timeoutMs: TIMEOUT_MS,
+    timeoutMs: ROUTE_TIMEOUT_MS,
     targetLatencyMs: queue.targetMs,
     priority: queue.priority,
     service: queue.pool,
--- a/packages/gypsumwall-emulator/src/wire/entry_client.ts
+++ b/packages/gypsumwall-emulator/src/wire/entry_client.ts
@@ -19,7 +19,7 @@
   readonly send: caller.SendCall;
   isReady(entry: string): Promise<boolean>;
   /** A gauge of the entry's own metrics; undefined if it doesn't answer. */
-  gauge(entry: string, name: string): Promise<number | undefined>;
+  readGauge(entry: string, name: string): Promise<number | undefined>;
   close(): Promise<void>;
 }
 
@@ -30,9 +30,9 @@
 }
 
 const PROBE_TIMEOUT_MS = 500;
-const CONNECTIONS = 64;
+const MAX_CONNECTIONS = 64;
 const METHODS = {submit: 'POST', state: 'GET', cancel: 'DELETE'} as const;
-const STATES: ReadonlySet<string> = new Set<history.JobState>([
+const JOB_STATES: ReadonlySet<string> = new Set<history.JobState>([
   'queued',
   'running',
   'completed',
@@ -42,7 +42,7 @@
 
 /** Creates the client. */
 export function createEntryClient(options: EntryClientOptions): EntryClient {
-  const agent = new undici.Agent({connections: CONNECTIONS});
+  const agent = new undici.Agent({connections: MAX_CONNECTIONS});
 
   async function get(url: string): Promise<string | undefined> {
     try {
@@ -91,7 +91,7 @@
       const address = options.entries.get(entry)?.readiness ?? '';
       return (await get(`http://${address}/v1/readyz`)) !== undefined;
     },
-    async gauge(entry, name) {
+    async readGauge(entry, name) {
       const address = options.entries.get(entry)?.metrics ?? '';
       const text = (await get(`http://${address}`)) ?? '';
       const found = new RegExp(`^\\w*${name} (\\S+)$`, 'm').exec(text);
@@ -101,14 +101,14 @@
 }
 
 function decodeAnswer(status: number, text: string): caller.CallAnswer {
-  if (status === 200) return {type: 'ok', state: stateIn(text)};
+  if (status === 200) return {type: 'ok', state: extractState(text)};
   if (status === 404 || status === 410) return {type: 'absent'};
   if (status === 429 || status === 503) return {type: 'refused'};
   return {type: 'unknown'};
 }
 
-function stateIn(text: string): history.JobState | undefined {
+function extractState(text: string): history.JobState | undefined {
   const {state} = JSON.parse(text) as {state?: string};
-  if (state === undefined || !STATES.has(state)) return undefined;
+  if (state === undefined || !JOB_STATES.has(state)) return undefined;
   return state as history.JobState;
 }
--- a/packages/gypsumwall-emulator/src/wire/listing_record.ts
+++ b/packages/gypsumwall-emulator/src/wire/listing_record.ts
@@ -1,7 +1,7 @@
 /** A worker's entry as it stands in the store. */
 import type * as workerList from '../model/worker_list.js';
 
-const SLOTS = 8;
+const SLOT_COUNT = 8;
 
 /** Writes an entry. */
 export function encodeListing(listing: workerList.WorkerListing): string {
@@ -11,7 +11,7 @@
     addr: listing.address,
     zone: listing.zone,
     version: 'v1',
-    slots: SLOTS,
+    slots: SLOT_COUNT,
     state: listing.draining ? 'draining' : 'ready',
     coldRemainingMs: 0,
     remainingMs: listing.leavesInMs,
--- a/packages/gypsumwall-emulator/src/wire/record_codec.ts
+++ b/packages/gypsumwall-emulator/src/wire/record_codec.ts
@@ -1,15 +1,15 @@
 /** The binary form of records, in appends and reads. */
 import type * as keyedLog from '../model/keyed_log.js';
 
-const LENGTH_BYTES = 4;
+const RECORD_LENGTH_BYTES = 4;
 /** The log's end and its first offset. */
-const HEAD_BYTES = 16;
+const READ_HEADER_BYTES = 16;
 
 /** Reads the records of an append; throws on a record that is cut short. */
 export function decodeEntries(bytes: Buffer): keyedLog.KeyedEntry[] {
   const entries: keyedLog.KeyedEntry[] = [];
   for (let at = 0; at < bytes.length;) {
-    const from = at + LENGTH_BYTES;
+    const from = at + RECORD_LENGTH_BYTES;
     const end = from + bytes.readUInt32BE(at);
     if (end > bytes.length) {
       throw new Error(`record at ${at}: ${end} bytes of ${bytes.length}`);
@@ -32,17 +32,17 @@
 export function encodeRead(
   outcome: Extract<keyedLog.ReadOutcome, {type: 'records'}>,
 ): Buffer {
-  const head = Buffer.alloc(HEAD_BYTES);
+  const head = Buffer.alloc(READ_HEADER_BYTES);
   head.writeBigUInt64BE(BigInt(outcome.endOffset));
-  head.writeBigUInt64BE(BigInt(outcome.firstOffset), HEAD_BYTES / 2);
+  head.writeBigUInt64BE(BigInt(outcome.firstOffset), READ_HEADER_BYTES / 2);
   return Buffer.concat([head, ...outcome.records.map(encodeRecord)]);
 }
 
 function encodeRecord({key, value}: keyedLog.KeyedEntry): Buffer {
   const keyBytes = Buffer.from(key);
   const valueBytes = Buffer.from(value);
-  const head = Buffer.alloc(LENGTH_BYTES + 1);
+  const head = Buffer.alloc(RECORD_LENGTH_BYTES + 1);
   head.writeUInt32BE(1 + keyBytes.length + valueBytes.length);
-  head.writeUInt8(keyBytes.length, LENGTH_BYTES);
+  head.writeUInt8(keyBytes.length, RECORD_LENGTH_BYTES);
   return Buffer.concat([head, keyBytes, valueBytes]);
 }
--- a/packages/gypsumwall-emulator/src/wire/store_server.ts
+++ b/packages/gypsumwall-emulator/src/wire/store_server.ts
@@ -7,38 +7,38 @@
 import * as recordCodec from './record_codec.js';
 
 /** Only logs that keep the newest record of each key are served. */
-const KEYED = 'keyed.';
+const KEYED_PREFIX = 'keyed.';
 const PLATFORM_TOPICS: Readonly<Record<string, string>> = {
-  [`${KEYED}op`]: store.OPERATOR_TOPIC,
-  [`${KEYED}servers`]: store.WORKERS_TOPIC,
+  [`${KEYED_PREFIX}op`]: store.OPERATOR_TOPIC,
+  [`${KEYED_PREFIX}servers`]: store.WORKERS_TOPIC,
 };
 
 const topicSchema = zod
   .string()
-  .startsWith(KEYED)
+  .startsWith(KEYED_PREFIX)
   .transform((name) => PLATFORM_TOPICS[name] ?? name);
-const whole = zod.coerce.number().int().min(0);
-const place = {topic: topicSchema, part: zod.literal('0')};
+const nonNegativeInteger = zod.coerce.number().int().min(0);
+const logFields = {topic: topicSchema, part: zod.literal('0')};
 
 const appendQuery = zod.object({
-  ...place,
-  at: whole.optional(),
+  ...logFields,
+  at: nonNegativeInteger.optional(),
   producer: zod.string().optional(),
-  epoch: whole.optional(),
-  seq: whole.optional(),
+  epoch: nonNegativeInteger.optional(),
+  seq: nonNegativeInteger.optional(),
 });
 const readQuery = zod.object({
-  ...place,
-  from: whole,
-  maxKb: whole.default(1_024),
-  waitMs: whole.max(30_000).default(0),
+  ...logFields,
+  from: nonNegativeInteger,
+  maxKb: nonNegativeInteger.default(1_024),
+  waitMs: nonNegativeInteger.max(30_000).default(0),
 });
 const newestQuery = zod.object({
-  ...place,
+  ...logFields,
   after: zod.string().default(''),
 });
 
-const KB = 1_024;
+const BYTES_PER_KB = 1_024;
 
 /** Serves the store to one machine. */
 export async function startStoreServer(
@@ -52,27 +52,29 @@
     const delivery = await served.append(caller, {
       topic: query.topic,
       entries: recordCodec.decodeEntries(body),
-      onlyAt: query.at,
-      fence: fenceOf(query),
+      expectedEndOffset: query.at,
+      fence: createFence(query),
     });
-    return answer(res, delivery, (outcome) => sendAppended(res, outcome));
+    return sendDelivery(res, delivery, (outcome) => sendAppended(res, outcome));
   });
   server.get('/v1/log-read', async (req, res) => {
     const {topic, from, maxKb, waitMs} = readQuery.parse(req.query);
-    const mostBytes = maxKb * KB;
-    const call = {topic, from, mostBytes, waitMs};
+    const maxBytes = maxKb * BYTES_PER_KB;
+    const call = {topic, from, mostBytes: maxBytes, waitMs};
     const delivery = await served.read(caller, call);
-    return answer(res, delivery, (outcome) => sendRead(res, outcome));
+    return sendDelivery(res, delivery, (outcome) => sendRead(res, outcome));
   });
   server.get('/v1/log-newest', async (req, res) => {
     const {topic, after} = newestQuery.parse(req.query);
-    const delivery = await served.newest(caller, topic, after);
-    return answer(res, delivery, (page) => res.send(newestBody(page)));
+    const delivery = await served.readNewest(caller, topic, after);
+    return sendDelivery(res, delivery, (page) =>
+      res.send(createNewestBody(page)),
+    );
   });
   return httpServer.listen(server);
 }
 
-function fenceOf({
+function createFence({
   producer,
   epoch,
   seq,
@@ -81,7 +83,7 @@
   return {producer, epoch: epoch ?? 0, sequence: seq ?? 0};
 }
 
-function answer<Value>(
+function sendDelivery<Value>(
   res: fastify.FastifyReply,
   delivery: store.Delivery<Value>,
   send: (value: Value) => fastify.FastifyReply,
@@ -132,7 +134,7 @@
   }
 }
 
-function newestBody({records, hasMore, endOffset}: keyedLog.NewestPage) {
+function createNewestBody({records, hasMore, endOffset}: keyedLog.NewestPage) {
   const items = records.map(({key, value, offset}) => ({
     key,
     value: Buffer.from(value).toString('base64'),
--- a/packages/gypsumwall-emulator/src/wire/worker_server.ts
+++ b/packages/gypsumwall-emulator/src/wire/worker_server.ts
@@ -5,36 +5,36 @@
 import type * as worker from '../model/worker.js';
 import type * as workerMachine from '../model/worker_machine.js';
 import type * as workerOrders from '../model/worker_orders.js';
-import type * as workerRun from '../model/worker_run.js';
+import type * as workerAttempt from '../model/worker_attempt.js';
 import * as httpServer from './http_server.js';
 
-const OTHER_INCARNATION = 421;
+const WRONG_INCARNATION_STATUS = 421;
 
-const whole = zod.number().int().min(0);
-const runFields = {
+const nonNegativeInteger = zod.number().int().min(0);
+const attemptFields = {
   task: zod.string(),
-  attempt: whole,
-  fencingToken: whole.default(0),
+  attempt: nonNegativeInteger,
+  fencingToken: nonNegativeInteger.default(0),
 };
 const startBody = zod.object({
-  ...runFields,
+  ...attemptFields,
   spec: zod.string().default(''),
   // A holder reckons it from readings of this clock.
   expiresMs: zod.number().optional(),
   checkpoint: zod.string().default(''),
   ticket: zod.string().optional(),
 });
-const stopBody = zod.object(runFields);
+const stopBody = zod.object(attemptFields);
 const holdBody = zod.object({
-  fencingToken: whole.default(0),
-  ackCursor: whole.default(0),
+  fencingToken: nonNegativeInteger.default(0),
+  ackCursor: nonNegativeInteger.default(0),
   expiresMs: zod.number().optional(),
-  waitMs: whole.max(2_000).default(0),
+  waitMs: nonNegativeInteger.max(2_000).default(0),
 });
 
 /** A server to which a machine is given once its address is known. */
 export interface WorkerServer extends httpServer.WireServer {
-  serve(machine: workerMachine.WorkerMachine): void;
+  serveMachine(machine: workerMachine.WorkerMachine): void;
 }
 
 /** What the server is made with. */
@@ -54,51 +54,51 @@
   let machine: workerMachine.WorkerMachine | undefined;
 
   /** The worker that the call means; otherwise the call is answered. */
-  function addressed(
+  function findAddressedWorker(
     req: fastify.FastifyRequest,
     res: fastify.FastifyReply,
   ): worker.Worker | undefined {
-    const life = machine?.worker();
-    if (life === undefined) {
+    const target = machine?.worker();
+    if (target === undefined) {
       res.hijack();
       req.raw.socket.destroy();
       return undefined;
     }
-    const wanted = req.headers['expect-instance'];
-    if (wanted === undefined || wanted === life.id) return life;
-    res.code(OTHER_INCARNATION).send({});
+    const expectedId = req.headers['expect-instance'];
+    if (expectedId === undefined || expectedId === target.id) return target;
+    res.code(WRONG_INCARNATION_STATUS).send({});
     return undefined;
   }
 
-  async function carryOut(
+  async function handleOrder(
     req: fastify.FastifyRequest,
     res: fastify.FastifyReply,
     order: Order,
   ): Promise<fastify.FastifyReply> {
-    const life = addressed(req, res);
-    if (life === undefined) return res;
+    const target = findAddressedWorker(req, res);
+    if (target === undefined) return res;
     const fault = machine?.fault() ?? {type: 'none'};
     switch (fault.type) {
       case 'none':
-        return sendOrder(res, life, order(life));
+        return sendOrder(res, target, order(target));
       case 'unhealthy':
         return res.code(503).send({});
       case 'late_orders':
-        await types.clock.sleepFor(clock, random.integer(0, fault.latestMs));
-        if (machine?.worker() === life) order(life);
+        await types.clock.sleepFor(clock, random.integer(0, fault.maxDelayMs));
+        if (machine?.worker() === target) order(target);
         return httpServer.leaveUnanswered(res);
     }
   }
 
   server.post('/v1/run-start', (req, res) => {
     const body = httpServer.readBody(req, startBody);
-    return carryOut(req, res, (life) =>
+    return handleOrder(req, res, (life) =>
       life.start({
         taskId: body.task,
         attempt: body.attempt,
         payload: body.spec,
         leaseUntil: body.expiresMs,
-        token: body.fencingToken,
+        fencingToken: body.fencingToken,
         checkpoint: body.checkpoint,
         ticket: body.ticket,
       }),
@@ -107,11 +107,11 @@
   server.post('/v1/run-stop', (req, res) => {
     const {task, attempt, fencingToken} = httpServer.readBody(req, stopBody);
     const order = {taskId: task, attempt, token: fencingToken};
-    return carryOut(req, res, (life) => life.stop(order));
+    return handleOrder(req, res, (life) => life.stop(order));
   });
   server.post('/v1/hold', async (req, res) => {
     const body = httpServer.readBody(req, holdBody);
-    const life = addressed(req, res);
+    const life = findAddressedWorker(req, res);
     if (life === undefined) return res;
     const shown = await life.hold({
       token: body.fencingToken,
@@ -128,7 +128,7 @@
   });
 
   const listening = await httpServer.listen(server);
-  return {...listening, serve: (served) => void (machine = served)};
+  return {...listening, serveMachine: (served) => void (machine = served)};
 }
 
 function sendOrder(
@@ -159,7 +159,7 @@
     case 'report':
       return res.send({
         clockMs,
-        running: shown.running.map(runningRow),
+        running: shown.running.map(encodeRunning),
         finished: shown.ends.map((end) => [
           end.sequence,
           end.taskId,
@@ -172,7 +172,7 @@
 }
 
 /** The last figure is the processor time in use. */
-function runningRow(run: workerRun.WorkerRun): readonly unknown[] {
+function encodeRunning(run: workerAttempt.WorkerAttempt): readonly unknown[] {
   const {taskId, attempt, size} = run;
   return [taskId, attempt, run.checkpoint(), run.percent(), size.cpuMillis];
 }
