--- a/packages/gypsumwall-emulator/src/__fixtures__/plain_step.ts
+++ b/packages/gypsumwall-emulator/src/__fixtures__/plain_step.ts
@@ -1,4 +1,4 @@
-/** A step of one small task, unless told otherwise. */
+/** A step with one small task; `fields` override its defaults. */
 import type * as jobCatalog from '../model/job_catalog.js';
 
 export function createPlainStep(
--- a/packages/gypsumwall-emulator/src/bin/demo_platform.ts
+++ b/packages/gypsumwall-emulator/src/bin/demo_platform.ts
@@ -1,8 +1,8 @@
 /**
  * `npm run demo:platform [-- --config FILE] [--seed N] [--keep-logs]
- * [--program FOLDER]`: three deployed entries on the emulated platform under
- * mixed work; a worker leaves and the holder is killed. Ends with 1 if a
- * promise was broken. `--program` names the folder of another build.
+ * [--program FOLDER]`: runs three deployed entries on the emulated platform
+ * with mixed jobs, while a worker leaves and the holder is killed. Exits with 1
+ * if a promise was broken. `--program` is the folder of another build.
  */
 import * as path from 'node:path';
 import * as url from 'node:url';
@@ -11,7 +11,7 @@
 import * as demoReport from '../demo/demo_report.js';
 import * as runDemo from '../demo/run_demo.js';
 
-/** The package, as seen from the compiled file. */
+/** The package's folder, resolved from the compiled file. */
 const PACKAGE_FOLDER = url.fileURLToPath(new URL('../../', import.meta.url));
 const DEMO_CONFIG = path.join(PACKAGE_FOLDER, 'examples/demo.jsonc');
 const DEPLOY_FILE = 'deploy/system.toml';
--- a/packages/gypsumwall-emulator/src/config/emulator_config.ts
+++ b/packages/gypsumwall-emulator/src/config/emulator_config.ts
@@ -1,4 +1,4 @@
-/** What is emulated, as a file of JSON with comments tells it. */
+/** The emulator's configuration: a file of JSON with comments. */
 import * as testing from '@gypsumwall/testing';
 import type * as result from 'true-myth/result';
 import * as zod from 'zod';
@@ -29,7 +29,7 @@
   maxAttempts: positiveIntegerSchema.default(3),
   slackFactor: zod.number().min(1, 'give a number from 1').default(2),
   targetMs: durationMsSchema.default(1_000),
-  /** Steps of the queue need the adviser's tickets. */
+  /** If present, tasks of the queue need tickets from the adviser to start. */
   advice: zod
     .strictObject({
       callMs: durationMsSchema,
@@ -47,7 +47,7 @@
   capacity: resourcesSchema,
   refusesExcess: zod.boolean().default(false),
   failShare: shareSchema.default(0),
-  /** Lasting tasks fail after a span up to this. */
+  /** Long-running tasks fail after a random time up to this. */
   lastingFailsMs: durationMsSchema.optional(),
 });
 
@@ -59,7 +59,7 @@
 });
 
 const workersSchema = zod.strictObject({
-  /** The slowest clock of a worker, as a share of true time. */
+  /** Lower bound of a worker's clock rate, relative to true time. */
   slowestClock: zod
     .number()
     .min(0.98, 'give a rate from 0.98 to 1')
@@ -88,15 +88,15 @@
   statusKeepMs: durationMsSchema.default(120_000),
 });
 
-/** The whole file. */
+/** Schema of the whole file. */
 export const emulatorConfigSchema = zod
   .strictObject({
     seed: zod.number().int('give a whole number').default(1),
-    /** One entry runs in each. */
+    /** One entry runs in each zone. */
     zones: zod.array(nameSchema).min(1, 'name a zone'),
     pools: zod.array(poolSchema).min(1, 'describe a pool'),
     queues: zod.array(queueSchema).min(1, 'describe a queue'),
-    /** Share of the workers that the adviser refuses a step. */
+    /** Share of the workers on which the adviser doesn't allow a step to run. */
     adviserRefusedShare: shareSchema.default(0),
     store: storeSchema.prefault({}),
     workers: workersSchema.prefault({}),
@@ -112,10 +112,13 @@
     }
   });
 
-/** A checked configuration. */
+/** A validated configuration. */
 export type EmulatorConfig = zod.infer<typeof emulatorConfigSchema>;
 
-/** Checks a file's text; the error names line, field, value and remedy. */
+/**
+ * Parses and validates a file's text. The error names the line, the field, its
+ * value and how to fix it.
+ */
 export function parseEmulatorConfig(
   file: string,
   text: string,
@@ -123,7 +126,7 @@
   return testing.jsoncFile.parseJsonc(file, text, emulatorConfigSchema);
 }
 
-/** Reads a file whose faults end the program with their text. */
+/** Reads and validates a file; prints any error and exits the process. */
 export function readEmulatorConfig(file: string): EmulatorConfig {
   return testing.jsoncFile.requireJsoncFile(file, emulatorConfigSchema);
 }
--- a/packages/gypsumwall-emulator/src/demo/demo_report.ts
+++ b/packages/gypsumwall-emulator/src/demo/demo_report.ts
@@ -1,4 +1,4 @@
-/** What the demo prints: what callers saw, and which promises held. */
+/** The demo's report: counts of jobs, start times, and which promises held. */
 import * as hdr from 'hdr-histogram-js';
 import * as finding from '../judge/finding.js';
 import * as taskAttempts from '../judge/task_attempts.js';
@@ -13,14 +13,14 @@
   refused: number;
   unknown: number;
   completed: number;
-  /** From sending a job to the start of its first task; milliseconds. */
+  /** Times from sending a job to the start of its first task, in milliseconds. */
   readonly starts: hdr.Histogram;
 }
 
 const COLUMN_WIDTH = 10;
 const MAX_DETAILS = 5;
 
-/** Writes the report. */
+/** Formats the report. */
 export function formatReport(result: runDemo.DemoResult): string {
   const rows = collectRows(result);
   const {reads, writes} = result.storeCalls;
@@ -96,7 +96,7 @@
     row.accepted,
     row.refused,
     row.unknown,
-    // A lasting job has no end of its own.
+    // A long-running job doesn't complete.
     row.kind === 'lasting' ? '-' : row.completed,
   ];
   return formatLine(row.kind, ...counts, at(50), at(95), at(100));
--- a/packages/gypsumwall-emulator/src/demo/job_traffic.ts
+++ b/packages/gypsumwall-emulator/src/demo/job_traffic.ts
@@ -1,4 +1,4 @@
-/** Jobs that are sent to an emulated cell, and what becomes of them. */
+/** Sends jobs to an emulated cell and waits for them to finish. */
 import * as types from '@gypsumwall/types';
 import type * as history from '../model/history.js';
 import * as jobCatalog from '../model/job_catalog.js';
@@ -6,7 +6,10 @@
 
 const POLL_MS = 200;
 
-/** Sends jobs at a steady pace, whatever becomes of those before. */
+/**
+ * Sends jobs at a fixed interval, without waiting for earlier ones, until
+ * aborted. Resolves to the sent jobs once all submissions have an answer.
+ */
 export async function sendPeriodically(
   cell: emulatedCell.EmulatedCell,
   createJob: () => jobCatalog.JobSpec,
@@ -25,7 +28,10 @@
   return sent;
 }
 
-/** Asks for the state of the accepted jobs until all have ended. */
+/**
+ * Polls the accepted jobs until all have their expected final state, or until
+ * the deadline.
+ */
 export async function waitForFinalStates(
   cell: emulatedCell.EmulatedCell,
   jobs: readonly jobCatalog.JobSpec[],
@@ -50,7 +56,7 @@
   }
 }
 
-/** A lasting job never ends; that it runs is all that is asked. */
+/** The expected state of a long-running job is `running`, as it never ends. */
 function hasReachedFinalState(
   job: jobCatalog.JobSpec,
   state: history.JobState | undefined,
--- a/packages/gypsumwall-emulator/src/demo/mixed_jobs.ts
+++ b/packages/gypsumwall-emulator/src/demo/mixed_jobs.ts
@@ -2,13 +2,13 @@
 import * as types from '@gypsumwall/types';
 import type * as jobCatalog from '../model/job_catalog.js';
 
-/** What kind of work a job is. */
+/** Kinds of jobs: short, gang and long-running ones. */
 export type JobKind = 'short' | 'gang' | 'lasting';
 
-/** All kinds, in the order of a report. */
+/** All kinds, in the order in which reports list them. */
 export const KINDS: readonly JobKind[] = ['short', 'gang', 'lasting'];
 
-/** Makes jobs with ids from a seed. */
+/** Creates jobs whose ids are derived from a seed. */
 export interface MixedJobs {
   make(kind: JobKind): jobCatalog.JobSpec;
   kindOf(jobId: string): JobKind | undefined;
@@ -29,7 +29,7 @@
   lasting: 'services',
 };
 
-/** Number of tasks of a lasting job. */
+/** Number of tasks of a long-running job. */
 export const LONG_RUNNING_TASK_COUNT = 4;
 
 const STEPS_BY_KIND: Readonly<Record<JobKind, readonly jobCatalog.StepSpec[]>> =
@@ -74,10 +74,11 @@
   return {cpuMillis, memoryMb, accelerators: 0};
 }
 
-/** Starts a series of jobs of each kind. */
+/** Creates a generator of jobs. */
 export function createMixedJobs(seed: number): MixedJobs {
   const kinds = new Map<string, JobKind>();
-  // The nth job of a kind has the same id whenever those of others are made.
+  // Each kind has its own generator, so that the id of its nth job doesn't
+  // depend on when jobs of other kinds are created.
   const randoms = {
     short: types.random.createRandom(KINDS.length * seed),
     gang: types.random.createRandom(KINDS.length * seed + 1),
--- a/packages/gypsumwall-emulator/src/demo/run_demo.ts
+++ b/packages/gypsumwall-emulator/src/demo/run_demo.ts
@@ -1,4 +1,4 @@
-/** The demo: mixed work while a worker leaves and the holder is killed. */
+/** The demo: runs mixed jobs while a worker leaves and the holder is killed. */
 import * as types from '@gypsumwall/types';
 import type * as finding from '../judge/finding.js';
 import * as judge from '../judge/judge.js';
@@ -9,30 +9,30 @@
 import * as jobTraffic from './job_traffic.js';
 import * as mixedJobs from './mixed_jobs.js';
 
-/** How the demo is played. */
+/** Options of {@link runDemo}. */
 export interface DemoOptions extends emulatedCell.EmulatedCellOptions {
   readonly durations: DemoDurations;
-  /** By default the entries' logs stay only if a promise was broken. */
+  /** Whether to keep the entries' logs; by default only if a promise was broken. */
   readonly keepsLogs?: boolean | undefined;
-  /** Takes a line of progress. */
+  /** Prints a line of progress. */
   readonly print: (line: string) => void;
 }
 
-/** How long its parts take, in milliseconds. */
+/** Durations of the demo's phases and intervals of its jobs, in milliseconds. */
 export interface DemoDurations {
   readonly shortJobIntervalMs: number;
   readonly gangIntervalMs: number;
-  /** Work before the worker leaves. */
+  /** Time before the worker announces that it leaves. */
   readonly beforeDrainMs: number;
-  /** Work between the worker's leaving and the holder's end. */
+  /** Time between the worker's end and the kill of the holder. */
   readonly beforeKillMs: number;
-  /** Work after the holder's end. */
+  /** Time during which jobs are still sent after the kill. */
   readonly afterKillMs: number;
-  /** Accepted jobs that haven't ended by then are found to be lost. */
+  /** Accepted jobs that haven't ended after this time are reported as lost. */
   readonly settleTimeoutMs: number;
 }
 
-/** What the demo saw. */
+/** The demo's history and its findings. */
 export interface DemoResult {
   readonly findings: readonly finding.Finding[];
   readonly events: readonly history.HistoryEvent[];
@@ -44,7 +44,7 @@
 const HOLDER_TIMEOUT_MS = 5_000;
 const POLL_MS = 200;
 
-/** Plays the demo and judges it. */
+/** Runs the demo and judges its history. */
 export async function runDemo(options: DemoOptions): Promise<DemoResult> {
   const cell = await emulatedCell.startEmulatedCell(options);
   let keepsLogs = true;
@@ -138,7 +138,7 @@
   }
 }
 
-/** A machine that runs a task of the job; any if none does. */
+/** Finds a machine that runs a task of the job, or any machine if none does. */
 function findMachineRunning(
   cell: emulatedCell.EmulatedCell,
   job: jobCatalog.JobSpec,
--- a/packages/gypsumwall-emulator/src/judge/attempt_rules.ts
+++ b/packages/gypsumwall-emulator/src/judge/attempt_rules.ts
@@ -1,9 +1,12 @@
-/** Rules on single runs. */
+/** Rules on single attempts. */
 import type * as history from '../model/history.js';
 import type * as finding from './finding.js';
 import type * as taskAttempts from './task_attempts.js';
 
-/** Two runs at a time, or a start after an end `done` that was noted. */
+/**
+ * Finds attempts that overlap with another attempt of the task, or that start
+ * after one was `done` and its end was acknowledged.
+ */
 export function findOverlappingAttempts(
   attempts: taskAttempts.TaskAttempts,
 ): finding.Finding[] {
@@ -29,7 +32,10 @@
   return [{promise, detail}];
 }
 
-/** Starts of what nobody sent, or that a worker has no room for. */
+/**
+ * Finds starts of tasks of refused jobs, and starts that workers recorded as
+ * unasked, such as unknown tasks or starts beyond a worker's capacity.
+ */
 export function findUnaskedStarts(
   events: readonly history.HistoryEvent[],
 ): finding.Finding[] {
--- a/packages/gypsumwall-emulator/src/judge/crash_rules.ts
+++ b/packages/gypsumwall-emulator/src/judge/crash_rules.ts
@@ -1,14 +1,14 @@
-/** Rules on tasks that crash the workers which start them. */
+/** Rules on tasks that crash their workers. */
 import type * as history from '../model/history.js';
 import type * as finding from './finding.js';
 import type * as taskAttempts from './task_attempts.js';
 
-/** After so many crashes under a task ... */
+/** Number of crashes caused by a task after which its starts are limited. */
 const MAX_CRASHES = 3;
-/** ... it may be started so often. */
+/** Number of starts that a task may still have after these crashes. */
 const MAX_STARTS_AFTER_CRASHES = 2;
 
-/** Tasks that are started on and on though they crash their workers. */
+/** Finds tasks that are started too often although they crash their workers. */
 export function findCrashLoops(
   events: readonly history.HistoryEvent[],
   attempts: taskAttempts.TaskAttempts,
--- a/packages/gypsumwall-emulator/src/judge/finding.ts
+++ b/packages/gypsumwall-emulator/src/judge/finding.ts
@@ -1,6 +1,6 @@
-/** Broken promises. */
+/** Promises of the system, and findings about broken ones. */
 
-/** What the system promises its users. */
+/** What the system promises its users. The demo prints these texts. */
 export type PromiseName =
   | 'no task runs twice at a time'
   | 'gangs start whole'
@@ -10,7 +10,7 @@
   | 'nothing runs that was not asked for'
   | 'tasks that crash workers are given up';
 
-/** All promises, in the order of a report. */
+/** All promises, in the order in which reports list them. */
 export const PROMISES: readonly PromiseName[] = [
   'no task runs twice at a time',
   'gangs start whole',
@@ -21,9 +21,9 @@
   'tasks that crash workers are given up',
 ];
 
-/** One promise that didn't hold. */
+/** One violation of a promise. */
 export interface Finding {
   readonly promise: PromiseName;
-  /** Names the job, task or worker and what was seen. */
+  /** Names the job, task or worker and describes the violation. */
   readonly detail: string;
 }
--- a/packages/gypsumwall-emulator/src/judge/gang_rules.ts
+++ b/packages/gypsumwall-emulator/src/judge/gang_rules.ts
@@ -3,12 +3,12 @@
 import type * as finding from './finding.js';
 
 /**
- * A disruption excuses a gang that waits in vain this long before and after:
- * whoever was starting its members may be gone.
+ * A gang may remain incomplete within this time before or after a disruption,
+ * because the entry or a worker that was starting its members may have failed.
  */
 const DISRUPTION_WINDOW_MS = 6_000;
 
-/** Members that waited in vain for the others, with no disruption near. */
+/** Finds gang members whose gang stayed incomplete without a disruption nearby. */
 export function findIncompleteGangs(
   events: readonly history.HistoryEvent[],
 ): finding.Finding[] {
--- a/packages/gypsumwall-emulator/src/judge/job_rules.ts
+++ b/packages/gypsumwall-emulator/src/judge/job_rules.ts
@@ -1,4 +1,4 @@
-/** Rules on jobs as callers see them. */
+/** Rules on the states of jobs that callers see. */
 import type * as history from '../model/history.js';
 import * as jobCatalog from '../model/job_catalog.js';
 import type * as finding from './finding.js';
@@ -11,12 +11,13 @@
   readonly states: {state: history.JobState; at: number}[];
 }
 
-/** An accepted job is known to every entry after so long. */
+/** Time after which every entry must know an accepted job. */
 const VISIBILITY_DELAY_MS = 3_000;
 
 /**
- * Accepted jobs that an entry doesn't know, that aren't completed at the end
- * of the history, or that are shown as completed before they are.
+ * Finds accepted jobs that an entry doesn't know, that don't have their
+ * expected state at the end of the history, or that are shown as completed
+ * before all their tasks are done.
  */
 export function findLostJobs(
   events: readonly history.HistoryEvent[],
--- a/packages/gypsumwall-emulator/src/judge/judge.ts
+++ b/packages/gypsumwall-emulator/src/judge/judge.ts
@@ -1,4 +1,4 @@
-/** Which promises held, from what callers and workers saw. */
+/** Decides from a history which promises were broken. */
 import type * as history from '../model/history.js';
 import type * as finding from './finding.js';
 import * as crashRules from './crash_rules.js';
@@ -9,7 +9,7 @@
 import * as attemptRules from './attempt_rules.js';
 import * as taskAttempts from './task_attempts.js';
 
-/** Finds every broken promise; the history must be closed. */
+/** Finds all violations; the history must end with `history_closed`. */
 export function judge(
   events: readonly history.HistoryEvent[],
 ): readonly finding.Finding[] {
--- a/packages/gypsumwall-emulator/src/judge/long_running_rules.ts
+++ b/packages/gypsumwall-emulator/src/judge/long_running_rules.ts
@@ -1,13 +1,13 @@
-/** Rules on tasks that last. */
+/** Rules on long-running tasks. */
 import type * as history from '../model/history.js';
 import * as jobCatalog from '../model/job_catalog.js';
 import type * as finding from './finding.js';
 import type * as taskAttempts from './task_attempts.js';
 
-/** A task that lasts runs again within this, however its run ended. */
+/** A long-running task must be running again within this time after any end. */
 const MAX_DOWNTIME_MS = 9_000;
 
-/** Absences of lasting tasks of accepted jobs that took too long. */
+/** Finds long-running tasks of accepted jobs that were down for too long. */
 export function findLongDowntimes(
   events: readonly history.HistoryEvent[],
   attempts: taskAttempts.TaskAttempts,
@@ -54,7 +54,7 @@
   });
 }
 
-/** The longest span without a run, in milliseconds. */
+/** Returns the longest time without a running attempt, in milliseconds. */
 function findLongestDowntime(
   attempts: readonly taskAttempts.TaskAttempt[],
   from: number,
--- a/packages/gypsumwall-emulator/src/judge/order_rules.ts
+++ b/packages/gypsumwall-emulator/src/judge/order_rules.ts
@@ -4,7 +4,7 @@
 import type * as finding from './finding.js';
 import * as taskAttempts from './task_attempts.js';
 
-/** Starts of tasks whose step waits for others that weren't done. */
+/** Finds starts of tasks before the steps that they depend on were done. */
 export function findEarlyStarts(
   events: readonly history.HistoryEvent[],
   attempts: taskAttempts.TaskAttempts,
@@ -29,7 +29,7 @@
   });
 }
 
-/** Tasks of the steps that a step waits for. */
+/** Lists the ids of all tasks that must be done before a step starts. */
 function listPrerequisiteTaskIds(
   job: jobCatalog.JobSpec | undefined,
   step: number,
--- a/packages/gypsumwall-emulator/src/judge/task_attempts.ts
+++ b/packages/gypsumwall-emulator/src/judge/task_attempts.ts
@@ -1,22 +1,22 @@
-/** Runs of each task, from their start to their end at the worker. */
+/** The attempts of each task, from their start to their end at the worker. */
 import type * as history from '../model/history.js';
 
-/** One run. */
+/** One attempt. */
 export interface TaskAttempt extends history.AttemptId {
   readonly workerId: string;
   readonly startedAt: number;
-  /** Infinite while it runs on. */
+  /** Infinite while the attempt is running. */
   endedAt: number;
-  /** `lost` with its worker. */
+  /** `lost` if the worker ended before the attempt. */
   how: history.AttemptEnd | 'lost' | 'running';
-  /** When the system noted the end; infinite if it didn't. */
+  /** When the system acknowledged the end; infinite if it didn't. */
   acknowledgedAt: number;
 }
 
-/** Runs by task, in the order of their starts. */
+/** Attempts by task id, in the order of their starts. */
 export type TaskAttempts = ReadonlyMap<string, readonly TaskAttempt[]>;
 
-/** Collects the runs of a history. */
+/** Collects the attempts of a history. */
 export function collectTaskAttempts(
   events: readonly history.HistoryEvent[],
 ): TaskAttempts {
@@ -69,7 +69,7 @@
   return byTask;
 }
 
-/** Whether one of a task's runs had ended `done` by the moment. */
+/** Whether one of a task's attempts was `done` at the given time. */
 export function isDoneBy(
   attempts: readonly TaskAttempt[],
   at: number,
--- a/packages/gypsumwall-emulator/src/model/adviser.ts
+++ b/packages/gypsumwall-emulator/src/model/adviser.ts
@@ -1,6 +1,7 @@
 /**
- * The service that knows which workers may run a step: one call at a time for
- * each caller, answers that don't change, and tickets that end.
+ * The adviser: the service that decides which workers may run a step. It
+ * handles one call of each caller at a time, always decides the same way for a
+ * step and a worker, and issues tickets that expire.
  */
 import * as crypto from 'node:crypto';
 import * as types from '@gypsumwall/types';
@@ -9,25 +10,25 @@
 export interface AdvicePolicy {
   readonly callMs: number;
   readonly perWorkerMs: number;
-  /** A ticket is good for so long. */
+  /** How long a ticket is valid. */
   readonly validMs: number;
 }
 
-/** How a call is answered. */
+/** The answer to a call. */
 export type AdviceAnswer =
   | {
       readonly type: 'approved';
-      /** Pairs of worker and ticket. */
+      /** Pairs of a worker's id and its ticket. */
       readonly tickets: readonly (readonly [string, string])[];
       readonly validMs: number;
     }
-  /** Too many of the caller's calls wait. */
+  /** Too many calls of the caller are waiting. */
   | {readonly type: 'throttled'}
   | {readonly type: 'invalid'; readonly message: string};
 
-/** The adviser. */
+/** Approves workers for steps and checks the tickets. */
 export interface Adviser {
-  /** Whether starts on the queue need a ticket. */
+  /** Whether tasks of the queue need a ticket to start. */
   needsTicket(queue: string): boolean;
   ask(
     caller: string,
@@ -37,13 +38,13 @@
   acceptsTicket(ticket: string, stepRunId: string, workerId: string): boolean;
 }
 
-/** What the adviser is made with. */
+/** Options of {@link createAdviser}. */
 export interface AdviserOptions {
   readonly clock: types.clock.Clock;
   readonly seed: number;
   /** Share of the workers that may not run a step. */
   readonly refusedShare: number;
-  /** Policies by queue; others need no ticket. */
+  /** Policies by queue; tasks of other queues need no ticket. */
   readonly policies: ReadonlyMap<string, AdvicePolicy>;
   readonly findQueue: (stepRunId: string) => string | undefined;
 }
@@ -54,7 +55,7 @@
 /** Creates the adviser. */
 export function createAdviser(options: AdviserOptions): Adviser {
   const {clock, policies, seed} = options;
-  /** The end of each caller's last call, and how many wait. */
+  /** For each caller, the end of its last call and the number of waiting calls. */
   const callQueues = new Map<string, {last: Promise<void>; waiting: number}>();
   const validUntil = new Map<string, types.clock.MonotonicMs>();
 
@@ -77,7 +78,10 @@
     return [workerId, ticket];
   }
 
-  /** Runs the caller's calls one after another. */
+  /**
+   * Waits until the caller's earlier calls and this one have taken their time.
+   * Returns false if too many calls are waiting.
+   */
   async function waitForTurn(
     caller: string,
     durationMs: number,
--- a/packages/gypsumwall-emulator/src/model/balancer.ts
+++ b/packages/gypsumwall-emulator/src/model/balancer.ts
@@ -1,15 +1,15 @@
-/** Spreads callers over the entries that say they are ready. */
+/** Load balancer: spreads callers over the entries that report ready. */
 import * as types from '@gypsumwall/types';
 
 /** The entries in rotation. */
 export interface Balancer {
-  /** An entry for the caller's next attempt. */
+  /** Picks an entry for a try of a call; `attempt` is the number of the try. */
   pick(caller: number, attempt: number): string;
   listReady(): readonly string[];
   stop(): void;
 }
 
-/** What the balancer is made with. */
+/** Options of {@link startBalancer}. */
 export interface BalancerOptions {
   readonly clock: types.clock.Clock;
   readonly entries: readonly string[];
@@ -17,10 +17,10 @@
 }
 
 const PROBE_INTERVAL_MS = 1_000;
-/** So many misses on end take an entry out. */
+/** This many consecutive failed probes take an entry out of rotation. */
 const MAX_FAILED_PROBES = 2;
 
-/** Starts to ask the entries. */
+/** Starts probing the entries. */
 export function startBalancer(options: BalancerOptions): Balancer {
   const {clock, entries} = options;
   const failedProbes = new Map(
--- a/packages/gypsumwall-emulator/src/model/caller.ts
+++ b/packages/gypsumwall-emulator/src/model/caller.ts
@@ -1,23 +1,23 @@
-/** Callers: they hand jobs in, ask for their state and cancel, with retries. */
+/** Callers, which submit jobs, query their state and cancel them, with retries. */
 import * as types from '@gypsumwall/types';
 import type * as balancer from './balancer.js';
 import type * as history from './history.js';
 import type * as jobCatalog from './job_catalog.js';
 
-/** What one entry answered to one call. */
+/** The answer of an entry to one try of a call. */
 export type CallAnswer =
   | {readonly type: 'ok'; readonly state: history.JobState | undefined}
-  /** Nothing was done. */
+  /** The entry did nothing. */
   | {readonly type: 'refused'}
-  /** There is no such job or queue. */
+  /** The entry knows no such job or queue. */
   | {readonly type: 'absent'}
-  /** No answer, or one that says nothing about the effect. */
+  /** No answer, or one that leaves open whether the call took effect. */
   | {readonly type: 'unknown'};
 
-/** What can be asked of a job. */
+/** Kinds of calls about a job. */
 export type CallKind = 'submit' | 'state' | 'cancel';
 
-/** Sends one call to one entry. */
+/** Sends one try of a call to one entry. */
 export type SendCall = (
   entry: string,
   kind: CallKind,
@@ -28,13 +28,13 @@
 /** The callers of a platform. */
 export interface Callers {
   submit(job: jobCatalog.JobSpec): Promise<'accepted' | 'refused' | 'unknown'>;
-  /** Undefined if no entry told. */
+  /** Resolves to undefined if no entry returned a state. */
   stateOf(job: jobCatalog.JobSpec): Promise<history.JobState | undefined>;
-  /** Whether an entry acknowledged it. */
+  /** Resolves to whether an entry acknowledged the cancellation. */
   cancel(job: jobCatalog.JobSpec): Promise<boolean>;
 }
 
-/** What the callers are made with. */
+/** Options of {@link createCallers}. */
 export interface CallersOptions {
   readonly clock: types.clock.Clock;
   readonly random: types.random.Random;
@@ -42,7 +42,7 @@
   readonly catalog: jobCatalog.JobCatalog;
   readonly balancer: balancer.Balancer;
   readonly send: SendCall;
-  /** A call is given up after so long, with all its attempts. */
+  /** Time limit for a call with all its tries. */
   readonly patienceMs: number;
   readonly attempts: number;
   readonly retryPauseMs: number;
@@ -54,7 +54,7 @@
 export function createCallers(options: CallersOptions): Callers {
   const {clock, random, history: eventHistory} = options;
 
-  /** Answers of the attempts, until one settles the call. */
+  /** Tries a call until an answer is conclusive; returns all answers. */
   async function sendWithRetries(
     kind: CallKind,
     job: jobCatalog.JobSpec,
@@ -113,7 +113,7 @@
   return answer?.type === 'ok' ? answer.state : undefined;
 }
 
-/** A job that every attempt was refused never runs. */
+/** A job counts as refused, and must never run, if every try was refused. */
 function summarizeAnswers(
   answers: readonly CallAnswer[],
 ): 'accepted' | 'refused' | 'unknown' {
--- a/packages/gypsumwall-emulator/src/model/checkpoints.ts
+++ b/packages/gypsumwall-emulator/src/model/checkpoints.ts
@@ -1,18 +1,21 @@
-/** Saved progress of tasks. Gang members share theirs. */
+/** Saved progress of tasks. All members of a gang share one checkpoint. */
 import type * as types from '@gypsumwall/types';
 
-/** Progress by the value that stands for it. */
+/** Saves progress under opaque checkpoint values. */
 export interface Checkpoints {
-  /** `owner` is a task's id, or that of a gang's step. */
+  /**
+   * Saves progress and returns its checkpoint value. `owner` is the id of the
+   * task, or of the step run if the step is a gang.
+   */
   save(owner: string, progressMs: number): string;
-  /** Undefined for a value that isn't the owner's. */
+  /** Returns undefined if the value isn't a checkpoint of the owner. */
   findProgress(owner: string, value: string): number | undefined;
 }
 
 const MAX_RANDOM_SUFFIX = 2 ** 32 - 1;
 const SUFFIX_HEX_DIGITS = 8;
 
-/** Creates a table without checkpoints. */
+/** Creates an empty table. */
 export function createCheckpoints(random: types.random.Random): Checkpoints {
   const saved = new Map<string, {owner: string; progressMs: number}>();
   return {
--- a/packages/gypsumwall-emulator/src/model/gangs.ts
+++ b/packages/gypsumwall-emulator/src/model/gangs.ts
@@ -1,24 +1,24 @@
-/** Members of gangs that are present, on whatever workers. */
+/** Tracks which members of each gang are running, across all workers. */
 import type * as history from './history.js';
 
-/** A member, as its gang sees it. */
+/** Callbacks of a gang to one of its members. */
 export interface GangMember {
-  /** All members of the run are present. */
+  /** Called once all members of the attempt have started. */
   onComplete(): void;
-  /** The run ends for every member at once. */
+  /** Called when the attempt ends for all members together. */
   onEnd(how: 'done' | 'broken'): void;
 }
 
-/** One member's place in its gang. */
+/** One member's membership in its gang. */
 export interface GangMembership {
   isComplete(): boolean;
-  /** This member has done its share; the last one ends the run for all. */
+  /** Marks this member's work as done; the last member ends the attempt for all. */
   finish(): void;
-  /** This member ended otherwise; the others end with it. */
+  /** Removes this member; if the gang was complete, the others end as `broken`. */
   leave(): void;
 }
 
-/** All gangs of a platform. */
+/** All gangs of the platform. */
 export interface Gangs {
   join(
     stepRunId: string,
--- a/packages/gypsumwall-emulator/src/model/history.ts
+++ b/packages/gypsumwall-emulator/src/model/history.ts
@@ -1,8 +1,11 @@
-/** What callers and workers saw, in order: the only input of the judge. */
+/**
+ * Events that callers and workers observed, in order. They are the only input
+ * of the judge. Event types and fields are also read outside this package.
+ */
 import type * as types from '@gypsumwall/types';
 import type * as jobCatalog from './job_catalog.js';
 
-/** How a run ended at its worker. */
+/** How an attempt ended at its worker. Sent under these names. */
 export type AttemptEnd =
   | 'done'
   | 'failed'
@@ -11,26 +14,26 @@
   | 'lapsed'
   /** Another member of its gang ended. */
   | 'broken'
-  /** The other members of its gang didn't arrive in time. */
+  /** The other members of its gang didn't start in time. */
   | 'alone';
 
-/** A job's state as an entry shows it. */
+/** A job's state as an entry reports it. */
 export type JobState =
   'queued' | 'running' | 'completed' | 'failed' | 'cancelled' | 'absent';
 
-/** One run of one task. */
+/** Identifies one attempt, that is, one execution of a task on a worker. */
 export interface AttemptId {
   readonly taskId: string;
   readonly attempt: number;
 }
 
-/** Something that was seen. */
+/** What was observed, without the time. */
 export type EventDetails =
   | {readonly type: 'job_sent'; readonly job: jobCatalog.JobSpec}
   | {
       readonly type: 'job_told';
       readonly jobId: string;
-      /** `refused` if every attempt was rejected. */
+      /** The result of the submission; `refused` if every try was rejected. */
       readonly told: 'accepted' | 'refused' | 'unknown';
     }
   | {
@@ -54,7 +57,7 @@
   | {
       readonly type: 'worker_crashed';
       readonly workerId: string;
-      /** The task that crashed it; absent where none did. */
+      /** The task that crashed the worker; absent if no task did. */
       readonly culprit?: string;
     }
   | {
@@ -82,7 +85,7 @@
   | {readonly type: 'disruption'; readonly what: string}
   | {readonly type: 'history_closed'};
 
-/** Something that was seen, and when. */
+/** One event of the history, with the time of its observation. */
 export type HistoryEvent = EventDetails & {
   readonly at: types.clock.MonotonicMs;
 };
--- a/packages/gypsumwall-emulator/src/model/job_catalog.ts
+++ b/packages/gypsumwall-emulator/src/model/job_catalog.ts
@@ -1,36 +1,42 @@
 /**
- * What the work of each job is. Workers look it up by a task's id: an order to
- * start carries the id and an opaque payload only.
+ * Descriptions of the work of each job. Workers look them up by task id,
+ * because a start order carries only the id and an opaque payload.
  */
 import type * as types from '@gypsumwall/types';
 
-/** A step of a job. */
+/**
+ * A step of a job. Field names stay as they are: the job is part of the event
+ * `job_sent`.
+ */
 export interface StepSpec {
   readonly taskCount: number;
   readonly size: types.resources.Resources;
-  /** Duration of a task on a sound worker, in milliseconds. */
+  /** Duration of a task on a healthy worker, in milliseconds. */
   readonly workMs: number;
-  /** Earlier steps, from 0, whose tasks must be done first. */
+  /** Indexes, from 0, of the earlier steps that must be done first. */
   readonly after: readonly number[];
-  /** All tasks work together or not at all. */
+  /** Whether the tasks must all run at the same time. */
   readonly gang: boolean;
-  /** Tasks run until the job is cancelled; `workMs` has no meaning. */
+  /**
+   * Whether the step is long-running: its tasks run until the job is
+   * cancelled, and `workMs` is ignored.
+   */
   readonly lasting: boolean;
   readonly savesProgress: boolean;
-  /** The task of this index crashes its worker so long after its start. */
+  /** The task with this index crashes its worker `afterMs` after its start. */
   readonly crash?: {readonly index: number; readonly afterMs: number};
 }
 
-/** A job as its caller hands it in. */
+/** A job as its caller submits it. */
 export interface JobSpec {
   readonly jobId: string;
   readonly queue: string;
-  /** Opaque; tasks get it as it is. */
+  /** Opaque; passed to the tasks unchanged. */
   readonly payload: string;
   readonly steps: readonly StepSpec[];
 }
 
-/** A task's place in its job. */
+/** A task's job and step. */
 export interface CatalogTask {
   readonly job: JobSpec;
   readonly step: StepSpec;
@@ -41,7 +47,7 @@
 /** Jobs by id. */
 export interface JobCatalog {
   add(job: JobSpec): void;
-  /** Undefined for what no caller has sent. */
+  /** Returns undefined if no caller has sent such a task. */
   findTask(taskId: string): CatalogTask | undefined;
 }
 
@@ -64,7 +70,7 @@
   };
 }
 
-/** Ids of all tasks of a job. */
+/** Lists the ids of all tasks of a job. */
 export function listTaskIds(job: JobSpec): string[] {
   return job.steps.flatMap((step, nth) =>
     Array.from(
@@ -74,7 +80,7 @@
   );
 }
 
-/** What a job comes to if all goes well. */
+/** Returns the state that a job is expected to end in, or to stay in. */
 export function expectedFinalState(
   job: JobSpec,
 ): 'running' | 'completed' | 'failed' {
--- a/packages/gypsumwall-emulator/src/model/keyed_log.ts
+++ b/packages/gypsumwall-emulator/src/model/keyed_log.ts
@@ -1,35 +1,39 @@
 /**
- * One log of the store: records numbered from 0, each with a key. Appends may
- * depend on the end of the log, or on a producer's epoch and sequence.
+ * One log of the store: records with keys and with offsets from 0. An append
+ * can be conditional on the log's end offset, or on its producer's epoch and
+ * sequence.
  */
 import type * as types from '@gypsumwall/types';
 
-/** A record's content; an empty value drops the key. */
+/** A record's content; an empty value deletes the key. */
 export interface KeyedEntry {
   readonly key: string;
   readonly value: string;
 }
 
-/** A record. */
+/** A stored record. */
 export interface KeyedRecord extends KeyedEntry {
   readonly offset: number;
 }
 
-/** Numbers the appends of a producer; a lower epoch is shut out. */
+/**
+ * Numbers the appends of a producer. Appends with an epoch lower than the
+ * producer's highest are fenced.
+ */
 export interface Fence {
   readonly producer: string;
   readonly epoch: number;
   readonly sequence: number;
 }
 
-/** On what an append depends. */
+/** Conditions of an append. */
 export interface AppendConditions {
-  /** The log must end there. */
+  /** The append fails with `moved` unless the log ends at this offset. */
   readonly expectedEndOffset?: number;
   readonly fence?: Fence;
 }
 
-/** What became of an append. */
+/** The result of an append. */
 export type AppendOutcome =
   | {
       readonly type: 'appended';
@@ -40,7 +44,7 @@
   | {readonly type: 'fenced'}
   | {readonly type: 'out_of_sequence'; readonly expected: number};
 
-/** A read from an offset. */
+/** The result of a read from an offset. */
 export type ReadOutcome =
   | {
       readonly type: 'records';
@@ -50,14 +54,14 @@
     }
   | {readonly type: 'compacted'; readonly firstOffset: number};
 
-/** The newest records of some keys, in the order of the keys. */
+/** A page of the newest records of each key, ordered by key. */
 export interface NewestPage {
   readonly records: readonly KeyedRecord[];
   readonly hasMore: boolean;
   readonly endOffset: number;
 }
 
-/** A log. */
+/** A log whose records have keys. */
 export interface KeyedLog {
   append(
     entries: readonly KeyedEntry[],
@@ -66,34 +70,34 @@
   read(from: number, maxBytes: number): ReadOutcome;
   readNewest(after: string): NewestPage;
   endOffset(): number;
-  /** Resolves once the log ends beyond the offset, or at the deadline. */
+  /** Resolves once the log's end is past the offset, or at the deadline. */
   waitPastOffset(
     offset: number,
     deadline: types.clock.MonotonicMs,
   ): Promise<void>;
-  /** Forgets all records but the newest of each key. */
+  /** Drops all records from reads; {@link readNewest} still returns them. */
   compact(): void;
 }
 
-/** A log's surroundings. */
+/** Options of {@link createKeyedLog}. */
 export interface KeyedLogOptions {
   readonly clock: types.clock.Clock;
-  /** Records are kept for so long, in milliseconds. */
+  /** Retention of records, in milliseconds. */
   readonly keepMs: number;
 }
 
 interface Producer {
   readonly epoch: number;
   readonly nextSequence: number;
-  /** The last appends, the newest last. */
+  /** The latest appends and their outcomes, the newest last. */
   readonly recentAppends: readonly {sequence: number; outcome: AppendOutcome}[];
 }
 
-/** So many appends of a producer can be repeated. */
+/** A producer can repeat this many of its latest appends and get their outcomes. */
 const REMEMBERED_APPENDS = 5;
 const PAGE_RECORDS = 500;
 const PAGE_BYTES = 1_000_000;
-/** Lengths of a record and its key. */
+/** Size of a record's length prefix and key length. */
 const RECORD_HEADER_BYTES = 5;
 
 /** Creates an empty log. */
@@ -132,7 +136,10 @@
     return {type: 'appended', firstOffset: from, endOffset: endOffset()};
   }
 
-  /** The answer that the producer's state gives; undefined lets it pass. */
+  /**
+   * Checks an append against the producer's state. Returns its outcome if it is
+   * rejected or a repetition, and undefined if it may be carried out.
+   */
   function checkFence({
     producer,
     epoch,
@@ -204,7 +211,7 @@
   };
 }
 
-/** The first records within the limit. */
+/** Returns the first records that fit into the limit together. */
 function limitBytes<Found extends KeyedRecord>(
   records: readonly Found[],
   maxBytes: number,
--- a/packages/gypsumwall-emulator/src/model/lease_clock.ts
+++ b/packages/gypsumwall-emulator/src/model/lease_clock.ts
@@ -1,20 +1,23 @@
-/** A worker's own clock, on which its lease is measured. */
+/** A worker's local clock and the lease that is measured on it. */
 import * as types from '@gypsumwall/types';
 
-/** A clock and the lease on it. */
+/** A worker's clock with its lease. */
 export interface LeaseClock {
-  /** The reading, in whole milliseconds. */
+  /** Returns the clock's reading, in whole milliseconds. */
   readMs(): number;
-  /** Moves the lease; it never gets shorter, nor longer than the most. */
+  /**
+   * Extends the lease to the given reading of this clock, but at most
+   * `maxLeaseMs` from now. The lease never gets shorter.
+   */
   extend(until: number | undefined): void;
-  /** The moment of the lease's end on the platform's clock. */
+  /** Returns when the lease ends, on the platform's clock. */
   endsAt(): types.clock.MonotonicMs;
 }
 
-/** What the clock is made with. */
+/** Options of {@link createLeaseClock}. */
 export interface LeaseClockOptions {
   readonly clock: types.clock.Clock;
-  /** Milliseconds on this clock for one of the platform's. */
+  /** Milliseconds that pass on this clock per millisecond of the platform's. */
   readonly rate: number;
   readonly initialReadingMs: number;
   readonly maxLeaseMs: number;
--- a/packages/gypsumwall-emulator/src/model/operator.ts
+++ b/packages/gypsumwall-emulator/src/model/operator.ts
@@ -1,21 +1,21 @@
-/** The operator: it writes the configuration into the store. */
+/** The operator, which writes the configuration into the store. */
 import type * as adviser from './adviser.js';
 import type * as keyedLog from './keyed_log.js';
 
 /** A queue of jobs. */
 export interface QueuePolicy {
   readonly name: string;
-  /** Callers name it so. */
+  /** Host name by which callers address the queue. */
   readonly host: string;
   readonly pathPrefix: string;
-  /** The workers that run its tasks. */
+  /** The pool whose workers run its tasks. */
   readonly pool: string;
-  /** 0 comes first. */
+  /** 0 is the highest priority. */
   readonly priority: number;
   readonly maxAttempts: number;
   readonly slackFactor: number;
   readonly targetMs: number;
-  /** Absent where the queue needs no advice. */
+  /** Absent if the queue needs no advice. */
   readonly advice?: adviser.AdvicePolicy | undefined;
 }
 
@@ -28,15 +28,15 @@
   }[];
 }
 
-/** The operator. */
+/** Publishes configurations. */
 export interface Operator {
-  /** Puts a configuration in force and returns its version. */
+  /** Publishes a configuration and returns its version. */
   publish(config: OperatorConfig): number;
 }
 
 const CONFIG_KEY = 'config';
 
-/** Creates an operator that has published nothing. */
+/** Creates an operator that has published nothing yet. */
 export function createOperator(
   log: keyedLog.KeyedLog,
   encode: (version: number, config: OperatorConfig) => string,
--- a/packages/gypsumwall-emulator/src/model/platform_model.ts
+++ b/packages/gypsumwall-emulator/src/model/platform_model.ts
@@ -1,6 +1,7 @@
 /**
- * The users' platform as one model on a clock that is handed in: its store,
- * workers, adviser and operator. Whoever drives it carries the calls.
+ * In-memory model of the users' platform: its store, workers, adviser and
+ * operator. It runs on an injected clock and has no transport of its own; its
+ * user delivers the calls.
  */
 import * as types from '@gypsumwall/types';
 import type * as emulatorConfig from '../config/emulator_config.js';
@@ -16,15 +17,15 @@
 import * as workerLists from './worker_list.js';
 import * as workerMachine from './worker_machine.js';
 
-/** Faults that a test of the judge plants in the platform itself. */
+/** Faults injected into the platform itself, for tests of the judge. */
 export interface InjectedFaults {
-  /** Such records are acknowledged and not kept. */
+  /** Returns true for records to acknowledge without storing them. */
   readonly shouldDrop?: (topic: string, entry: keyedLog.KeyedEntry) => boolean;
-  /** Such ends are never listed. */
+  /** Returns true for tasks whose ends are never reported. */
   readonly shouldHideEnd?: (taskId: string) => boolean;
 }
 
-/** Forms of the records that the platform itself writes. */
+/** Encoders of the records that the platform itself writes. */
 export interface RecordEncoders {
   readonly config: (
     version: number,
@@ -33,7 +34,7 @@
   readonly listing: (listing: workerLists.WorkerListing) => string;
 }
 
-/** What the model is made with. */
+/** Options of {@link createPlatformModel}. */
 export interface PlatformModelOptions {
   readonly clock: types.clock.Clock;
   readonly config: emulatorConfig.EmulatorConfig;
@@ -41,23 +42,23 @@
   readonly injectedFaults?: InjectedFaults | undefined;
 }
 
-/** The model. */
+/** Model of the platform. */
 export interface PlatformModel {
   readonly history: histories.History;
   readonly catalog: jobCatalogs.JobCatalog;
   readonly store: stores.Store;
-  /** Absent where no queue needs advice. */
+  /** Undefined if no queue needs advice. */
   readonly adviser: advisers.Adviser | undefined;
   readonly random: types.random.Random;
   readonly machines: readonly workerMachine.WorkerMachine[];
-  /** Puts the configuration of the queues in force. */
+  /** Publishes the configuration of the queues and returns its version. */
   publish(): number;
-  /** Adds a worker that is reached at the address. */
+  /** Adds a machine whose worker receives calls at the address. */
   addMachine(spec: MachineSpec, address: string): workerMachine.WorkerMachine;
   stop(): void;
 }
 
-/** A machine that the configuration describes. */
+/** Name, location and pool of a machine that the configuration describes. */
 export interface MachineSpec {
   readonly name: string;
   readonly zone: string;
@@ -65,7 +66,7 @@
   readonly pool: emulatorConfig.EmulatorConfig['pools'][number];
 }
 
-/** All machines that the configuration describes. */
+/** Lists all machines that the configuration describes. */
 export function listMachines(
   config: emulatorConfig.EmulatorConfig,
 ): MachineSpec[] {
--- a/packages/gypsumwall-emulator/src/model/rate_limit.ts
+++ b/packages/gypsumwall-emulator/src/model/rate_limit.ts
@@ -1,15 +1,15 @@
-/** Calls a second, for all callers together. */
+/** Limits the calls per second of all callers together. */
 import type * as types from '@gypsumwall/types';
 
-/** Grants calls up to a rate. */
+/** A token bucket. */
 export interface RateLimit {
-  /** False if the call is over the rate. */
+  /** Returns false if the call exceeds the rate. */
   tryAcquire(): boolean;
 }
 
 const SECOND_MS = 1_000;
 
-/** Creates a limit whose burst is what one second allows. */
+/** Creates a token bucket that holds the calls of one second. */
 export function createRateLimit(
   clock: types.clock.Clock,
   perSecond: number,
--- a/packages/gypsumwall-emulator/src/model/store.ts
+++ b/packages/gypsumwall-emulator/src/model/store.ts
@@ -1,41 +1,41 @@
 /**
- * The platform's store: its logs, how long calls take, how many are allowed,
- * and what becomes of them under faults.
+ * The platform's store: its logs, with the latency of calls, rate limits and
+ * injected faults.
  */
 import * as types from '@gypsumwall/types';
 import * as keyedLog from './keyed_log.js';
 import * as rateLimit from './rate_limit.js';
 
-/** The logs that the platform itself writes. */
+/** Topics of the logs that only the platform itself writes. */
 export const OPERATOR_TOPIC = 'operator';
 export const WORKERS_TOPIC = 'workers';
 
-/** What happens to a caller's calls. */
+/** A fault that affects the calls of a caller. */
 export type StoreFault =
   | {readonly type: 'none'}
-  /** Refused, nothing is done. */
+  /** Calls are refused and have no effect. */
   | {readonly type: 'unavailable'}
   | {readonly type: 'throttled'}
-  /** Nothing is done and nothing is answered. */
+  /** Calls have no effect and get no answer. */
   | {readonly type: 'silent'}
   | {readonly type: 'slow'; readonly addedMs: number}
   | {
       readonly type: 'lossy';
-      /** Share of calls that are done and not answered. */
+      /** Share of calls that are carried out but not answered. */
       readonly lostShare: number;
-      /** Share of calls that are not answered and done later. */
+      /** Share of calls that are carried out later and not answered. */
       readonly lateShare: number;
       readonly maxDelayMs: number;
     };
 
-/** How a call is answered. */
+/** How a call ends for its caller. */
 export type Delivery<Value> =
   | {readonly type: 'answer'; readonly value: Value}
   | {readonly type: 'unavailable'}
   | {readonly type: 'throttled'}
-  /** The caller may not write there. */
+  /** Only the platform may write to the log. */
   | {readonly type: 'forbidden'}
-  /** No answer, ever: the connection is broken off. */
+  /** The call never gets an answer. */
   | {readonly type: 'lost'};
 
 /** An append by the system. */
@@ -52,7 +52,7 @@
   readonly waitMs: number;
 }
 
-/** The store; `caller` is the machine that calls. */
+/** The store; `caller` is the name of the calling machine. */
 export interface Store {
   append(
     caller: string,
@@ -64,23 +64,26 @@
     topic: string,
     after: string,
   ): Promise<Delivery<keyedLog.NewestPage>>;
-  /** For the platform's own records; takes no time. */
+  /** Returns a log for direct access, without latency, limits or faults. */
   log(topic: string): keyedLog.KeyedLog;
-  /** Applies to one caller, or to `all`. */
+  /**
+   * Sets the fault of one caller, or of all callers that have none of their
+   * own if `caller` is `all`.
+   */
   setFault(caller: string, fault: StoreFault): void;
-  /** Forgets the history of every log. */
+  /** Compacts every log. */
   compactLogs(): void;
-  /** Calls that were taken or refused, by kind. */
+  /** Returns the number of calls by kind, including refused ones. */
   callCounts(): {readonly reads: number; readonly writes: number};
 }
 
-/** What a store is made with. */
+/** Options of {@link createStore}. */
 export interface StoreOptions {
   readonly clock: types.clock.Clock;
   readonly random: types.random.Random;
   readonly writesPerS: number;
   readonly readsPerS: number;
-  /** Duration of one append; a log takes them one at a time. */
+  /** Duration of one append; a log handles appends one at a time. */
   readonly appendMs: number;
   readonly keepMs: number;
   /**
@@ -116,7 +119,7 @@
   const faultOf = (caller: string): StoreFault =>
     faults.get(caller) ?? faults.get(ALL_CALLERS) ?? NO_FAULT;
 
-  /** Lets the call pass, or says how it ends without being done. */
+  /** Returns undefined if the call may proceed, otherwise how it ends. */
   async function admit(
     caller: string,
     limit: rateLimit.RateLimit,
@@ -138,7 +141,7 @@
     return limit.tryAcquire() ? undefined : {type: 'throttled'};
   }
 
-  /** Runs the call now, or later and unanswered. */
+  /** Carries the call out; a lossy fault can delay it or lose its answer. */
   async function deliver<Value>(
     caller: string,
     run: () => Value,
@@ -157,7 +160,7 @@
       : {type: 'answer', value};
   }
 
-  /** Waits for the log's turn; false if too many wait already. */
+  /** Waits for earlier appends of the log; returns false if the queue is full. */
   async function waitForTurn(topic: string): Promise<boolean> {
     const now = clock.monotonic();
     const start = Math.max(now, busyUntil.get(topic) ?? now);
--- a/packages/gypsumwall-emulator/src/model/worker.ts
+++ b/packages/gypsumwall-emulator/src/model/worker.ts
@@ -1,6 +1,6 @@
 /**
- * One life of a worker: it runs what it is told under a lease, and lists ends
- * until they are acknowledged.
+ * One incarnation of a worker. It runs attempts under a lease and reports their
+ * ends until they are acknowledged.
  */
 import * as types from '@gypsumwall/types';
 import type * as adviser from './adviser.js';
@@ -13,7 +13,7 @@
 import type * as workerOrders from './worker_orders.js';
 import * as workerAttempt from './worker_attempt.js';
 
-/** What all workers of a platform share. */
+/** What all workers of the platform share. */
 export interface WorkerContext {
   readonly clock: types.clock.Clock;
   readonly random: types.random.Random;
@@ -25,30 +25,34 @@
   readonly durations: workerAttempt.AttemptDurations;
   readonly longestLeaseMs: number;
   /**
-   * Planted, for tests of the judge: such ends are never listed, the run is
-   * shown as running.
+   * Injected fault for tests of the judge: the ends of these tasks are never
+   * reported, and their attempts are shown as running.
    */
   readonly shouldHideEnd?: (taskId: string) => boolean;
 }
 
-/** One worker. */
+/** Options of {@link createWorker}. */
 export interface WorkerOptions {
   readonly id: string;
   readonly capacity: types.resources.Resources;
-  /** A capacity that has shrunk binds starts only after so long. */
+  /**
+   * After a change of the capacity, starts that fit into the previous one
+   * aren't recorded as excess for this long, because their sender may not know
+   * the new capacity yet.
+   */
   readonly capacityNoticeMs: number;
-  /** Told of a task that crashes the worker; whoever is told ends it. */
+  /** Called when a task crashes the worker; must terminate the worker. */
   readonly onCrash: (taskId: string) => void;
-  /** Whether a start that doesn't fit is refused. */
+  /** Whether the worker refuses starts that exceed its capacity. */
   readonly refusesExcess: boolean;
   readonly clockRate: number;
-  /** Share of runs that fail by their own fault. */
+  /** Share of attempts that fail for a reason of their own. */
   readonly failShare: number;
-  /** A lasting task fails after a span up to this; undefined for never. */
+  /** Long-running tasks fail after a random time up to this; undefined for never. */
   readonly lastingFailsMs: number | undefined;
 }
 
-/** A worker. */
+/** A running worker. */
 export interface Worker {
   readonly id: string;
   readonly clockMs: () => number;
@@ -56,15 +60,15 @@
   stop(order: workerOrders.StopOrder): workerOrders.OrderAnswer;
   hold(call: workerOrders.HoldCall): Promise<workerOrders.HoldAnswer>;
   running(): readonly history.AttemptId[];
-  /** Work done a millisecond. */
+  /** Sets the work done per millisecond: 1 is normal, 0 is a standstill. */
   setSpeed(speed: number): void;
   setShouldFailAll(shouldFailAll: boolean): void;
   setCapacity(capacity: types.resources.Resources): void;
-  /** Everything on it is gone without a trace. */
+  /** Ends the worker with all attempts, without reporting their ends. */
   terminate(): void;
 }
 
-/** The first reading of a worker's clock is drawn below this. */
+/** Upper bound of a worker clock's random first reading. */
 const MAX_INITIAL_CLOCK_MS = 1_000_000;
 
 /** Creates a worker with nothing running. */
@@ -81,16 +85,16 @@
     maxLeaseMs: context.longestLeaseMs,
   });
   const attempts = new Map<string, workerAttempt.WorkerAttempt>();
-  /** Runs whose planted fault hides their end. */
+  /** Ended attempts that an injected fault still shows as running. */
   const hiddenAttempts: workerAttempt.WorkerAttempt[] = [];
   const ends = workerEnds.createWorkerEnds();
-  /** Highest attempt of each task that was stopped or has ended here. */
+  /** The highest attempt of each task that was stopped or has ended here. */
   const lastEndedAttempt = new Map<string, number>();
   const terminated = new AbortController();
   let endAdded = new AbortController();
   let highestFencingToken = 0;
   let {capacity} = options;
-  /** Starts that fit into it aren't held against anyone until then. */
+  /** Until then, starts that fit into this capacity aren't recorded as excess. */
   let previousCapacity: {readonly until: types.clock.MonotonicMs} & {
     readonly capacity: types.resources.Resources;
   } = {until: clock.monotonic(), capacity};
@@ -104,7 +108,7 @@
     return true;
   }
 
-  /** Ends all runs once the lease is over. */
+  /** Ends all attempts once the lease has expired. */
   async function guardLease(): Promise<void> {
     if (isGuardingLease) return;
     isGuardingLease = true;
@@ -170,7 +174,7 @@
     return types.resources.fits(size, free);
   }
 
-  /** Whether a start takes more than whoever sent it could know of. */
+  /** Whether a start exceeds every capacity that its sender may know. */
   function exceedsKnownCapacity(size: types.resources.Resources): boolean {
     if (fitsWithRunning(size)) return false;
     const isWithinNotice = clock.monotonic() < previousCapacity.until;
@@ -221,7 +225,10 @@
     );
   }
 
-  /** Records orders that nothing asked for; they are carried out all the same. */
+  /**
+   * Records the start, and what is wrong with the order. Wrong orders are
+   * carried out as well; the judge reports them.
+   */
   function recordStart(
     order: workerOrders.StartOrder,
     place: jobCatalog.CatalogTask,
--- a/packages/gypsumwall-emulator/src/model/worker_attempt.ts
+++ b/packages/gypsumwall-emulator/src/model/worker_attempt.ts
@@ -1,25 +1,25 @@
-/** One run of a task on a worker, from its start to its end. */
+/** One attempt of a task on a worker, from its start to its end. */
 import * as types from '@gypsumwall/types';
 import type * as checkpoints from './checkpoints.js';
 import type * as gangs from './gangs.js';
 import type * as history from './history.js';
 import type * as jobCatalog from './job_catalog.js';
 
-/** What a run can ask of its worker. */
+/** What an attempt needs from its worker. */
 export interface AttemptHost {
   readonly clock: types.clock.Clock;
   readonly gangs: gangs.Gangs;
   readonly checkpoints: checkpoints.Checkpoints;
   readonly durations: AttemptDurations;
-  /** Work done a millisecond: 1 on a sound worker, 0 where it stands still. */
+  /** Returns the work done per millisecond: 1 is normal, 0 is a standstill. */
   speed(): number;
-  /** Draws whether a run fails at its end, or how long a lasting one runs. */
+  /** Draws whether an attempt fails, and after how much work it ends. */
   drawOutcome(step: jobCatalog.StepSpec): AttemptOutcome;
   onWorkStarted(): void;
   onEnd(how: history.AttemptEnd, checkpoint: string): void;
 }
 
-/** Spans that the platform fixes, in milliseconds. */
+/** Durations that the platform defines, in milliseconds. */
 export interface AttemptDurations {
   readonly startupMs: number;
   readonly restoreMs: number;
@@ -28,40 +28,40 @@
   readonly gangTimeoutMs: number;
 }
 
-/** How a run would end by itself. */
+/** How an attempt ends if nothing ends it earlier. */
 export interface AttemptOutcome {
   readonly how: 'done' | 'failed';
-  /** After so much work, in milliseconds; infinite for never. */
+  /** The work until then, in milliseconds; infinite for never. */
   readonly afterMs: number;
 }
 
-/** What to run. */
+/** The attempt to start. */
 export interface AttemptRequest extends history.AttemptId {
   readonly task: jobCatalog.CatalogTask;
-  /** Where the progress belongs. */
+  /** Owner of the checkpoints: the task, or the step run of a gang. */
   readonly owner: string;
-  /** Progress with which the run begins; undefined without a checkpoint. */
+  /** Progress from the checkpoint; undefined without a checkpoint. */
   readonly initialProgressMs: number | undefined;
 }
 
-/** A run. */
+/** An attempt that has started. */
 export interface WorkerAttempt extends history.AttemptId {
   readonly size: types.resources.Resources;
   readonly checkpoint: () => string;
   readonly percent: () => number;
-  /** Ends it in the platform's time for stops, with its progress saved. */
+  /** Saves the progress and ends the attempt after the platform's `stopMs`. */
   stop(): void;
-  /** Ends it at once. */
+  /** Ends the attempt at once. */
   kill(how: 'lapsed' | 'failed'): void;
-  /** Ends it at once and without a trace: its worker is gone. */
+  /** Ends the attempt at once without a report, because its worker has ended. */
   discard(): void;
 }
 
-/** Work between two looks at the pace, in milliseconds. */
+/** Interval of progress updates, after which a new speed applies. */
 const PROGRESS_INTERVAL_MS = 100;
 const FULL_PERCENT = 100;
 
-/** Starts a run. */
+/** Starts an attempt. */
 export function startWorkerAttempt(
   request: AttemptRequest,
   host: AttemptHost,
--- a/packages/gypsumwall-emulator/src/model/worker_ends.ts
+++ b/packages/gypsumwall-emulator/src/model/worker_ends.ts
@@ -1,18 +1,18 @@
-/** Ends that a worker lists until they are acknowledged. */
+/** Ends of attempts that a worker reports until they are acknowledged. */
 import type * as history from './history.js';
 
-/** A listed end. */
+/** An end that hasn't been acknowledged yet. */
 export interface ListedEnd extends history.AttemptId {
-  /** From 1 in each life of a worker, rising. */
+  /** Starts at 1 in each incarnation of a worker and increases by 1. */
   readonly sequence: number;
   readonly how: history.AttemptEnd;
   readonly checkpoint: string;
 }
 
-/** The ends of one life of a worker. */
+/** The ends of one incarnation of a worker. */
 export interface WorkerEnds {
   add(end: Omit<ListedEnd, 'sequence'>): void;
-  /** Forgets the ends up to the sequence and returns them. */
+  /** Removes the ends up to the sequence and returns them. */
   acknowledge(upTo: number): readonly ListedEnd[];
   list(): readonly ListedEnd[];
 }
--- a/packages/gypsumwall-emulator/src/model/worker_list.ts
+++ b/packages/gypsumwall-emulator/src/model/worker_list.ts
@@ -1,8 +1,8 @@
-/** The platform's list of workers, kept in its store. */
+/** The platform's list of workers, which it keeps in its store. */
 import * as types from '@gypsumwall/types';
 import type * as keyedLog from './keyed_log.js';
 
-/** What a worker tells of itself. */
+/** What a worker reports about itself with each heartbeat. */
 export interface WorkerListing {
   readonly id: string;
   readonly pool: string;
@@ -13,31 +13,31 @@
   readonly kind: string;
   readonly capacity: types.resources.Resources;
   readonly draining: boolean;
-  /** The least time until a draining worker leaves; milliseconds. */
+  /** Minimum time until a draining worker leaves, in milliseconds. */
   readonly leavesInMs: number | undefined;
-  /** Its own clock. */
+  /** Reading of the worker's own clock. */
   readonly clockMs: number;
-  /** Number of the heartbeat. */
+  /** Number of the heartbeat, from 1; 0 for the announcement of a drain. */
   readonly sequence: number;
 }
 
-/** The list. */
+/** List of the workers that send heartbeats. */
 export interface WorkerList {
   put(listing: WorkerListing): void;
   remove(workerId: string): void;
   stop(): void;
 }
 
-/** What the list is made with. */
+/** Options of {@link createWorkerList}. */
 export interface WorkerListOptions {
   readonly clock: types.clock.Clock;
   readonly log: keyedLog.KeyedLog;
   readonly heartbeatMs: number;
-  /** The form in which entries stand in the store. */
+  /** Encodes a listing as it is stored. */
   readonly encode: (listing: WorkerListing) => string;
 }
 
-/** An entry is removed after so many heartbeats of silence. */
+/** A worker is removed after this many heartbeat intervals without one. */
 const EXPIRY_HEARTBEATS = 3;
 
 /** Creates an empty list. */
--- a/packages/gypsumwall-emulator/src/model/worker_machine.ts
+++ b/packages/gypsumwall-emulator/src/model/worker_machine.ts
@@ -1,17 +1,17 @@
-/** A machine and the worker on it, through the worker's lives. */
+/** A machine and the successive incarnations of the worker on it. */
 import * as types from '@gypsumwall/types';
 import * as worker from './worker.js';
 import type * as workerList from './worker_list.js';
 
-/** How the machine treats calls. */
+/** A fault of the machine that affects orders to its worker. */
 export type MachineFault =
   | {readonly type: 'none'}
   /** Orders are refused and not carried out. */
   | {readonly type: 'unhealthy'}
-  /** Orders get no answer, and are carried out later. */
+  /** Orders get no answer and are carried out later. */
   | {readonly type: 'late_orders'; readonly maxDelayMs: number};
 
-/** What the machine is. */
+/** Options of {@link createWorkerMachine}. */
 export interface MachineOptions {
   readonly name: string;
   readonly pool: string;
@@ -24,33 +24,33 @@
     'id' | 'onCrash' | 'capacityNoticeMs'
   >;
   readonly heartbeatMs: number;
-  /** A worker goes on for so long after its leaving was announced. */
+  /** Time between the announcement that a worker leaves and its end. */
   readonly drainMs: number;
-  /** A crashed worker is back after so long. */
+  /** Time after which a crashed worker starts again. */
   readonly restartMs: number;
 }
 
-/** A machine. */
+/** A machine that runs at most one worker. */
 export interface WorkerMachine {
   readonly name: string;
-  /** Undefined while no worker runs there. */
+  /** Returns the current worker; undefined while none runs. */
   worker(): worker.Worker | undefined;
   fault(): MachineFault;
   setFault(fault: MachineFault): void;
-  /** Announces that the worker leaves; resolves once it has left for good. */
+  /** Announces that the worker leaves; resolves once it has left. */
   leave(): Promise<void>;
-  /** Ends the worker; another life begins later. */
+  /** Ends the worker; its next incarnation starts after `restartMs`. */
   crash(culprit?: string): Promise<void>;
-  /** What the worker says of itself from the next heartbeat on. */
+  /** Sets the capacity, which the next heartbeat reports. */
   setCapacity(capacity: types.resources.Resources): void;
-  /** Ends all activity of the model. */
+  /** Ends the worker for good and stops its heartbeats. */
   stop(): void;
 }
 
-/** How late a capacity that has shrunk may be known; milliseconds. */
+/** Time that the system has to apply a reported capacity. */
 const CAPACITY_NOTICE_MS = 3_000;
 
-/** Creates a machine with a worker on it. */
+/** Creates a machine and starts its worker. */
 export function createWorkerMachine(
   context: worker.WorkerContext,
   list: workerList.WorkerList,
--- a/packages/gypsumwall-emulator/src/model/worker_orders.ts
+++ b/packages/gypsumwall-emulator/src/model/worker_orders.ts
@@ -1,33 +1,33 @@
-/** What a worker is told and asked, and how it answers. */
+/** Orders and calls that a worker receives, and its answers. */
 import type * as history from './history.js';
 import type * as workerEnds from './worker_ends.js';
 import type * as workerAttempt from './worker_attempt.js';
 
-/** An order to start a run. */
+/** An order to start an attempt. */
 export interface StartOrder extends history.AttemptId {
   readonly payload: string;
-  /** On the worker's clock. */
+  /** End of the lease, as a reading of the worker's clock. */
   readonly leaseUntil: number | undefined;
   readonly fencingToken: number;
   readonly checkpoint: string;
   readonly ticket: string | undefined;
 }
 
-/** An order to stop a run. */
+/** An order to stop an attempt. */
 export interface StopOrder extends history.AttemptId {
   readonly token: number;
 }
 
-/** A call that holds the lease and asks for the state. */
+/** A call that renews the lease and long-polls the worker's state. */
 export interface HoldCall {
   readonly token: number;
-  /** Ends up to this sequence are noted. */
+  /** Sequence up to which the caller has recorded the ends. */
   readonly acknowledged: number;
   readonly leaseUntil: number | undefined;
   readonly waitMs: number;
 }
 
-/** How an order is answered. */
+/** The answer to an order. The reasons are sent under these names. */
 export type OrderAnswer =
   | {readonly type: 'accepted'}
   | {
@@ -36,7 +36,7 @@
     }
   | {readonly type: 'invalid'; readonly message: string};
 
-/** What a worker shows of itself. */
+/** The answer to a hold call. */
 export type HoldAnswer =
   | {
       readonly type: 'report';
--- a/packages/gypsumwall-emulator/src/rig/deploy_file.ts
+++ b/packages/gypsumwall-emulator/src/rig/deploy_file.ts
@@ -1,10 +1,10 @@
-/** How the platform runs the entry, as the deploy file tells it. */
+/** Reads from the deploy file how the platform runs an entry. */
 import * as fs from 'node:fs';
 import * as path from 'node:path';
 
-/** The entry's role. */
+/** How an entry is started and where it serves metrics. */
 export interface DeployedRole {
-  /** Arguments of Node. */
+  /** Arguments for Node. */
   readonly args: readonly string[];
   readonly metricsPort: number;
   readonly metricsPath: string;
@@ -16,8 +16,8 @@
 const TARGET_PREFIX = 'target/';
 
 /**
- * Reads the file; throws on one that doesn't tell. The program may have been
- * built into another folder than the one that the file names.
+ * Reads the file; throws if the command or the metrics address is missing.
+ * `builtInto` replaces the build folder in the command's arguments.
  */
 export function readDeployFile(file: string, builtInto?: string): DeployedRole {
   const text = fs.readFileSync(file, 'utf8');
--- a/packages/gypsumwall-emulator/src/rig/emulated_cell.ts
+++ b/packages/gypsumwall-emulator/src/rig/emulated_cell.ts
@@ -1,5 +1,6 @@
 /**
- * The platform over HTTP on loopback, with the deployed entries as processes.
+ * Serves the platform model over HTTP on loopback and runs the deployed entries
+ * as processes.
  */
 import * as crypto from 'node:crypto';
 import * as fs from 'node:fs';
@@ -20,7 +21,7 @@
 import * as deployFile from './deploy_file.js';
 import * as entryMachine from './entry_machine.js';
 
-/** A platform that runs, with its entries. */
+/** A running platform with its entries. */
 export interface EmulatedCell {
   readonly clock: types.clock.Clock;
   readonly model: platformModels.PlatformModel;
@@ -28,19 +29,19 @@
   readonly entries: readonly entryMachine.EntryMachine[];
   /** Resolves once every entry is in rotation; rejects at the deadline. */
   untilReady(deadline: types.clock.MonotonicMs): Promise<void>;
-  /** The entry that places work now; undefined if none says so. */
+  /** Finds the entry that currently holds the cell; undefined if none reports it. */
   findHolder(): Promise<entryMachine.EntryMachine | undefined>;
-  /** Settings and logs of the entries. */
+  /** The folder with the settings and logs of the entries. */
   readonly folder: string;
   close(keepsFolder: boolean): Promise<void>;
 }
 
-/** What to run. */
+/** Options of {@link startEmulatedCell}. */
 export interface EmulatedCellOptions {
   readonly config: emulatorConfig.EmulatorConfig;
-  /** From the repository's root. */
+  /** Path of the deploy file, from the repository's root. */
   readonly deployFile: string;
-  /** Where the program was built, if not where the deploy file says. */
+  /** The build folder, if it isn't the one that the deploy file names. */
   readonly builtInto?: string | undefined;
   readonly injectedFaults?: platformModels.InjectedFaults | undefined;
 }
@@ -48,7 +49,7 @@
 const POLL_MS = 50;
 const HOLDER_GAUGE = 'holds_cell';
 
-/** Starts everything; entries may not be ready yet. */
+/** Starts the platform and its entries; the entries may not be ready yet. */
 export async function startEmulatedCell(
   options: EmulatedCellOptions,
 ): Promise<EmulatedCell> {
--- a/packages/gypsumwall-emulator/src/rig/entry_machine.ts
+++ b/packages/gypsumwall-emulator/src/rig/entry_machine.ts
@@ -1,6 +1,6 @@
 /**
- * A machine of the system: the deployed entry as a process, started again by
- * the platform when it ends.
+ * A machine that runs the deployed entry as a process. The platform restarts
+ * the process when it exits.
  */
 import * as fs from 'node:fs';
 import * as path from 'node:path';
@@ -11,25 +11,25 @@
 import type * as deployFile from './deploy_file.js';
 import * as loopback from './loopback.js';
 
-/** A machine with its entry. */
+/** A machine and its entry. */
 export interface EntryMachine {
   readonly name: string;
   readonly addresses: entryClient.EntryAddresses;
   readonly logFile: string;
   start(): void;
-  /** Ends the process without notice; it is started again later. */
+  /** Kills the process without notice; it is restarted after `restartMs`. */
   kill(): void;
-  /** Ends it for good. */
+  /** Kills the process for good. */
   stop(): Promise<void>;
 }
 
-/** What the machine is made with. */
+/** Options of {@link createEntryMachine}. */
 export interface EntryMachineOptions {
   readonly clock: types.clock.Clock;
-  /** For its address only; the rest of the run mustn't depend on it. */
+  /** Used for the address only; nothing that a seed reproduces may depend on it. */
   readonly random: types.random.Random;
   readonly role: deployFile.DeployedRole;
-  /** For settings and logs. */
+  /** Folder for settings and logs. */
   readonly folder: string;
   readonly restartMs: number;
   readonly settings: Omit<
@@ -40,7 +40,7 @@
 
 const SETTINGS_VARIABLE = 'GYPSUMWALL_SETTINGS';
 
-/** Creates a machine whose entry doesn't run yet. */
+/** Creates a machine without starting its entry. */
 export async function createEntryMachine(
   options: EntryMachineOptions,
 ): Promise<EntryMachine> {
--- a/packages/gypsumwall-emulator/src/rig/loopback.ts
+++ b/packages/gypsumwall-emulator/src/rig/loopback.ts
@@ -1,4 +1,4 @@
-/** Addresses on loopback that no other process uses. */
+/** Finds loopback addresses and ports that no other process uses. */
 import * as net from 'node:net';
 import type * as types from '@gypsumwall/types';
 
@@ -6,7 +6,7 @@
 const MAX_BYTE = 254;
 const MAX_TRIES = 50;
 
-/** An address where the port is free. */
+/** Finds an address on which the port is free. */
 export async function findFreeIp(
   random: types.random.Random,
   port: number,
@@ -21,14 +21,14 @@
   throw new Error(`port ${port}: no free address on loopback`);
 }
 
-/** A port from the kernel, free a moment ago. */
+/** Finds a port that is free now; another process may take it before its use. */
 export async function findFreePort(ip: string): Promise<number> {
   const port = await tryPort(ip, 0);
   if (port === undefined) throw new Error(`${ip}: no free port`);
   return port;
 }
 
-/** The port that could be listened on; undefined if it is taken. */
+/** Listens on the port briefly; resolves to undefined if the port is in use. */
 function tryPort(
   ip: string,
   requestedPort: number,
--- a/packages/gypsumwall-emulator/src/wire/adviser_server.ts
+++ b/packages/gypsumwall-emulator/src/wire/adviser_server.ts
@@ -1,4 +1,4 @@
-/** The adviser's call. Each machine has an address of its own to call. */
+/** HTTP server of the adviser. Each machine calls its own server. */
 import * as zod from 'zod';
 import type * as adviser from '../model/adviser.js';
 import * as httpServer from './http_server.js';
@@ -8,7 +8,7 @@
   workers: zod.array(zod.string()),
 });
 
-/** Serves the adviser to one machine. */
+/** Starts a server for the calls of one machine. */
 export async function startAdviserServer(
   served: adviser.Adviser,
   caller: string,
--- a/packages/gypsumwall-emulator/src/wire/config_record.ts
+++ b/packages/gypsumwall-emulator/src/wire/config_record.ts
@@ -1,4 +1,4 @@
-/** The configuration as it stands in the store. */
+/** Encodes the configuration as it is stored. */
 import type * as operator from '../model/operator.js';
 
 const ROUTE_TIMEOUT_MS = 3_000;
@@ -10,7 +10,7 @@
   idleTimeoutMs: 15_000,
 };
 
-/** Writes a version of the configuration. */
+/** Encodes a version of the configuration. */
 export function encodeConfig(
   version: number,
   config: operator.OperatorConfig,
--- a/packages/gypsumwall-emulator/src/wire/entry_client.ts
+++ b/packages/gypsumwall-emulator/src/wire/entry_client.ts
@@ -1,4 +1,4 @@
-/** Calls to the entries, as the platform and its callers make them. */
+/** HTTP client for the calls of the platform and its callers to the entries. */
 import * as undici from 'undici';
 import type * as caller from '../model/caller.js';
 import type * as history from '../model/history.js';
@@ -6,24 +6,24 @@
 import type * as operator from '../model/operator.js';
 import * as jobBody from './job_body.js';
 
-/** Where an entry listens; `host:port` each. */
+/** The addresses on which an entry listens, each as `host:port`. */
 export interface EntryAddresses {
   readonly callers: string;
   readonly readiness: string;
-  /** With the path. */
+  /** Includes the path. */
   readonly metrics: string;
 }
 
-/** Calls to all entries. */
+/** Client for all entries. */
 export interface EntryClient {
   readonly send: caller.SendCall;
   isReady(entry: string): Promise<boolean>;
-  /** A gauge of the entry's own metrics; undefined if it doesn't answer. */
+  /** Reads a gauge of the entry's metrics; undefined if the entry doesn't answer. */
   readGauge(entry: string, name: string): Promise<number | undefined>;
   close(): Promise<void>;
 }
 
-/** What the client is made with. */
+/** Options of {@link createEntryClient}. */
 export interface EntryClientOptions {
   readonly entries: ReadonlyMap<string, EntryAddresses>;
   readonly queues: readonly operator.QueuePolicy[];
--- a/packages/gypsumwall-emulator/src/wire/http_server.ts
+++ b/packages/gypsumwall-emulator/src/wire/http_server.ts
@@ -1,9 +1,9 @@
-/** What the platform's servers share. */
+/** Helpers shared by the platform's HTTP servers. */
 import type * as net from 'node:net';
 import * as fastify from 'fastify';
 import * as zod from 'zod';
 
-/** A server that listens. */
+/** A listening server. */
 export interface WireServer {
   /** `host:port`. */
   readonly address: string;
@@ -11,10 +11,10 @@
 }
 
 const HOST = '127.0.0.1';
-/** Above the largest append. */
+/** Exceeds the size of the largest append. */
 const BODY_LIMIT_BYTES = 4 * 1024 * 1024;
 
-/** Creates a server whose bodies are raw; a fault in one is a 400. */
+/** Creates a server with raw request bodies; any thrown error is answered with 400. */
 export function createServer(): fastify.FastifyInstance {
   const server = fastify.fastify({
     bodyLimit: BODY_LIMIT_BYTES,
@@ -32,7 +32,7 @@
   return server;
 }
 
-/** Listens on loopback, at a port from the kernel. */
+/** Listens on loopback, on a port that the kernel assigns. */
 export async function listen(
   server: fastify.FastifyInstance,
 ): Promise<WireServer> {
@@ -41,7 +41,7 @@
   return {address: `${HOST}:${port}`, close: () => server.close()};
 }
 
-/** Reads a JSON body of the given form; throws what the server answers. */
+/** Parses a JSON body; throws an error that the server answers with 400. */
 export function readBody<Schema extends zod.ZodType>(
   req: fastify.FastifyRequest,
   schema: Schema,
@@ -50,7 +50,7 @@
   return schema.parse(JSON.parse(body?.toString() ?? '{}'));
 }
 
-/** Never answers: the connection stays open and carries nothing further. */
+/** Leaves the call without an answer, with its connection open. */
 export function leaveUnanswered(
   res: fastify.FastifyReply,
 ): fastify.FastifyReply {
--- a/packages/gypsumwall-emulator/src/wire/job_body.ts
+++ b/packages/gypsumwall-emulator/src/wire/job_body.ts
@@ -1,7 +1,7 @@
-/** A job's body as callers send it; what is 0, false or empty is left out. */
+/** Encodes a job as callers send it; 0, false and empty values are omitted. */
 import type * as jobCatalog from '../model/job_catalog.js';
 
-/** Writes the body. */
+/** Encodes the body. */
 export function encodeJob({payload, steps}: jobCatalog.JobSpec): string {
   return JSON.stringify({spec: payload, phases: steps.map(encodeStep)});
 }
--- a/packages/gypsumwall-emulator/src/wire/listing_record.ts
+++ b/packages/gypsumwall-emulator/src/wire/listing_record.ts
@@ -1,9 +1,9 @@
-/** A worker's entry as it stands in the store. */
+/** Encodes an entry of the worker list as it is stored. */
 import type * as workerList from '../model/worker_list.js';
 
 const SLOT_COUNT = 8;
 
-/** Writes an entry. */
+/** Encodes an entry. */
 export function encodeListing(listing: workerList.WorkerListing): string {
   const {capacity} = listing;
   return JSON.stringify({
--- a/packages/gypsumwall-emulator/src/wire/record_codec.ts
+++ b/packages/gypsumwall-emulator/src/wire/record_codec.ts
@@ -1,11 +1,11 @@
-/** The binary form of records, in appends and reads. */
+/** Binary encoding of records in appends and reads. */
 import type * as keyedLog from '../model/keyed_log.js';
 
 const RECORD_LENGTH_BYTES = 4;
-/** The log's end and its first offset. */
+/** Two 64-bit integers: the log's end offset and its first offset. */
 const READ_HEADER_BYTES = 16;
 
-/** Reads the records of an append; throws on a record that is cut short. */
+/** Decodes the records of an append; throws if a record is truncated. */
 export function decodeEntries(bytes: Buffer): keyedLog.KeyedEntry[] {
   const entries: keyedLog.KeyedEntry[] = [];
   for (let at = 0; at < bytes.length;) {
@@ -28,7 +28,7 @@
   };
 }
 
-/** Writes the answer to a read. */
+/** Encodes the answer to a read. */
 export function encodeRead(
   outcome: Extract<keyedLog.ReadOutcome, {type: 'records'}>,
 ): Buffer {
--- a/packages/gypsumwall-emulator/src/wire/settings_file.ts
+++ b/packages/gypsumwall-emulator/src/wire/settings_file.ts
@@ -1,6 +1,6 @@
-/** The settings file that the platform gives an entry. */
+/** The settings file that the platform writes for an entry. */
 
-/** What an entry is told. */
+/** Settings of an entry. */
 export interface EntrySettings {
   readonly name: string;
   readonly ip: string;
@@ -22,7 +22,7 @@
 
 const SECOND_MS = 1_000;
 
-/** Writes the file. */
+/** Encodes the file. */
 export function encodeSettings(settings: EntrySettings): string {
   const {ip, zone, peerPort} = settings;
   const fields: Readonly<Record<string, string | number>> = {
--- a/packages/gypsumwall-emulator/src/wire/store_server.ts
+++ b/packages/gypsumwall-emulator/src/wire/store_server.ts
@@ -1,4 +1,4 @@
-/** The store's calls. Each machine has an address of its own to call. */
+/** HTTP server of the store. Each machine calls its own server. */
 import type * as fastify from 'fastify';
 import * as zod from 'zod';
 import type * as keyedLog from '../model/keyed_log.js';
@@ -6,7 +6,7 @@
 import * as httpServer from './http_server.js';
 import * as recordCodec from './record_codec.js';
 
-/** Only logs that keep the newest record of each key are served. */
+/** Prefix of logs that keep the newest record of each key; only these are served. */
 const KEYED_PREFIX = 'keyed.';
 const PLATFORM_TOPICS: Readonly<Record<string, string>> = {
   [`${KEYED_PREFIX}op`]: store.OPERATOR_TOPIC,
@@ -40,7 +40,7 @@
 
 const BYTES_PER_KB = 1_024;
 
-/** Serves the store to one machine. */
+/** Starts a server for the calls of one machine. */
 export async function startStoreServer(
   served: store.Store,
   caller: string,
@@ -60,7 +60,7 @@
   server.get('/v1/log-read', async (req, res) => {
     const {topic, from, maxKb, waitMs} = readQuery.parse(req.query);
     const maxBytes = maxKb * BYTES_PER_KB;
-    const call = {topic, from, mostBytes: maxBytes, waitMs};
+    const call = {topic, from, maxBytes, waitMs};
     const delivery = await served.read(caller, call);
     return sendDelivery(res, delivery, (outcome) => sendRead(res, outcome));
   });
--- a/packages/gypsumwall-emulator/src/wire/worker_server.ts
+++ b/packages/gypsumwall-emulator/src/wire/worker_server.ts
@@ -1,4 +1,4 @@
-/** The calls to one machine's worker. */
+/** HTTP server of one machine's worker. */
 import type * as fastify from 'fastify';
 import * as types from '@gypsumwall/types';
 import * as zod from 'zod';
@@ -19,7 +19,7 @@
 const startBody = zod.object({
   ...attemptFields,
   spec: zod.string().default(''),
-  // A holder reckons it from readings of this clock.
+  // Not necessarily whole: a holder calculates it from readings of this clock.
   expiresMs: zod.number().optional(),
   checkpoint: zod.string().default(''),
   ticket: zod.string().optional(),
@@ -32,12 +32,12 @@
   waitMs: nonNegativeInteger.max(2_000).default(0),
 });
 
-/** A server to which a machine is given once its address is known. */
+/** A server that gets its machine after its address is known. */
 export interface WorkerServer extends httpServer.WireServer {
   serveMachine(machine: workerMachine.WorkerMachine): void;
 }
 
-/** What the server is made with. */
+/** Options of {@link startWorkerServer}. */
 export interface WorkerServerOptions {
   readonly clock: types.clock.Clock;
   readonly random: types.random.Random;
@@ -45,7 +45,7 @@
 
 type Order = (life: worker.Worker) => workerOrders.OrderAnswer;
 
-/** Starts a server. */
+/** Starts a server without a machine. */
 export async function startWorkerServer({
   clock,
   random,
@@ -53,7 +53,10 @@
   const server = httpServer.createServer();
   let machine: workerMachine.WorkerMachine | undefined;
 
-  /** The worker that the call means; otherwise the call is answered. */
+  /**
+   * Returns the worker that the call is for. If that worker doesn't run here,
+   * answers the call or closes its connection, and returns undefined.
+   */
   function findAddressedWorker(
     req: fastify.FastifyRequest,
     res: fastify.FastifyReply,
@@ -171,7 +174,7 @@
   }
 }
 
-/** The last figure is the processor time in use. */
+/** The last value is the processor time in use, in thousandths of a core. */
 function encodeRunning(run: workerAttempt.WorkerAttempt): readonly unknown[] {
   const {taskId, attempt, size} = run;
   return [taskId, attempt, run.checkpoint(), run.percent(), size.cpuMillis];
