--- a/packages/gypsumwall-emulator/src/__fixtures__/plain_step.ts
+++ b/packages/gypsumwall-emulator/src/__fixtures__/plain_step.ts
@@ -2,7 +2,7 @@
 import type * as jobCatalog from '../model/job_catalog.js';
 
 export function createPlainStep(
-  fields: Partial<jobCatalog.StepSpec> = {},
+  overrides: Partial<jobCatalog.StepSpec> = {},
 ): jobCatalog.StepSpec {
   return {
     taskCount: 1,
@@ -12,6 +12,6 @@
     gang: false,
     lasting: false,
     savesProgress: false,
-    ...fields,
+    ...overrides,
   };
 }
--- a/packages/gypsumwall-emulator/src/__tests__/crashing_tasks.test.ts
+++ b/packages/gypsumwall-emulator/src/__tests__/crashing_tasks.test.ts
@@ -69,7 +69,7 @@
 
 /** Plays something beside mixed jobs; the broken promises. */
 async function runBesideMixedJobs(
-  play: (cell: Cell) => Promise<jobCatalog.JobSpec[]>,
+  scenario: (cell: Cell) => Promise<jobCatalog.JobSpec[]>,
 ): Promise<readonly finding.Finding[]> {
   const cell = await emulatedCell.startEmulatedCell({
     config,
@@ -91,7 +91,7 @@
       SHORT_JOB_INTERVAL_MS,
       stopSending,
     );
-    const special = await play(cell);
+    const special = await scenario(cell);
     stopSending.abort();
     const sent = [longRunningJob, ...(await shortJobs), ...special];
     const settledBy = types.clock.after(clock.monotonic(), SETTLE_TIMEOUT_MS);
--- a/packages/gypsumwall-emulator/src/__tests__/demo_platform.test.ts
+++ b/packages/gypsumwall-emulator/src/__tests__/demo_platform.test.ts
@@ -83,10 +83,10 @@
 // Guards against a judge that passes a job which was accepted and forgotten.
 test('a store that drops an acknowledged job is caught', async () => {
   const {short} = createFirstIds();
-  const planted: platformModel.InjectedFaults = {
+  const injectedFaults: platformModel.InjectedFaults = {
     shouldDrop: (_topic, entry) => entry.key.includes(short),
   };
-  const {findings} = await runDemoWith({injectedFaults: planted});
+  const {findings} = await runDemoWith({injectedFaults});
   assert.ok(
     findings.some(
       ({promise, detail}) =>
--- a/packages/gypsumwall-emulator/src/config/emulator_config.ts
+++ b/packages/gypsumwall-emulator/src/config/emulator_config.ts
@@ -126,7 +126,7 @@
   return testing.jsoncFile.parseJsonc(file, text, emulatorConfigSchema);
 }
 
-/** Reads and validates a file; prints any error and exits the process. */
+/** Reads and validates a file; throws an error that names the fault. */
 export function readEmulatorConfig(file: string): EmulatorConfig {
   return testing.jsoncFile.requireJsoncFile(file, emulatorConfigSchema);
 }
--- a/packages/gypsumwall-emulator/src/demo/demo_report.ts
+++ b/packages/gypsumwall-emulator/src/demo/demo_report.ts
@@ -14,7 +14,7 @@
   unknown: number;
   completed: number;
   /** Times from sending a job to the start of its first task, in milliseconds. */
-  readonly starts: hdr.Histogram;
+  readonly startTimesMs: hdr.Histogram;
 }
 
 const COLUMN_WIDTH = 10;
@@ -46,26 +46,32 @@
   const rows = new Map(
     mixedJobs.KINDS.map((kind) => [kind, createEmptyRow(kind)]),
   );
-  const rowOf = (jobId: string) =>
+  const findRow = (jobId: string) =>
     rows.get(result.kindOf(jobId) ?? 'short') ?? createEmptyRow('short');
   const completed = new Set<string>();
   for (const event of result.events) {
-    if (event.type === 'job_sent') rowOf(event.job.jobId).sent += 1;
-    else if (event.type === 'job_told') rowOf(event.jobId)[event.told] += 1;
+    if (event.type === 'job_sent') findRow(event.job.jobId).sent += 1;
+    else if (event.type === 'job_told') findRow(event.jobId)[event.told] += 1;
     else if (event.type === 'state_shown' && event.state === 'completed') {
       completed.add(event.jobId);
     }
   }
-  for (const jobId of completed) rowOf(jobId).completed += 1;
+  for (const jobId of completed) findRow(jobId).completed += 1;
   for (const [jobId, waitedMs] of collectStartWaits(result.events)) {
-    rowOf(jobId).starts.recordValue(Math.max(1, Math.round(waitedMs)));
+    findRow(jobId).startTimesMs.recordValue(Math.max(1, Math.round(waitedMs)));
   }
   return [...rows.values()];
 }
 
 function createEmptyRow(kind: mixedJobs.JobKind): Row {
-  const none = {sent: 0, accepted: 0, refused: 0, unknown: 0, completed: 0};
-  return {kind, ...none, starts: hdr.build()};
+  const zeroCounts = {
+    sent: 0,
+    accepted: 0,
+    refused: 0,
+    unknown: 0,
+    completed: 0,
+  };
+  return {kind, ...zeroCounts, startTimesMs: hdr.build()};
 }
 
 function collectStartWaits(
@@ -86,11 +92,11 @@
 }
 
 function formatRow(row: Row): string {
-  const {starts} = row;
-  const at = (percentile: number) =>
-    starts.totalCount === 0
+  const {startTimesMs} = row;
+  const formatPercentile = (percentile: number) =>
+    startTimesMs.totalCount === 0
       ? '-'
-      : `${starts.getValueAtPercentile(percentile)} ms`;
+      : `${startTimesMs.getValueAtPercentile(percentile)} ms`;
   const counts = [
     row.sent,
     row.accepted,
@@ -99,7 +105,13 @@
     // A long-running job doesn't complete.
     row.kind === 'lasting' ? '-' : row.completed,
   ];
-  return formatLine(row.kind, ...counts, at(50), at(95), at(100));
+  return formatLine(
+    row.kind,
+    ...counts,
+    formatPercentile(50),
+    formatPercentile(95),
+    formatPercentile(100),
+  );
 }
 
 function formatLine(
@@ -112,10 +124,10 @@
 
 function countEnds(events: readonly history.HistoryEvent[]): string {
   const counts = new Map<string, number>();
-  for (const run of [
+  for (const attempt of [
     ...taskAttempts.collectTaskAttempts(events).values(),
   ].flat()) {
-    counts.set(run.how, (counts.get(run.how) ?? 0) + 1);
+    counts.set(attempt.how, (counts.get(attempt.how) ?? 0) + 1);
   }
   return [...counts].map(([how, count]) => `${count} ${how}`).join(', ');
 }
@@ -129,7 +141,7 @@
   const details = broken
     .slice(0, MAX_DETAILS)
     .map(({detail}) => `          ${detail}`);
-  const more = broken.length - details.length;
-  if (more > 0) details.push(`          and ${more} more`);
+  const hiddenCount = broken.length - details.length;
+  if (hiddenCount > 0) details.push(`          and ${hiddenCount} more`);
   return [`BROKEN  ${promise}`, ...details].join('\n');
 }
--- a/packages/gypsumwall-emulator/src/demo/mixed_jobs.ts
+++ b/packages/gypsumwall-emulator/src/demo/mixed_jobs.ts
@@ -48,8 +48,8 @@
       {
         ...DEFAULT_STEP,
         taskCount: 12,
-        // Two workers have room for all of it beside other work: the adviser may
-        // refuse most of the others.
+        // Two workers have capacity for the whole gang beside other work,
+        // because the adviser may refuse most of the other workers.
         size: makeSize(1_500, 2_048),
         workMs: 2_500,
         gang: true,
--- a/packages/gypsumwall-emulator/src/demo/run_demo.ts
+++ b/packages/gypsumwall-emulator/src/demo/run_demo.ts
@@ -83,8 +83,8 @@
     `${cell.entries.length} entries are ready; ${holder.name} places work.`,
   );
 
-  const lasting = jobs.make('lasting');
-  const result = await cell.callers.submit(lasting);
+  const longRunningJob = jobs.make('lasting');
+  const result = await cell.callers.submit(longRunningJob);
   if (result !== 'accepted') throw new Error(`the lasting job is ${result}`);
   const stopSending = new AbortController();
   const streams = [
@@ -103,19 +103,22 @@
   ];
   await types.clock.sleepFor(clock, durations.beforeDrainMs);
 
-  const leavingMachine = findMachineRunning(cell, lasting);
+  const leavingMachine = findMachineRunning(cell, longRunningJob);
   print(`${leavingMachine.name} announces that it leaves.`);
   await leavingMachine.leave();
   print(`${leavingMachine.name} has left.`);
   await types.clock.sleepFor(clock, durations.beforeKillMs);
 
-  const killed = (await cell.findHolder()) ?? holder;
-  model.history.record({type: 'disruption', what: `${killed.name} killed`});
-  killed.kill();
-  print(`${killed.name}, which placed the work, is killed.`);
+  const killedEntry = (await cell.findHolder()) ?? holder;
+  model.history.record({
+    type: 'disruption',
+    what: `${killedEntry.name} killed`,
+  });
+  killedEntry.kill();
+  print(`${killedEntry.name}, which placed the work, is killed.`);
   await types.clock.sleepFor(clock, durations.afterKillMs);
   stopSending.abort();
-  const sent = [lasting, ...(await Promise.all(streams)).flat()];
+  const sent = [longRunningJob, ...(await Promise.all(streams)).flat()];
   print(`${sent.length} jobs were sent; waiting for the accepted ones.`);
   await jobTraffic.waitForFinalStates(
     cell,
@@ -148,8 +151,8 @@
     machine
       .worker()
       ?.running()
-      .some((run) => run.taskId.startsWith(job.jobId));
-  const found = machines.find(runsTask) ?? machines[0];
-  if (found === undefined) throw new Error('the platform has no workers');
-  return found;
+      .some((attempt) => attempt.taskId.startsWith(job.jobId));
+  const machine = machines.find(runsTask) ?? machines[0];
+  if (machine === undefined) throw new Error('the platform has no workers');
+  return machine;
 }
--- a/packages/gypsumwall-emulator/src/judge/attempt_rules.ts
+++ b/packages/gypsumwall-emulator/src/judge/attempt_rules.ts
@@ -10,9 +10,11 @@
 export function findOverlappingAttempts(
   attempts: taskAttempts.TaskAttempts,
 ): finding.Finding[] {
-  return [...attempts.values()].flatMap((ofTask) =>
-    ofTask.flatMap((run, nth) =>
-      ofTask.slice(0, nth).flatMap((earlier) => compareAttempts(earlier, run)),
+  return [...attempts.values()].flatMap((attemptsOfTask) =>
+    attemptsOfTask.flatMap((attempt, nth) =>
+      attemptsOfTask
+        .slice(0, nth)
+        .flatMap((earlier) => compareAttempts(earlier, attempt)),
     ),
   );
 }
@@ -40,7 +42,7 @@
   events: readonly history.HistoryEvent[],
 ): finding.Finding[] {
   const promise = 'nothing runs that was not asked for';
-  const refused = new Set(
+  const refusedJobIds = new Set(
     events.flatMap((event) =>
       event.type === 'job_told' && event.told === 'refused'
         ? [event.jobId]
@@ -54,7 +56,7 @@
     }
     if (event.type !== 'run_started') return [];
     const jobId = event.taskId.split('.', 1)[0] ?? '';
-    if (!refused.has(jobId)) return [];
+    if (!refusedJobIds.has(jobId)) return [];
     return [{promise, detail: `${event.taskId}: its job was refused`}];
   });
 }
--- a/packages/gypsumwall-emulator/src/judge/crash_rules.ts
+++ b/packages/gypsumwall-emulator/src/judge/crash_rules.ts
@@ -13,20 +13,22 @@
   events: readonly history.HistoryEvent[],
   attempts: taskAttempts.TaskAttempts,
 ): finding.Finding[] {
-  const crashedAt = new Map<string, number[]>();
+  const crashTimesByTask = new Map<string, number[]>();
   for (const event of events) {
     if (event.type !== 'worker_crashed' || event.culprit === undefined)
       continue;
-    const times = crashedAt.get(event.culprit) ?? [];
-    crashedAt.set(event.culprit, [...times, event.at]);
+    const crashTimes = crashTimesByTask.get(event.culprit) ?? [];
+    crashTimesByTask.set(event.culprit, [...crashTimes, event.at]);
   }
-  return [...crashedAt].flatMap(([taskId, times]) => {
-    const lastAt = times[MAX_CRASHES - 1];
-    if (lastAt === undefined) return [];
-    const ofTask = attempts.get(taskId) ?? [];
-    const after = ofTask.filter((run) => run.startedAt > lastAt).length;
-    if (after <= MAX_STARTS_AFTER_CRASHES) return [];
-    const detail = `${taskId}: ${after} starts after ${MAX_CRASHES} crashes under it`;
+  return [...crashTimesByTask].flatMap(([taskId, crashTimes]) => {
+    const limitedFrom = crashTimes[MAX_CRASHES - 1];
+    if (limitedFrom === undefined) return [];
+    const attemptsOfTask = attempts.get(taskId) ?? [];
+    const startsAfter = attemptsOfTask.filter(
+      (attempt) => attempt.startedAt > limitedFrom,
+    ).length;
+    if (startsAfter <= MAX_STARTS_AFTER_CRASHES) return [];
+    const detail = `${taskId}: ${startsAfter} starts after ${MAX_CRASHES} crashes under it`;
     return [
       {promise: 'tasks that crash workers are given up' as const, detail},
     ];
--- a/packages/gypsumwall-emulator/src/judge/job_rules.ts
+++ b/packages/gypsumwall-emulator/src/judge/job_rules.ts
@@ -24,8 +24,8 @@
   attempts: taskAttempts.TaskAttempts,
 ): finding.Finding[] {
   return [...collectJobs(events).values()]
-    .filter((seen) => seen.acceptedAt < Infinity && !seen.cancelled)
-    .flatMap((seen) => listFaults(seen, attempts))
+    .filter((observed) => observed.acceptedAt < Infinity && !observed.cancelled)
+    .flatMap((observed) => listFaults(observed, attempts))
     .map((detail) => ({promise: 'nothing accepted is lost', detail}));
 }
 
@@ -36,14 +36,19 @@
   for (const event of events) {
     if (event.type === 'job_sent') {
       const {job} = event;
-      const seen = {job, acceptedAt: Infinity, cancelled: false, states: []};
-      jobs.set(job.jobId, seen);
+      const observed = {
+        job,
+        acceptedAt: Infinity,
+        cancelled: false,
+        states: [],
+      };
+      jobs.set(job.jobId, observed);
     } else if (event.type === 'job_told') {
-      const seen = jobs.get(event.jobId);
-      if (seen && event.told === 'accepted') seen.acceptedAt = event.at;
+      const observed = jobs.get(event.jobId);
+      if (observed && event.told === 'accepted') observed.acceptedAt = event.at;
     } else if (event.type === 'cancel_sent') {
-      const seen = jobs.get(event.jobId);
-      if (seen) seen.cancelled = true;
+      const observed = jobs.get(event.jobId);
+      if (observed) observed.cancelled = true;
     } else if (event.type === 'state_shown') {
       jobs.get(event.jobId)?.states.push({state: event.state, at: event.at});
     }
--- a/packages/gypsumwall-emulator/src/judge/long_running_rules.ts
+++ b/packages/gypsumwall-emulator/src/judge/long_running_rules.ts
@@ -56,15 +56,15 @@
 
 /** Returns the longest time without a running attempt, in milliseconds. */
 function findLongestDowntime(
-  attempts: readonly taskAttempts.TaskAttempt[],
+  attemptsOfTask: readonly taskAttempts.TaskAttempt[],
   from: number,
   until: number,
 ): number {
   let longestMs = 0;
   let downSince = from;
-  for (const run of attempts) {
-    longestMs = Math.max(longestMs, run.startedAt - downSince);
-    downSince = Math.max(downSince, run.endedAt);
+  for (const attempt of attemptsOfTask) {
+    longestMs = Math.max(longestMs, attempt.startedAt - downSince);
+    downSince = Math.max(downSince, attempt.endedAt);
   }
   return Math.max(longestMs, until - downSince);
 }
--- a/packages/gypsumwall-emulator/src/judge/order_rules.ts
+++ b/packages/gypsumwall-emulator/src/judge/order_rules.ts
@@ -34,8 +34,8 @@
   job: jobCatalog.JobSpec | undefined,
   step: number,
 ): string[] {
-  const after = job?.steps[step]?.after ?? [];
-  return after.flatMap((earlier) => {
+  const prerequisites = job?.steps[step]?.after ?? [];
+  return prerequisites.flatMap((earlier) => {
     const taskCount = job?.steps[earlier]?.taskCount ?? 0;
     return Array.from(
       {length: taskCount},
--- a/packages/gypsumwall-emulator/src/judge/task_attempts.ts
+++ b/packages/gypsumwall-emulator/src/judge/task_attempts.ts
@@ -28,20 +28,23 @@
   ): TaskAttempt | undefined =>
     byTask
       .get(taskId)
-      ?.find((run) => run.workerId === workerId && run.attempt === attempt);
+      ?.find(
+        (candidate) =>
+          candidate.workerId === workerId && candidate.attempt === attempt,
+      );
 
   function markAttemptsLost(workerId: string, at: number): void {
-    for (const run of [...byTask.values()].flat()) {
-      if (run.workerId !== workerId || run.how !== 'running') continue;
-      run.endedAt = at;
-      run.how = 'lost';
+    for (const attempt of [...byTask.values()].flat()) {
+      if (attempt.workerId !== workerId || attempt.how !== 'running') continue;
+      attempt.endedAt = at;
+      attempt.how = 'lost';
     }
   }
 
   for (const event of events) {
     if (event.type === 'run_started') {
       const {taskId, attempt, workerId, at} = event;
-      const run: TaskAttempt = {
+      const started: TaskAttempt = {
         taskId,
         attempt,
         workerId,
@@ -50,15 +53,15 @@
         how: 'running',
         acknowledgedAt: Infinity,
       };
-      byTask.set(taskId, [...(byTask.get(taskId) ?? []), run]);
+      byTask.set(taskId, [...(byTask.get(taskId) ?? []), started]);
     } else if (event.type === 'run_ended') {
-      const run = findAttempt(event.workerId, event);
-      if (run === undefined) continue;
-      run.endedAt = event.at;
-      run.how = event.how;
+      const found = findAttempt(event.workerId, event);
+      if (found === undefined) continue;
+      found.endedAt = event.at;
+      found.how = event.how;
     } else if (event.type === 'end_acknowledged') {
-      const run = findAttempt(event.workerId, event);
-      if (run !== undefined) run.acknowledgedAt = event.at;
+      const found = findAttempt(event.workerId, event);
+      if (found !== undefined) found.acknowledgedAt = event.at;
     } else if (
       event.type === 'worker_left' ||
       event.type === 'worker_crashed'
@@ -72,7 +75,9 @@
 /** Whether one of a task's attempts was `done` at the given time. */
 export function isDoneBy(
   attempts: readonly TaskAttempt[],
-  at: number,
+  time: number,
 ): boolean {
-  return attempts.some((run) => run.how === 'done' && run.endedAt <= at);
+  return attempts.some(
+    (attempt) => attempt.how === 'done' && attempt.endedAt <= time,
+  );
 }
--- a/packages/gypsumwall-emulator/src/model/__tests__/adviser.test.ts
+++ b/packages/gypsumwall-emulator/src/model/__tests__/adviser.test.ts
@@ -37,23 +37,23 @@
   const calls = Array.from({length: 33}, () => adviser.ask('a', 's', []));
   await clock.runUntil(10_000);
   const answers = await Promise.all(calls);
-  const counted = answers.filter((answer) => answer.type === 'throttled');
-  assert.equal(counted.length, 1);
+  const throttled = answers.filter((answer) => answer.type === 'throttled');
+  assert.equal(throttled.length, 1);
 });
 
 test('refusals of a step stay, and another step has others', async () => {
   const {clock, adviser} = createFixture(0.5);
-  const approvedFor = async (step: string) => {
+  const askApprovedWorkers = async (step: string) => {
     const asked = adviser.ask('a', step, WORKERS);
     await clock.runUntil(clock.monotonic() + 1_000);
     const answer = await asked;
     assert.ok(answer.type === 'approved');
     return answer.tickets.map(([workerId]) => workerId);
   };
-  const first = await approvedFor('job.0.0');
+  const first = await askApprovedWorkers('job.0.0');
   assert.ok(first.length > 0 && first.length < WORKERS.length);
-  assert.deepEqual(await approvedFor('job.0.0'), first);
-  assert.notDeepEqual(await approvedFor('job.0.1'), first);
+  assert.deepEqual(await askApprovedWorkers('job.0.0'), first);
+  assert.notDeepEqual(await askApprovedWorkers('job.0.1'), first);
 });
 
 test('a ticket is good for its step and worker, and ends', async () => {
--- a/packages/gypsumwall-emulator/src/model/__tests__/worker.test.ts
+++ b/packages/gypsumwall-emulator/src/model/__tests__/worker.test.ts
@@ -89,10 +89,10 @@
   assert.equal(startTask(worker, 0).type, 'accepted');
   await clock.runUntil(2_000);
   assert.deepEqual(ends(), ['job.0.0.0 done 1050']);
-  const call = {token: 1, leaseUntil: undefined, waitMs: 0};
-  const first = await worker.hold({...call, acknowledged: 0});
+  const holdCall = {fencingToken: 1, leaseUntil: undefined, waitMs: 0};
+  const first = await worker.hold({...holdCall, acknowledged: 0});
   assert.ok(first.type === 'report' && first.ends.length === 1);
-  const second = await worker.hold({...call, acknowledged: 1});
+  const second = await worker.hold({...holdCall, acknowledged: 1});
   assert.ok(second.type === 'report' && second.ends.length === 0);
 });
 
@@ -113,7 +113,7 @@
     describeAnswer(startTask(other, 1, {leaseUntil: undefined})),
     'late',
   );
-  other.stop({taskId: 'job.0.0.1', attempt: 1, token: 1});
+  other.stop({taskId: 'job.0.0.1', attempt: 1, fencingToken: 1});
   assert.equal(describeAnswer(startTask(other, 1)), 'old');
   assert.equal(describeAnswer(startTask(other, 1, {attempt: 2})), 'accepted');
   await clock.runUntil(2_000);
@@ -135,16 +135,16 @@
   const worker = addWorker('w');
   startTask(worker, 0);
   await clock.runUntil(1_000);
-  worker.stop({taskId: 'job.0.0.0', attempt: 1, token: 1});
+  worker.stop({taskId: 'job.0.0.0', attempt: 1, fencingToken: 1});
   await clock.runUntil(1_950);
-  const shown = await worker.hold({
-    token: 1,
+  const answer = await worker.hold({
+    fencingToken: 1,
     acknowledged: 0,
     leaseUntil: undefined,
     waitMs: 0,
   });
-  assert.ok(shown.type === 'report');
-  const checkpoint = shown.ends[0]?.checkpoint ?? '';
+  assert.ok(answer.type === 'report');
+  const checkpoint = answer.ends[0]?.checkpoint ?? '';
   assert.notEqual(checkpoint, '');
   startTask(worker, 0, {attempt: 2, checkpoint});
   await clock.runUntil(4_000);
@@ -176,7 +176,7 @@
   startTask(left, 0);
   startTask(right, 1);
   await clock.runUntil(500);
-  left.stop({taskId: 'job.0.0.0', attempt: 1, token: 1});
+  left.stop({taskId: 'job.0.0.0', attempt: 1, fencingToken: 1});
   await clock.runUntil(2_000);
   assert.deepEqual(ends().sort(), [
     'job.0.0.0 stopped 1400',
--- a/packages/gypsumwall-emulator/src/model/adviser.ts
+++ b/packages/gypsumwall-emulator/src/model/adviser.ts
@@ -30,6 +30,7 @@
 export interface Adviser {
   /** Whether tasks of the queue need a ticket to start. */
   needsTicket(queue: string): boolean;
+  /** Asks which of the workers may run the step. */
   ask(
     caller: string,
     stepRunId: string,
@@ -113,8 +114,8 @@
         const message = `${workerIds.length} workers: name up to ${MAX_WORKERS_PER_CALL}`;
         return {type: 'invalid', message};
       }
-      const spanMs = policy.callMs + policy.perWorkerMs * workerIds.length;
-      if (!(await waitForTurn(caller, spanMs))) return {type: 'throttled'};
+      const durationMs = policy.callMs + policy.perWorkerMs * workerIds.length;
+      if (!(await waitForTurn(caller, durationMs))) return {type: 'throttled'};
       const {validMs} = policy;
       const tickets = workerIds
         .filter((workerId) => mayRun(stepRunId, workerId))
--- a/packages/gypsumwall-emulator/src/model/caller.ts
+++ b/packages/gypsumwall-emulator/src/model/caller.ts
@@ -89,8 +89,9 @@
     submit,
     async stateOf(job) {
       const {jobId} = job;
-      const last = (await sendWithRetries('state', job)).at(-1);
-      const state = last?.type === 'absent' ? 'absent' : extractState(last);
+      const lastAnswer = (await sendWithRetries('state', job)).at(-1);
+      const state =
+        lastAnswer?.type === 'absent' ? 'absent' : extractState(lastAnswer);
       if (state !== undefined)
         eventHistory.record({type: 'state_shown', jobId, state});
       return state;
@@ -98,8 +99,9 @@
     async cancel(job) {
       const {jobId} = job;
       eventHistory.record({type: 'cancel_sent', jobId});
-      const last = (await sendWithRetries('cancel', job)).at(-1);
-      const isAcknowledged = last?.type === 'ok' || last?.type === 'absent';
+      const lastAnswer = (await sendWithRetries('cancel', job)).at(-1);
+      const isAcknowledged =
+        lastAnswer?.type === 'ok' || lastAnswer?.type === 'absent';
       if (isAcknowledged)
         eventHistory.record({type: 'cancel_acknowledged', jobId});
       return isAcknowledged;
--- a/packages/gypsumwall-emulator/src/model/gangs.ts
+++ b/packages/gypsumwall-emulator/src/model/gangs.ts
@@ -31,20 +31,20 @@
 interface Gang {
   readonly members: Set<GangMember>;
   readonly finished: Set<GangMember>;
-  complete: boolean;
+  isComplete: boolean;
 }
 
 /** Creates the table. */
 export function createGangs(): Gangs {
   const gangs = new Map<string, Gang>();
 
-  function gangOf(key: string): Gang {
+  function findOrCreateGang(key: string): Gang {
     const existing = gangs.get(key);
     if (existing !== undefined) return existing;
     const created = {
       members: new Set<GangMember>(),
       finished: new Set<GangMember>(),
-      complete: false,
+      isComplete: false,
     };
     gangs.set(key, created);
     return created;
@@ -64,21 +64,21 @@
   return {
     join(stepRunId, attempt, size, member) {
       const key = `${stepRunId} ${attempt}`;
-      const gang = gangOf(key);
+      const gang = findOrCreateGang(key);
       gang.members.add(member);
       if (gang.members.size === size) {
-        gang.complete = true;
-        for (const one of gang.members) one.onComplete();
+        gang.isComplete = true;
+        for (const each of gang.members) each.onComplete();
       }
       return {
-        isComplete: () => gang.complete,
+        isComplete: () => gang.isComplete,
         finish() {
           gang.finished.add(member);
           if (gang.finished.size === size) endGang(key, gang, 'done');
         },
         leave() {
           if (!gang.members.delete(member)) return;
-          if (gang.complete) endGang(key, gang, 'broken');
+          if (gang.isComplete) endGang(key, gang, 'broken');
         },
       };
     },
--- a/packages/gypsumwall-emulator/src/model/keyed_log.ts
+++ b/packages/gypsumwall-emulator/src/model/keyed_log.ts
@@ -67,7 +67,9 @@
     entries: readonly KeyedEntry[],
     conditions: AppendConditions,
   ): AppendOutcome;
+  /** Reads records from an offset on; expired records are dropped first. */
   read(from: number, maxBytes: number): ReadOutcome;
+  /** Returns the newest records of the keys that sort after the given one. */
   readNewest(after: string): NewestPage;
   endOffset(): number;
   /** Resolves once the log's end is past the offset, or at the deadline. */
@@ -75,7 +77,7 @@
     offset: number,
     deadline: types.clock.MonotonicMs,
   ): Promise<void>;
-  /** Drops all records from reads; {@link readNewest} still returns them. */
+  /** Drops all records; `readNewest` still returns the newest of each key. */
   compact(): void;
 }
 
@@ -117,14 +119,14 @@
     firstOffset = offset;
   }
 
-  function expire(): void {
-    const oldest = clock.monotonic() - keepMs;
-    const firstLive = records.findIndex((record) => record.at >= oldest);
+  function dropExpiredRecords(): void {
+    const oldestKeptAt = clock.monotonic() - keepMs;
+    const firstLive = records.findIndex((record) => record.at >= oldestKeptAt);
     dropRecordsBefore(firstLive < 0 ? endOffset() : firstOffset + firstLive);
   }
 
   function appendRecords(entries: readonly KeyedEntry[]): AppendOutcome {
-    const from = endOffset();
+    const start = endOffset();
     const at = clock.monotonic();
     for (const entry of entries) {
       const record = {...entry, offset: endOffset()};
@@ -133,7 +135,7 @@
       else newestByKey.set(entry.key, record);
     }
     for (const waiter of waiters) waiter.abort();
-    return {type: 'appended', firstOffset: from, endOffset: endOffset()};
+    return {type: 'appended', firstOffset: start, endOffset: endOffset()};
   }
 
   /**
@@ -145,21 +147,23 @@
     epoch,
     sequence,
   }: Fence): AppendOutcome | undefined {
-    const known = producers.get(producer);
-    if (known === undefined || epoch > known.epoch) return undefined;
-    if (epoch < known.epoch) return {type: 'fenced'};
-    const repeated = known.recentAppends.find(
+    const producerState = producers.get(producer);
+    if (producerState === undefined || epoch > producerState.epoch)
+      return undefined;
+    if (epoch < producerState.epoch) return {type: 'fenced'};
+    const repeated = producerState.recentAppends.find(
       (one) => one.sequence === sequence,
     );
     if (repeated !== undefined) return repeated.outcome;
-    if (sequence === known.nextSequence) return undefined;
-    return {type: 'out_of_sequence', expected: known.nextSequence};
+    if (sequence === producerState.nextSequence) return undefined;
+    return {type: 'out_of_sequence', expected: producerState.nextSequence};
   }
 
   function recordProducerAppend(fence: Fence, outcome: AppendOutcome): void {
     const {producer, epoch, sequence} = fence;
-    const known = producers.get(producer);
-    const earlier = known?.epoch === epoch ? known.recentAppends : [];
+    const producerState = producers.get(producer);
+    const earlier =
+      producerState?.epoch === epoch ? producerState.recentAppends : [];
     producers.set(producer, {
       epoch,
       nextSequence: sequence + 1,
@@ -172,8 +176,8 @@
   return {
     endOffset,
     append(entries, {expectedEndOffset, fence}) {
-      const answer = fence === undefined ? undefined : checkFence(fence);
-      if (answer !== undefined) return answer;
+      const rejected = fence === undefined ? undefined : checkFence(fence);
+      if (rejected !== undefined) return rejected;
       if (
         expectedEndOffset !== undefined &&
         expectedEndOffset !== endOffset()
@@ -185,11 +189,11 @@
       return outcome;
     },
     read(from, maxBytes) {
-      expire();
+      dropExpiredRecords();
       if (from < firstOffset) return {type: 'compacted', firstOffset};
-      const found = limitBytes(records.slice(from - firstOffset), maxBytes);
+      const limited = limitBytes(records.slice(from - firstOffset), maxBytes);
       const end = endOffset();
-      return {type: 'records', records: found, firstOffset, endOffset: end};
+      return {type: 'records', records: limited, firstOffset, endOffset: end};
     },
     readNewest(after) {
       const later = [...newestByKey.values()]
@@ -216,11 +220,11 @@
   records: readonly Found[],
   maxBytes: number,
 ): Found[] {
-  let left = maxBytes;
+  let remainingBytes = maxBytes;
   const end = records.findIndex(({key, value}) => {
-    left -=
+    remainingBytes -=
       RECORD_HEADER_BYTES + Buffer.byteLength(key) + Buffer.byteLength(value);
-    return left < 0;
+    return remainingBytes < 0;
   });
   return records.slice(0, end < 0 ? records.length : end);
 }
--- a/packages/gypsumwall-emulator/src/model/operator.ts
+++ b/packages/gypsumwall-emulator/src/model/operator.ts
@@ -39,13 +39,13 @@
 /** Creates an operator that has published nothing yet. */
 export function createOperator(
   log: keyedLog.KeyedLog,
-  encode: (version: number, config: OperatorConfig) => string,
+  encodeConfig: (version: number, config: OperatorConfig) => string,
 ): Operator {
   let version = 0;
   return {
     publish(config) {
       version += 1;
-      log.append([{key: CONFIG_KEY, value: encode(version, config)}], {});
+      log.append([{key: CONFIG_KEY, value: encodeConfig(version, config)}], {});
       return version;
     },
   };
--- a/packages/gypsumwall-emulator/src/model/store.ts
+++ b/packages/gypsumwall-emulator/src/model/store.ts
@@ -120,7 +120,7 @@
     faults.get(caller) ?? faults.get(ALL_CALLERS) ?? NO_FAULT;
 
   /** Returns undefined if the call may proceed, otherwise how it ends. */
-  async function admit(
+  async function checkAdmission(
     caller: string,
     limit: rateLimit.RateLimit,
   ): Promise<Exclude<Delivery<never>, {type: 'answer'}> | undefined> {
@@ -144,17 +144,17 @@
   /** Carries the call out; a lossy fault can delay it or lose its answer. */
   async function deliver<Value>(
     caller: string,
-    run: () => Value,
+    carryOut: () => Value,
   ): Promise<Delivery<Value>> {
     const fault = faultOf(caller);
-    if (fault.type !== 'lossy') return {type: 'answer', value: run()};
+    if (fault.type !== 'lossy') return {type: 'answer', value: carryOut()};
     const draw = random.next();
     if (draw < fault.lateShare) {
       await types.clock.sleepFor(clock, random.integer(0, fault.maxDelayMs));
-      run();
+      carryOut();
       return {type: 'lost'};
     }
-    const value = run();
+    const value = carryOut();
     return draw < fault.lateShare + fault.lostShare
       ? {type: 'lost'}
       : {type: 'answer', value};
@@ -176,10 +176,10 @@
 
   function appendNow(call: AppendCall): keyedLog.AppendOutcome {
     const {shouldDrop} = options;
-    const kept = call.entries.filter(
+    const keptEntries = call.entries.filter(
       (entry) => shouldDrop?.(call.topic, entry) !== true,
     );
-    return log(call.topic).append(kept, call);
+    return log(call.topic).append(keptEntries, call);
   }
 
   return {
@@ -191,8 +191,8 @@
     },
     async append(caller, call) {
       counts.writes += 1;
-      const refused = await admit(caller, writes);
-      if (refused !== undefined) return refused;
+      const refusal = await checkAdmission(caller, writes);
+      if (refusal !== undefined) return refusal;
       if (call.topic === OPERATOR_TOPIC || call.topic === WORKERS_TOPIC) {
         return {type: 'forbidden'};
       }
@@ -201,16 +201,16 @@
     },
     async read(caller, {topic, from, maxBytes, waitMs}) {
       counts.reads += 1;
-      const refused = await admit(caller, reads);
-      if (refused !== undefined) return refused;
-      const until = types.clock.after(clock.monotonic(), waitMs);
-      await log(topic).waitPastOffset(from, until);
+      const refusal = await checkAdmission(caller, reads);
+      if (refusal !== undefined) return refusal;
+      const deadline = types.clock.after(clock.monotonic(), waitMs);
+      await log(topic).waitPastOffset(from, deadline);
       return deliver(caller, () => log(topic).read(from, maxBytes));
     },
     async readNewest(caller, topic, after) {
       counts.reads += 1;
-      const refused = await admit(caller, reads);
-      if (refused !== undefined) return refused;
+      const refusal = await checkAdmission(caller, reads);
+      if (refusal !== undefined) return refusal;
       return deliver(caller, () => log(topic).readNewest(after));
     },
   };
--- a/packages/gypsumwall-emulator/src/model/worker.ts
+++ b/packages/gypsumwall-emulator/src/model/worker.ts
@@ -62,6 +62,7 @@
   running(): readonly history.AttemptId[];
   /** Sets the work done per millisecond: 1 is normal, 0 is a standstill. */
   setSpeed(speed: number): void;
+  /** Sets whether all attempts that start from now on fail at once. */
   setShouldFailAll(shouldFailAll: boolean): void;
   setCapacity(capacity: types.resources.Resources): void;
   /** Ends the worker with all attempts, without reporting their ends. */
@@ -98,8 +99,8 @@
   let previousCapacity: {readonly until: types.clock.MonotonicMs} & {
     readonly capacity: types.resources.Resources;
   } = {until: clock.monotonic(), capacity};
-  let pace = 1;
-  let failsAll = false;
+  let speed = 1;
+  let shouldFailAll = false;
   let isGuardingLease = false;
 
   function checkFencingToken(token: number): boolean {
@@ -115,7 +116,7 @@
     while (attempts.size > 0 && !terminated.signal.aborted) {
       await clock.sleepUntil(lease.endsAt(), terminated.signal);
       if (clock.monotonic() < lease.endsAt()) continue;
-      for (const run of [...attempts.values()]) run.kill('lapsed');
+      for (const attempt of [...attempts.values()]) attempt.kill('lapsed');
     }
     isGuardingLease = false;
   }
@@ -128,15 +129,15 @@
   }
 
   function onEnd(
-    run: history.AttemptId,
+    id: history.AttemptId,
     how: history.AttemptEnd,
     checkpoint: string,
   ): void {
-    const {taskId, attempt} = run;
-    markEnded(run);
+    const {taskId, attempt} = id;
+    markEnded(id);
     eventHistory.record({type: 'run_ended', workerId, taskId, attempt, how});
-    const endedAttempt = attempts.get(attemptKey(run));
-    attempts.delete(attemptKey(run));
+    const endedAttempt = attempts.get(attemptKey(id));
+    attempts.delete(attemptKey(id));
     if (
       endedAttempt !== undefined &&
       context.shouldHideEnd?.(taskId) === true
@@ -152,7 +153,7 @@
   function drawOutcome(
     step: jobCatalog.StepSpec,
   ): workerAttempt.AttemptOutcome {
-    if (failsAll) return {how: 'failed', afterMs: 0};
+    if (shouldFailAll) return {how: 'failed', afterMs: 0};
     if (step.lasting) {
       const {lastingFailsMs} = options;
       if (lastingFailsMs === undefined)
@@ -165,12 +166,12 @@
 
   function fitsWithRunning(
     size: types.resources.Resources,
-    within = capacity,
+    limit = capacity,
   ): boolean {
     const used = [...attempts.values()]
-      .map((run) => run.size)
+      .map((attempt) => attempt.size)
       .reduce(types.resources.add, types.resources.NO_RESOURCES);
-    const free = types.resources.subtract(within, used);
+    const free = types.resources.subtract(limit, used);
     return types.resources.fits(size, free);
   }
 
@@ -192,35 +193,32 @@
 
   function findRefusal(
     order: workerOrders.StartOrder,
-    place: jobCatalog.CatalogTask,
+    task: jobCatalog.CatalogTask,
   ): Extract<workerOrders.OrderAnswer, {type: 'refused'}> | undefined {
-    const refused = (reason: 'old' | 'late' | 'room' | 'ticket') =>
+    const refuse = (reason: 'old' | 'late' | 'room' | 'ticket') =>
       ({type: 'refused', reason}) as const;
     lease.extend(order.leaseUntil);
     if ((lastEndedAttempt.get(order.taskId) ?? 0) >= order.attempt) {
-      return refused('old');
+      return refuse('old');
     }
-    if (lease.endsAt() <= clock.monotonic()) return refused('late');
-    if (!hasTicket(order, place)) return refused('ticket');
-    if (!options.refusesExcess || fitsWithRunning(place.step.size))
+    if (lease.endsAt() <= clock.monotonic()) return refuse('late');
+    if (!hasTicket(order, task)) return refuse('ticket');
+    if (!options.refusesExcess || fitsWithRunning(task.step.size))
       return undefined;
-    return refused('room');
+    return refuse('room');
   }
 
   function hasTicket(
     order: workerOrders.StartOrder,
-    place: jobCatalog.CatalogTask,
+    task: jobCatalog.CatalogTask,
   ): boolean {
     const {adviser: taskAdviser} = context;
-    if (
-      taskAdviser === undefined ||
-      !taskAdviser.needsTicket(place.job.queue)
-    ) {
+    if (taskAdviser === undefined || !taskAdviser.needsTicket(task.job.queue)) {
       return true;
     }
     return taskAdviser.acceptsTicket(
       order.ticket ?? '',
-      place.stepRunId,
+      task.stepRunId,
       workerId,
     );
   }
@@ -231,35 +229,35 @@
    */
   function recordStart(
     order: workerOrders.StartOrder,
-    place: jobCatalog.CatalogTask,
+    task: jobCatalog.CatalogTask,
     initialProgressMs: number | undefined,
   ): void {
     const {taskId, attempt} = order;
-    const about = {workerId, taskId, attempt};
+    const ids = {workerId, taskId, attempt};
     const recordUnasked = (reason: string) =>
-      eventHistory.record({type: 'start_unasked', reason, ...about});
-    if (order.payload !== place.job.payload) recordUnasked('another payload');
+      eventHistory.record({type: 'start_unasked', reason, ...ids});
+    if (order.payload !== task.job.payload) recordUnasked('another payload');
     if (initialProgressMs === undefined)
       recordUnasked('a checkpoint of another task');
-    if (exceedsKnownCapacity(place.step.size))
+    if (exceedsKnownCapacity(task.step.size))
       recordUnasked('over the capacity');
-    eventHistory.record({type: 'run_started', ...about});
+    eventHistory.record({type: 'run_started', ...ids});
   }
 
   function launchAttempt(
     order: workerOrders.StartOrder,
-    place: jobCatalog.CatalogTask,
+    task: jobCatalog.CatalogTask,
   ): void {
     const {taskId, attempt, checkpoint} = order;
-    const owner = place.step.gang ? place.stepRunId : taskId;
+    const owner = task.step.gang ? task.stepRunId : taskId;
     const progressMs = context.checkpoints.findProgress(owner, checkpoint);
-    recordStart(order, place, progressMs);
-    const about = {workerId, taskId, attempt};
+    recordStart(order, task, progressMs);
+    const ids = {workerId, taskId, attempt};
     const startedAttempt = workerAttempt.startWorkerAttempt(
       {
         taskId,
         attempt,
-        task: place,
+        task,
         owner,
         initialProgressMs: checkpoint === '' ? undefined : (progressMs ?? 0),
       },
@@ -268,17 +266,16 @@
         durations,
         gangs: context.gangs,
         checkpoints: context.checkpoints,
-        speed: () => pace,
+        speed: () => speed,
         drawOutcome,
-        onWorkStarted: () =>
-          eventHistory.record({type: 'run_at_work', ...about}),
+        onWorkStarted: () => eventHistory.record({type: 'run_at_work', ...ids}),
         onEnd: (how, value) => onEnd(order, how, value),
       },
     );
     attempts.set(attemptKey(order), startedAttempt);
     void guardLease();
-    if (place.step.crash !== undefined) {
-      void crashAfterDelay(order, place.step.crash);
+    if (task.step.crash !== undefined) {
+      void crashAfterDelay(order, task.step.crash);
     }
   }
 
@@ -310,15 +307,15 @@
     id: workerId,
     clockMs: () => lease.readMs(),
     running: () => [...attempts.values()],
-    setSpeed: (wanted) => void (pace = wanted),
-    setShouldFailAll: (wanted) => void (failsAll = wanted),
-    setCapacity(wanted) {
+    setSpeed: (newSpeed) => void (speed = newSpeed),
+    setShouldFailAll: (newValue) => void (shouldFailAll = newValue),
+    setCapacity(newCapacity) {
       const until = types.clock.after(
         clock.monotonic(),
         options.capacityNoticeMs,
       );
       previousCapacity = {capacity, until};
-      capacity = wanted;
+      capacity = newCapacity;
       eventHistory.record({type: 'capacity_changed', workerId, capacity});
     },
     start(order) {
@@ -331,25 +328,26 @@
         lease.extend(order.leaseUntil);
         return {type: 'accepted'};
       }
-      const refused = findRefusal(order, task);
-      if (refused !== undefined) return refused;
+      const refusal = findRefusal(order, task);
+      if (refusal !== undefined) return refusal;
       launchAttempt(order, task);
       return {type: 'accepted'};
     },
     stop(order) {
-      if (!checkFencingToken(order.token)) {
+      if (!checkFencingToken(order.fencingToken)) {
         return {type: 'refused', reason: 'fence'};
       }
       markEnded(order);
       attempts.get(attemptKey(order))?.stop();
       return {type: 'accepted'};
     },
-    async hold({token, acknowledged, leaseUntil, waitMs}) {
-      if (!checkFencingToken(token)) return {type: 'refused', reason: 'fence'};
+    async hold({fencingToken, acknowledged, leaseUntil, waitMs}) {
+      if (!checkFencingToken(fencingToken))
+        return {type: 'refused', reason: 'fence'};
       lease.extend(leaseUntil);
       for (const {taskId, attempt, how} of ends.acknowledge(acknowledged)) {
-        const about = {workerId, taskId, attempt, how};
-        eventHistory.record({type: 'end_acknowledged', ...about});
+        const ids = {workerId, taskId, attempt, how};
+        eventHistory.record({type: 'end_acknowledged', ...ids});
       }
       await waitForEnd(waitMs);
       const running = [...attempts.values(), ...hiddenAttempts];
@@ -357,7 +355,7 @@
     },
     terminate() {
       terminated.abort();
-      for (const run of attempts.values()) run.discard();
+      for (const attempt of attempts.values()) attempt.discard();
       attempts.clear();
     },
   };
--- a/packages/gypsumwall-emulator/src/model/worker_attempt.ts
+++ b/packages/gypsumwall-emulator/src/model/worker_attempt.ts
@@ -99,9 +99,12 @@
 
   async function waitForGang(): Promise<boolean> {
     if (membership === undefined || membership.isComplete()) return true;
-    const until = types.clock.after(clock.monotonic(), durations.gangTimeoutMs);
+    const deadline = types.clock.after(
+      clock.monotonic(),
+      durations.gangTimeoutMs,
+    );
     await clock.sleepUntil(
-      until,
+      deadline,
       AbortSignal.any([ended.signal, gangComplete.signal]),
     );
     return membership.isComplete();
@@ -109,21 +112,21 @@
 
   async function work(): Promise<void> {
     while (progressMs < outcome.afterMs && !ended.signal.aborted) {
-      const pace = host.speed();
-      const leftMs =
-        pace > 0 ? (outcome.afterMs - progressMs) / pace : Infinity;
-      const intervalMs = Math.min(PROGRESS_INTERVAL_MS, leftMs);
+      const speed = host.speed();
+      const remainingMs =
+        speed > 0 ? (outcome.afterMs - progressMs) / speed : Infinity;
+      const intervalMs = Math.min(PROGRESS_INTERVAL_MS, remainingMs);
       await types.clock.sleepFor(clock, intervalMs, ended.signal);
-      progressMs += intervalMs * pace;
+      progressMs += intervalMs * speed;
       if (progressMs - savedProgressMs >= durations.checkpointMs) save();
     }
   }
 
   async function run(): Promise<void> {
     const hasCheckpoint = request.initialProgressMs !== undefined;
-    const startupMs =
+    const delayMs =
       durations.startupMs + (hasCheckpoint ? durations.restoreMs : 0);
-    await types.clock.sleepFor(clock, startupMs, ended.signal);
+    await types.clock.sleepFor(clock, delayMs, ended.signal);
     if (!(await waitForGang())) return end('alone');
     if (ended.signal.aborted) return;
     isWorking = true;
--- a/packages/gypsumwall-emulator/src/model/worker_machine.ts
+++ b/packages/gypsumwall-emulator/src/model/worker_machine.ts
@@ -47,7 +47,7 @@
   stop(): void;
 }
 
-/** Time that the system has to apply a reported capacity. */
+/** Time that the system has to learn of a capacity after its report. */
 const CAPACITY_NOTICE_MS = 3_000;
 
 /** Creates a machine and starts its worker. */
@@ -61,7 +61,7 @@
   let incarnations = 0;
   let current: worker.Worker | undefined;
   let fault: MachineFault = {type: 'none'};
-  let leavesAt: types.clock.MonotonicMs | undefined;
+  let leaveDeadline: types.clock.MonotonicMs | undefined;
   let {capacity} = options.worker;
 
   function startWorker(): void {
@@ -78,47 +78,47 @@
     void sendHeartbeats(current);
   }
 
-  async function sendHeartbeats(life: worker.Worker): Promise<void> {
-    for (let sequence = 1; current === life; sequence++) {
+  async function sendHeartbeats(incarnation: worker.Worker): Promise<void> {
+    for (let sequence = 1; current === incarnation; sequence++) {
       if (stopped.signal.aborted) return;
-      publishListing(life, sequence);
+      publishListing(incarnation, sequence);
       await types.clock.sleepFor(clock, options.heartbeatMs, stopped.signal);
     }
   }
 
-  function publishListing(life: worker.Worker, sequence: number): void {
+  function publishListing(incarnation: worker.Worker, sequence: number): void {
     const {pool, zone, rack, kind, address} = options;
     list.put({
-      id: life.id,
+      id: incarnation.id,
       pool,
       zone,
       rack,
       kind,
       address,
       capacity,
-      draining: leavesAt !== undefined,
-      leavesInMs: leavesInMs(),
-      clockMs: life.clockMs(),
+      draining: leaveDeadline !== undefined,
+      leavesInMs: remainingMs(),
+      clockMs: incarnation.clockMs(),
       sequence,
     });
   }
 
-  function leavesInMs(): number | undefined {
-    if (leavesAt === undefined) return undefined;
-    return Math.max(0, Math.floor(leavesAt - clock.monotonic()));
+  function remainingMs(): number | undefined {
+    if (leaveDeadline === undefined) return undefined;
+    return Math.max(0, Math.floor(leaveDeadline - clock.monotonic()));
   }
 
   function endWorker(): worker.Worker | undefined {
-    const life = current;
+    const incarnation = current;
     current = undefined;
-    life?.terminate();
-    return life;
+    incarnation?.terminate();
+    return incarnation;
   }
 
   async function crash(culprit?: string): Promise<void> {
-    const life = endWorker();
-    if (life === undefined) return;
-    history.record({type: 'worker_crashed', workerId: life.id, culprit});
+    const incarnation = endWorker();
+    if (incarnation === undefined) return;
+    history.record({type: 'worker_crashed', workerId: incarnation.id, culprit});
     await types.clock.sleepFor(clock, options.restartMs, stopped.signal);
     if (!stopped.signal.aborted) startWorker();
   }
@@ -128,23 +128,23 @@
     name: options.name,
     worker: () => current,
     fault: () => fault,
-    setFault: (wanted) => void (fault = wanted),
+    setFault: (newFault) => void (fault = newFault),
     async leave() {
-      const life = current;
-      if (life === undefined) return;
-      leavesAt = types.clock.after(clock.monotonic(), options.drainMs);
-      history.record({type: 'worker_draining', workerId: life.id});
-      publishListing(life, 0);
-      await clock.sleepUntil(leavesAt, stopped.signal);
-      if (current !== life) return;
+      const incarnation = current;
+      if (incarnation === undefined) return;
+      leaveDeadline = types.clock.after(clock.monotonic(), options.drainMs);
+      history.record({type: 'worker_draining', workerId: incarnation.id});
+      publishListing(incarnation, 0);
+      await clock.sleepUntil(leaveDeadline, stopped.signal);
+      if (current !== incarnation) return;
       endWorker();
-      list.remove(life.id);
-      history.record({type: 'worker_left', workerId: life.id});
+      list.remove(incarnation.id);
+      history.record({type: 'worker_left', workerId: incarnation.id});
     },
     crash,
-    setCapacity(wanted) {
-      capacity = wanted;
-      current?.setCapacity(wanted);
+    setCapacity(newCapacity) {
+      capacity = newCapacity;
+      current?.setCapacity(newCapacity);
     },
     stop() {
       stopped.abort();
--- a/packages/gypsumwall-emulator/src/model/worker_orders.ts
+++ b/packages/gypsumwall-emulator/src/model/worker_orders.ts
@@ -15,12 +15,12 @@
 
 /** An order to stop an attempt. */
 export interface StopOrder extends history.AttemptId {
-  readonly token: number;
+  readonly fencingToken: number;
 }
 
 /** A call that renews the lease and long-polls the worker's state. */
 export interface HoldCall {
-  readonly token: number;
+  readonly fencingToken: number;
   /** Sequence up to which the caller has recorded the ends. */
   readonly acknowledged: number;
   readonly leaseUntil: number | undefined;
--- a/packages/gypsumwall-emulator/src/wire/__tests__/servers.test.ts
+++ b/packages/gypsumwall-emulator/src/wire/__tests__/servers.test.ts
@@ -158,8 +158,14 @@
     const held = await callWorker('/v1/hold', {fencingToken: 2, waitMs: 250});
     const {finished} = parseBody(held) as {finished: unknown[]};
     assert.deepEqual(finished, [[1, START.task, 1, 'done', '']]);
-    const noted = await callWorker('/v1/hold', {fencingToken: 2, ackCursor: 1});
-    assert.deepEqual((parseBody(noted) as {finished: unknown[]}).finished, []);
+    const acknowledged = await callWorker('/v1/hold', {
+      fencingToken: 2,
+      ackCursor: 1,
+    });
+    assert.deepEqual(
+      (parseBody(acknowledged) as {finished: unknown[]}).finished,
+      [],
+    );
     const fenced = await callWorker('/v1/hold', {fencingToken: 1});
     assert.equal((parseBody(fenced) as {reason: string}).reason, 'fence');
   }));
--- a/packages/gypsumwall-emulator/src/wire/adviser_server.ts
+++ b/packages/gypsumwall-emulator/src/wire/adviser_server.ts
@@ -10,13 +10,13 @@
 
 /** Starts a server for the calls of one machine. */
 export async function startAdviserServer(
-  served: adviser.Adviser,
+  backend: adviser.Adviser,
   caller: string,
 ): Promise<httpServer.WireServer> {
   const server = httpServer.createServer();
   server.post('/v1/advise', async (req, res) => {
     const {phase, workers} = httpServer.readBody(req, adviseBody);
-    const answer = await served.ask(caller, phase, workers);
+    const answer = await backend.ask(caller, phase, workers);
     switch (answer.type) {
       case 'approved':
         return res.send({approved: answer.tickets, validMs: answer.validMs});
--- a/packages/gypsumwall-emulator/src/wire/store_server.ts
+++ b/packages/gypsumwall-emulator/src/wire/store_server.ts
@@ -42,14 +42,14 @@
 
 /** Starts a server for the calls of one machine. */
 export async function startStoreServer(
-  served: store.Store,
+  backend: store.Store,
   caller: string,
 ): Promise<httpServer.WireServer> {
   const server = httpServer.createServer();
   server.post('/v1/log-append', async (req, res) => {
     const query = appendQuery.parse(req.query);
     const body = (req.body as Buffer | undefined) ?? Buffer.alloc(0);
-    const delivery = await served.append(caller, {
+    const delivery = await backend.append(caller, {
       topic: query.topic,
       entries: recordCodec.decodeEntries(body),
       expectedEndOffset: query.at,
@@ -61,12 +61,12 @@
     const {topic, from, maxKb, waitMs} = readQuery.parse(req.query);
     const maxBytes = maxKb * BYTES_PER_KB;
     const call = {topic, from, maxBytes, waitMs};
-    const delivery = await served.read(caller, call);
+    const delivery = await backend.read(caller, call);
     return sendDelivery(res, delivery, (outcome) => sendRead(res, outcome));
   });
   server.get('/v1/log-newest', async (req, res) => {
     const {topic, after} = newestQuery.parse(req.query);
-    const delivery = await served.readNewest(caller, topic, after);
+    const delivery = await backend.readNewest(caller, topic, after);
     return sendDelivery(res, delivery, (page) =>
       res.send(createNewestBody(page)),
     );
--- a/packages/gypsumwall-emulator/src/wire/worker_server.ts
+++ b/packages/gypsumwall-emulator/src/wire/worker_server.ts
@@ -43,7 +43,7 @@
   readonly random: types.random.Random;
 }
 
-type Order = (life: worker.Worker) => workerOrders.OrderAnswer;
+type Order = (target: worker.Worker) => workerOrders.OrderAnswer;
 
 /** Starts a server without a machine. */
 export async function startWorkerServer({
@@ -95,8 +95,8 @@
 
   server.post('/v1/run-start', (req, res) => {
     const body = httpServer.readBody(req, startBody);
-    return handleOrder(req, res, (life) =>
-      life.start({
+    return handleOrder(req, res, (target) =>
+      target.start({
         taskId: body.task,
         attempt: body.attempt,
         payload: body.spec,
@@ -109,37 +109,40 @@
   });
   server.post('/v1/run-stop', (req, res) => {
     const {task, attempt, fencingToken} = httpServer.readBody(req, stopBody);
-    const order = {taskId: task, attempt, token: fencingToken};
-    return handleOrder(req, res, (life) => life.stop(order));
+    const order = {taskId: task, attempt, fencingToken};
+    return handleOrder(req, res, (target) => target.stop(order));
   });
   server.post('/v1/hold', async (req, res) => {
     const body = httpServer.readBody(req, holdBody);
-    const life = findAddressedWorker(req, res);
-    if (life === undefined) return res;
-    const shown = await life.hold({
-      token: body.fencingToken,
+    const target = findAddressedWorker(req, res);
+    if (target === undefined) return res;
+    const answer = await target.hold({
+      fencingToken: body.fencingToken,
       acknowledged: body.ackCursor,
       leaseUntil: body.expiresMs,
       waitMs: body.waitMs,
     });
-    if (machine?.worker() !== life) {
+    if (machine?.worker() !== target) {
       res.hijack();
       req.raw.socket.destroy();
       return res;
     }
-    return sendHold(res, life, shown);
+    return sendHold(res, target, answer);
   });
 
   const listening = await httpServer.listen(server);
-  return {...listening, serveMachine: (served) => void (machine = served)};
+  return {
+    ...listening,
+    serveMachine: (newMachine) => void (machine = newMachine),
+  };
 }
 
 function sendOrder(
   res: fastify.FastifyReply,
-  life: worker.Worker,
+  target: worker.Worker,
   answer: workerOrders.OrderAnswer,
 ): fastify.FastifyReply {
-  const clockMs = life.clockMs();
+  const clockMs = target.clockMs();
   switch (answer.type) {
     case 'accepted':
       return res.send({clockMs});
@@ -152,18 +155,18 @@
 
 function sendHold(
   res: fastify.FastifyReply,
-  life: worker.Worker,
-  shown: workerOrders.HoldAnswer,
+  target: worker.Worker,
+  answer: workerOrders.HoldAnswer,
 ): fastify.FastifyReply {
-  const clockMs = life.clockMs();
-  switch (shown.type) {
+  const clockMs = target.clockMs();
+  switch (answer.type) {
     case 'refused':
-      return res.code(409).send({clockMs, reason: shown.reason});
+      return res.code(409).send({clockMs, reason: answer.reason});
     case 'report':
       return res.send({
         clockMs,
-        running: shown.running.map(encodeRunning),
-        finished: shown.ends.map((end) => [
+        running: answer.running.map(encodeRunning),
+        finished: answer.ends.map((end) => [
           end.sequence,
           end.taskId,
           end.attempt,
@@ -175,7 +178,15 @@
 }
 
 /** The last value is the processor time in use, in thousandths of a core. */
-function encodeRunning(run: workerAttempt.WorkerAttempt): readonly unknown[] {
-  const {taskId, attempt, size} = run;
-  return [taskId, attempt, run.checkpoint(), run.percent(), size.cpuMillis];
+function encodeRunning(
+  running: workerAttempt.WorkerAttempt,
+): readonly unknown[] {
+  const {taskId, attempt, size} = running;
+  return [
+    taskId,
+    attempt,
+    running.checkpoint(),
+    running.percent(),
+    size.cpuMillis,
+  ];
 }
