--- a/packages/gypsumwall-emulator/src/__tests__/crashing_tasks.test.ts
+++ b/packages/gypsumwall-emulator/src/__tests__/crashing_tasks.test.ts
@@ -1,7 +1,6 @@
 /**
- * Load: the program as it is deployed, under tasks that crash their workers,
- * while the holder is killed, the workers of a zone crash together, and the
- * capacity of all workers shrinks and grows.
+ * Load tests of the deployed program with tasks that crash their workers, a
+ * killed holder, crashes of all workers of a zone, and changing capacities.
  */
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
@@ -28,26 +27,35 @@
 
 type Cell = emulatedCell.EmulatedCell;
 
-const STEP = plainStep.createPlainStep({
+const FILLER_STEP = plainStep.createPlainStep({
   taskCount: 8,
   size: {cpuMillis: 1_000, memoryMb: 512, accelerators: 0},
 });
 
-/** A job of which one task crashes each worker 200 ms after its start. */
-function crashingJob(nth: number, taskCount: number): jobCatalog.JobSpec {
+/** Creates a job whose last task crashes each worker 200 ms after its start. */
+function createCrashingJob(nth: number, taskCount: number): jobCatalog.JobSpec {
   const crash = {index: taskCount - 1, afterMs: 200};
-  const step = {...STEP, taskCount, gang: taskCount > 1, workMs: 5_000, crash};
+  const step = {
+    ...FILLER_STEP,
+    taskCount,
+    gang: taskCount > 1,
+    workMs: 5_000,
+    crash,
+  };
   const jobId = `${nth}`.padStart(16, 'c');
   return {jobId, queue: 'checks', payload: `crash ${nth}`, steps: [step]};
 }
 
-/** Jobs of eight tasks: ten a second need more than a quarter of the cell. */
+/**
+ * Returns a factory of jobs with eight tasks. Ten such jobs per second need
+ * more than a quarter of the cell's capacity.
+ */
 function createFillerJobFactory(): () => jobCatalog.JobSpec {
   let sent = 0;
   return () => {
     const jobId = `${sent++}`.padStart(16, 'f');
     const payload = `fill ${jobId}`;
-    return {jobId, queue: 'checks', payload, steps: [STEP]};
+    return {jobId, queue: 'checks', payload, steps: [FILLER_STEP]};
   };
 }
 
@@ -67,7 +75,7 @@
     .events()
     .filter((event) => event.type === 'worker_crashed' && event.culprit).length;
 
-/** Plays something beside mixed jobs; the broken promises. */
+/** Runs a scenario beside mixed jobs and returns the broken promises. */
 async function runBesideMixedJobs(
   scenario: (cell: Cell) => Promise<jobCatalog.JobSpec[]>,
 ): Promise<readonly finding.Finding[]> {
@@ -91,9 +99,9 @@
       SHORT_JOB_INTERVAL_MS,
       stopSending,
     );
-    const special = await scenario(cell);
+    const scenarioJobs = await scenario(cell);
     stopSending.abort();
-    const sent = [longRunningJob, ...(await shortJobs), ...special];
+    const sent = [longRunningJob, ...(await shortJobs), ...scenarioJobs];
     const settledBy = types.clock.after(clock.monotonic(), SETTLE_TIMEOUT_MS);
     await jobTraffic.waitForFinalStates(cell, sent, settledBy);
     cell.model.history.record({type: 'history_closed'});
@@ -103,11 +111,15 @@
   }
 }
 
-// Guards against tasks that crash their workers and are started without end by
-// the deployed program, also by one that takes over.
+// Guards against endless restarts of tasks that crash their workers, also by
+// the entry that takes over from a killed holder.
 test('tasks that crash their workers are given up while the holder is killed', async () => {
   const findings = await runBesideMixedJobs(async (cell) => {
-    const jobs = [crashingJob(1, 1), crashingJob(2, 1), crashingJob(3, 6)];
+    const jobs = [
+      createCrashingJob(1, 1),
+      createCrashingJob(2, 1),
+      createCrashingJob(3, 6),
+    ];
     for (const job of jobs) await cell.callers.submit(job);
     await waitUntil(cell, () => countTaskCrashes(cell) >= 4, 15_000);
     const holder = await cell.findHolder();
@@ -119,9 +131,9 @@
   assert.deepEqual(findings, []);
 });
 
-// Guards against sound jobs that are given up for a loss of power, and against
-// workers that are filled beyond a capacity which has shrunk.
-test('promises hold while zones lose power and capacities change', async () => {
+// Guards against giving up healthy jobs because all workers of a zone crashed,
+// and against starts beyond a worker's reduced capacity.
+test('promises hold while the workers of a zone crash and capacities change', async () => {
   const findings = await runBesideMixedJobs(async (cell) => {
     const {machines} = cell.model;
     const {capacity} = config.pools[0]!;
@@ -129,15 +141,15 @@
     for (const machine of machines) {
       machine.setCapacity({...capacity, cpuMillis});
     }
-    const over = new AbortController();
+    const stopSending = new AbortController();
     const fillerJobs = jobTraffic.sendPeriodically(
       cell,
       createFillerJobFactory(),
       POLL_MS,
-      over,
+      stopSending,
     );
     await types.clock.sleepFor(cell.clock, 6_000);
-    over.abort();
+    stopSending.abort();
     for (const machine of machines) machine.setCapacity(capacity);
     for (let nth = 0; nth < 3; nth++) {
       const zone = config.zones[0]!;
--- a/packages/gypsumwall-emulator/src/__tests__/demo_platform.test.ts
+++ b/packages/gypsumwall-emulator/src/__tests__/demo_platform.test.ts
@@ -1,6 +1,6 @@
 /**
- * Load: a short form of the demo, with the program as it is deployed; then with
- * a platform that breaks its own word, so that a promise can't be held.
+ * Load tests: a short run of the demo with the deployed program, then runs with
+ * faults injected into the platform that break a promise.
  */
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
@@ -40,7 +40,7 @@
   });
 }
 
-/** Ids of the first jobs of the demo. */
+/** Creates the ids of the demo's first long-running job and first short job. */
 function createFirstIds(): {readonly lasting: string; readonly short: string} {
   const jobs = mixedJobs.createMixedJobs(config.seed);
   return {
@@ -58,8 +58,8 @@
   assert.ok(done.length > 50, `${done.length} runs were done`);
 });
 
-// Guards against a judge that passes a lasting task which no longer runs.
-test('a worker that hides the end of a lasting task is caught', async () => {
+// Guards against a judge that misses a long-running task that has stopped.
+test('a worker that hides the end of a long-running task is found', async () => {
   const {lasting} = createFirstIds();
   const injectedFaults: platformModel.InjectedFaults = {
     shouldHideEnd: (taskId) => taskId === `${lasting}.0.0.0`,
@@ -80,8 +80,8 @@
   );
 });
 
-// Guards against a judge that passes a job which was accepted and forgotten.
-test('a store that drops an acknowledged job is caught', async () => {
+// Guards against a judge that misses an accepted job that was lost.
+test('a store that drops an acknowledged job is found', async () => {
   const {short} = createFirstIds();
   const injectedFaults: platformModel.InjectedFaults = {
     shouldDrop: (_topic, entry) => entry.key.includes(short),
--- a/packages/gypsumwall-emulator/src/__tests__/emulator_config.test.ts
+++ b/packages/gypsumwall-emulator/src/__tests__/emulator_config.test.ts
@@ -7,25 +7,28 @@
 const DEMO = 'packages/gypsumwall-emulator/examples/demo.jsonc';
 const text = fs.readFileSync(DEMO, 'utf8');
 
-function parseError(changed: string): string {
-  const parsed = emulatorConfig.parseEmulatorConfig('platform.jsonc', changed);
+function parseError(changedText: string): string {
+  const parsed = emulatorConfig.parseEmulatorConfig(
+    'platform.jsonc',
+    changedText,
+  );
   assert.ok(parsed.isErr);
   return parsed.error;
 }
 
-test("the demo's file passes and takes defaults", () => {
+test("the demo's file is valid and gets default values", () => {
   const config = emulatorConfig.readEmulatorConfig(DEMO);
   assert.equal(config.zones.length, 3);
   assert.equal(config.workers.slowestClock, 0.98);
   assert.equal(config.store.writesPerS, 600);
 });
 
-test('an unknown key is refused with its place', () => {
+test('an unknown key is rejected with its position', () => {
   const error = parseError(text.replace('"stopMs"', '"stopsMs"'));
   assert.match(error, /platform\.jsonc:\d+: workers: remove stopsMs or mend/);
 });
 
-test('a bad value is named with its remedy', () => {
+test('an invalid value is reported with the allowed ones', () => {
   const error = parseError(text.replace('0.3', '1.3'));
   assert.match(
     error,
@@ -33,7 +36,7 @@
   );
 });
 
-test('a queue of a pool that is not there is refused', () => {
+test('a queue of an unknown pool is rejected', () => {
   const error = parseError(text.replace('"pool": "general"', '"pool": "fast"'));
   assert.match(error, /queues\.0\.pool: name one of the pools: general; it is/);
 });
--- a/packages/gypsumwall-emulator/src/bin/demo_platform.ts
+++ b/packages/gypsumwall-emulator/src/bin/demo_platform.ts
@@ -64,6 +64,6 @@
 try {
   process.exitCode = await main();
 } catch (thrown) {
-  process.stderr.write(`the demo broke off: ${String(thrown)}\n`);
+  process.stderr.write(`the demo failed: ${String(thrown)}\n`);
   process.exitCode = 1;
 }
--- a/packages/gypsumwall-emulator/src/demo/demo_report.ts
+++ b/packages/gypsumwall-emulator/src/demo/demo_report.ts
@@ -136,12 +136,12 @@
   promise: finding.PromiseName,
   findings: readonly finding.Finding[],
 ): string {
-  const broken = findings.filter((one) => one.promise === promise);
-  if (broken.length === 0) return `held    ${promise}`;
-  const details = broken
+  const violations = findings.filter((one) => one.promise === promise);
+  if (violations.length === 0) return `held    ${promise}`;
+  const details = violations
     .slice(0, MAX_DETAILS)
     .map(({detail}) => `          ${detail}`);
-  const hiddenCount = broken.length - details.length;
+  const hiddenCount = violations.length - details.length;
   if (hiddenCount > 0) details.push(`          and ${hiddenCount} more`);
   return [`BROKEN  ${promise}`, ...details].join('\n');
 }
--- a/packages/gypsumwall-emulator/src/demo/job_traffic.ts
+++ b/packages/gypsumwall-emulator/src/demo/job_traffic.ts
@@ -37,7 +37,7 @@
   jobs: readonly jobCatalog.JobSpec[],
   deadline: types.clock.MonotonicMs,
 ): Promise<void> {
-  const accepted = new Set(
+  const acceptedIds = new Set(
     cell.model.history
       .events()
       .flatMap((event) =>
@@ -46,13 +46,15 @@
           : [],
       ),
   );
-  let open = jobs.filter((job) => accepted.has(job.jobId));
-  while (open.length > 0 && cell.clock.monotonic() < deadline) {
+  let unfinished = jobs.filter((job) => acceptedIds.has(job.jobId));
+  while (unfinished.length > 0 && cell.clock.monotonic() < deadline) {
     const states = await Promise.all(
-      open.map((job) => cell.callers.stateOf(job)),
+      unfinished.map((job) => cell.callers.stateOf(job)),
     );
-    open = open.filter((job, nth) => !hasReachedFinalState(job, states[nth]));
-    if (open.length > 0) await types.clock.sleepFor(cell.clock, POLL_MS);
+    unfinished = unfinished.filter(
+      (job, nth) => !hasReachedFinalState(job, states[nth]),
+    );
+    if (unfinished.length > 0) await types.clock.sleepFor(cell.clock, POLL_MS);
   }
 }
 
--- a/packages/gypsumwall-emulator/src/demo/run_demo.ts
+++ b/packages/gypsumwall-emulator/src/demo/run_demo.ts
@@ -85,7 +85,8 @@
 
   const longRunningJob = jobs.make('lasting');
   const result = await cell.callers.submit(longRunningJob);
-  if (result !== 'accepted') throw new Error(`the lasting job is ${result}`);
+  if (result !== 'accepted')
+    throw new Error(`the long-running job is ${result}`);
   const stopSending = new AbortController();
   const streams = [
     jobTraffic.sendPeriodically(
--- a/packages/gypsumwall-emulator/src/judge/__tests__/judge.test.ts
+++ b/packages/gypsumwall-emulator/src/judge/__tests__/judge.test.ts
@@ -13,10 +13,10 @@
   return {jobId: 'j', queue: 'q', payload: '', steps: [{...STEP, ...step}]};
 }
 
-/** Events, one each second. */
+/** Creates events that are one second apart. */
 function createEvents(...seen: history.EventDetails[]): history.HistoryEvent[] {
-  return seen.map((one, nth) => ({
-    ...one,
+  return seen.map((details, nth) => ({
+    ...details,
     at: (nth * 1_000) as types.clock.MonotonicMs,
   }));
 }
@@ -72,7 +72,7 @@
   return judge.judge(createEvents(...seen)).map(({promise}) => promise);
 }
 
-test('a job that is done as promised breaks nothing', () => {
+test('a job that completes after a retry breaks no promise', () => {
   const seen = [
     sent(),
     told('accepted'),
@@ -86,12 +86,12 @@
   assert.deepEqual(brokenPromises(seen), []);
 });
 
-test('two runs at a time are found, also one that never ended', () => {
+test('overlapping attempts are found, also if the earlier one never ended', () => {
   const seen = [started('w', 1), started('v', 2), ended('v', 2, 'done')];
   assert.deepEqual(brokenPromises(seen), ['no task runs twice at a time']);
 });
 
-test('a start after a noted end is found', () => {
+test('a start after an acknowledged end is found', () => {
   const seen = [
     started('w', 1),
     ended('w', 1, 'done'),
@@ -101,7 +101,7 @@
   assert.deepEqual(brokenPromises(seen), ['no task runs twice at a time']);
 });
 
-test('a run that its worker took along allows another', () => {
+test('an attempt may start after the earlier one was lost with its worker', () => {
   const seen = [
     started('w', 1),
     {type: 'worker_left', workerId: 'w'} as const,
@@ -110,7 +110,7 @@
   assert.deepEqual(brokenPromises(seen), []);
 });
 
-test('accepted jobs that are forgotten, unfinished or shown too soon', () => {
+test('accepted jobs that are unknown later, unfinished or shown as completed too early are found', () => {
   const promise = 'nothing accepted is lost';
   const accepted = [sent(), told('accepted')];
   assert.deepEqual(brokenPromises(accepted), [promise]);
@@ -121,7 +121,7 @@
   ]);
 });
 
-test('a lasting task that is away too long is found', () => {
+test('a long-running task that is down for too long is found', () => {
   const job = [sent({lasting: true}), told('accepted'), started('w', 1)];
   const failed = ended('w', 1, 'failed');
   const shownRunning = shown('running');
@@ -149,7 +149,7 @@
   assert.deepEqual(brokenPromises(timelyRestart), []);
 });
 
-test('a member that waits in vain is excused by a disruption only', () => {
+test('an incomplete gang is found unless a disruption is near', () => {
   const seen = [started('w', 1), ended('w', 1, 'alone')];
   assert.deepEqual(brokenPromises(seen), ['gangs start whole']);
   assert.deepEqual(brokenPromises([...seen, filler]), []);
@@ -162,7 +162,7 @@
   ]);
 });
 
-test('a task that begins before the step it waits for is found', () => {
+test('a task that starts before the step that it depends on is done is found', () => {
   const steps = [STEP, {...STEP, after: [0]}];
   const job = {jobId: 'j', queue: 'q', payload: '', steps};
   const later: history.EventDetails = {
@@ -189,7 +189,7 @@
   culprit: 'j.0.0.0',
 });
 
-test('a task that is started on and on after three crashes is found', () => {
+test('a task that is started too often after three crashes is found', () => {
   const crash = {index: 0, afterMs: 10};
   const job = [sent({crash}), told('accepted')];
   const starts = (count: number) =>
@@ -204,7 +204,7 @@
   assert.deepEqual(brokenPromises(tooManyStarts), [promise]);
 });
 
-test('a sound job that is shown as failed is found', () => {
+test('a job that is shown as failed after an unrelated crash is found', () => {
   const seen = [
     sent(),
     told('accepted'),
--- a/packages/gypsumwall-emulator/src/judge/long_running_rules.ts
+++ b/packages/gypsumwall-emulator/src/judge/long_running_rules.ts
@@ -40,17 +40,17 @@
     if (event.type !== 'job_sent') return [];
     const {job} = event;
     if (!job.steps.every((step) => step.lasting)) return [];
-    const accepted = events.find(
+    const acceptedEvent = events.find(
       (one) =>
         one.type === 'job_told' &&
         one.jobId === job.jobId &&
         one.told === 'accepted',
     );
-    if (accepted === undefined) return [];
-    const cancelled = events.find(
+    if (acceptedEvent === undefined) return [];
+    const cancelEvent = events.find(
       (one) => one.type === 'cancel_sent' && one.jobId === job.jobId,
     );
-    return [{job, from: accepted.at, until: cancelled?.at ?? closedAt}];
+    return [{job, from: acceptedEvent.at, until: cancelEvent?.at ?? closedAt}];
   });
 }
 
--- a/packages/gypsumwall-emulator/src/model/__tests__/adviser.test.ts
+++ b/packages/gypsumwall-emulator/src/model/__tests__/adviser.test.ts
@@ -19,16 +19,16 @@
   return {clock, adviser};
 }
 
-test('calls of one caller wait for each other, those of others do not', async () => {
+test('calls of one caller run one at a time, independent of other callers', async () => {
   const {clock, adviser} = createFixture();
   const ended: string[] = [];
   const ask = async (caller: string) => {
     await adviser.ask(caller, 'job.0.0', ['w1']);
     ended.push(`${caller} ${clock.monotonic()}`);
   };
-  const all = Promise.all([ask('a'), ask('a'), ask('b')]);
+  const allCalls = Promise.all([ask('a'), ask('a'), ask('b')]);
   await clock.runUntil(1_000);
-  await all;
+  await allCalls;
   assert.deepEqual(ended.sort(), ['a 110', 'a 220', 'b 110']);
 });
 
@@ -41,7 +41,7 @@
   assert.equal(throttled.length, 1);
 });
 
-test('refusals of a step stay, and another step has others', async () => {
+test('a step is always refused the same workers, another step different ones', async () => {
   const {clock, adviser} = createFixture(0.5);
   const askApprovedWorkers = async (step: string) => {
     const asked = adviser.ask('a', step, WORKERS);
@@ -56,7 +56,7 @@
   assert.notDeepEqual(await askApprovedWorkers('job.0.1'), first);
 });
 
-test('a ticket is good for its step and worker, and ends', async () => {
+test('a ticket is valid only for its step and worker, and expires', async () => {
   const {clock, adviser} = createFixture();
   const asked = adviser.ask('a', 's', ['w1']);
   await clock.runUntil(200);
--- a/packages/gypsumwall-emulator/src/model/__tests__/caller.test.ts
+++ b/packages/gypsumwall-emulator/src/model/__tests__/caller.test.ts
@@ -18,7 +18,7 @@
     entries: ['a', 'b', 'c'],
     checkReady: (entry) => Promise.resolve(entry !== 'c'),
   });
-  const made = callers.createCallers({
+  const callersUnderTest = callers.createCallers({
     clock,
     balancer,
     random: types.random.createRandom(1),
@@ -33,7 +33,7 @@
       return Promise.resolve(type === 'ok' ? {type, state: undefined} : {type});
     },
   });
-  return {clock, callers: made, asked, balancer};
+  return {clock, callers: callersUnderTest, asked, balancer};
 }
 
 for (const [told, answers] of [
@@ -41,10 +41,15 @@
   ['refused', ['refused', 'refused', 'refused', 'refused']],
   ['unknown', ['refused', 'unknown', 'refused', 'refused']],
 ] as const) {
-  test(`a caller takes ${answers.join(', ')} as ${told}`, async () => {
-    const {clock, callers: made, asked, balancer} = createFixture(answers);
+  test(`a submission with the answers ${answers.join(', ')} counts as ${told}`, async () => {
+    const {
+      clock,
+      callers: callersUnderTest,
+      asked,
+      balancer,
+    } = createFixture(answers);
     await clock.runUntil(10);
-    const submitted = made.submit(JOB);
+    const submitted = callersUnderTest.submit(JOB);
     await clock.runUntil(LONG_MS);
     assert.equal(await submitted, told);
     assert.equal(asked.length, answers.length);
--- a/packages/gypsumwall-emulator/src/model/__tests__/keyed_log.test.ts
+++ b/packages/gypsumwall-emulator/src/model/__tests__/keyed_log.test.ts
@@ -16,14 +16,14 @@
 });
 const entry = (key: string, value = 'x') => [{key, value}];
 
-test('an append at an offset is refused once the log has moved', () => {
+test('an append with an expected end offset fails if the log ends elsewhere', () => {
   const {log} = createFixture();
   log.append(entry('a'), {expectedEndOffset: 0});
   const second = log.append(entry('b'), {expectedEndOffset: 0});
   assert.deepEqual(second, {type: 'moved', endOffset: 1});
 });
 
-test('an epoch shuts out lower ones and numbers its appends', () => {
+test('an epoch fences lower ones, and its appends need consecutive sequences', () => {
   const {log} = createFixture();
   assert.equal(log.append(entry('a'), fence(3, 7)).type, 'appended');
   assert.equal(log.append(entry('b'), fence(2, 0)).type, 'fenced');
@@ -32,21 +32,21 @@
   assert.equal(log.append(entry('b'), fence(4, 0)).type, 'appended');
 });
 
-test('a repeated append gets its first answer and adds nothing', () => {
+test('a repeated append returns its first outcome and adds no record', () => {
   const {log} = createFixture();
   const first = log.append(entry('a'), fence(1, 0));
   assert.deepEqual(log.append(entry('a'), fence(1, 0)), first);
   assert.equal(log.endOffset(), 1);
 });
 
-test('an empty append sets the epoch', () => {
+test('an append without records sets the epoch', () => {
   const {log} = createFixture();
   log.append([], fence(5, 0));
   assert.equal(log.append(entry('a'), fence(4, 0)).type, 'fenced');
   assert.equal(log.endOffset(), 0);
 });
 
-test('old records expire, the newest of each key stays', async () => {
+test('old records expire, but the newest of each key is kept', async () => {
   const {clock, log} = createFixture();
   log.append(entry('a', 'old'), {});
   log.append(entry('a', 'new'), {});
--- a/packages/gypsumwall-emulator/src/model/__tests__/store.test.ts
+++ b/packages/gypsumwall-emulator/src/model/__tests__/store.test.ts
@@ -30,7 +30,7 @@
   return (await answers).map((answer) => answer.type);
 }
 
-test('calls over the rate are throttled, for all callers together', async () => {
+test('the rate limit applies to all callers together', async () => {
   const {clock, store} = createStoreFixture({writesPerS: 2});
   const calls = ['a', 'b', 'c'].map((caller) => store.append(caller, APPEND));
   assert.deepEqual(await answerTypes(clock, calls), [
@@ -40,7 +40,7 @@
   ]);
 });
 
-test('a log with over two seconds of appends waiting refuses more', async () => {
+test('a log with over two seconds of waiting appends refuses more', async () => {
   const {clock, store} = createStoreFixture({appendMs: 1_000});
   const calls = [1, 2, 3, 4].map(() => store.append('a', APPEND));
   assert.deepEqual(await answerTypes(clock, calls), [
@@ -51,14 +51,14 @@
   ]);
 });
 
-test('a fault of one caller leaves the others alone', async () => {
+test('a fault of one caller does not affect other callers', async () => {
   const {clock, store} = createStoreFixture();
   store.setFault('a', {type: 'unavailable'});
   const calls = ['a', 'b'].map((caller) => store.append(caller, APPEND));
   assert.deepEqual(await answerTypes(clock, calls), ['unavailable', 'answer']);
 });
 
-test('a lost answer belongs to an append that was done, now or later', async () => {
+test('an append whose answer is lost is carried out, at once or later', async () => {
   for (const [lostShare, lateShare] of [
     [1, 0],
     [0, 1],
@@ -72,7 +72,7 @@
   }
 });
 
-test('the system may not write where the platform does', async () => {
+test("appends to the platform's own logs are forbidden", async () => {
   const {clock, store} = createStoreFixture();
   const topic = stores.WORKERS_TOPIC;
   const calls = [store.append('a', {...APPEND, topic})];
--- a/packages/gypsumwall-emulator/src/model/__tests__/worker.test.ts
+++ b/packages/gypsumwall-emulator/src/model/__tests__/worker.test.ts
@@ -52,7 +52,7 @@
     id: string,
     options: Partial<workers.WorkerOptions> = {},
   ) => workers.createWorker(context, {...OPTIONS, id, ...options});
-  const ends = () =>
+  const listEnds = () =>
     history
       .events()
       .flatMap((event) =>
@@ -60,7 +60,7 @@
           ? [`${event.taskId} ${event.how} ${Math.round(event.at)}`]
           : [],
       );
-  return {clock, history, addWorker, ends};
+  return {clock, history, addWorker, listEnds};
 }
 
 function startTask(
@@ -83,12 +83,12 @@
 const describeAnswer = (answer: workerOrders.OrderAnswer) =>
   answer.type === 'refused' ? answer.reason : answer.type;
 
-test('a task runs to its end, which is listed until it is noted', async () => {
-  const {clock, addWorker, ends} = createFixture();
+test('the end of a task is reported until it is acknowledged', async () => {
+  const {clock, addWorker, listEnds} = createFixture();
   const worker = addWorker('w');
   assert.equal(startTask(worker, 0).type, 'accepted');
   await clock.runUntil(2_000);
-  assert.deepEqual(ends(), ['job.0.0.0 done 1050']);
+  assert.deepEqual(listEnds(), ['job.0.0.0 done 1050']);
   const holdCall = {fencingToken: 1, leaseUntil: undefined, waitMs: 0};
   const first = await worker.hold({...holdCall, acknowledged: 0});
   assert.ok(first.type === 'report' && first.ends.length === 1);
@@ -120,15 +120,17 @@
   assert.equal(describeAnswer(startTask(worker, 0, {fencingToken: 2})), 'old');
 });
 
-test('a lease ends everything, later on a slow clock', async () => {
-  const {clock, addWorker, ends} = createFixture({workMs: 60_000});
+test('an expired lease ends all attempts, later on a slow clock', async () => {
+  const {clock, addWorker, listEnds} = createFixture({workMs: 60_000});
   startTask(addWorker('w'), 0);
   await clock.runUntil(10_000);
-  assert.deepEqual(ends(), [`job.0.0.0 lapsed ${Math.round(4_000 / 0.98)}`]);
+  assert.deepEqual(listEnds(), [
+    `job.0.0.0 lapsed ${Math.round(4_000 / 0.98)}`,
+  ]);
 });
 
-test('a stop takes its time, saves, and another run resumes', async () => {
-  const {clock, addWorker, ends} = createFixture({
+test('a stopped attempt saves its progress and the next one resumes from it', async () => {
+  const {clock, addWorker, listEnds} = createFixture({
     workMs: 2_000,
     savesProgress: true,
   });
@@ -148,43 +150,46 @@
   assert.notEqual(checkpoint, '');
   startTask(worker, 0, {attempt: 2, checkpoint});
   await clock.runUntil(4_000);
-  const [stopped, done] = ends();
+  const [stopped, done] = listEnds();
   assert.equal(stopped, 'job.0.0.0 stopped 1900');
   assert.match(done ?? '', /^job\.0\.0\.0 done 2[34]\d\d$/);
 });
 
-test('a gang works once it is whole and ends together', async () => {
-  const {clock, addWorker, ends} = createFixture({gang: true});
+test('a gang works once all members have started, and ends together', async () => {
+  const {clock, addWorker, listEnds} = createFixture({gang: true});
   const [left, right] = [addWorker('left'), addWorker('right')];
   startTask(left, 0);
   await clock.runUntil(1_000);
   startTask(right, 1);
   await clock.runUntil(3_000);
-  assert.deepEqual(ends(), ['job.0.0.0 done 2050', 'job.0.0.1 done 2050']);
+  assert.deepEqual(listEnds(), ['job.0.0.0 done 2050', 'job.0.0.1 done 2050']);
 });
 
-test('a member of a gang that stays alone ends so', async () => {
-  const {clock, addWorker, ends} = createFixture({gang: true});
+test('a member whose gang stays incomplete ends as alone', async () => {
+  const {clock, addWorker, listEnds} = createFixture({gang: true});
   startTask(addWorker('w'), 0);
   await clock.runUntil(3_500);
-  assert.deepEqual(ends(), ['job.0.0.0 alone 3050']);
+  assert.deepEqual(listEnds(), ['job.0.0.0 alone 3050']);
 });
 
-test('the end of one member breaks the gang', async () => {
-  const {clock, addWorker, ends} = createFixture({gang: true, workMs: 9_000});
+test('the end of one member ends the others as broken', async () => {
+  const {clock, addWorker, listEnds} = createFixture({
+    gang: true,
+    workMs: 9_000,
+  });
   const [left, right] = [addWorker('left'), addWorker('right')];
   startTask(left, 0);
   startTask(right, 1);
   await clock.runUntil(500);
   left.stop({taskId: 'job.0.0.0', attempt: 1, fencingToken: 1});
   await clock.runUntil(2_000);
-  assert.deepEqual(ends().sort(), [
+  assert.deepEqual(listEnds().sort(), [
     'job.0.0.0 stopped 1400',
     'job.0.0.1 broken 1400',
   ]);
 });
 
-test('starts that nobody asked for are recorded', () => {
+test('starts that do not match a submitted job are recorded', () => {
   const {history, addWorker} = createFixture();
   const worker = addWorker('w');
   assert.equal(startTask(worker, 7).type, 'invalid');
@@ -196,7 +201,7 @@
   assert.deepEqual(reasons, ['no caller sent the task', 'another payload']);
 });
 
-test('the task that is told to crashes its worker, and no other', async () => {
+test('only the task with the configured index crashes its worker', async () => {
   const crash = {index: 1, afterMs: 300};
   const {clock, addWorker} = createFixture({crash});
   const crashed: string[] = [];
@@ -212,7 +217,7 @@
   assert.deepEqual(crashed, ['job.0.0.1 300']);
 });
 
-test('a start beyond a capacity that has shrunk is recorded after the notice', async () => {
+test('a start beyond a reduced capacity is recorded only after the notice time', async () => {
   const {clock, history, addWorker} = createFixture();
   const worker = addWorker('w', {refusesExcess: false});
   const countExcesses = () =>
--- a/packages/gypsumwall-emulator/src/model/__tests__/worker_machine.test.ts
+++ b/packages/gypsumwall-emulator/src/model/__tests__/worker_machine.test.ts
@@ -46,30 +46,30 @@
   const list = model.store.log(stores.WORKERS_TOPIC);
   const listEntries = () =>
     list.readNewest('').records.map(({key, value}) => `${key} ${value}`);
-  return {clock, model, machine, listed: listEntries};
+  return {clock, model, machine, listEntries};
 }
 
-test('a worker leaves at the moment that it announced', async () => {
-  const {clock, machine, listed} = createFixture();
-  assert.deepEqual(listed(), ['p-z-0-1 [false,null]']);
+test('a worker leaves at the announced time', async () => {
+  const {clock, machine, listEntries} = createFixture();
+  assert.deepEqual(listEntries(), ['p-z-0-1 [false,null]']);
   const left = machine.leave();
-  assert.deepEqual(listed(), [`p-z-0-1 [true,${DRAIN_MS}]`]);
+  assert.deepEqual(listEntries(), [`p-z-0-1 [true,${DRAIN_MS}]`]);
   await clock.runUntil(DRAIN_MS - 1);
   assert.notEqual(machine.worker(), undefined);
   await clock.runUntil(DRAIN_MS);
   await left;
   assert.equal(machine.worker(), undefined);
-  assert.deepEqual(listed(), []);
+  assert.deepEqual(listEntries(), []);
 });
 
-test('a crashed worker stays listed for three heartbeats and comes back as another', async () => {
-  const {clock, machine, listed} = createFixture();
+test('a crashed worker is listed for three more heartbeats and restarts with a new id', async () => {
+  const {clock, machine, listEntries} = createFixture();
   const crashed = machine.crash();
   await clock.runUntil(2 * HEARTBEAT_MS);
-  assert.deepEqual(listed(), ['p-z-0-1 [false,null]']);
+  assert.deepEqual(listEntries(), ['p-z-0-1 [false,null]']);
   await clock.runUntil(5 * HEARTBEAT_MS);
-  assert.deepEqual(listed(), []);
+  assert.deepEqual(listEntries(), []);
   await clock.runUntil(RESTART_MS);
   await crashed;
-  assert.deepEqual(listed(), ['p-z-0-2 [false,null]']);
+  assert.deepEqual(listEntries(), ['p-z-0-2 [false,null]']);
 });
--- a/packages/gypsumwall-emulator/src/model/caller.ts
+++ b/packages/gypsumwall-emulator/src/model/caller.ts
@@ -59,13 +59,13 @@
     kind: CallKind,
     job: jobCatalog.JobSpec,
   ): Promise<readonly CallAnswer[]> {
-    const caller = random.integer(0, CALLER_COUNT);
+    const callerNumber = random.integer(0, CALLER_COUNT);
     const deadline = types.clock.after(clock.monotonic(), options.patienceMs);
     const answers: CallAnswer[] = [];
     for (let nth = 0; nth < options.attempts; nth++) {
       const timeoutMs = deadline - clock.monotonic();
       if (timeoutMs <= 0) break;
-      const entry = options.balancer.pick(caller, nth);
+      const entry = options.balancer.pick(callerNumber, nth);
       const answer = await options.send(entry, kind, job, timeoutMs);
       answers.push(answer);
       if (answer.type === 'ok' || answer.type === 'absent') break;
--- a/packages/gypsumwall-emulator/src/model/store.ts
+++ b/packages/gypsumwall-emulator/src/model/store.ts
@@ -87,7 +87,7 @@
   readonly appendMs: number;
   readonly keepMs: number;
   /**
-   * Planted, for tests of the judge: acknowledges such records without
+   * Injected fault for tests of the judge: acknowledges such records without
    * keeping them.
    */
   readonly shouldDrop?: (topic: string, entry: keyedLog.KeyedEntry) => boolean;
@@ -109,14 +109,14 @@
   const counts = {reads: 0, writes: 0};
 
   function log(topic: string): keyedLog.KeyedLog {
-    const known = logs.get(topic);
-    if (known !== undefined) return known;
-    const made = keyedLog.createKeyedLog({clock, keepMs: options.keepMs});
-    logs.set(topic, made);
-    return made;
+    const existing = logs.get(topic);
+    if (existing !== undefined) return existing;
+    const created = keyedLog.createKeyedLog({clock, keepMs: options.keepMs});
+    logs.set(topic, created);
+    return created;
   }
 
-  const faultOf = (caller: string): StoreFault =>
+  const findFault = (caller: string): StoreFault =>
     faults.get(caller) ?? faults.get(ALL_CALLERS) ?? NO_FAULT;
 
   /** Returns undefined if the call may proceed, otherwise how it ends. */
@@ -124,7 +124,7 @@
     caller: string,
     limit: rateLimit.RateLimit,
   ): Promise<Exclude<Delivery<never>, {type: 'answer'}> | undefined> {
-    const fault = faultOf(caller);
+    const fault = findFault(caller);
     switch (fault.type) {
       case 'unavailable':
       case 'throttled':
@@ -146,16 +146,16 @@
     caller: string,
     carryOut: () => Value,
   ): Promise<Delivery<Value>> {
-    const fault = faultOf(caller);
+    const fault = findFault(caller);
     if (fault.type !== 'lossy') return {type: 'answer', value: carryOut()};
-    const draw = random.next();
-    if (draw < fault.lateShare) {
+    const randomShare = random.next();
+    if (randomShare < fault.lateShare) {
       await types.clock.sleepFor(clock, random.integer(0, fault.maxDelayMs));
       carryOut();
       return {type: 'lost'};
     }
     const value = carryOut();
-    return draw < fault.lateShare + fault.lostShare
+    return randomShare < fault.lateShare + fault.lostShare
       ? {type: 'lost'}
       : {type: 'answer', value};
   }
@@ -187,7 +187,7 @@
     callCounts: () => ({...counts}),
     setFault: (caller, fault) => void faults.set(caller, fault),
     compactLogs() {
-      for (const one of logs.values()) one.compact();
+      for (const each of logs.values()) each.compact();
     },
     async append(caller, call) {
       counts.writes += 1;
--- a/packages/gypsumwall-emulator/src/model/worker_list.ts
+++ b/packages/gypsumwall-emulator/src/model/worker_list.ts
@@ -53,8 +53,8 @@
   async function removeExpired(): Promise<void> {
     while (!stopped.signal.aborted) {
       await types.clock.sleepFor(clock, options.heartbeatMs, stopped.signal);
-      for (const [workerId, at] of [...expiresAt]) {
-        if (at <= clock.monotonic()) remove(workerId);
+      for (const [workerId, expiry] of [...expiresAt]) {
+        if (expiry <= clock.monotonic()) remove(workerId);
       }
     }
   }
@@ -65,8 +65,8 @@
     stop: () => stopped.abort(),
     put(listing) {
       const expiryMs = options.heartbeatMs * EXPIRY_HEARTBEATS;
-      const expiry = types.clock.after(clock.monotonic(), expiryMs);
-      expiresAt.set(listing.id, expiry);
+      const expiresBy = types.clock.after(clock.monotonic(), expiryMs);
+      expiresAt.set(listing.id, expiresBy);
       const value = options.encode(listing);
       log.append([{key: listing.id, value}], {});
     },
--- a/packages/gypsumwall-emulator/src/rig/emulated_cell.ts
+++ b/packages/gypsumwall-emulator/src/rig/emulated_cell.ts
@@ -81,13 +81,13 @@
   for (const entry of entries) entry.start();
 
   async function startWorkers(): Promise<void> {
-    for (const place of platformModels.listMachines(config)) {
+    for (const spec of platformModels.listMachines(config)) {
       const server = await workerServer.startWorkerServer({
         clock,
         random: model.random,
       });
       servers.push(server);
-      server.serveMachine(model.addMachine(place, server.address));
+      server.serveMachine(model.addMachine(spec, server.address));
     }
   }
 
@@ -99,7 +99,7 @@
     const random = types.random.createRandom(crypto.randomInt(2 ** 31));
     const machines: entryMachine.EntryMachine[] = [];
     for (const zone of config.zones) {
-      const name = `entry-${zone}`;
+      const entryName = `entry-${zone}`;
       const {restartMs, ...durations} = config.entries;
       machines.push(
         await entryMachine.createEntryMachine({
@@ -111,10 +111,10 @@
           settings: {
             ...config.workers,
             ...durations,
-            name,
+            name: entryName,
             zone,
-            storeAddress: await serveStore(name),
-            adviserAddress: await serveAdviser(name),
+            storeAddress: await serveStore(entryName),
+            adviserAddress: await serveAdviser(entryName),
           },
         }),
       );
--- a/packages/gypsumwall-emulator/src/rig/loopback.ts
+++ b/packages/gypsumwall-emulator/src/rig/loopback.ts
@@ -12,10 +12,10 @@
   port: number,
 ): Promise<string> {
   for (let nth = 0; nth < MAX_TRIES; nth++) {
-    const bytes = Array.from({length: 3}, () =>
+    const ipBytes = Array.from({length: 3}, () =>
       random.integer(MIN_BYTE, MAX_BYTE),
     );
-    const ip = ['127', ...bytes].join('.');
+    const ip = ['127', ...ipBytes].join('.');
     if ((await tryPort(ip, port)) !== undefined) return ip;
   }
   throw new Error(`port ${port}: no free address on loopback`);
--- a/packages/gypsumwall-emulator/src/wire/__tests__/servers.test.ts
+++ b/packages/gypsumwall-emulator/src/wire/__tests__/servers.test.ts
@@ -23,7 +23,7 @@
 }`;
 const CALLER = 'entry';
 const JOB_ID = '5c0e7a21d94b36f8';
-/** Longer than an answer on loopback takes; milliseconds. */
+/** Exceeds the time of an answer on loopback. */
 const RESPONSE_TIMEOUT_MS = 300;
 
 async function startPlatform() {
@@ -75,10 +75,10 @@
 
 type Platform = Awaited<ReturnType<typeof startPlatform>>;
 
-async function withPlatform(play: (platform: Platform) => Promise<void>) {
+async function withPlatform(runTest: (platform: Platform) => Promise<void>) {
   const platform = await startPlatform();
   try {
-    await play(platform);
+    await runTest(platform);
   } finally {
     await platform.close();
   }
@@ -87,16 +87,16 @@
 const parseBody = ({bytes}: {readonly bytes: Buffer}): unknown =>
   JSON.parse(bytes.toString());
 
-/** A record of the key `k` and the value `v`. */
+/** A record with the key `k` and the value `v`. */
 const RECORD = Buffer.from([0, 0, 0, 3, 1, 0x6b, 0x76]);
 const APPEND = '/v1/log-append?topic=keyed.t&part=0';
 
-test('a record is appended once, read back and found by its key', () =>
+test('a record is appended once, and found by offset and by key', () =>
   withPlatform(async ({callStore}) => {
     const appended = await callStore(`${APPEND}&at=0`, RECORD);
     assert.deepEqual(parseBody(appended), {offset: 0, endOffset: 1});
-    const again = await callStore(`${APPEND}&at=0`, RECORD);
-    assert.equal(again.status, 412);
+    const repeated = await callStore(`${APPEND}&at=0`, RECORD);
+    assert.equal(repeated.status, 412);
     const read = await callStore('/v1/log-read?topic=keyed.t&part=0&from=0');
     const head = Buffer.alloc(16);
     head.writeBigUInt64BE(1n);
@@ -106,17 +106,19 @@
     assert.deepEqual(parseBody(newest), {items, hasMore: false, endOffset: 1});
   }));
 
-test('a lower epoch and a skipped sequence are told apart', () =>
+test('a lower epoch and a skipped sequence get different answers', () =>
   withPlatform(async ({callStore}) => {
-    const appendNumbered = (epoch: number, seq: number) =>
+    const appendWithSequence = (epoch: number, seq: number) =>
       callStore(`${APPEND}&producer=h&epoch=${epoch}&seq=${seq}`, RECORD);
-    assert.equal((await appendNumbered(2, 0)).status, 200);
-    assert.deepEqual(parseBody(await appendNumbered(1, 1)), {reason: 'fenced'});
-    const skipped = parseBody(await appendNumbered(2, 5));
+    assert.equal((await appendWithSequence(2, 0)).status, 200);
+    assert.deepEqual(parseBody(await appendWithSequence(1, 1)), {
+      reason: 'fenced',
+    });
+    const skipped = parseBody(await appendWithSequence(2, 5));
     assert.deepEqual(skipped, {reason: 'seq', expected: 1});
   }));
 
-test('faults of the store reach the machine that they are for', () =>
+test('faults of the store apply to the machine that they are set for', () =>
   withPlatform(async ({model, callStore}) => {
     model.store.setFault(CALLER, {type: 'unavailable'});
     assert.equal((await callStore(APPEND, RECORD)).status, 503);
@@ -150,7 +152,7 @@
   model.catalog.add({jobId: JOB_ID, queue: 'q', payload: 'p', steps});
 }
 
-test('a start is carried out, its end listed until it is noted', () =>
+test('a start is carried out and its end reported until it is acknowledged', () =>
   withPlatform(async (platform) => {
     const {callWorker} = platform;
     addJob(platform);
@@ -170,7 +172,7 @@
     assert.equal((parseBody(fenced) as {reason: string}).reason, 'fence');
   }));
 
-test('an order to a troubled worker is refused, or done late and unanswered', () =>
+test('an order to a faulty machine is refused, or carried out late without an answer', () =>
   withPlatform(async (platform) => {
     const {machine, callWorker} = platform;
     addJob(platform);
@@ -184,7 +186,7 @@
     assert.equal((parseBody(held) as {finished: unknown[]}).finished.length, 1);
   }));
 
-test('a body of a wrong form is refused with its field', () =>
+test('an invalid body is refused with the name of its field', () =>
   withPlatform(async ({callWorker}) => {
     const answer = await callWorker('/v1/run-stop', {task: 7, attempt: 1});
     assert.equal(answer.status, 400);
