--- a/packages/gypsumwall-emulator/src/model/history.ts
+++ b/packages/gypsumwall-emulator/src/model/history.ts
@@ -92,7 +92,7 @@
 
 /** Collects events. */
 export interface History {
-  record(seen: EventDetails): void;
+  record(details: EventDetails): void;
   events(): readonly HistoryEvent[];
 }
 
@@ -100,7 +100,7 @@
 export function createHistory(clock: types.clock.Clock): History {
   const events: HistoryEvent[] = [];
   return {
-    record: (seen) => void events.push({...seen, at: clock.monotonic()}),
+    record: (details) => void events.push({...details, at: clock.monotonic()}),
     events: () => events,
   };
 }
--- a/packages/gypsumwall-emulator/src/model/worker.ts
+++ b/packages/gypsumwall-emulator/src/model/worker.ts
@@ -164,10 +164,8 @@
     return {how: fails ? 'failed' : 'done', afterMs: step.workMs};
   }
 
-  function fitsWithRunning(
-    size: types.resources.Resources,
-    limit = capacity,
-  ): boolean {
+  /** Whether a start fits into the capacity beside the running attempts. */
+  function fits(size: types.resources.Resources, limit = capacity): boolean {
     const used = [...attempts.values()]
       .map((attempt) => attempt.size)
       .reduce(types.resources.add, types.resources.NO_RESOURCES);
@@ -177,9 +175,9 @@
 
   /** Whether a start exceeds every capacity that its sender may know. */
   function exceedsKnownCapacity(size: types.resources.Resources): boolean {
-    if (fitsWithRunning(size)) return false;
+    if (fits(size)) return false;
     const isWithinNotice = clock.monotonic() < previousCapacity.until;
-    return !isWithinNotice || !fitsWithRunning(size, previousCapacity.capacity);
+    return !isWithinNotice || !fits(size, previousCapacity.capacity);
   }
 
   async function crashAfterDelay(
@@ -203,8 +201,7 @@
     }
     if (lease.endsAt() <= clock.monotonic()) return refuse('late');
     if (!hasTicket(order, task)) return refuse('ticket');
-    if (!options.refusesExcess || fitsWithRunning(task.step.size))
-      return undefined;
+    if (!options.refusesExcess || fits(task.step.size)) return undefined;
     return refuse('room');
   }
 
@@ -234,13 +231,11 @@
   ): void {
     const {taskId, attempt} = order;
     const ids = {workerId, taskId, attempt};
-    const recordUnasked = (reason: string) =>
+    const report = (reason: string) =>
       eventHistory.record({type: 'start_unasked', reason, ...ids});
-    if (order.payload !== task.job.payload) recordUnasked('another payload');
-    if (initialProgressMs === undefined)
-      recordUnasked('a checkpoint of another task');
-    if (exceedsKnownCapacity(task.step.size))
-      recordUnasked('over the capacity');
+    if (order.payload !== task.job.payload) report('another payload');
+    if (initialProgressMs === undefined) report('a checkpoint of another task');
+    if (exceedsKnownCapacity(task.step.size)) report('over the capacity');
     eventHistory.record({type: 'run_started', ...ids});
   }
 
