--- a/packages/gypsumwall-bench/src/adviser_lines.ts
+++ b/packages/gypsumwall-bench/src/adviser_lines.ts
@@ -32,19 +32,19 @@
     lane: string,
     wish: scheduling.schedulerTypes.AdviceRequest,
   ): void {
-    lanes.finish(lane, wish.callMs);
+    lanes.release(lane, wish.callMs);
     const validMs = wish.stepRun.job.policy.advice?.validMs ?? 0;
     const validUntil = types.clock.after(timeline.now(), validMs);
-    scheduler.adviceAnswered(wish, parts.adviser(wish), validUntil);
+    scheduler.onAdviceAnswered(wish, parts.adviser(wish), validUntil);
     parts.onAnswer();
   }
 
   return {
     capacity: () => lanes.capacity(entries),
     ask(wish) {
-      const lane = lanes.take(entries, wish.callMs, wish.needed);
+      const lane = lanes.acquire(entries, wish.callMs, wish.needed);
       if (lane === undefined) {
-        scheduler.adviceAnswered(wish, undefined, timeline.now());
+        scheduler.onAdviceAnswered(wish, undefined, timeline.now());
         return;
       }
       calls++;
--- a/packages/gypsumwall-bench/src/gang_coordinator.ts
+++ b/packages/gypsumwall-bench/src/gang_coordinator.ts
@@ -42,7 +42,7 @@
   let conflicts = 0;
 
   const bookOf = (worker: types.ids.WorkerId) =>
-    shards[shardOf(worker)]!.scheduler.book;
+    shards[shardOf(worker)]!.scheduler.workerRegistry;
 
   function launch(starts: readonly StartOrder[]): void {
     const gangs = new Map<string, StartOrder[]>();
@@ -106,7 +106,7 @@
         for (const {attempt: run} of booked) runOver(run);
         return part.map((one) => roomOf(one.attempt.workerId));
       }
-      bookOf(workerId).book(workerId, stepRunId, size);
+      bookOf(workerId).reserve(workerId, stepRunId, size);
       booked.push(start);
     }
     return undefined;
@@ -124,7 +124,8 @@
     conflicts++;
     for (const {attempt: run} of granted) runOver(run);
     parts.decider().refuse(gang);
-    for (const room of told) mirror(parts.decider().scheduler.book, room);
+    for (const room of told)
+      mirror(parts.decider().scheduler.workerRegistry, room);
   }
 
   function runOver(run: scheduling.activeJob.Attempt): void {
@@ -137,7 +138,7 @@
     const costMs = workerCalls.CALL_MS + rooms.length * 0.001;
     process.handle(costMs, () => {
       process.measure(() => {
-        for (const room of rooms) mirror(scheduler.book, room);
+        for (const room of rooms) mirror(scheduler.workerRegistry, room);
       });
       parts.decider().requestCycle();
     });
@@ -158,7 +159,7 @@
       accelerators: 0,
     };
     if (now.cpuMillis === before.cpuMillis) return;
-    book.book(id, OTHERS, now);
+    book.reserve(id, OTHERS, now);
     book.release(id, OTHERS, before);
     others.set(id, now);
   }
--- a/packages/gypsumwall-bench/src/job_moves.ts
+++ b/packages/gypsumwall-bench/src/job_moves.ts
@@ -85,8 +85,8 @@
   job: scheduling.activeJob.ActiveJob,
 ): scheduling.jobRequest.StepRequest | undefined {
   let found: scheduling.jobRequest.StepRequest | undefined;
-  for (const {steps} of job.open.values()) {
-    for (const {attempts: runs, waiting, request} of steps) {
+  for (const {steps} of job.openOccurrences.values()) {
+    for (const {attempts: runs, waitingIndexes: waiting, request} of steps) {
       if (runs.size > 0) return undefined;
       if (waiting.length > 0) found ??= request;
     }
--- a/packages/gypsumwall-bench/src/run_ends.ts
+++ b/packages/gypsumwall-bench/src/run_ends.ts
@@ -8,7 +8,7 @@
 export interface DrawEnd {
   (run: scheduling.activeJob.Attempt): {
     readonly spanMs: number;
-    readonly how: scheduling.jobSteps.RunEnd;
+    readonly how: scheduling.jobSteps.AttemptOutcome;
   };
   percent(): number;
 }
@@ -16,7 +16,7 @@
 /** Creates the draws of one cell. */
 export function createDrawEnd(random: types.random.Random): DrawEnd {
   const draw = (run: scheduling.activeJob.Attempt) => {
-    const {request, job} = run.owner!.stepRun;
+    const {request, job} = run.task!.stepRun;
     const {failingShare} = kindOf(job.policy.queue);
     const fails = random.next() < failingShare;
     const spanMs = request.expectedMs * (fails ? random.next() : 1);
--- a/packages/gypsumwall-bench/src/shard_rooms.ts
+++ b/packages/gypsumwall-bench/src/shard_rooms.ts
@@ -53,7 +53,11 @@
   scheduler,
 }: virtualDecider.VirtualDecider): WorkerRoom[] {
   const rooms: WorkerRoom[] = [];
-  for (const {info, free, usable} of scheduler.book.workers.values()) {
+  for (const {
+    info,
+    free,
+    isUsable: usable,
+  } of scheduler.workerRegistry.workers.values()) {
     if (usable) rooms.push({id: info.id, free});
   }
   return rooms;
--- a/packages/gypsumwall-bench/src/spread_measures.ts
+++ b/packages/gypsumwall-bench/src/spread_measures.ts
@@ -80,7 +80,7 @@
     const sizes = smallestSizes(waiting.filter((step) => before.has(step)));
     before = new Set(waiting);
     for (const {scheduler} of parts.ofWorkers()) {
-      for (const {info, free} of scheduler.book.workers.values()) {
+      for (const {info, free} of scheduler.workerRegistry.workers.values()) {
         samples.capacity += info.capacity.cpuMillis;
         if (free.cpuMillis < 0 || free.memoryMb < 0) samples.overbooked++;
         if (sizes.length === 0 || free.cpuMillis <= 0) continue;
@@ -112,7 +112,7 @@
       starts += orders.length;
       const gangs = new Map<scheduling.activeJob.StepRun, number>();
       for (const {attempt: run} of orders) {
-        const {stepRun} = run.owner!;
+        const {stepRun} = run.task!;
         if (!stepRun.request.gang) continue;
         gangs.set(stepRun, (gangs.get(stepRun) ?? 0) + 1);
       }
@@ -152,9 +152,9 @@
 ): scheduling.activeJob.StepRun[] {
   return deciders
     .flatMap(({jobs}) => [...jobs.values()])
-    .flatMap((job) => [...job.open.values()])
+    .flatMap((job) => [...job.openOccurrences.values()])
     .flatMap(({steps}) => steps)
-    .filter(({waiting}) => waiting.length > 0);
+    .filter(({waitingIndexes: waiting}) => waiting.length > 0);
 }
 
 /** Sizes of tasks, without those that a smaller one stands for. */
--- a/packages/gypsumwall-bench/src/step_cell.ts
+++ b/packages/gypsumwall-bench/src/step_cell.ts
@@ -84,7 +84,7 @@
 
   const scheduler = scheduling.scheduler.createScheduler({
     attemptBase: 0,
-    isAccounted: () => true,
+    isReconciled: () => true,
     onEvent(event) {
       if (event.type === 'job_over') noteOver(event.job);
     },
@@ -162,7 +162,7 @@
     const dirty = timed(() => scheduler.takeDirty());
     if (dirty.length === 0) return;
     later(STORE_MS, () => {
-      timed(() => scheduler.stored(dirty));
+      timed(() => scheduler.onStored(dirty));
       kick();
     });
   }
@@ -173,9 +173,9 @@
     later(ORDER_MS, () => {
       const runs = running.get(run.workerId) ?? new Set();
       running.set(run.workerId, runs.add(run));
-      timed(() => scheduler.startAnswered(run, {type: 'started'}, now));
+      timed(() => scheduler.onStartAnswered(run, {type: 'started'}, now));
     });
-    const {request, job} = run.owner!.stepRun;
+    const {request, job} = run.task!.stepRun;
     const fails = random.next() < kindOf(job.policy.queue).failingShare;
     const spanMs = request.expectedMs * (fails ? random.next() : 1);
     later(ORDER_MS + spanMs, () => end(run, fails ? 'failed' : 'done'));
@@ -187,7 +187,7 @@
 
   function end(
     run: scheduling.activeJob.Attempt,
-    how: scheduling.jobSteps.RunEnd,
+    how: scheduling.jobSteps.AttemptOutcome,
   ): void {
     const runs = running.get(run.workerId);
     if (runs?.delete(run) !== true) return;
@@ -206,10 +206,10 @@
       ends: [{sequence, taskId, attempt, how, checkpoint: ''}],
       complete: true,
     };
-    timed(() => scheduler.report(report, now));
+    timed(() => scheduler.applyReport(report, now));
     for (const stopped of scheduler.takeStops()) {
       later(STOP_MS, () => {
-        scheduler.stopAnswered(stopped, now);
+        scheduler.onStopAnswered(stopped, now);
         end(stopped, 'stopped');
       });
     }
@@ -218,16 +218,16 @@
   }
 
   function advise(wish: scheduling.schedulerTypes.AdviceRequest): void {
-    const lane = lanes.take(entries, wish.callMs, wish.needed);
+    const lane = lanes.acquire(entries, wish.callMs, wish.needed);
     if (lane === undefined) {
-      scheduler.adviceAnswered(wish, undefined, now);
+      scheduler.onAdviceAnswered(wish, undefined, now);
       return;
     }
     // The adviser handles the calls of one entry one at a time.
     const doneAt = Math.max(now, lineEnds.get(lane) ?? 0) + wish.callMs;
     lineEnds.set(lane, doneAt);
     later(doneAt - now, () => {
-      lanes.finish(lane, wish.callMs);
+      lanes.release(lane, wish.callMs);
       const share = kindOf(wish.stepRun.job.policy.queue).approvedShare;
       const approved = new Map<types.ids.WorkerId, string>();
       for (const id of wish.workers) {
@@ -235,7 +235,7 @@
       }
       const validMs = wish.stepRun.job.policy.advice?.validMs ?? 0;
       const validUntil = types.clock.after(now, validMs);
-      timed(() => scheduler.adviceAnswered(wish, approved, validUntil));
+      timed(() => scheduler.onAdviceAnswered(wish, approved, validUntil));
       kick();
     });
   }
@@ -252,7 +252,7 @@
     const id = types.ids.brand<types.ids.JobId>(`job${++jobs}`);
     const request = stepLoad.drawRequest(kind, random);
     const {policy} = kind;
-    const chainMs = scheduling.jobRequest.chainMs(request);
+    const chainMs = scheduling.jobRequest.expectedChainMs(request);
     const objectiveMs = chainMs * policy.slackFactor + policy.targetMs;
     notes.set(id, {kind, at: acceptedAt, objectiveMs});
     const progress = scheduling.jobProgress.NO_PROGRESS;
--- a/packages/gypsumwall-bench/src/virtual_decider.ts
+++ b/packages/gypsumwall-bench/src/virtual_decider.ts
@@ -76,7 +76,7 @@
 
   const scheduler = scheduling.scheduler.createScheduler({
     attemptBase: parts.attemptBase,
-    isAccounted: () => true,
+    isReconciled: () => true,
     onEvent(event) {
       if (event.type !== 'job_over') return;
       jobs.delete(event.job);
@@ -122,7 +122,7 @@
     process.handle(workerCalls.CALL_MS, () => {
       timeline.later(STORE_MS, () => {
         process.handle(0, () => {
-          process.measure(() => scheduler.stored(dirty));
+          process.measure(() => scheduler.onStored(dirty));
           requestCycle();
         });
       });
@@ -147,7 +147,7 @@
 
   function answer(run: scheduling.activeJob.Attempt): void {
     process.measure(() =>
-      scheduler.startAnswered(run, {type: 'started'}, timeline.now()),
+      scheduler.onStartAnswered(run, {type: 'started'}, timeline.now()),
     );
   }
 
@@ -160,7 +160,7 @@
 
   function end(
     run: scheduling.activeJob.Attempt,
-    how: scheduling.jobSteps.RunEnd,
+    how: scheduling.jobSteps.AttemptOutcome,
   ): void {
     const {taskId, number: attempt, workerId} = run;
     const runs = running.get(workerId);
@@ -184,7 +184,7 @@
   }
 
   function take(report: scheduling.schedulerTypes.WorkerReport): void {
-    process.measure(() => scheduler.report(report, timeline.now()));
+    process.measure(() => scheduler.applyReport(report, timeline.now()));
     for (const run of scheduler.takeStops()) stop(run);
     store();
     requestCycle();
@@ -193,7 +193,7 @@
   function stop(run: scheduling.activeJob.Attempt): void {
     const {workerId} = run;
     const arrive = () => timeline.later(STOP_MS, () => end(run, 'stopped'));
-    const answered = () => scheduler.stopAnswered(run, timeline.now());
+    const answered = () => scheduler.onStopAnswered(run, timeline.now());
     parts.callsFor(workerId).send([{workerId, arrive, answer: answered}]);
   }
 
@@ -230,7 +230,7 @@
     refuse(starts) {
       for (const {attempt: run} of starts) {
         const outcome = {type: 'refused', reason: 'superseded'} as const;
-        scheduler.startAnswered(run, outcome, timeline.now());
+        scheduler.onStartAnswered(run, outcome, timeline.now());
       }
       requestCycle();
     },
