--- a/packages/gypsumwall-emulator/src/__fixtures__/plain_step.ts
+++ b/packages/gypsumwall-emulator/src/__fixtures__/plain_step.ts
@@ -1,8 +1,8 @@
-/** A step of one small task, unless told otherwise. */
+/** A step with one small task; `fields` override its defaults. */
 import type * as jobCatalog from '../model/job_catalog.js';
 
-export function plainStep(
-  fields: Partial<jobCatalog.StepSpec> = {},
+export function createPlainStep(
+  overrides: Partial<jobCatalog.StepSpec> = {},
 ): jobCatalog.StepSpec {
   return {
     taskCount: 1,
@@ -12,6 +12,6 @@
     gang: false,
     lasting: false,
     savesProgress: false,
-    ...fields,
+    ...overrides,
   };
 }
--- a/packages/gypsumwall-emulator/src/demo/demo_report.ts
+++ b/packages/gypsumwall-emulator/src/demo/demo_report.ts
@@ -1,7 +1,7 @@
-/** What the demo prints: what callers saw, and which promises held. */
+/** The demo's report: counts of jobs, start times, and which promises held. */
 import * as hdr from 'hdr-histogram-js';
 import * as finding from '../judge/finding.js';
-import * as taskRuns from '../judge/task_runs.js';
+import * as taskAttempts from '../judge/task_attempts.js';
 import type * as history from '../model/history.js';
 import * as mixedJobs from './mixed_jobs.js';
 import type * as runDemo from './run_demo.js';
@@ -13,19 +13,19 @@
   refused: number;
   unknown: number;
   completed: number;
-  /** From sending a job to the start of its first task; milliseconds. */
-  readonly starts: hdr.Histogram;
+  /** Times from sending a job to the start of its first task, in milliseconds. */
+  readonly startTimesMs: hdr.Histogram;
 }
 
-const COLUMN = 10;
-const MOST_DETAILS = 5;
+const COLUMN_WIDTH = 10;
+const MAX_DETAILS = 5;
 
-/** Writes the report. */
+/** Formats the report. */
 export function formatReport(result: runDemo.DemoResult): string {
   const rows = collectRows(result);
   const {reads, writes} = result.storeCalls;
   const lines = [
-    line(
+    formatLine(
       'kind',
       ...['sent', 'accepted', 'refused', 'unknown', 'completed'],
       ...['start p50', 'start p95', 'start max'],
@@ -35,92 +35,113 @@
     `ends of runs: ${countEnds(result.events)}`,
     `calls to the store: ${reads} reads, ${writes} writes`,
     '',
-    ...finding.PROMISES.map((promise) => verdict(promise, result.findings)),
+    ...finding.PROMISES.map((promise) =>
+      formatVerdict(promise, result.findings),
+    ),
   ];
   return lines.join('\n');
 }
 
 function collectRows(result: runDemo.DemoResult): Row[] {
-  const rows = new Map(mixedJobs.KINDS.map((kind) => [kind, emptyRow(kind)]));
-  const rowOf = (jobId: string) =>
-    rows.get(result.kindOf(jobId) ?? 'short') ?? emptyRow('short');
+  const rows = new Map(
+    mixedJobs.KINDS.map((kind) => [kind, createEmptyRow(kind)]),
+  );
+  const findRow = (jobId: string) =>
+    rows.get(result.kindOf(jobId) ?? 'short') ?? createEmptyRow('short');
   const completed = new Set<string>();
   for (const event of result.events) {
-    if (event.type === 'job_sent') rowOf(event.job.jobId).sent += 1;
-    else if (event.type === 'job_told') rowOf(event.jobId)[event.told] += 1;
+    if (event.type === 'job_sent') findRow(event.job.jobId).sent += 1;
+    else if (event.type === 'job_told') findRow(event.jobId)[event.told] += 1;
     else if (event.type === 'state_shown' && event.state === 'completed') {
       completed.add(event.jobId);
     }
   }
-  for (const jobId of completed) rowOf(jobId).completed += 1;
-  for (const [jobId, waitedMs] of startWaits(result.events)) {
-    rowOf(jobId).starts.recordValue(Math.max(1, Math.round(waitedMs)));
+  for (const jobId of completed) findRow(jobId).completed += 1;
+  for (const [jobId, waitedMs] of collectStartWaits(result.events)) {
+    findRow(jobId).startTimesMs.recordValue(Math.max(1, Math.round(waitedMs)));
   }
   return [...rows.values()];
 }
 
-function emptyRow(kind: mixedJobs.JobKind): Row {
-  const none = {sent: 0, accepted: 0, refused: 0, unknown: 0, completed: 0};
-  return {kind, ...none, starts: hdr.build()};
+function createEmptyRow(kind: mixedJobs.JobKind): Row {
+  const zeroCounts = {
+    sent: 0,
+    accepted: 0,
+    refused: 0,
+    unknown: 0,
+    completed: 0,
+  };
+  return {kind, ...zeroCounts, startTimesMs: hdr.build()};
 }
 
-function startWaits(
+function collectStartWaits(
   events: readonly history.HistoryEvent[],
 ): Map<string, number> {
   const sentAt = new Map<string, number>();
-  const waits = new Map<string, number>();
+  const waitsMs = new Map<string, number>();
   for (const event of events) {
     if (event.type === 'job_sent') sentAt.set(event.job.jobId, event.at);
     if (event.type !== 'run_started') continue;
     const jobId = event.taskId.split('.', 1)[0] ?? '';
     const sent = sentAt.get(jobId);
-    if (sent !== undefined && !waits.has(jobId)) {
-      waits.set(jobId, event.at - sent);
+    if (sent !== undefined && !waitsMs.has(jobId)) {
+      waitsMs.set(jobId, event.at - sent);
     }
   }
-  return waits;
+  return waitsMs;
 }
 
 function formatRow(row: Row): string {
-  const {starts} = row;
-  const at = (percentile: number) =>
-    starts.totalCount === 0
+  const {startTimesMs} = row;
+  const formatPercentile = (percentile: number) =>
+    startTimesMs.totalCount === 0
       ? '-'
-      : `${starts.getValueAtPercentile(percentile)} ms`;
+      : `${startTimesMs.getValueAtPercentile(percentile)} ms`;
   const counts = [
     row.sent,
     row.accepted,
     row.refused,
     row.unknown,
-    // A lasting job has no end of its own.
+    // A long-running job doesn't complete.
     row.kind === 'lasting' ? '-' : row.completed,
   ];
-  return line(row.kind, ...counts, at(50), at(95), at(100));
+  return formatLine(
+    row.kind,
+    ...counts,
+    formatPercentile(50),
+    formatPercentile(95),
+    formatPercentile(100),
+  );
 }
 
-function line(first: string, ...rest: readonly (string | number)[]): string {
-  const cells = rest.map((cell) => String(cell).padStart(COLUMN));
-  return first.padEnd(COLUMN) + cells.join(' ');
+function formatLine(
+  first: string,
+  ...rest: readonly (string | number)[]
+): string {
+  const cells = rest.map((cell) => String(cell).padStart(COLUMN_WIDTH));
+  return first.padEnd(COLUMN_WIDTH) + cells.join(' ');
 }
 
 function countEnds(events: readonly history.HistoryEvent[]): string {
   const counts = new Map<string, number>();
-  for (const run of [...taskRuns.collectTaskRuns(events).values()].flat()) {
-    counts.set(run.how, (counts.get(run.how) ?? 0) + 1);
+  for (const attempt of [
+    ...taskAttempts.collectTaskAttempts(events).values(),
+  ].flat()) {
+    counts.set(attempt.how, (counts.get(attempt.how) ?? 0) + 1);
   }
   return [...counts].map(([how, count]) => `${count} ${how}`).join(', ');
 }
 
-function verdict(
+function formatVerdict(
   promise: finding.PromiseName,
   findings: readonly finding.Finding[],
 ): string {
-  const broken = findings.filter((one) => one.promise === promise);
-  if (broken.length === 0) return `held    ${promise}`;
-  const details = broken
-    .slice(0, MOST_DETAILS)
+  const violations = findings.filter((one) => one.promise === promise);
+  if (violations.length === 0) return `held    ${promise}`;
+  const details = violations
+    .slice(0, MAX_DETAILS)
     .map(({detail}) => `          ${detail}`);
-  const more = broken.length - details.length;
-  if (more > 0) details.push(`          and ${more} more`);
+  const hiddenCount = violations.length - details.length;
+  if (hiddenCount > 0) details.push(`          and ${hiddenCount} more`);
   return [`BROKEN  ${promise}`, ...details].join('\n');
 }
--- a/packages/gypsumwall-emulator/src/demo/job_traffic.ts
+++ b/packages/gypsumwall-emulator/src/demo/job_traffic.ts
@@ -1,4 +1,4 @@
-/** Jobs that are sent to an emulated cell, and what becomes of them. */
+/** Sends jobs to an emulated cell and waits for them to finish. */
 import * as types from '@gypsumwall/types';
 import type * as history from '../model/history.js';
 import * as jobCatalog from '../model/job_catalog.js';
@@ -6,32 +6,38 @@
 
 const POLL_MS = 200;
 
-/** Sends jobs at a steady pace, whatever becomes of those before. */
-export async function sendEvery(
+/**
+ * Sends jobs at a fixed interval, without waiting for earlier ones, until
+ * aborted. Resolves to the sent jobs once all submissions have an answer.
+ */
+export async function sendPeriodically(
   cell: emulatedCell.EmulatedCell,
-  make: () => jobCatalog.JobSpec,
-  everyMs: number,
-  over: AbortController,
+  createJob: () => jobCatalog.JobSpec,
+  intervalMs: number,
+  stopSending: AbortController,
 ): Promise<jobCatalog.JobSpec[]> {
   const sent: jobCatalog.JobSpec[] = [];
-  const open: Promise<unknown>[] = [];
-  while (!over.signal.aborted) {
-    const job = make();
+  const pending: Promise<unknown>[] = [];
+  while (!stopSending.signal.aborted) {
+    const job = createJob();
     sent.push(job);
-    open.push(cell.callers.submit(job));
-    await types.clock.sleepFor(cell.clock, everyMs, over.signal);
+    pending.push(cell.callers.submit(job));
+    await types.clock.sleepFor(cell.clock, intervalMs, stopSending.signal);
   }
-  await Promise.all(open);
+  await Promise.all(pending);
   return sent;
 }
 
-/** Asks for the state of the accepted jobs until all have ended. */
-export async function settle(
+/**
+ * Polls the accepted jobs until all have their expected final state, or until
+ * the deadline.
+ */
+export async function waitForFinalStates(
   cell: emulatedCell.EmulatedCell,
   jobs: readonly jobCatalog.JobSpec[],
   deadline: types.clock.MonotonicMs,
 ): Promise<void> {
-  const accepted = new Set(
+  const acceptedIds = new Set(
     cell.model.history
       .events()
       .flatMap((event) =>
@@ -40,20 +46,22 @@
           : [],
       ),
   );
-  let open = jobs.filter((job) => accepted.has(job.jobId));
-  while (open.length > 0 && cell.clock.monotonic() < deadline) {
+  let unfinished = jobs.filter((job) => acceptedIds.has(job.jobId));
+  while (unfinished.length > 0 && cell.clock.monotonic() < deadline) {
     const states = await Promise.all(
-      open.map((job) => cell.callers.stateOf(job)),
+      unfinished.map((job) => cell.callers.stateOf(job)),
     );
-    open = open.filter((job, nth) => !hasSettled(job, states[nth]));
-    if (open.length > 0) await types.clock.sleepFor(cell.clock, POLL_MS);
+    unfinished = unfinished.filter(
+      (job, nth) => !hasReachedFinalState(job, states[nth]),
+    );
+    if (unfinished.length > 0) await types.clock.sleepFor(cell.clock, POLL_MS);
   }
 }
 
-/** A lasting job never ends; that it runs is all that is asked. */
-function hasSettled(
+/** The expected state of a long-running job is `running`, as it never ends. */
+function hasReachedFinalState(
   job: jobCatalog.JobSpec,
   state: history.JobState | undefined,
 ): boolean {
-  return state === jobCatalog.lastStateOf(job);
+  return state === jobCatalog.expectedFinalState(job);
 }
--- a/packages/gypsumwall-emulator/src/demo/mixed_jobs.ts
+++ b/packages/gypsumwall-emulator/src/demo/mixed_jobs.ts
@@ -2,72 +2,83 @@
 import * as types from '@gypsumwall/types';
 import type * as jobCatalog from '../model/job_catalog.js';
 
-/** What kind of work a job is. */
+/** Kinds of jobs: short, gang and long-running ones. */
 export type JobKind = 'short' | 'gang' | 'lasting';
 
-/** All kinds, in the order of a report. */
+/** All kinds, in the order in which reports list them. */
 export const KINDS: readonly JobKind[] = ['short', 'gang', 'lasting'];
 
-/** Makes jobs with ids from a seed. */
+/** Creates jobs whose ids are derived from a seed. */
 export interface MixedJobs {
   make(kind: JobKind): jobCatalog.JobSpec;
   kindOf(jobId: string): JobKind | undefined;
 }
 
 const ID_DIGITS = 16;
-const HEX = 15;
-const PLAIN = {
+const MAX_HEX_DIGIT = 15;
+const DEFAULT_STEP = {
   after: [],
   gang: false,
   lasting: false,
   savesProgress: false,
 } satisfies Partial<jobCatalog.StepSpec>;
 
-const QUEUES: Readonly<Record<JobKind, string>> = {
+const QUEUE_BY_KIND: Readonly<Record<JobKind, string>> = {
   short: 'checks',
   gang: 'plans',
   lasting: 'services',
 };
 
-/** Number of tasks of a lasting job. */
-export const LASTING_TASKS = 4;
+/** Number of tasks of a long-running job. */
+export const LONG_RUNNING_TASK_COUNT = 4;
 
-const STEPS: Readonly<Record<JobKind, readonly jobCatalog.StepSpec[]>> = {
-  short: [
-    {...PLAIN, taskCount: 2, size: size(1_000, 512), workMs: 300},
-    {...PLAIN, taskCount: 1, size: size(500, 256), workMs: 150, after: [0]},
-  ],
-  gang: [
-    {
-      ...PLAIN,
-      taskCount: 12,
-      // Two workers have room for all of it beside other work: the adviser may
-      // refuse most of the others.
-      size: size(1_500, 2_048),
-      workMs: 2_500,
-      gang: true,
-      savesProgress: true,
-    },
-  ],
-  lasting: [
-    {
-      ...PLAIN,
-      taskCount: LASTING_TASKS,
-      size: size(2_000, 1_024),
-      workMs: 0,
-      lasting: true,
-    },
-  ],
-};
+const STEPS_BY_KIND: Readonly<Record<JobKind, readonly jobCatalog.StepSpec[]>> =
+  {
+    short: [
+      {...DEFAULT_STEP, taskCount: 2, size: makeSize(1_000, 512), workMs: 300},
+      {
+        ...DEFAULT_STEP,
+        taskCount: 1,
+        size: makeSize(500, 256),
+        workMs: 150,
+        after: [0],
+      },
+    ],
+    gang: [
+      {
+        ...DEFAULT_STEP,
+        taskCount: 12,
+        // Two workers have capacity for the whole gang beside other work,
+        // because the adviser may refuse most of the other workers.
+        size: makeSize(1_500, 2_048),
+        workMs: 2_500,
+        gang: true,
+        savesProgress: true,
+      },
+    ],
+    lasting: [
+      {
+        ...DEFAULT_STEP,
+        taskCount: LONG_RUNNING_TASK_COUNT,
+        size: makeSize(2_000, 1_024),
+        workMs: 0,
+        lasting: true,
+      },
+    ],
+  };
 
-function size(cpuMillis: number, memoryMb: number): types.resources.Resources {
+function makeSize(
+  cpuMillis: number,
+  memoryMb: number,
+): types.resources.Resources {
   return {cpuMillis, memoryMb, accelerators: 0};
 }
 
-/** Starts a series of jobs of each kind. */
+/** Creates a generator of jobs. */
 export function createMixedJobs(seed: number): MixedJobs {
   const kinds = new Map<string, JobKind>();
-  // The nth job of a kind has the same id whenever those of others are made.
+  // Each kind has its own generator, so that the id of its nth job doesn't
+  // depend on when jobs of other kinds are created.
   const randoms = {
     short: types.random.createRandom(KINDS.length * seed),
     gang: types.random.createRandom(KINDS.length * seed + 1),
@@ -75,7 +86,7 @@
   };
 
   function drawId(random: types.random.Random): string {
-    const digit = () => random.integer(0, HEX).toString(16);
+    const digit = () => random.integer(0, MAX_HEX_DIGIT).toString(16);
     return Array.from({length: ID_DIGITS}, digit).join('');
   }
 
@@ -85,7 +96,12 @@
       const jobId = drawId(randoms[kind]);
       kinds.set(jobId, kind);
       const payload = `${kind} ${jobId}`;
-      return {jobId, queue: QUEUES[kind], payload, steps: STEPS[kind]};
+      return {
+        jobId,
+        queue: QUEUE_BY_KIND[kind],
+        payload,
+        steps: STEPS_BY_KIND[kind],
+      };
     },
   };
 }
--- a/packages/gypsumwall-emulator/src/judge/crash_rules.ts
+++ b/packages/gypsumwall-emulator/src/judge/crash_rules.ts
@@ -1,32 +1,34 @@
-/** Rules on tasks that crash the workers which start them. */
+/** Rules on tasks that crash their workers. */
 import type * as history from '../model/history.js';
 import type * as finding from './finding.js';
-import type * as taskRuns from './task_runs.js';
+import type * as taskAttempts from './task_attempts.js';
 
-/** After so many crashes under a task ... */
-const CRASHES = 3;
-/** ... it may be started so often. */
-const MOST_STARTS_AFTER = 2;
+/** Number of crashes caused by a task after which its starts are limited. */
+const MAX_CRASHES = 3;
+/** Number of starts that a task may still have after these crashes. */
+const MAX_STARTS_AFTER_CRASHES = 2;
 
-/** Tasks that are started on and on though they crash their workers. */
+/** Finds tasks that are started too often although they crash their workers. */
 export function findCrashLoops(
   events: readonly history.HistoryEvent[],
-  runs: taskRuns.TaskRuns,
+  attempts: taskAttempts.TaskAttempts,
 ): finding.Finding[] {
-  const crashedAt = new Map<string, number[]>();
+  const crashTimesByTask = new Map<string, number[]>();
   for (const event of events) {
     if (event.type !== 'worker_crashed' || event.culprit === undefined)
       continue;
-    const times = crashedAt.get(event.culprit) ?? [];
-    crashedAt.set(event.culprit, [...times, event.at]);
+    const crashTimes = crashTimesByTask.get(event.culprit) ?? [];
+    crashTimesByTask.set(event.culprit, [...crashTimes, event.at]);
   }
-  return [...crashedAt].flatMap(([taskId, times]) => {
-    const lastAt = times[CRASHES - 1];
-    if (lastAt === undefined) return [];
-    const ofTask = runs.get(taskId) ?? [];
-    const after = ofTask.filter((run) => run.startedAt > lastAt).length;
-    if (after <= MOST_STARTS_AFTER) return [];
-    const detail = `${taskId}: ${after} starts after ${CRASHES} crashes under it`;
+  return [...crashTimesByTask].flatMap(([taskId, crashTimes]) => {
+    const limitedFrom = crashTimes[MAX_CRASHES - 1];
+    if (limitedFrom === undefined) return [];
+    const attemptsOfTask = attempts.get(taskId) ?? [];
+    const startsAfter = attemptsOfTask.filter(
+      (attempt) => attempt.startedAt > limitedFrom,
+    ).length;
+    if (startsAfter <= MAX_STARTS_AFTER_CRASHES) return [];
+    const detail = `${taskId}: ${startsAfter} starts after ${MAX_CRASHES} crashes under it`;
     return [
       {promise: 'tasks that crash workers are given up' as const, detail},
     ];
--- a/packages/gypsumwall-emulator/src/model/adviser.ts
+++ b/packages/gypsumwall-emulator/src/model/adviser.ts
@@ -1,6 +1,7 @@
 /**
- * The service that knows which workers may run a step: one call at a time for
- * each caller, answers that don't change, and tickets that end.
+ * The adviser: the service that decides which workers may run a step. It
+ * handles one call of each caller at a time, always decides the same way for a
+ * step and a worker, and issues tickets that expire.
  */
 import * as crypto from 'node:crypto';
 import * as types from '@gypsumwall/types';
@@ -9,53 +10,54 @@
 export interface AdvicePolicy {
   readonly callMs: number;
   readonly perWorkerMs: number;
-  /** A ticket is good for so long. */
+  /** How long a ticket is valid. */
   readonly validMs: number;
 }
 
-/** How a call is answered. */
+/** The answer to a call. */
 export type AdviceAnswer =
   | {
       readonly type: 'approved';
-      /** Pairs of worker and ticket. */
+      /** Pairs of a worker's id and its ticket. */
       readonly tickets: readonly (readonly [string, string])[];
       readonly validMs: number;
     }
-  /** Too many of the caller's calls wait. */
+  /** Too many calls of the caller are waiting. */
   | {readonly type: 'throttled'}
   | {readonly type: 'invalid'; readonly message: string};
 
-/** The adviser. */
+/** Approves workers for steps and checks the tickets. */
 export interface Adviser {
-  /** Whether starts on the queue need a ticket. */
-  advises(queue: string): boolean;
+  /** Whether tasks of the queue need a ticket to start. */
+  needsTicket(queue: string): boolean;
+  /** Asks which of the workers may run the step. */
   ask(
     caller: string,
     stepRunId: string,
     workerIds: readonly string[],
   ): Promise<AdviceAnswer>;
-  accepts(ticket: string, stepRunId: string, workerId: string): boolean;
+  acceptsTicket(ticket: string, stepRunId: string, workerId: string): boolean;
 }
 
-/** What the adviser is made with. */
+/** Options of {@link createAdviser}. */
 export interface AdviserOptions {
   readonly clock: types.clock.Clock;
   readonly seed: number;
   /** Share of the workers that may not run a step. */
   readonly refusedShare: number;
-  /** Policies by queue; others need no ticket. */
+  /** Policies by queue; tasks of other queues need no ticket. */
   readonly policies: ReadonlyMap<string, AdvicePolicy>;
-  readonly queueOf: (stepRunId: string) => string | undefined;
+  readonly findQueue: (stepRunId: string) => string | undefined;
 }
 
-const MOST_WAITING = 32;
-const MOST_WORKERS = 100;
+const MAX_WAITING_CALLS = 32;
+const MAX_WORKERS_PER_CALL = 100;
 
 /** Creates the adviser. */
 export function createAdviser(options: AdviserOptions): Adviser {
   const {clock, policies, seed} = options;
-  /** The end of each caller's last call, and how many wait. */
-  const lines = new Map<string, {last: Promise<void>; waiting: number}>();
+  /** For each caller, the end of its last call and the number of waiting calls. */
+  const callQueues = new Map<string, {last: Promise<void>; waiting: number}>();
   const validUntil = new Map<string, types.clock.MonotonicMs>();
 
   function mayRun(stepRunId: string, workerId: string): boolean {
@@ -67,7 +69,7 @@
     return random.next() >= options.refusedShare;
   }
 
-  function issue(
+  function issueTicket(
     stepRunId: string,
     workerId: string,
     validMs: number,
@@ -77,39 +79,50 @@
     return [workerId, ticket];
   }
 
-  /** Runs the caller's calls one after another. */
-  async function inTurn(caller: string, spanMs: number): Promise<boolean> {
-    const line = lines.get(caller) ?? {last: Promise.resolve(), waiting: 0};
-    lines.set(caller, line);
-    if (line.waiting >= MOST_WAITING) return false;
-    line.waiting += 1;
-    const mine = line.last.then(() => types.clock.sleepFor(clock, spanMs));
-    line.last = mine;
-    await mine;
-    line.waiting -= 1;
+  /**
+   * Waits until the caller's earlier calls and this one have taken their time.
+   * Returns false if too many calls are waiting.
+   */
+  async function waitForTurn(
+    caller: string,
+    durationMs: number,
+  ): Promise<boolean> {
+    const callQueue = callQueues.get(caller) ?? {
+      last: Promise.resolve(),
+      waiting: 0,
+    };
+    callQueues.set(caller, callQueue);
+    if (callQueue.waiting >= MAX_WAITING_CALLS) return false;
+    callQueue.waiting += 1;
+    const turn = callQueue.last.then(() =>
+      types.clock.sleepFor(clock, durationMs),
+    );
+    callQueue.last = turn;
+    await turn;
+    callQueue.waiting -= 1;
     return true;
   }
 
   return {
-    advises: (queue) => policies.has(queue),
+    needsTicket: (queue) => policies.has(queue),
     async ask(caller, stepRunId, workerIds) {
-      const policy = policies.get(options.queueOf(stepRunId) ?? '');
+      const policy = policies.get(options.findQueue(stepRunId) ?? '');
       if (policy === undefined) {
         return {type: 'invalid', message: `${stepRunId}: needs no advice`};
       }
-      if (workerIds.length > MOST_WORKERS) {
-        const message = `${workerIds.length} workers: name up to ${MOST_WORKERS}`;
+      if (workerIds.length > MAX_WORKERS_PER_CALL) {
+        const message = `${workerIds.length} workers: name up to ${MAX_WORKERS_PER_CALL}`;
         return {type: 'invalid', message};
       }
-      const spanMs = policy.callMs + policy.perWorkerMs * workerIds.length;
-      if (!(await inTurn(caller, spanMs))) return {type: 'throttled'};
+      const durationMs = policy.callMs + policy.perWorkerMs * workerIds.length;
+      if (!(await waitForTurn(caller, durationMs))) return {type: 'throttled'};
       const {validMs} = policy;
       const tickets = workerIds
         .filter((workerId) => mayRun(stepRunId, workerId))
-        .map((workerId) => issue(stepRunId, workerId, validMs));
+        .map((workerId) => issueTicket(stepRunId, workerId, validMs));
       return {type: 'approved', tickets, validMs};
     },
-    accepts(ticket, stepRunId, workerId) {
+    acceptsTicket(ticket, stepRunId, workerId) {
       if (ticket !== `${stepRunId}/${workerId}`) return false;
       return (validUntil.get(ticket) ?? -Infinity) > clock.monotonic();
     },
--- a/packages/gypsumwall-emulator/src/model/balancer.ts
+++ b/packages/gypsumwall-emulator/src/model/balancer.ts
@@ -1,54 +1,59 @@
-/** Spreads callers over the entries that say they are ready. */
+/** Load balancer: spreads callers over the entries that report ready. */
 import * as types from '@gypsumwall/types';
 
 /** The entries in rotation. */
 export interface Balancer {
-  /** An entry for the caller's next attempt. */
+  /** Picks an entry for a try of a call; `attempt` is the number of the try. */
   pick(caller: number, attempt: number): string;
-  ready(): readonly string[];
+  listReady(): readonly string[];
   stop(): void;
 }
 
-/** What the balancer is made with. */
+/** Options of {@link startBalancer}. */
 export interface BalancerOptions {
   readonly clock: types.clock.Clock;
   readonly entries: readonly string[];
-  readonly asksReady: (entry: string) => Promise<boolean>;
+  readonly checkReady: (entry: string) => Promise<boolean>;
 }
 
-const ASK_EVERY_MS = 1_000;
-/** So many misses on end take an entry out. */
-const MISSES = 2;
+const PROBE_INTERVAL_MS = 1_000;
+/** This many consecutive failed probes take an entry out of rotation. */
+const MAX_FAILED_PROBES = 2;
 
-/** Starts to ask the entries. */
+/** Starts probing the entries. */
 export function startBalancer(options: BalancerOptions): Balancer {
   const {clock, entries} = options;
-  const missed = new Map(entries.map((entry) => [entry, MISSES]));
+  const failedProbes = new Map(
+    entries.map((entry) => [entry, MAX_FAILED_PROBES]),
+  );
   const stopped = new AbortController();
 
-  async function ask(entry: string): Promise<void> {
-    const isReady = await options.asksReady(entry);
-    missed.set(entry, isReady ? 0 : (missed.get(entry) ?? 0) + 1);
+  async function probe(entry: string): Promise<void> {
+    const isReady = await options.checkReady(entry);
+    failedProbes.set(entry, isReady ? 0 : (failedProbes.get(entry) ?? 0) + 1);
   }
 
-  async function askAll(): Promise<void> {
+  async function probeAll(): Promise<void> {
     while (!stopped.signal.aborted) {
-      await Promise.all(entries.map(ask));
-      await types.clock.sleepFor(clock, ASK_EVERY_MS, stopped.signal);
+      await Promise.all(entries.map(probe));
+      await types.clock.sleepFor(clock, PROBE_INTERVAL_MS, stopped.signal);
     }
   }
 
-  const ready = () =>
-    entries.filter((entry) => (missed.get(entry) ?? MISSES) < MISSES);
+  const listReady = () =>
+    entries.filter(
+      (entry) =>
+        (failedProbes.get(entry) ?? MAX_FAILED_PROBES) < MAX_FAILED_PROBES,
+    );
 
-  void askAll();
+  void probeAll();
   return {
-    ready,
+    listReady,
     stop: () => stopped.abort(),
     pick(caller, attempt) {
-      const inRotation = ready();
-      const from = inRotation.length > 0 ? inRotation : entries;
-      return from[(caller + attempt) % from.length] ?? '';
+      const inRotation = listReady();
+      const candidates = inRotation.length > 0 ? inRotation : entries;
+      return candidates[(caller + attempt) % candidates.length] ?? '';
     },
   };
 }
--- a/packages/gypsumwall-emulator/src/model/caller.ts
+++ b/packages/gypsumwall-emulator/src/model/caller.ts
@@ -1,23 +1,23 @@
-/** Callers: they hand jobs in, ask for their state and cancel, with retries. */
+/** Callers, which submit jobs, query their state and cancel them, with retries. */
 import * as types from '@gypsumwall/types';
 import type * as balancer from './balancer.js';
 import type * as history from './history.js';
 import type * as jobCatalog from './job_catalog.js';
 
-/** What one entry answered to one call. */
+/** The answer of an entry to one try of a call. */
 export type CallAnswer =
   | {readonly type: 'ok'; readonly state: history.JobState | undefined}
-  /** Nothing was done. */
+  /** The entry did nothing. */
   | {readonly type: 'refused'}
-  /** There is no such job or queue. */
+  /** The entry knows no such job or queue. */
   | {readonly type: 'absent'}
-  /** No answer, or one that says nothing about the effect. */
+  /** No answer, or one that leaves open whether the call took effect. */
   | {readonly type: 'unknown'};
 
-/** What can be asked of a job. */
+/** Kinds of calls about a job. */
 export type CallKind = 'submit' | 'state' | 'cancel';
 
-/** Sends one call to one entry. */
+/** Sends one try of a call to one entry. */
 export type SendCall = (
   entry: string,
   kind: CallKind,
@@ -28,13 +28,13 @@
 /** The callers of a platform. */
 export interface Callers {
   submit(job: jobCatalog.JobSpec): Promise<'accepted' | 'refused' | 'unknown'>;
-  /** Undefined if no entry told. */
+  /** Resolves to undefined if no entry returned a state. */
   stateOf(job: jobCatalog.JobSpec): Promise<history.JobState | undefined>;
-  /** Whether an entry acknowledged it. */
+  /** Resolves to whether an entry acknowledged the cancellation. */
   cancel(job: jobCatalog.JobSpec): Promise<boolean>;
 }
 
-/** What the callers are made with. */
+/** Options of {@link createCallers}. */
 export interface CallersOptions {
   readonly clock: types.clock.Clock;
   readonly random: types.random.Random;
@@ -42,30 +42,30 @@
   readonly catalog: jobCatalog.JobCatalog;
   readonly balancer: balancer.Balancer;
   readonly send: SendCall;
-  /** A call is given up after so long, with all its attempts. */
+  /** Time limit for a call with all its tries. */
   readonly patienceMs: number;
   readonly attempts: number;
   readonly retryPauseMs: number;
 }
 
-const CALLERS = 1_000;
+const CALLER_COUNT = 1_000;
 
 /** Creates the callers. */
 export function createCallers(options: CallersOptions): Callers {
-  const {clock, random, history: seen} = options;
+  const {clock, random, history: eventHistory} = options;
 
-  /** Answers of the attempts, until one settles the call. */
-  async function attempt(
+  /** Tries a call until an answer is conclusive; returns all answers. */
+  async function sendWithRetries(
     kind: CallKind,
     job: jobCatalog.JobSpec,
   ): Promise<readonly CallAnswer[]> {
-    const caller = random.integer(0, CALLERS);
-    const until = types.clock.after(clock.monotonic(), options.patienceMs);
+    const callerNumber = random.integer(0, CALLER_COUNT);
+    const deadline = types.clock.after(clock.monotonic(), options.patienceMs);
     const answers: CallAnswer[] = [];
     for (let nth = 0; nth < options.attempts; nth++) {
-      const timeoutMs = until - clock.monotonic();
+      const timeoutMs = deadline - clock.monotonic();
       if (timeoutMs <= 0) break;
-      const entry = options.balancer.pick(caller, nth);
+      const entry = options.balancer.pick(callerNumber, nth);
       const answer = await options.send(entry, kind, job, timeoutMs);
       answers.push(answer);
       if (answer.type === 'ok' || answer.type === 'absent') break;
@@ -78,10 +78,10 @@
     job: jobCatalog.JobSpec,
   ): Promise<'accepted' | 'refused' | 'unknown'> {
     options.catalog.add(job);
-    seen.record({type: 'job_sent', job});
-    const answers = await attempt('submit', job);
-    const told = toldOf(answers);
-    seen.record({type: 'job_told', jobId: job.jobId, told});
+    eventHistory.record({type: 'job_sent', job});
+    const answers = await sendWithRetries('submit', job);
+    const told = summarizeAnswers(answers);
+    eventHistory.record({type: 'job_told', jobId: job.jobId, told});
     return told;
   }
 
@@ -89,28 +89,34 @@
     submit,
     async stateOf(job) {
       const {jobId} = job;
-      const last = (await attempt('state', job)).at(-1);
-      const state = last?.type === 'absent' ? 'absent' : stateIn(last);
-      if (state !== undefined) seen.record({type: 'state_shown', jobId, state});
+      const lastAnswer = (await sendWithRetries('state', job)).at(-1);
+      const state =
+        lastAnswer?.type === 'absent' ? 'absent' : extractState(lastAnswer);
+      if (state !== undefined)
+        eventHistory.record({type: 'state_shown', jobId, state});
       return state;
     },
     async cancel(job) {
       const {jobId} = job;
-      seen.record({type: 'cancel_sent', jobId});
-      const last = (await attempt('cancel', job)).at(-1);
-      const isDone = last?.type === 'ok' || last?.type === 'absent';
-      if (isDone) seen.record({type: 'cancel_acknowledged', jobId});
-      return isDone;
+      eventHistory.record({type: 'cancel_sent', jobId});
+      const lastAnswer = (await sendWithRetries('cancel', job)).at(-1);
+      const isAcknowledged =
+        lastAnswer?.type === 'ok' || lastAnswer?.type === 'absent';
+      if (isAcknowledged)
+        eventHistory.record({type: 'cancel_acknowledged', jobId});
+      return isAcknowledged;
     },
   };
 }
 
-function stateIn(answer: CallAnswer | undefined): history.JobState | undefined {
+function extractState(
+  answer: CallAnswer | undefined,
+): history.JobState | undefined {
   return answer?.type === 'ok' ? answer.state : undefined;
 }
 
-/** A job that every attempt was refused never runs. */
-function toldOf(
+/** A job counts as refused, and must never run, if every try was refused. */
+function summarizeAnswers(
   answers: readonly CallAnswer[],
 ): 'accepted' | 'refused' | 'unknown' {
   if (answers.some((answer) => answer.type === 'ok')) return 'accepted';
--- a/packages/gypsumwall-emulator/src/model/gangs.ts
+++ b/packages/gypsumwall-emulator/src/model/gangs.ts
@@ -1,59 +1,59 @@
-/** Members of gangs that are present, on whatever workers. */
+/** Tracks which members of each gang are running, across all workers. */
 import type * as history from './history.js';
 
-/** A member, as its gang sees it. */
+/** Callbacks of a gang to one of its members. */
 export interface GangMember {
-  /** All members of the run are present. */
+  /** Called once all members of the attempt have started. */
   onComplete(): void;
-  /** The run ends for every member at once. */
+  /** Called when the attempt ends for all members together. */
   onEnd(how: 'done' | 'broken'): void;
 }
 
-/** One member's place in its gang. */
-export interface GangPlace {
+/** One member's membership in its gang. */
+export interface GangMembership {
   isComplete(): boolean;
-  /** This member has done its share; the last one ends the run for all. */
+  /** Marks this member's work as done; the last member ends the attempt for all. */
   finish(): void;
-  /** This member ended otherwise; the others end with it. */
+  /** Removes this member; if the gang was complete, the others end as `broken`. */
   leave(): void;
 }
 
-/** All gangs of a platform. */
+/** All gangs of the platform. */
 export interface Gangs {
   join(
     stepRunId: string,
     attempt: number,
     size: number,
     member: GangMember,
-  ): GangPlace;
+  ): GangMembership;
 }
 
 interface Gang {
   readonly members: Set<GangMember>;
   readonly finished: Set<GangMember>;
-  complete: boolean;
+  isComplete: boolean;
 }
 
 /** Creates the table. */
 export function createGangs(): Gangs {
   const gangs = new Map<string, Gang>();
 
-  function gangOf(key: string): Gang {
-    const known = gangs.get(key);
-    if (known !== undefined) return known;
-    const made = {
+  function findOrCreateGang(key: string): Gang {
+    const existing = gangs.get(key);
+    if (existing !== undefined) return existing;
+    const created = {
       members: new Set<GangMember>(),
       finished: new Set<GangMember>(),
-      complete: false,
+      isComplete: false,
     };
-    gangs.set(key, made);
-    return made;
+    gangs.set(key, created);
+    return created;
   }
 
-  function endAll(
+  function endGang(
     key: string,
     gang: Gang,
-    how: Extract<history.RunEnd, 'done' | 'broken'>,
+    how: Extract<history.AttemptEnd, 'done' | 'broken'>,
   ): void {
     gangs.delete(key);
     const members = [...gang.members];
@@ -64,21 +64,21 @@
   return {
     join(stepRunId, attempt, size, member) {
       const key = `${stepRunId} ${attempt}`;
-      const gang = gangOf(key);
+      const gang = findOrCreateGang(key);
       gang.members.add(member);
       if (gang.members.size === size) {
-        gang.complete = true;
-        for (const one of gang.members) one.onComplete();
+        gang.isComplete = true;
+        for (const each of gang.members) each.onComplete();
       }
       return {
-        isComplete: () => gang.complete,
+        isComplete: () => gang.isComplete,
         finish() {
           gang.finished.add(member);
-          if (gang.finished.size === size) endAll(key, gang, 'done');
+          if (gang.finished.size === size) endGang(key, gang, 'done');
         },
         leave() {
           if (!gang.members.delete(member)) return;
-          if (gang.complete) endAll(key, gang, 'broken');
+          if (gang.isComplete) endGang(key, gang, 'broken');
         },
       };
     },
--- a/packages/gypsumwall-emulator/src/model/history.ts
+++ b/packages/gypsumwall-emulator/src/model/history.ts
@@ -1,9 +1,12 @@
-/** What callers and workers saw, in order: the only input of the judge. */
+/**
+ * Events that callers and workers observed, in order. They are the only input
+ * of the judge. Event types and fields are also read outside this package.
+ */
 import type * as types from '@gypsumwall/types';
 import type * as jobCatalog from './job_catalog.js';
 
-/** How a run ended at its worker. */
-export type RunEnd =
+/** How an attempt ended at its worker. Sent under these names. */
+export type AttemptEnd =
   | 'done'
   | 'failed'
   | 'stopped'
@@ -11,26 +14,26 @@
   | 'lapsed'
   /** Another member of its gang ended. */
   | 'broken'
-  /** The other members of its gang didn't arrive in time. */
+  /** The other members of its gang didn't start in time. */
   | 'alone';
 
-/** A job's state as an entry shows it. */
+/** A job's state as an entry reports it. */
 export type JobState =
   'queued' | 'running' | 'completed' | 'failed' | 'cancelled' | 'absent';
 
-/** One run of one task. */
-export interface RunId {
+/** Identifies one attempt, that is, one execution of a task on a worker. */
+export interface AttemptId {
   readonly taskId: string;
   readonly attempt: number;
 }
 
-/** Something that was seen. */
-export type Seen =
+/** What was observed, without the time. */
+export type EventDetails =
   | {readonly type: 'job_sent'; readonly job: jobCatalog.JobSpec}
   | {
       readonly type: 'job_told';
       readonly jobId: string;
-      /** `refused` if every attempt was rejected. */
+      /** The result of the submission; `refused` if every try was rejected. */
       readonly told: 'accepted' | 'refused' | 'unknown';
     }
   | {
@@ -54,7 +57,7 @@
   | {
       readonly type: 'worker_crashed';
       readonly workerId: string;
-      /** The task that crashed it; absent where none did. */
+      /** The task that crashed the worker; absent if no task did. */
       readonly culprit?: string;
     }
   | {
@@ -62,19 +65,19 @@
       readonly workerId: string;
       readonly capacity: types.resources.Resources;
     }
-  | (RunId & {readonly type: 'run_started'; readonly workerId: string})
-  | (RunId & {readonly type: 'run_at_work'; readonly workerId: string})
-  | (RunId & {
+  | (AttemptId & {readonly type: 'run_started'; readonly workerId: string})
+  | (AttemptId & {readonly type: 'run_at_work'; readonly workerId: string})
+  | (AttemptId & {
       readonly type: 'run_ended';
       readonly workerId: string;
-      readonly how: RunEnd;
+      readonly how: AttemptEnd;
     })
-  | (RunId & {
+  | (AttemptId & {
       readonly type: 'end_acknowledged';
       readonly workerId: string;
-      readonly how: RunEnd;
+      readonly how: AttemptEnd;
     })
-  | (RunId & {
+  | (AttemptId & {
       readonly type: 'start_unasked';
       readonly workerId: string;
       readonly reason: string;
@@ -82,12 +85,14 @@
   | {readonly type: 'disruption'; readonly what: string}
   | {readonly type: 'history_closed'};
 
-/** Something that was seen, and when. */
-export type HistoryEvent = Seen & {readonly at: types.clock.MonotonicMs};
+/** One event of the history, with the time of its observation. */
+export type HistoryEvent = EventDetails & {
+  readonly at: types.clock.MonotonicMs;
+};
 
 /** Collects events. */
 export interface History {
-  record(seen: Seen): void;
+  record(details: EventDetails): void;
   events(): readonly HistoryEvent[];
 }
 
@@ -95,7 +100,7 @@
 export function createHistory(clock: types.clock.Clock): History {
   const events: HistoryEvent[] = [];
   return {
-    record: (seen) => void events.push({...seen, at: clock.monotonic()}),
+    record: (details) => void events.push({...details, at: clock.monotonic()}),
     events: () => events,
   };
 }
--- a/packages/gypsumwall-emulator/src/model/keyed_log.ts
+++ b/packages/gypsumwall-emulator/src/model/keyed_log.ts
@@ -1,35 +1,39 @@
 /**
- * One log of the store: records numbered from 0, each with a key. Appends may
- * depend on the end of the log, or on a producer's epoch and sequence.
+ * One log of the store: records with keys and with offsets from 0. An append
+ * can be conditional on the log's end offset, or on its producer's epoch and
+ * sequence.
  */
 import type * as types from '@gypsumwall/types';
 
-/** A record's content; an empty value drops the key. */
+/** A record's content; an empty value deletes the key. */
 export interface KeyedEntry {
   readonly key: string;
   readonly value: string;
 }
 
-/** A record. */
+/** A stored record. */
 export interface KeyedRecord extends KeyedEntry {
   readonly offset: number;
 }
 
-/** Numbers the appends of a producer; a lower epoch is shut out. */
+/**
+ * Numbers the appends of a producer. Appends with an epoch lower than the
+ * producer's highest are fenced.
+ */
 export interface Fence {
   readonly producer: string;
   readonly epoch: number;
   readonly sequence: number;
 }
 
-/** On what an append depends. */
+/** Conditions of an append. */
 export interface AppendConditions {
-  /** The log must end there. */
-  readonly onlyAt?: number;
+  /** The append fails with `moved` unless the log ends at this offset. */
+  readonly expectedEndOffset?: number;
   readonly fence?: Fence;
 }
 
-/** What became of an append. */
+/** The result of an append. */
 export type AppendOutcome =
   | {
       readonly type: 'appended';
@@ -40,7 +44,7 @@
   | {readonly type: 'fenced'}
   | {readonly type: 'out_of_sequence'; readonly expected: number};
 
-/** A read from an offset. */
+/** The result of a read from an offset. */
 export type ReadOutcome =
   | {
       readonly type: 'records';
@@ -50,139 +54,156 @@
     }
   | {readonly type: 'compacted'; readonly firstOffset: number};
 
-/** The newest records of some keys, in the order of the keys. */
+/** A page of the newest records of each key, ordered by key. */
 export interface NewestPage {
   readonly records: readonly KeyedRecord[];
   readonly hasMore: boolean;
   readonly endOffset: number;
 }
 
-/** A log. */
+/** A log whose records have keys. */
 export interface KeyedLog {
   append(
     entries: readonly KeyedEntry[],
     conditions: AppendConditions,
   ): AppendOutcome;
-  read(from: number, mostBytes: number): ReadOutcome;
-  newest(after: string): NewestPage;
+  /** Reads records from an offset on; expired records are dropped first. */
+  read(from: number, maxBytes: number): ReadOutcome;
+  /** Returns the newest records of the keys that sort after the given one. */
+  readNewest(after: string): NewestPage;
   endOffset(): number;
-  /** Resolves once the log ends beyond the offset, or at the deadline. */
-  waitBeyond(offset: number, deadline: types.clock.MonotonicMs): Promise<void>;
-  /** Forgets all records but the newest of each key. */
+  /** Resolves once the log's end is past the offset, or at the deadline. */
+  waitPastOffset(
+    offset: number,
+    deadline: types.clock.MonotonicMs,
+  ): Promise<void>;
+  /** Drops all records; `readNewest` still returns the newest of each key. */
   compact(): void;
 }
 
-/** A log's surroundings. */
+/** Options of {@link createKeyedLog}. */
 export interface KeyedLogOptions {
   readonly clock: types.clock.Clock;
-  /** Records are kept for so long, in milliseconds. */
+  /** Retention of records, in milliseconds. */
   readonly keepMs: number;
 }
 
 interface Producer {
   readonly epoch: number;
   readonly nextSequence: number;
-  /** The last appends, the newest last. */
-  readonly answers: readonly {sequence: number; outcome: AppendOutcome}[];
+  /** The latest appends and their outcomes, the newest last. */
+  readonly recentAppends: readonly {sequence: number; outcome: AppendOutcome}[];
 }
 
-/** So many appends of a producer can be repeated. */
-const REPEATABLE_APPENDS = 5;
+/** A producer can repeat this many of its latest appends and get their outcomes. */
+const REMEMBERED_APPENDS = 5;
 const PAGE_RECORDS = 500;
 const PAGE_BYTES = 1_000_000;
-/** Lengths of a record and its key. */
-const RECORD_HEAD_BYTES = 5;
+/** Size of a record's length prefix and key length. */
+const RECORD_HEADER_BYTES = 5;
 
 /** Creates an empty log. */
 export function createKeyedLog(options: KeyedLogOptions): KeyedLog {
   const {clock, keepMs} = options;
   let records: (KeyedRecord & {at: types.clock.MonotonicMs})[] = [];
   let firstOffset = 0;
-  const newestOf = new Map<string, KeyedRecord>();
+  const newestByKey = new Map<string, KeyedRecord>();
   const producers = new Map<string, Producer>();
   const waiters = new Set<AbortController>();
 
   const endOffset = () => firstOffset + records.length;
 
-  function dropBefore(offset: number): void {
+  function dropRecordsBefore(offset: number): void {
     if (offset <= firstOffset) return;
     records = records.slice(offset - firstOffset);
     firstOffset = offset;
   }
 
-  function expire(): void {
-    const oldest = clock.monotonic() - keepMs;
-    const live = records.findIndex((record) => record.at >= oldest);
-    dropBefore(live < 0 ? endOffset() : firstOffset + live);
+  function dropExpiredRecords(): void {
+    const oldestKeptAt = clock.monotonic() - keepMs;
+    const firstLive = records.findIndex((record) => record.at >= oldestKeptAt);
+    dropRecordsBefore(firstLive < 0 ? endOffset() : firstOffset + firstLive);
   }
 
-  function add(entries: readonly KeyedEntry[]): AppendOutcome {
-    const from = endOffset();
+  function appendRecords(entries: readonly KeyedEntry[]): AppendOutcome {
+    const start = endOffset();
     const at = clock.monotonic();
     for (const entry of entries) {
       const record = {...entry, offset: endOffset()};
       records.push({...record, at});
-      if (entry.value === '') newestOf.delete(entry.key);
-      else newestOf.set(entry.key, record);
+      if (entry.value === '') newestByKey.delete(entry.key);
+      else newestByKey.set(entry.key, record);
     }
     for (const waiter of waiters) waiter.abort();
-    return {type: 'appended', firstOffset: from, endOffset: endOffset()};
+    return {type: 'appended', firstOffset: start, endOffset: endOffset()};
   }
 
-  /** The answer that the producer's state gives; undefined lets it pass. */
-  function fenceOutcome({
+  /**
+   * Checks an append against the producer's state. Returns its outcome if it is
+   * rejected or a repetition, and undefined if it may be carried out.
+   */
+  function checkFence({
     producer,
     epoch,
     sequence,
   }: Fence): AppendOutcome | undefined {
-    const known = producers.get(producer);
-    if (known === undefined || epoch > known.epoch) return undefined;
-    if (epoch < known.epoch) return {type: 'fenced'};
-    const repeated = known.answers.find((one) => one.sequence === sequence);
+    const producerState = producers.get(producer);
+    if (producerState === undefined || epoch > producerState.epoch)
+      return undefined;
+    if (epoch < producerState.epoch) return {type: 'fenced'};
+    const repeated = producerState.recentAppends.find(
+      (one) => one.sequence === sequence,
+    );
     if (repeated !== undefined) return repeated.outcome;
-    if (sequence === known.nextSequence) return undefined;
-    return {type: 'out_of_sequence', expected: known.nextSequence};
+    if (sequence === producerState.nextSequence) return undefined;
+    return {type: 'out_of_sequence', expected: producerState.nextSequence};
   }
 
-  function noteAppend(fence: Fence, outcome: AppendOutcome): void {
+  function recordProducerAppend(fence: Fence, outcome: AppendOutcome): void {
     const {producer, epoch, sequence} = fence;
-    const known = producers.get(producer);
-    const earlier = known?.epoch === epoch ? known.answers : [];
+    const producerState = producers.get(producer);
+    const earlier =
+      producerState?.epoch === epoch ? producerState.recentAppends : [];
     producers.set(producer, {
       epoch,
       nextSequence: sequence + 1,
-      answers: [...earlier, {sequence, outcome}].slice(-REPEATABLE_APPENDS),
+      recentAppends: [...earlier, {sequence, outcome}].slice(
+        -REMEMBERED_APPENDS,
+      ),
     });
   }
 
   return {
     endOffset,
-    append(entries, {onlyAt, fence}) {
-      const answer = fence === undefined ? undefined : fenceOutcome(fence);
-      if (answer !== undefined) return answer;
-      if (onlyAt !== undefined && onlyAt !== endOffset()) {
+    append(entries, {expectedEndOffset, fence}) {
+      const rejected = fence === undefined ? undefined : checkFence(fence);
+      if (rejected !== undefined) return rejected;
+      if (
+        expectedEndOffset !== undefined &&
+        expectedEndOffset !== endOffset()
+      ) {
         return {type: 'moved', endOffset: endOffset()};
       }
-      const outcome = add(entries);
-      if (fence !== undefined) noteAppend(fence, outcome);
+      const outcome = appendRecords(entries);
+      if (fence !== undefined) recordProducerAppend(fence, outcome);
       return outcome;
     },
-    read(from, mostBytes) {
-      expire();
+    read(from, maxBytes) {
+      dropExpiredRecords();
       if (from < firstOffset) return {type: 'compacted', firstOffset};
-      const found = takeUpTo(records.slice(from - firstOffset), mostBytes);
+      const limited = limitBytes(records.slice(from - firstOffset), maxBytes);
       const end = endOffset();
-      return {type: 'records', records: found, firstOffset, endOffset: end};
+      return {type: 'records', records: limited, firstOffset, endOffset: end};
     },
-    newest(after) {
-      const later = [...newestOf.values()]
+    readNewest(after) {
+      const later = [...newestByKey.values()]
         .filter((record) => record.key > after)
         .sort((left, right) => (left.key < right.key ? -1 : 1));
-      const page = takeUpTo(later.slice(0, PAGE_RECORDS), PAGE_BYTES);
+      const page = limitBytes(later.slice(0, PAGE_RECORDS), PAGE_BYTES);
       const hasMore = page.length < later.length;
       return {records: page, hasMore, endOffset: endOffset()};
     },
-    async waitBeyond(offset, deadline) {
+    async waitPastOffset(offset, deadline) {
       while (endOffset() <= offset && clock.monotonic() < deadline) {
         const waiter = new AbortController();
         waiters.add(waiter);
@@ -190,20 +211,20 @@
         waiters.delete(waiter);
       }
     },
-    compact: () => dropBefore(endOffset()),
+    compact: () => dropRecordsBefore(endOffset()),
   };
 }
 
-/** The first records within the limit. */
-function takeUpTo<Found extends KeyedRecord>(
+/** Returns the first records that fit into the limit together. */
+function limitBytes<Found extends KeyedRecord>(
   records: readonly Found[],
-  mostBytes: number,
+  maxBytes: number,
 ): Found[] {
-  let left = mostBytes;
+  let remainingBytes = maxBytes;
   const end = records.findIndex(({key, value}) => {
-    left -=
-      RECORD_HEAD_BYTES + Buffer.byteLength(key) + Buffer.byteLength(value);
-    return left < 0;
+    remainingBytes -=
+      RECORD_HEADER_BYTES + Buffer.byteLength(key) + Buffer.byteLength(value);
+    return remainingBytes < 0;
   });
   return records.slice(0, end < 0 ? records.length : end);
 }
--- a/packages/gypsumwall-emulator/src/model/platform_model.ts
+++ b/packages/gypsumwall-emulator/src/model/platform_model.ts
@@ -1,6 +1,7 @@
 /**
- * The users' platform as one model on a clock that is handed in: its store,
- * workers, adviser and operator. Whoever drives it carries the calls.
+ * In-memory model of the users' platform: its store, workers, adviser and
+ * operator. It runs on an injected clock and has no transport of its own; its
+ * user delivers the calls.
  */
 import * as types from '@gypsumwall/types';
 import type * as emulatorConfig from '../config/emulator_config.js';
@@ -16,16 +17,16 @@
 import * as workerLists from './worker_list.js';
 import * as workerMachine from './worker_machine.js';
 
-/** Faults that a test of the judge plants in the platform itself. */
-export interface PlantedFaults {
-  /** Such records are acknowledged and not kept. */
-  readonly drops?: (topic: string, entry: keyedLog.KeyedEntry) => boolean;
-  /** Such ends are never listed. */
-  readonly hidesEnd?: (taskId: string) => boolean;
+/** Faults injected into the platform itself, for tests of the judge. */
+export interface InjectedFaults {
+  /** Returns true for records to acknowledge without storing them. */
+  readonly shouldDrop?: (topic: string, entry: keyedLog.KeyedEntry) => boolean;
+  /** Returns true for tasks whose ends are never reported. */
+  readonly shouldHideEnd?: (taskId: string) => boolean;
 }
 
-/** Forms of the records that the platform itself writes. */
-export interface RecordForms {
+/** Encoders of the records that the platform itself writes. */
+export interface RecordEncoders {
   readonly config: (
     version: number,
     config: operators.OperatorConfig,
@@ -33,42 +34,42 @@
   readonly listing: (listing: workerLists.WorkerListing) => string;
 }
 
-/** What the model is made with. */
+/** Options of {@link createPlatformModel}. */
 export interface PlatformModelOptions {
   readonly clock: types.clock.Clock;
   readonly config: emulatorConfig.EmulatorConfig;
-  readonly forms: RecordForms;
-  readonly planted?: PlantedFaults | undefined;
+  readonly encoders: RecordEncoders;
+  readonly injectedFaults?: InjectedFaults | undefined;
 }
 
-/** The model. */
+/** Model of the platform. */
 export interface PlatformModel {
   readonly history: histories.History;
   readonly catalog: jobCatalogs.JobCatalog;
   readonly store: stores.Store;
-  /** Absent where no queue needs advice. */
+  /** Undefined if no queue needs advice. */
   readonly adviser: advisers.Adviser | undefined;
   readonly random: types.random.Random;
   readonly machines: readonly workerMachine.WorkerMachine[];
-  /** Puts the configuration of the queues in force. */
+  /** Publishes the configuration of the queues and returns its version. */
   publish(): number;
-  /** Adds a worker that is reached at the address. */
-  addMachine(place: MachinePlace, address: string): workerMachine.WorkerMachine;
+  /** Adds a machine whose worker receives calls at the address. */
+  addMachine(spec: MachineSpec, address: string): workerMachine.WorkerMachine;
   stop(): void;
 }
 
-/** A machine that the configuration describes. */
-export interface MachinePlace {
+/** Name, location and pool of a machine that the configuration describes. */
+export interface MachineSpec {
   readonly name: string;
   readonly zone: string;
   readonly rack: string;
   readonly pool: emulatorConfig.EmulatorConfig['pools'][number];
 }
 
-/** All machines that the configuration describes. */
+/** Lists all machines that the configuration describes. */
 export function listMachines(
   config: emulatorConfig.EmulatorConfig,
-): MachinePlace[] {
+): MachineSpec[] {
   return config.pools.flatMap((pool) =>
     config.zones.flatMap((zone) =>
       Array.from({length: pool.workersPerZone}, (_, nth) => ({
@@ -85,25 +86,30 @@
 export function createPlatformModel(
   options: PlatformModelOptions,
 ): PlatformModel {
-  const {clock, config, forms, planted} = options;
+  const {clock, config, encoders, injectedFaults} = options;
   const random = types.random.createRandom(config.seed);
   const history = histories.createHistory(clock);
   const catalog = jobCatalogs.createJobCatalog();
-  const drops = planted?.drops;
-  const store = stores.createStore({clock, random, ...config.store, drops});
+  const shouldDrop = injectedFaults?.shouldDrop;
+  const store = stores.createStore({
+    clock,
+    random,
+    ...config.store,
+    shouldDrop,
+  });
   const operator = operators.createOperator(
     store.log(stores.OPERATOR_TOPIC),
-    forms.config,
+    encoders.config,
   );
   const list = workerLists.createWorkerList({
     clock,
     log: store.log(stores.WORKERS_TOPIC),
     heartbeatMs: config.workers.heartbeatMs,
-    encode: forms.listing,
+    encode: encoders.listing,
   });
   const adviser = createAdviser(options, catalog);
   const machines: workerMachine.WorkerMachine[] = [];
-  const around: worker.WorkerSurroundings = {
+  const context: worker.WorkerContext = {
     clock,
     random,
     history,
@@ -113,10 +119,10 @@
     checkpoints: checkpoints.createCheckpoints(random),
     durations: config.workers,
     longestLeaseMs: config.workers.longestLeaseMs,
-    hidesEnd: planted?.hidesEnd,
+    shouldHideEnd: injectedFaults?.shouldHideEnd,
   };
 
-  function clockRate(): number {
+  function drawClockRate(): number {
     const {slowestClock} = config.workers;
     return slowestClock + random.next() * (1 - slowestClock);
   }
@@ -131,7 +137,7 @@
     publish: () => operator.publish(config),
     addMachine({name, zone, rack, pool}, address) {
       const {heartbeatMs, drainMs, restartMs} = config.workers;
-      const machine = workerMachine.createWorkerMachine(around, list, {
+      const machine = workerMachine.createWorkerMachine(context, list, {
         name,
         zone,
         rack,
@@ -144,7 +150,7 @@
         worker: {
           capacity: pool.capacity,
           refusesExcess: pool.refusesExcess,
-          clockRate: clockRate(),
+          clockRate: drawClockRate(),
           failShare: pool.failShare,
           lastingFailsMs: pool.lastingFailsMs,
         },
@@ -174,6 +180,6 @@
     seed: config.seed,
     refusedShare: config.adviserRefusedShare,
     policies,
-    queueOf: (stepRunId) => catalog.findTask(`${stepRunId}.0`)?.job.queue,
+    findQueue: (stepRunId) => catalog.findTask(`${stepRunId}.0`)?.job.queue,
   });
 }
--- a/packages/gypsumwall-emulator/src/model/rate_limit.ts
+++ b/packages/gypsumwall-emulator/src/model/rate_limit.ts
@@ -1,27 +1,27 @@
-/** Calls a second, for all callers together. */
+/** Limits the calls per second of all callers together. */
 import type * as types from '@gypsumwall/types';
 
-/** Grants calls up to a rate. */
+/** A token bucket. */
 export interface RateLimit {
-  /** False if the call is over the rate. */
-  take(): boolean;
+  /** Returns false if the call exceeds the rate. */
+  tryAcquire(): boolean;
 }
 
 const SECOND_MS = 1_000;
 
-/** Creates a limit whose burst is what one second allows. */
+/** Creates a token bucket that holds the calls of one second. */
 export function createRateLimit(
   clock: types.clock.Clock,
   perSecond: number,
 ): RateLimit {
   let tokens = perSecond;
-  let filledAt = clock.monotonic();
+  let refilledAt = clock.monotonic();
   return {
-    take() {
+    tryAcquire() {
       const now = clock.monotonic();
-      const gained = ((now - filledAt) / SECOND_MS) * perSecond;
+      const gained = ((now - refilledAt) / SECOND_MS) * perSecond;
       tokens = Math.min(perSecond, tokens + gained);
-      filledAt = now;
+      refilledAt = now;
       if (tokens < 1) return false;
       tokens -= 1;
       return true;
--- a/packages/gypsumwall-emulator/src/model/store.ts
+++ b/packages/gypsumwall-emulator/src/model/store.ts
@@ -1,41 +1,41 @@
 /**
- * The platform's store: its logs, how long calls take, how many are allowed,
- * and what becomes of them under faults.
+ * The platform's store: its logs, with the latency of calls, rate limits and
+ * injected faults.
  */
 import * as types from '@gypsumwall/types';
 import * as keyedLog from './keyed_log.js';
 import * as rateLimit from './rate_limit.js';
 
-/** The logs that the platform itself writes. */
+/** Topics of the logs that only the platform itself writes. */
 export const OPERATOR_TOPIC = 'operator';
 export const WORKERS_TOPIC = 'workers';
 
-/** What happens to a caller's calls. */
+/** A fault that affects the calls of a caller. */
 export type StoreFault =
   | {readonly type: 'none'}
-  /** Refused, nothing is done. */
+  /** Calls are refused and have no effect. */
   | {readonly type: 'unavailable'}
   | {readonly type: 'throttled'}
-  /** Nothing is done and nothing is answered. */
+  /** Calls have no effect and get no answer. */
   | {readonly type: 'silent'}
   | {readonly type: 'slow'; readonly addedMs: number}
   | {
       readonly type: 'lossy';
-      /** Share of calls that are done and not answered. */
+      /** Share of calls that are carried out but not answered. */
       readonly lostShare: number;
-      /** Share of calls that are not answered and done later. */
+      /** Share of calls that are carried out later and not answered. */
       readonly lateShare: number;
-      readonly latestMs: number;
+      readonly maxDelayMs: number;
     };
 
-/** How a call is answered. */
+/** How a call ends for its caller. */
 export type Delivery<Value> =
   | {readonly type: 'answer'; readonly value: Value}
   | {readonly type: 'unavailable'}
   | {readonly type: 'throttled'}
-  /** The caller may not write there. */
+  /** Only the platform may write to the log. */
   | {readonly type: 'forbidden'}
-  /** No answer, ever: the connection is broken off. */
+  /** The call never gets an answer. */
   | {readonly type: 'lost'};
 
 /** An append by the system. */
@@ -48,51 +48,54 @@
 export interface ReadCall {
   readonly topic: string;
   readonly from: number;
-  readonly mostBytes: number;
+  readonly maxBytes: number;
   readonly waitMs: number;
 }
 
-/** The store; `caller` is the machine that calls. */
+/** The store; `caller` is the name of the calling machine. */
 export interface Store {
   append(
     caller: string,
     call: AppendCall,
   ): Promise<Delivery<keyedLog.AppendOutcome>>;
   read(caller: string, call: ReadCall): Promise<Delivery<keyedLog.ReadOutcome>>;
-  newest(
+  readNewest(
     caller: string,
     topic: string,
     after: string,
   ): Promise<Delivery<keyedLog.NewestPage>>;
-  /** For the platform's own records; takes no time. */
+  /** Returns a log for direct access, without latency, limits or faults. */
   log(topic: string): keyedLog.KeyedLog;
-  /** Applies to one caller, or to `all`. */
+  /**
+   * Sets the fault of one caller, or of all callers that have none of their
+   * own if `caller` is `all`.
+   */
   setFault(caller: string, fault: StoreFault): void;
-  /** Forgets the history of every log. */
-  compact(): void;
-  /** Calls that were taken or refused, by kind. */
-  calls(): {readonly reads: number; readonly writes: number};
+  /** Compacts every log. */
+  compactLogs(): void;
+  /** Returns the number of calls by kind, including refused ones. */
+  callCounts(): {readonly reads: number; readonly writes: number};
 }
 
-/** What a store is made with. */
+/** Options of {@link createStore}. */
 export interface StoreOptions {
   readonly clock: types.clock.Clock;
   readonly random: types.random.Random;
   readonly writesPerS: number;
   readonly readsPerS: number;
-  /** Duration of one append; a log takes them one at a time. */
+  /** Duration of one append; a log handles appends one at a time. */
   readonly appendMs: number;
   readonly keepMs: number;
   /**
-   * Planted, for tests of the judge: acknowledges such records without
+   * Injected fault for tests of the judge: acknowledges such records without
    * keeping them.
    */
-  readonly drops?: (topic: string, entry: keyedLog.KeyedEntry) => boolean;
+  readonly shouldDrop?: (topic: string, entry: keyedLog.KeyedEntry) => boolean;
 }
 
 /** A log with more than this waiting refuses appends. */
-const LONGEST_LINE_MS = 2_000;
-const ALL = 'all';
+const MAX_QUEUE_MS = 2_000;
+const ALL_CALLERS = 'all';
 const NO_FAULT: StoreFault = {type: 'none'};
 
 /** Creates an empty store. */
@@ -106,22 +109,22 @@
   const counts = {reads: 0, writes: 0};
 
   function log(topic: string): keyedLog.KeyedLog {
-    const known = logs.get(topic);
-    if (known !== undefined) return known;
-    const made = keyedLog.createKeyedLog({clock, keepMs: options.keepMs});
-    logs.set(topic, made);
-    return made;
+    const existing = logs.get(topic);
+    if (existing !== undefined) return existing;
+    const created = keyedLog.createKeyedLog({clock, keepMs: options.keepMs});
+    logs.set(topic, created);
+    return created;
   }
 
-  const faultOf = (caller: string): StoreFault =>
-    faults.get(caller) ?? faults.get(ALL) ?? NO_FAULT;
+  const findFault = (caller: string): StoreFault =>
+    faults.get(caller) ?? faults.get(ALL_CALLERS) ?? NO_FAULT;
 
-  /** Lets the call pass, or says how it ends without being done. */
-  async function admit(
+  /** Returns undefined if the call may proceed, otherwise how it ends. */
+  async function checkAdmission(
     caller: string,
     limit: rateLimit.RateLimit,
   ): Promise<Exclude<Delivery<never>, {type: 'answer'}> | undefined> {
-    const fault = faultOf(caller);
+    const fault = findFault(caller);
     switch (fault.type) {
       case 'unavailable':
       case 'throttled':
@@ -135,33 +138,33 @@
       case 'lossy':
         break;
     }
-    return limit.take() ? undefined : {type: 'throttled'};
+    return limit.tryAcquire() ? undefined : {type: 'throttled'};
   }
 
-  /** Runs the call now, or later and unanswered. */
+  /** Carries the call out; a lossy fault can delay it or lose its answer. */
   async function deliver<Value>(
     caller: string,
-    run: () => Value,
+    carryOut: () => Value,
   ): Promise<Delivery<Value>> {
-    const fault = faultOf(caller);
-    if (fault.type !== 'lossy') return {type: 'answer', value: run()};
-    const draw = random.next();
-    if (draw < fault.lateShare) {
-      await types.clock.sleepFor(clock, random.integer(0, fault.latestMs));
-      run();
+    const fault = findFault(caller);
+    if (fault.type !== 'lossy') return {type: 'answer', value: carryOut()};
+    const randomShare = random.next();
+    if (randomShare < fault.lateShare) {
+      await types.clock.sleepFor(clock, random.integer(0, fault.maxDelayMs));
+      carryOut();
       return {type: 'lost'};
     }
-    const value = run();
-    return draw < fault.lateShare + fault.lostShare
+    const value = carryOut();
+    return randomShare < fault.lateShare + fault.lostShare
       ? {type: 'lost'}
       : {type: 'answer', value};
   }
 
-  /** Waits for the log's turn; false if too many wait already. */
-  async function takeTurn(topic: string): Promise<boolean> {
+  /** Waits for earlier appends of the log; returns false if the queue is full. */
+  async function waitForTurn(topic: string): Promise<boolean> {
     const now = clock.monotonic();
     const start = Math.max(now, busyUntil.get(topic) ?? now);
-    if (start - now > LONGEST_LINE_MS) return false;
+    if (start - now > MAX_QUEUE_MS) return false;
     const end = types.clock.after(
       start as types.clock.MonotonicMs,
       options.appendMs,
@@ -172,43 +175,43 @@
   }
 
   function appendNow(call: AppendCall): keyedLog.AppendOutcome {
-    const {drops} = options;
-    const kept = call.entries.filter(
-      (entry) => drops?.(call.topic, entry) !== true,
+    const {shouldDrop} = options;
+    const keptEntries = call.entries.filter(
+      (entry) => shouldDrop?.(call.topic, entry) !== true,
     );
-    return log(call.topic).append(kept, call);
+    return log(call.topic).append(keptEntries, call);
   }
 
   return {
     log,
-    calls: () => ({...counts}),
+    callCounts: () => ({...counts}),
     setFault: (caller, fault) => void faults.set(caller, fault),
-    compact() {
-      for (const one of logs.values()) one.compact();
+    compactLogs() {
+      for (const each of logs.values()) each.compact();
     },
     async append(caller, call) {
       counts.writes += 1;
-      const refused = await admit(caller, writes);
-      if (refused !== undefined) return refused;
+      const refusal = await checkAdmission(caller, writes);
+      if (refusal !== undefined) return refusal;
       if (call.topic === OPERATOR_TOPIC || call.topic === WORKERS_TOPIC) {
         return {type: 'forbidden'};
       }
-      if (!(await takeTurn(call.topic))) return {type: 'unavailable'};
+      if (!(await waitForTurn(call.topic))) return {type: 'unavailable'};
       return deliver(caller, () => appendNow(call));
     },
-    async read(caller, {topic, from, mostBytes, waitMs}) {
+    async read(caller, {topic, from, maxBytes, waitMs}) {
       counts.reads += 1;
-      const refused = await admit(caller, reads);
-      if (refused !== undefined) return refused;
-      const until = types.clock.after(clock.monotonic(), waitMs);
-      await log(topic).waitBeyond(from, until);
-      return deliver(caller, () => log(topic).read(from, mostBytes));
+      const refusal = await checkAdmission(caller, reads);
+      if (refusal !== undefined) return refusal;
+      const deadline = types.clock.after(clock.monotonic(), waitMs);
+      await log(topic).waitPastOffset(from, deadline);
+      return deliver(caller, () => log(topic).read(from, maxBytes));
     },
-    async newest(caller, topic, after) {
+    async readNewest(caller, topic, after) {
       counts.reads += 1;
-      const refused = await admit(caller, reads);
-      if (refused !== undefined) return refused;
-      return deliver(caller, () => log(topic).newest(after));
+      const refusal = await checkAdmission(caller, reads);
+      if (refusal !== undefined) return refusal;
+      return deliver(caller, () => log(topic).readNewest(after));
     },
   };
 }
--- a/packages/gypsumwall-emulator/src/model/worker.ts
+++ b/packages/gypsumwall-emulator/src/model/worker.ts
@@ -1,6 +1,6 @@
 /**
- * One life of a worker: it runs what it is told under a lease, and lists ends
- * until they are acknowledged.
+ * One incarnation of a worker. It runs attempts under a lease and reports their
+ * ends until they are acknowledged.
  */
 import * as types from '@gypsumwall/types';
 import type * as adviser from './adviser.js';
@@ -11,10 +11,10 @@
 import * as leaseClock from './lease_clock.js';
 import * as workerEnds from './worker_ends.js';
 import type * as workerOrders from './worker_orders.js';
-import * as workerRun from './worker_run.js';
+import * as workerAttempt from './worker_attempt.js';
 
-/** What all workers of a platform share. */
-export interface WorkerSurroundings {
+/** What all workers of the platform share. */
+export interface WorkerContext {
   readonly clock: types.clock.Clock;
   readonly random: types.random.Random;
   readonly history: history.History;
@@ -22,125 +22,138 @@
   readonly gangs: gangs.Gangs;
   readonly checkpoints: checkpoints.Checkpoints;
   readonly adviser: adviser.Adviser | undefined;
-  readonly durations: workerRun.RunDurations;
+  readonly durations: workerAttempt.AttemptDurations;
   readonly longestLeaseMs: number;
   /**
-   * Planted, for tests of the judge: such ends are never listed, the run is
-   * shown as running.
+   * Injected fault for tests of the judge: the ends of these tasks are never
+   * reported, and their attempts are shown as running.
    */
-  readonly hidesEnd?: (taskId: string) => boolean;
+  readonly shouldHideEnd?: (taskId: string) => boolean;
 }
 
-/** One worker. */
+/** Options of {@link createWorker}. */
 export interface WorkerOptions {
   readonly id: string;
   readonly capacity: types.resources.Resources;
-  /** A capacity that has shrunk binds starts only after so long. */
+  /**
+   * After a change of the capacity, starts that fit into the previous one
+   * aren't recorded as excess for this long, because their sender may not know
+   * the new capacity yet.
+   */
   readonly capacityNoticeMs: number;
-  /** Told of a task that crashes the worker; whoever is told ends it. */
+  /** Called when a task crashes the worker; must terminate the worker. */
   readonly onCrash: (taskId: string) => void;
-  /** Whether a start that doesn't fit is refused. */
+  /** Whether the worker refuses starts that exceed its capacity. */
   readonly refusesExcess: boolean;
   readonly clockRate: number;
-  /** Share of runs that fail by their own fault. */
+  /** Share of attempts that fail for a reason of their own. */
   readonly failShare: number;
-  /** A lasting task fails after a span up to this; undefined for never. */
+  /** Long-running tasks fail after a random time up to this; undefined for never. */
   readonly lastingFailsMs: number | undefined;
 }
 
-/** A worker. */
+/** A running worker. */
 export interface Worker {
   readonly id: string;
   readonly clockMs: () => number;
   start(order: workerOrders.StartOrder): workerOrders.OrderAnswer;
   stop(order: workerOrders.StopOrder): workerOrders.OrderAnswer;
   hold(call: workerOrders.HoldCall): Promise<workerOrders.HoldAnswer>;
-  running(): readonly history.RunId[];
-  /** Work done a millisecond. */
-  setPace(pace: number): void;
-  setFailsAll(failsAll: boolean): void;
+  running(): readonly history.AttemptId[];
+  /** Sets the work done per millisecond: 1 is normal, 0 is a standstill. */
+  setSpeed(speed: number): void;
+  /** Sets whether all attempts that start from now on fail at once. */
+  setShouldFailAll(shouldFailAll: boolean): void;
   setCapacity(capacity: types.resources.Resources): void;
-  /** Everything on it is gone without a trace. */
-  end(): void;
+  /** Ends the worker with all attempts, without reporting their ends. */
+  terminate(): void;
 }
 
-/** The first reading of a worker's clock is drawn below this. */
-const LATEST_CLOCK_START_MS = 1_000_000;
+/** Upper bound of a worker clock's random first reading. */
+const MAX_INITIAL_CLOCK_MS = 1_000_000;
 
 /** Creates a worker with nothing running. */
 export function createWorker(
-  around: WorkerSurroundings,
+  context: WorkerContext,
   options: WorkerOptions,
 ): Worker {
-  const {clock, random, history: seen, durations} = around;
+  const {clock, random, history: eventHistory, durations} = context;
   const workerId = options.id;
   const lease = leaseClock.createLeaseClock({
     clock,
     rate: options.clockRate,
-    startsAt: random.integer(0, LATEST_CLOCK_START_MS),
-    longestMs: around.longestLeaseMs,
+    initialReadingMs: random.integer(0, MAX_INITIAL_CLOCK_MS),
+    maxLeaseMs: context.longestLeaseMs,
   });
-  const runs = new Map<string, workerRun.WorkerRun>();
-  /** Runs whose planted fault hides their end. */
-  const hidden: workerRun.WorkerRun[] = [];
+  const attempts = new Map<string, workerAttempt.WorkerAttempt>();
+  /** Ended attempts that an injected fault still shows as running. */
+  const hiddenAttempts: workerAttempt.WorkerAttempt[] = [];
   const ends = workerEnds.createWorkerEnds();
-  /** Highest attempt of each task that was stopped or has ended here. */
-  const overUpTo = new Map<string, number>();
-  const gone = new AbortController();
-  let endNoticed = new AbortController();
-  let highestToken = 0;
+  /** The highest attempt of each task that was stopped or has ended here. */
+  const lastEndedAttempt = new Map<string, number>();
+  const terminated = new AbortController();
+  let endAdded = new AbortController();
+  let highestFencingToken = 0;
   let {capacity} = options;
-  /** Starts that fit into it aren't held against anyone until then. */
-  let noticed: {readonly until: types.clock.MonotonicMs} & {
+  /** Until then, starts that fit into this capacity aren't recorded as excess. */
+  let previousCapacity: {readonly until: types.clock.MonotonicMs} & {
     readonly capacity: types.resources.Resources;
   } = {until: clock.monotonic(), capacity};
-  let pace = 1;
-  let failsAll = false;
-  let guarding = false;
+  let speed = 1;
+  let shouldFailAll = false;
+  let isGuardingLease = false;
 
-  function passesFence(token: number): boolean {
-    if (token < highestToken) return false;
-    highestToken = token;
+  function checkFencingToken(token: number): boolean {
+    if (token < highestFencingToken) return false;
+    highestFencingToken = token;
     return true;
   }
 
-  /** Ends all runs once the lease is over. */
+  /** Ends all attempts once the lease has expired. */
   async function guardLease(): Promise<void> {
-    if (guarding) return;
-    guarding = true;
-    while (runs.size > 0 && !gone.signal.aborted) {
-      await clock.sleepUntil(lease.endsAt(), gone.signal);
+    if (isGuardingLease) return;
+    isGuardingLease = true;
+    while (attempts.size > 0 && !terminated.signal.aborted) {
+      await clock.sleepUntil(lease.endsAt(), terminated.signal);
       if (clock.monotonic() < lease.endsAt()) continue;
-      for (const run of [...runs.values()]) run.kill('lapsed');
+      for (const attempt of [...attempts.values()]) attempt.kill('lapsed');
     }
-    guarding = false;
+    isGuardingLease = false;
   }
 
-  function noteOver({taskId, attempt}: history.RunId): void {
-    overUpTo.set(taskId, Math.max(attempt, overUpTo.get(taskId) ?? 0));
+  function markEnded({taskId, attempt}: history.AttemptId): void {
+    lastEndedAttempt.set(
+      taskId,
+      Math.max(attempt, lastEndedAttempt.get(taskId) ?? 0),
+    );
   }
 
   function onEnd(
-    run: history.RunId,
-    how: history.RunEnd,
+    id: history.AttemptId,
+    how: history.AttemptEnd,
     checkpoint: string,
   ): void {
-    const {taskId, attempt} = run;
-    noteOver(run);
-    seen.record({type: 'run_ended', workerId, taskId, attempt, how});
-    const ended = runs.get(keyOf(run));
-    runs.delete(keyOf(run));
-    if (ended !== undefined && around.hidesEnd?.(taskId) === true) {
-      hidden.push(ended);
+    const {taskId, attempt} = id;
+    markEnded(id);
+    eventHistory.record({type: 'run_ended', workerId, taskId, attempt, how});
+    const endedAttempt = attempts.get(attemptKey(id));
+    attempts.delete(attemptKey(id));
+    if (
+      endedAttempt !== undefined &&
+      context.shouldHideEnd?.(taskId) === true
+    ) {
+      hiddenAttempts.push(endedAttempt);
       return;
     }
     ends.add({taskId, attempt, how, checkpoint});
-    endNoticed.abort();
-    endNoticed = new AbortController();
+    endAdded.abort();
+    endAdded = new AbortController();
   }
 
-  function drawFate(step: jobCatalog.StepSpec): workerRun.RunFate {
-    if (failsAll) return {how: 'failed', afterMs: 0};
+  function drawOutcome(
+    step: jobCatalog.StepSpec,
+  ): workerAttempt.AttemptOutcome {
+    if (shouldFailAll) return {how: 'failed', afterMs: 0};
     if (step.lasting) {
       const {lastingFailsMs} = options;
       if (lastingFailsMs === undefined)
@@ -151,117 +164,128 @@
     return {how: fails ? 'failed' : 'done', afterMs: step.workMs};
   }
 
-  function fitsBeside(
-    size: types.resources.Resources,
-    within = capacity,
-  ): boolean {
-    const used = [...runs.values()]
-      .map((run) => run.size)
+  /** Whether a start fits into the capacity beside the running attempts. */
+  function fits(size: types.resources.Resources, limit = capacity): boolean {
+    const used = [...attempts.values()]
+      .map((attempt) => attempt.size)
       .reduce(types.resources.add, types.resources.NO_RESOURCES);
-    const free = types.resources.subtract(within, used);
+    const free = types.resources.subtract(limit, used);
     return types.resources.fits(size, free);
   }
 
-  /** Whether a start takes more than whoever sent it could know of. */
-  function exceeds(size: types.resources.Resources): boolean {
-    if (fitsBeside(size)) return false;
-    const isNew = clock.monotonic() < noticed.until;
-    return !isNew || !fitsBeside(size, noticed.capacity);
+  /** Whether a start exceeds every capacity that its sender may know. */
+  function exceedsKnownCapacity(size: types.resources.Resources): boolean {
+    if (fits(size)) return false;
+    const isWithinNotice = clock.monotonic() < previousCapacity.until;
+    return !isWithinNotice || !fits(size, previousCapacity.capacity);
   }
 
-  async function crashLater(
-    {taskId, attempt}: history.RunId,
+  async function crashAfterDelay(
+    {taskId, attempt}: history.AttemptId,
     {index, afterMs}: NonNullable<jobCatalog.StepSpec['crash']>,
   ): Promise<void> {
     if (!taskId.endsWith(`.${index}`)) return;
-    await types.clock.sleepFor(clock, afterMs, gone.signal);
-    if (runs.has(keyOf({taskId, attempt}))) options.onCrash(taskId);
+    await types.clock.sleepFor(clock, afterMs, terminated.signal);
+    if (attempts.has(attemptKey({taskId, attempt}))) options.onCrash(taskId);
   }
 
-  function refusalOf(
+  function findRefusal(
     order: workerOrders.StartOrder,
-    place: jobCatalog.TaskPlace,
+    task: jobCatalog.CatalogTask,
   ): Extract<workerOrders.OrderAnswer, {type: 'refused'}> | undefined {
-    const refused = (reason: 'old' | 'late' | 'room' | 'ticket') =>
+    const refuse = (reason: 'old' | 'late' | 'room' | 'ticket') =>
       ({type: 'refused', reason}) as const;
     lease.extend(order.leaseUntil);
-    if ((overUpTo.get(order.taskId) ?? 0) >= order.attempt) {
-      return refused('old');
+    if ((lastEndedAttempt.get(order.taskId) ?? 0) >= order.attempt) {
+      return refuse('old');
     }
-    if (lease.endsAt() <= clock.monotonic()) return refused('late');
-    if (!hasTicket(order, place)) return refused('ticket');
-    if (!options.refusesExcess || fitsBeside(place.step.size)) return undefined;
-    return refused('room');
+    if (lease.endsAt() <= clock.monotonic()) return refuse('late');
+    if (!hasTicket(order, task)) return refuse('ticket');
+    if (!options.refusesExcess || fits(task.step.size)) return undefined;
+    return refuse('room');
   }
 
   function hasTicket(
     order: workerOrders.StartOrder,
-    place: jobCatalog.TaskPlace,
+    task: jobCatalog.CatalogTask,
   ): boolean {
-    const {adviser: advising} = around;
-    if (advising === undefined || !advising.advises(place.job.queue)) {
+    const {adviser: taskAdviser} = context;
+    if (taskAdviser === undefined || !taskAdviser.needsTicket(task.job.queue)) {
       return true;
     }
-    return advising.accepts(order.ticket ?? '', place.stepRunId, workerId);
+    return taskAdviser.acceptsTicket(
+      order.ticket ?? '',
+      task.stepRunId,
+      workerId,
+    );
   }
 
-  /** Records orders that nothing asked for; they are carried out all the same. */
+  /**
+   * Records the start, and what is wrong with the order. Wrong orders are
+   * carried out as well; the judge reports them.
+   */
   function recordStart(
     order: workerOrders.StartOrder,
-    place: jobCatalog.TaskPlace,
-    resumesAtMs: number | undefined,
+    task: jobCatalog.CatalogTask,
+    initialProgressMs: number | undefined,
   ): void {
     const {taskId, attempt} = order;
-    const about = {workerId, taskId, attempt};
-    const unasked = (reason: string) =>
-      seen.record({type: 'start_unasked', reason, ...about});
-    if (order.payload !== place.job.payload) unasked('another payload');
-    if (resumesAtMs === undefined) unasked('a checkpoint of another task');
-    if (exceeds(place.step.size)) unasked('over the capacity');
-    seen.record({type: 'run_started', ...about});
+    const ids = {workerId, taskId, attempt};
+    const report = (reason: string) =>
+      eventHistory.record({type: 'start_unasked', reason, ...ids});
+    if (order.payload !== task.job.payload) report('another payload');
+    if (initialProgressMs === undefined) report('a checkpoint of another task');
+    if (exceedsKnownCapacity(task.step.size)) report('over the capacity');
+    eventHistory.record({type: 'run_started', ...ids});
   }
 
-  function launch(
+  function launchAttempt(
     order: workerOrders.StartOrder,
-    place: jobCatalog.TaskPlace,
+    task: jobCatalog.CatalogTask,
   ): void {
     const {taskId, attempt, checkpoint} = order;
-    const owner = place.step.gang ? place.stepRunId : taskId;
-    const progress = around.checkpoints.progressOf(owner, checkpoint);
-    recordStart(order, place, progress);
-    const about = {workerId, taskId, attempt};
-    const run = workerRun.startWorkerRun(
+    const owner = task.step.gang ? task.stepRunId : taskId;
+    const progressMs = context.checkpoints.findProgress(owner, checkpoint);
+    recordStart(order, task, progressMs);
+    const ids = {workerId, taskId, attempt};
+    const startedAttempt = workerAttempt.startWorkerAttempt(
       {
         taskId,
         attempt,
-        place,
+        task,
         owner,
-        resumesAtMs: checkpoint === '' ? undefined : (progress ?? 0),
+        initialProgressMs: checkpoint === '' ? undefined : (progressMs ?? 0),
       },
       {
         clock,
         durations,
-        gangs: around.gangs,
-        checkpoints: around.checkpoints,
-        pace: () => pace,
-        drawFate,
-        onAtWork: () => seen.record({type: 'run_at_work', ...about}),
+        gangs: context.gangs,
+        checkpoints: context.checkpoints,
+        speed: () => speed,
+        drawOutcome,
+        onWorkStarted: () => eventHistory.record({type: 'run_at_work', ...ids}),
         onEnd: (how, value) => onEnd(order, how, value),
       },
     );
-    runs.set(keyOf(order), run);
+    attempts.set(attemptKey(order), startedAttempt);
     void guardLease();
-    if (place.step.crash !== undefined) {
-      void crashLater(order, place.step.crash);
+    if (task.step.crash !== undefined) {
+      void crashAfterDelay(order, task.step.crash);
     }
   }
 
-  function unknownTask(
+  function rejectUnknownTask(
     order: workerOrders.StartOrder,
   ): workerOrders.OrderAnswer {
     const {taskId, attempt} = order;
     const reason = 'no caller sent the task';
-    seen.record({type: 'start_unasked', workerId, taskId, attempt, reason});
+    eventHistory.record({
+      type: 'start_unasked',
+      workerId,
+      taskId,
+      attempt,
+      reason,
+    });
     return {type: 'invalid', message: `${taskId}: ${reason}`};
   }
 
@@ -270,67 +294,68 @@
     const until = types.clock.after(clock.monotonic(), waitMs);
     await clock.sleepUntil(
       until,
-      AbortSignal.any([endNoticed.signal, gone.signal]),
+      AbortSignal.any([endAdded.signal, terminated.signal]),
     );
   }
 
   return {
     id: workerId,
-    clockMs: () => lease.read(),
-    running: () => [...runs.values()],
-    setPace: (wanted) => void (pace = wanted),
-    setFailsAll: (wanted) => void (failsAll = wanted),
-    setCapacity(wanted) {
+    clockMs: () => lease.readMs(),
+    running: () => [...attempts.values()],
+    setSpeed: (newSpeed) => void (speed = newSpeed),
+    setShouldFailAll: (newValue) => void (shouldFailAll = newValue),
+    setCapacity(newCapacity) {
       const until = types.clock.after(
         clock.monotonic(),
         options.capacityNoticeMs,
       );
-      noticed = {capacity, until};
-      capacity = wanted;
-      seen.record({type: 'capacity_changed', workerId, capacity});
+      previousCapacity = {capacity, until};
+      capacity = newCapacity;
+      eventHistory.record({type: 'capacity_changed', workerId, capacity});
     },
     start(order) {
-      if (!passesFence(order.token)) {
+      if (!checkFencingToken(order.fencingToken)) {
         return {type: 'refused', reason: 'fence'};
       }
-      const place = around.catalog.findTask(order.taskId);
-      if (place === undefined) return unknownTask(order);
-      if (runs.has(keyOf(order))) {
+      const task = context.catalog.findTask(order.taskId);
+      if (task === undefined) return rejectUnknownTask(order);
+      if (attempts.has(attemptKey(order))) {
         lease.extend(order.leaseUntil);
         return {type: 'accepted'};
       }
-      const refused = refusalOf(order, place);
-      if (refused !== undefined) return refused;
-      launch(order, place);
+      const refusal = findRefusal(order, task);
+      if (refusal !== undefined) return refusal;
+      launchAttempt(order, task);
       return {type: 'accepted'};
     },
     stop(order) {
-      if (!passesFence(order.token)) {
+      if (!checkFencingToken(order.fencingToken)) {
         return {type: 'refused', reason: 'fence'};
       }
-      noteOver(order);
-      runs.get(keyOf(order))?.stop();
+      markEnded(order);
+      attempts.get(attemptKey(order))?.stop();
       return {type: 'accepted'};
     },
-    async hold({token, acknowledged, leaseUntil, waitMs}) {
-      if (!passesFence(token)) return {type: 'refused', reason: 'fence'};
+    async hold({fencingToken, acknowledged, leaseUntil, waitMs}) {
+      if (!checkFencingToken(fencingToken))
+        return {type: 'refused', reason: 'fence'};
       lease.extend(leaseUntil);
       for (const {taskId, attempt, how} of ends.acknowledge(acknowledged)) {
-        const about = {workerId, taskId, attempt, how};
-        seen.record({type: 'end_acknowledged', ...about});
+        const ids = {workerId, taskId, attempt, how};
+        eventHistory.record({type: 'end_acknowledged', ...ids});
       }
       await waitForEnd(waitMs);
-      const running = [...runs.values(), ...hidden];
+      const running = [...attempts.values(), ...hiddenAttempts];
       return {type: 'report', running, ends: ends.list()};
     },
-    end() {
-      gone.abort();
-      for (const run of runs.values()) run.vanish();
-      runs.clear();
+    terminate() {
+      terminated.abort();
+      for (const attempt of attempts.values()) attempt.discard();
+      attempts.clear();
     },
   };
 }
 
-function keyOf({taskId, attempt}: history.RunId): string {
+function attemptKey({taskId, attempt}: history.AttemptId): string {
   return `${taskId} ${attempt}`;
 }
--- a/packages/gypsumwall-emulator/src/model/worker_ends.ts
+++ b/packages/gypsumwall-emulator/src/model/worker_ends.ts
@@ -1,23 +1,23 @@
-/** Ends that a worker lists until they are acknowledged. */
+/** Ends of attempts that a worker reports until they are acknowledged. */
 import type * as history from './history.js';
 
-/** A listed end. */
-export interface ListedEnd extends history.RunId {
-  /** From 1 in each life of a worker, rising. */
+/** An end that hasn't been acknowledged yet. */
+export interface ListedEnd extends history.AttemptId {
+  /** Starts at 1 in each incarnation of a worker and increases by 1. */
   readonly sequence: number;
-  readonly how: history.RunEnd;
+  readonly how: history.AttemptEnd;
   readonly checkpoint: string;
 }
 
-/** The ends of one life of a worker. */
+/** The ends of one incarnation of a worker. */
 export interface WorkerEnds {
   add(end: Omit<ListedEnd, 'sequence'>): void;
-  /** Forgets the ends up to the sequence and returns them. */
+  /** Removes the ends up to the sequence and returns them. */
   acknowledge(upTo: number): readonly ListedEnd[];
   list(): readonly ListedEnd[];
 }
 
-const MOST_LISTED = 500;
+const MAX_LISTED_ENDS = 500;
 
 /** Creates an empty list. */
 export function createWorkerEnds(): WorkerEnds {
@@ -29,10 +29,10 @@
       ends.push({...end, sequence});
     },
     acknowledge(upTo) {
-      const known = ends.filter((end) => end.sequence <= upTo);
-      ends = ends.slice(known.length);
-      return known;
+      const acknowledged = ends.filter((end) => end.sequence <= upTo);
+      ends = ends.slice(acknowledged.length);
+      return acknowledged;
     },
-    list: () => ends.slice(0, MOST_LISTED),
+    list: () => ends.slice(0, MAX_LISTED_ENDS),
   };
 }
--- a/packages/gypsumwall-emulator/src/model/worker_machine.ts
+++ b/packages/gypsumwall-emulator/src/model/worker_machine.ts
@@ -1,17 +1,17 @@
-/** A machine and the worker on it, through the worker's lives. */
+/** A machine and the successive incarnations of the worker on it. */
 import * as types from '@gypsumwall/types';
 import * as worker from './worker.js';
 import type * as workerList from './worker_list.js';
 
-/** How the machine treats calls. */
+/** A fault of the machine that affects orders to its worker. */
 export type MachineFault =
   | {readonly type: 'none'}
   /** Orders are refused and not carried out. */
   | {readonly type: 'unhealthy'}
-  /** Orders get no answer, and are carried out later. */
-  | {readonly type: 'late_orders'; readonly latestMs: number};
+  /** Orders get no answer and are carried out later. */
+  | {readonly type: 'late_orders'; readonly maxDelayMs: number};
 
-/** What the machine is. */
+/** Options of {@link createWorkerMachine}. */
 export interface MachineOptions {
   readonly name: string;
   readonly pool: string;
@@ -24,50 +24,50 @@
     'id' | 'onCrash' | 'capacityNoticeMs'
   >;
   readonly heartbeatMs: number;
-  /** A worker goes on for so long after its leaving was announced. */
+  /** Time between the announcement that a worker leaves and its end. */
   readonly drainMs: number;
-  /** A crashed worker is back after so long. */
+  /** Time after which a crashed worker starts again. */
   readonly restartMs: number;
 }
 
-/** A machine. */
+/** A machine that runs at most one worker. */
 export interface WorkerMachine {
   readonly name: string;
-  /** Undefined while no worker runs there. */
+  /** Returns the current worker; undefined while none runs. */
   worker(): worker.Worker | undefined;
   fault(): MachineFault;
   setFault(fault: MachineFault): void;
-  /** Announces that the worker leaves; resolves once it has left for good. */
+  /** Announces that the worker leaves; resolves once it has left. */
   leave(): Promise<void>;
-  /** Ends the worker; another life begins later. */
+  /** Ends the worker; its next incarnation starts after `restartMs`. */
   crash(culprit?: string): Promise<void>;
-  /** What the worker says of itself from the next heartbeat on. */
+  /** Sets the capacity, which the next heartbeat reports. */
   setCapacity(capacity: types.resources.Resources): void;
-  /** Ends all activity of the model. */
+  /** Ends the worker for good and stops its heartbeats. */
   stop(): void;
 }
 
-/** How late a capacity that has shrunk may be known; milliseconds. */
+/** Time that the system has to learn of a capacity after its report. */
 const CAPACITY_NOTICE_MS = 3_000;
 
-/** Creates a machine with a worker on it. */
+/** Creates a machine and starts its worker. */
 export function createWorkerMachine(
-  around: worker.WorkerSurroundings,
+  context: worker.WorkerContext,
   list: workerList.WorkerList,
   options: MachineOptions,
 ): WorkerMachine {
-  const {clock, history} = around;
+  const {clock, history} = context;
   const stopped = new AbortController();
-  let lives = 0;
+  let incarnations = 0;
   let current: worker.Worker | undefined;
   let fault: MachineFault = {type: 'none'};
-  let leavesAt: types.clock.MonotonicMs | undefined;
+  let leaveDeadline: types.clock.MonotonicMs | undefined;
   let {capacity} = options.worker;
 
-  function beginLife(): void {
-    lives += 1;
-    const id = `${options.name}-${lives}`;
-    current = worker.createWorker(around, {
+  function startWorker(): void {
+    incarnations += 1;
+    const id = `${options.name}-${incarnations}`;
+    current = worker.createWorker(context, {
       ...options.worker,
       id,
       capacity,
@@ -75,80 +75,80 @@
       onCrash: (taskId) => void crash(taskId),
     });
     history.record({type: 'worker_up', workerId: id, capacity});
-    void beat(current);
+    void sendHeartbeats(current);
   }
 
-  async function beat(life: worker.Worker): Promise<void> {
-    for (let sequence = 1; current === life; sequence++) {
+  async function sendHeartbeats(incarnation: worker.Worker): Promise<void> {
+    for (let sequence = 1; current === incarnation; sequence++) {
       if (stopped.signal.aborted) return;
-      announce(life, sequence);
+      publishListing(incarnation, sequence);
       await types.clock.sleepFor(clock, options.heartbeatMs, stopped.signal);
     }
   }
 
-  function announce(life: worker.Worker, sequence: number): void {
+  function publishListing(incarnation: worker.Worker, sequence: number): void {
     const {pool, zone, rack, kind, address} = options;
     list.put({
-      id: life.id,
+      id: incarnation.id,
       pool,
       zone,
       rack,
       kind,
       address,
       capacity,
-      draining: leavesAt !== undefined,
-      leavesInMs: leavesInMs(),
-      clockMs: life.clockMs(),
+      draining: leaveDeadline !== undefined,
+      leavesInMs: remainingMs(),
+      clockMs: incarnation.clockMs(),
       sequence,
     });
   }
 
-  function leavesInMs(): number | undefined {
-    if (leavesAt === undefined) return undefined;
-    return Math.max(0, Math.floor(leavesAt - clock.monotonic()));
+  function remainingMs(): number | undefined {
+    if (leaveDeadline === undefined) return undefined;
+    return Math.max(0, Math.floor(leaveDeadline - clock.monotonic()));
   }
 
-  function endLife(): worker.Worker | undefined {
-    const life = current;
+  function endWorker(): worker.Worker | undefined {
+    const incarnation = current;
     current = undefined;
-    life?.end();
-    return life;
+    incarnation?.terminate();
+    return incarnation;
   }
 
   async function crash(culprit?: string): Promise<void> {
-    const life = endLife();
-    if (life === undefined) return;
-    history.record({type: 'worker_crashed', workerId: life.id, culprit});
+    const incarnation = endWorker();
+    if (incarnation === undefined) return;
+    history.record({type: 'worker_crashed', workerId: incarnation.id, culprit});
     await types.clock.sleepFor(clock, options.restartMs, stopped.signal);
-    if (!stopped.signal.aborted) beginLife();
+    if (!stopped.signal.aborted) startWorker();
   }
 
-  beginLife();
+  startWorker();
   return {
     name: options.name,
     worker: () => current,
     fault: () => fault,
-    setFault: (wanted) => void (fault = wanted),
+    setFault: (newFault) => void (fault = newFault),
     async leave() {
-      const life = current;
-      if (life === undefined) return;
-      leavesAt = types.clock.after(clock.monotonic(), options.drainMs);
-      history.record({type: 'worker_draining', workerId: life.id});
-      announce(life, 0);
-      await clock.sleepUntil(leavesAt, stopped.signal);
-      if (current !== life) return;
-      endLife();
-      list.remove(life.id);
-      history.record({type: 'worker_left', workerId: life.id});
+      const incarnation = current;
+      if (incarnation === undefined) return;
+      leaveDeadline = types.clock.after(clock.monotonic(), options.drainMs);
+      history.record({type: 'worker_draining', workerId: incarnation.id});
+      publishListing(incarnation, 0);
+      await clock.sleepUntil(leaveDeadline, stopped.signal);
+      if (current !== incarnation) return;
+      endWorker();
+      list.remove(incarnation.id);
+      history.record({type: 'worker_left', workerId: incarnation.id});
     },
     crash,
-    setCapacity(wanted) {
-      capacity = wanted;
-      current?.setCapacity(wanted);
+    setCapacity(newCapacity) {
+      capacity = newCapacity;
+      current?.setCapacity(newCapacity);
     },
     stop() {
       stopped.abort();
-      endLife();
+      endWorker();
     },
   };
 }
--- a/packages/gypsumwall-emulator/src/rig/emulated_cell.ts
+++ b/packages/gypsumwall-emulator/src/rig/emulated_cell.ts
@@ -1,5 +1,6 @@
 /**
- * The platform over HTTP on loopback, with the deployed entries as processes.
+ * Serves the platform model over HTTP on loopback and runs the deployed entries
+ * as processes.
  */
 import * as crypto from 'node:crypto';
 import * as fs from 'node:fs';
@@ -20,7 +21,7 @@
 import * as deployFile from './deploy_file.js';
 import * as entryMachine from './entry_machine.js';
 
-/** A platform that runs, with its entries. */
+/** A running platform with its entries. */
 export interface EmulatedCell {
   readonly clock: types.clock.Clock;
   readonly model: platformModels.PlatformModel;
@@ -28,27 +29,27 @@
   readonly entries: readonly entryMachine.EntryMachine[];
   /** Resolves once every entry is in rotation; rejects at the deadline. */
   untilReady(deadline: types.clock.MonotonicMs): Promise<void>;
-  /** The entry that places work now; undefined if none says so. */
+  /** Finds the entry that currently holds the cell; undefined if none reports it. */
   findHolder(): Promise<entryMachine.EntryMachine | undefined>;
-  /** Settings and logs of the entries. */
+  /** The folder with the settings and logs of the entries. */
   readonly folder: string;
   close(keepsFolder: boolean): Promise<void>;
 }
 
-/** What to run. */
+/** Options of {@link startEmulatedCell}. */
 export interface EmulatedCellOptions {
   readonly config: emulatorConfig.EmulatorConfig;
-  /** From the repository's root. */
+  /** Path of the deploy file, from the repository's root. */
   readonly deployFile: string;
-  /** Where the program was built, if not where the deploy file says. */
+  /** The build folder, if it isn't the one that the deploy file names. */
   readonly builtInto?: string | undefined;
-  readonly planted?: platformModels.PlantedFaults | undefined;
+  readonly injectedFaults?: platformModels.InjectedFaults | undefined;
 }
 
 const POLL_MS = 50;
 const HOLDER_GAUGE = 'holds_cell';
 
-/** Starts everything; entries may not be ready yet. */
+/** Starts the platform and its entries; the entries may not be ready yet. */
 export async function startEmulatedCell(
   options: EmulatedCellOptions,
 ): Promise<EmulatedCell> {
@@ -57,8 +58,8 @@
   const model = platformModels.createPlatformModel({
     clock,
     config,
-    planted: options.planted,
-    forms: {
+    injectedFaults: options.injectedFaults,
+    encoders: {
       config: configRecord.encodeConfig,
       listing: listingRecord.encodeListing,
     },
@@ -75,18 +76,18 @@
   const balancer = balancers.startBalancer({
     clock,
     entries: entries.map((entry) => entry.name),
-    asksReady: (entry) => client.isReady(entry),
+    checkReady: (entry) => client.isReady(entry),
   });
   for (const entry of entries) entry.start();
 
   async function startWorkers(): Promise<void> {
-    for (const place of platformModels.listMachines(config)) {
+    for (const spec of platformModels.listMachines(config)) {
       const server = await workerServer.startWorkerServer({
         clock,
         random: model.random,
       });
       servers.push(server);
-      server.serve(model.addMachine(place, server.address));
+      server.serveMachine(model.addMachine(spec, server.address));
     }
   }
 
@@ -96,11 +97,11 @@
       options.builtInto,
     );
     const random = types.random.createRandom(crypto.randomInt(2 ** 31));
-    const made: entryMachine.EntryMachine[] = [];
+    const machines: entryMachine.EntryMachine[] = [];
     for (const zone of config.zones) {
-      const name = `entry-${zone}`;
+      const entryName = `entry-${zone}`;
       const {restartMs, ...durations} = config.entries;
-      made.push(
+      machines.push(
         await entryMachine.createEntryMachine({
           clock,
           random,
@@ -110,15 +111,15 @@
           settings: {
             ...config.workers,
             ...durations,
-            name,
+            name: entryName,
             zone,
-            storeAddress: await serveStore(name),
-            adviserAddress: await serveAdviser(name),
+            storeAddress: await serveStore(entryName),
+            adviserAddress: await serveAdviser(entryName),
           },
         }),
       );
     }
-    return made;
+    return machines;
   }
 
   async function serveStore(caller: string): Promise<string> {
@@ -129,8 +130,8 @@
 
   async function serveAdviser(caller: string): Promise<string | undefined> {
     if (model.adviser === undefined) return undefined;
-    const served = model.adviser;
-    const server = await adviserServer.startAdviserServer(served, caller);
+    const adviser = model.adviser;
+    const server = await adviserServer.startAdviserServer(adviser, caller);
     servers.push(server);
     return server.address;
   }
@@ -150,19 +151,19 @@
       ...config.callers,
     }),
     async untilReady(deadline) {
-      while (balancer.ready().length < entries.length) {
+      while (balancer.listReady().length < entries.length) {
         if (clock.monotonic() >= deadline) {
-          const ready = balancer.ready().join(', ') || 'none';
+          const ready = balancer.listReady().join(', ') || 'none';
           throw new Error(`entries in rotation: ${ready}; logs in ${folder}`);
         }
         await types.clock.sleepFor(clock, POLL_MS);
       }
     },
     async findHolder() {
-      const holds = await Promise.all(
-        entries.map((entry) => client.gauge(entry.name, HOLDER_GAUGE)),
+      const gauges = await Promise.all(
+        entries.map((entry) => client.readGauge(entry.name, HOLDER_GAUGE)),
       );
-      return entries.find((_, nth) => holds[nth] === 1);
+      return entries.find((_, nth) => gauges[nth] === 1);
     },
     async close(keepsFolder) {
       balancer.stop();
--- a/packages/gypsumwall-emulator/src/rig/loopback.ts
+++ b/packages/gypsumwall-emulator/src/rig/loopback.ts
@@ -1,39 +1,42 @@
-/** Addresses on loopback that no other process uses. */
+/** Finds loopback addresses and ports that no other process uses. */
 import * as net from 'node:net';
 import type * as types from '@gypsumwall/types';
 
-const LOWEST_BYTE = 1;
-const HIGHEST_BYTE = 254;
-const TRIES = 50;
+const MIN_BYTE = 1;
+const MAX_BYTE = 254;
+const MAX_TRIES = 50;
 
-/** An address where the port is free. */
+/** Finds an address on which the port is free. */
 export async function findFreeIp(
   random: types.random.Random,
   port: number,
 ): Promise<string> {
-  for (let nth = 0; nth < TRIES; nth++) {
-    const bytes = Array.from({length: 3}, () =>
-      random.integer(LOWEST_BYTE, HIGHEST_BYTE),
+  for (let nth = 0; nth < MAX_TRIES; nth++) {
+    const ipBytes = Array.from({length: 3}, () =>
+      random.integer(MIN_BYTE, MAX_BYTE),
     );
-    const ip = ['127', ...bytes].join('.');
+    const ip = ['127', ...ipBytes].join('.');
     if ((await tryPort(ip, port)) !== undefined) return ip;
   }
   throw new Error(`port ${port}: no free address on loopback`);
 }
 
-/** A port from the kernel, free a moment ago. */
+/** Finds a port that is free now; another process may take it before its use. */
 export async function findFreePort(ip: string): Promise<number> {
   const port = await tryPort(ip, 0);
   if (port === undefined) throw new Error(`${ip}: no free port`);
   return port;
 }
 
-/** The port that could be listened on; undefined if it is taken. */
-function tryPort(ip: string, wanted: number): Promise<number | undefined> {
+/** Listens on the port briefly; resolves to undefined if the port is in use. */
+function tryPort(
+  ip: string,
+  requestedPort: number,
+): Promise<number | undefined> {
   return new Promise((resolve) => {
     const server = net.createServer();
     server.once('error', () => resolve(undefined));
-    server.listen(wanted, ip, () => {
+    server.listen(requestedPort, ip, () => {
       const {port} = server.address() as net.AddressInfo;
       server.close(() => resolve(port));
     });
--- a/packages/gypsumwall-emulator/src/wire/adviser_server.ts
+++ b/packages/gypsumwall-emulator/src/wire/adviser_server.ts
@@ -1,4 +1,4 @@
-/** The adviser's call. Each machine has an address of its own to call. */
+/** HTTP server of the adviser. Each machine calls its own server. */
 import * as zod from 'zod';
 import type * as adviser from '../model/adviser.js';
 import * as httpServer from './http_server.js';
@@ -8,15 +8,15 @@
   workers: zod.array(zod.string()),
 });
 
-/** Serves the adviser to one machine. */
+/** Starts a server for the calls of one machine. */
 export async function startAdviserServer(
-  served: adviser.Adviser,
+  backend: adviser.Adviser,
   caller: string,
 ): Promise<httpServer.WireServer> {
   const server = httpServer.createServer();
   server.post('/v1/advise', async (req, res) => {
     const {phase, workers} = httpServer.readBody(req, adviseBody);
-    const answer = await served.ask(caller, phase, workers);
+    const answer = await backend.ask(caller, phase, workers);
     switch (answer.type) {
       case 'approved':
         return res.send({approved: answer.tickets, validMs: answer.validMs});
