--- a/packages/gypsumwall-bench/src/__tests__/spread_cell.test.ts
+++ b/packages/gypsumwall-bench/src/__tests__/spread_cell.test.ts
@@ -4,17 +4,17 @@
 
 const {test} = nodeTest;
 const WORKERS = 64;
-const ONE = {name: 'one', helpers: false, coordinator: false};
-const WAYS: readonly spreadCell.SpreadWay[] = [
+const ONE = {name: 'one', hasHelpers: false, hasCoordinator: false};
+const WAYS: readonly spreadCell.SpreadVariant[] = [
   ONE,
-  {...ONE, name: 'helpers', helpers: true},
+  {...ONE, name: 'helpers', hasHelpers: true},
   {...ONE, name: 'shards', shardSize: 16},
-  {...ONE, name: 'coordinator', shardSize: 16, coordinator: true},
+  {...ONE, name: 'coordinator', shardSize: 16, hasCoordinator: true},
 ];
 
-function run(way: spreadCell.SpreadWay, load: number) {
+function run(way: spreadCell.SpreadVariant, load: number) {
   return spreadCell.runSpreadCell({
-    way,
+    variant: way,
     workers: WORKERS,
     seconds: 12,
     seed: 5,
@@ -47,7 +47,7 @@
 
 // Guards against gangs placed by an old copy of the workers' rooms.
 test('a coordinator in a full cell has no room booked twice', () => {
-  const result = run({...ONE, shardSize: 16, coordinator: true}, 1.2);
+  const result = run({...ONE, shardSize: 16, hasCoordinator: true}, 1.2);
   assert.ok(result.conflicts > 0);
   assert.equal(result.overbooked, 0);
   assert.equal(result.gangsPartial, 0);
--- a/packages/gypsumwall-bench/src/__tests__/virtual_worker.test.ts
+++ b/packages/gypsumwall-bench/src/__tests__/virtual_worker.test.ts
@@ -8,11 +8,11 @@
 function task(name: string, cores: number): virtualWorker.VirtualTask {
   return {
     taskId: types.ids.brand(name),
-    truth: {cpuMillis: cores * 1000, memoryMb: 100, runMs: 100},
+    actual: {cpuMillis: cores * 1000, memoryMb: 100, runMs: 100},
     size: SIZE,
     startedAt: 0,
-    leftMs: 100,
-    limitMillis: 0,
+    remainingMs: 100,
+    throttleMillis: 0,
   };
 }
 
@@ -23,14 +23,14 @@
       cpuMillis: 2000,
     });
     worker.start(task('a', 2), 0);
-    assert.equal(worker.nextEnd(0), 100);
+    assert.equal(worker.nextEndAt(0), 100);
     worker.start(task('b', 2), 50);
     assert.ok(worker.isCrowded());
     // Half of `a` was done alone; the other half takes twice as long.
-    assert.equal(worker.nextEnd(50), 150);
-    assert.equal(worker.ended(150)?.taskId, 'a');
+    assert.equal(worker.nextEndAt(50), 150);
+    assert.equal(worker.findEndedTask(150)?.taskId, 'a');
     worker.stop(types.ids.brand('a'), 150);
-    assert.equal(worker.nextEnd(150), 200);
+    assert.equal(worker.nextEndAt(150), 200);
   });
 
   nodeTest.it('holds a throttle', () => {
@@ -38,6 +38,6 @@
     worker.start(task('a', 1), 0);
     worker.throttle(types.ids.brand('a'), 250, 0);
     assert.equal(worker.usedMillis(), 250);
-    assert.equal(worker.nextEnd(0), 400);
+    assert.equal(worker.nextEndAt(0), 400);
   });
 });
--- a/packages/gypsumwall-bench/src/__tests__/workload.test.ts
+++ b/packages/gypsumwall-bench/src/__tests__/workload.test.ts
@@ -10,7 +10,7 @@
   seed: 5,
   horizonMs: 120_000,
   load: 0.9,
-  declared: 'off',
+  accuracy: 'off',
 };
 
 nodeTest.describe('makeWorkload', () => {
@@ -43,8 +43,11 @@
 
   nodeTest.it('misses only what nobody could meet', () => {
     const jobs = [arrival('a', 2000), arrival('b', 1000), arrival('c', 2500)];
-    const missed = offlineSchedule.missedOffline(jobs, 1000, 10_000);
+    const missed = offlineSchedule.findMissedDeadlines(jobs, 1000, 10_000);
     assert.deepEqual([...missed], ['c']);
-    assert.equal(offlineSchedule.missedOffline(jobs, 2000, 10_000).size, 0);
+    assert.equal(
+      offlineSchedule.findMissedDeadlines(jobs, 2000, 10_000).size,
+      0,
+    );
   });
 });
--- a/packages/gypsumwall-bench/src/adviser_lines.ts
+++ b/packages/gypsumwall-bench/src/adviser_calls.ts
@@ -5,34 +5,34 @@
 
 /** Which of the named workers the adviser approves for a step. */
 export type Adviser = (
-  wish: scheduling.schedulerTypes.AdviceRequest,
+  request: scheduling.schedulerTypes.AdviceRequest,
 ) => ReadonlyMap<types.ids.WorkerId, string>;
 
 /** The calls of one decider. */
-export interface AdviserLines {
+export interface AdviserCalls {
   capacity(): scheduling.adviserPool.AdviceCapacity;
-  ask(wish: scheduling.schedulerTypes.AdviceRequest): void;
-  calls(): number;
+  ask(request: scheduling.schedulerTypes.AdviceRequest): void;
+  callCount(): number;
 }
 
 /** Creates lines with nothing in them. */
-export function createAdviserLines(parts: {
+export function createAdviserCalls(parts: {
   readonly timeline: virtualTimeline.VirtualTimeline;
   readonly entries: readonly string[];
   readonly adviser: Adviser;
   readonly scheduler: scheduling.schedulerTypes.Scheduler;
   readonly onAnswer: () => void;
-}): AdviserLines {
+}): AdviserCalls {
   const {timeline, entries, scheduler} = parts;
-  const lanes = scheduling.adviserPool.createAdviserPool<string>();
-  const lineEnds = new Map<string, number>();
-  let calls = 0;
+  const pool = scheduling.adviserPool.createAdviserPool<string>();
+  const busyUntil = new Map<string, number>();
+  let callCount = 0;
 
-  function answer(
-    lane: string,
+  function handleAnswer(
+    entry: string,
     wish: scheduling.schedulerTypes.AdviceRequest,
   ): void {
-    lanes.finish(lane, wish.callMs);
+    pool.finish(entry, wish.callMs);
     const validMs = wish.stepRun.job.policy.advice?.validMs ?? 0;
     const validUntil = types.clock.after(timeline.now(), validMs);
     scheduler.adviceAnswered(wish, parts.adviser(wish), validUntil);
@@ -40,20 +40,20 @@
   }
 
   return {
-    capacity: () => lanes.capacity(entries),
+    capacity: () => pool.capacity(entries),
     ask(wish) {
-      const lane = lanes.take(entries, wish.callMs, wish.needed);
-      if (lane === undefined) {
+      const entry = pool.take(entries, wish.callMs, wish.needed);
+      if (entry === undefined) {
         scheduler.adviceAnswered(wish, undefined, timeline.now());
         return;
       }
-      calls++;
+      callCount++;
       // The adviser handles the calls of one entry one at a time.
       const now = timeline.now();
-      const doneAt = Math.max(now, lineEnds.get(lane) ?? 0) + wish.callMs;
-      lineEnds.set(lane, doneAt);
-      timeline.later(doneAt - now, () => answer(lane, wish));
+      const doneAt = Math.max(now, busyUntil.get(entry) ?? 0) + wish.callMs;
+      busyUntil.set(entry, doneAt);
+      timeline.schedule(doneAt - now, () => handleAnswer(entry, wish));
     },
-    calls: () => calls,
+    callCount: () => callCount,
   };
 }
--- a/packages/gypsumwall-bench/src/bin/bench.ts
+++ b/packages/gypsumwall-bench/src/bin/bench.ts
@@ -13,7 +13,7 @@
 import * as formatTable from '../format_table.js';
 import * as renderReport from '../render_report.js';
 
-const RESULTS = 'bench-results';
+const RESULTS_DIR = 'bench-results';
 const FULL_SEEDS = [11, 23, 37, 41, 59];
 
 await main();
@@ -27,10 +27,10 @@
     },
   });
   const options = {quick: values.quick, seeds: FULL_SEEDS};
-  const chosen = benchModules.BENCH_MODULES.filter(
+  const selected = benchModules.BENCH_MODULES.filter(
     (each) => values.only === undefined || each.name === values.only,
   );
-  if (chosen.length === 0 && values.only !== undefined) {
+  if (selected.length === 0 && values.only !== undefined) {
     const names = benchModules.BENCH_MODULES.map((each) => each.name);
     console.error(
       `--only=${values.only}: no such bench; take one of ${names.join(', ')}`,
@@ -41,14 +41,14 @@
   // Read first: the tree may change while a long run goes on.
   const commit = currentCommit();
   const sections = [];
-  for (const each of chosen) {
-    sections.push({name: each.name, report: await runOne(each, options)});
+  for (const each of selected) {
+    sections.push({name: each.name, report: await runBench(each, options)});
   }
-  const fallback = values.quick ? 'quick' : 'full';
-  writeResults(values.out ?? fallback, commit, options, sections);
+  const defaultName = values.quick ? 'quick' : 'full';
+  writeResults(values.out ?? defaultName, commit, options, sections);
 }
 
-async function runOne(
+async function runBench(
   bench: benchModule.BenchModule,
   options: benchModule.BenchOptions,
 ): Promise<benchModule.BenchReport> {
@@ -70,7 +70,7 @@
   options: benchModule.BenchOptions,
   sections: readonly renderReport.ReportSection[],
 ): void {
-  fs.mkdirSync(RESULTS, {recursive: true});
+  fs.mkdirSync(RESULTS_DIR, {recursive: true});
   const run = {
     command: `npm run bench -- ${process.argv.slice(2).join(' ')}`.trim(),
     commit,
@@ -80,9 +80,9 @@
     loadAverage: os.loadavg().map((each) => Number(each.toFixed(1))),
     ...options,
   };
-  const json = path.join(RESULTS, `${name}.json`);
+  const json = path.join(RESULTS_DIR, `${name}.json`);
   fs.writeFileSync(json, JSON.stringify({run, sections}, null, 1) + '\n');
-  const html = path.join(RESULTS, `${name}.html`);
+  const html = path.join(RESULTS_DIR, `${name}.html`);
   const title = `gypsumwall bench, commit ${run.commit}`;
   fs.writeFileSync(html, renderReport.renderReport(title, sections));
   console.log(`wrote ${json} and ${html}`);
@@ -92,6 +92,6 @@
 function currentCommit(): string {
   const git = (...args: string[]) =>
     childProcess.execFileSync('git', args, {encoding: 'utf8'}).trim();
-  const dirty = git('status', '--porcelain', '--', 'packages') !== '';
-  return git('rev-parse', '--short', 'HEAD') + (dirty ? '+' : '');
+  const isDirty = git('status', '--porcelain', '--', 'packages') !== '';
+  return git('rev-parse', '--short', 'HEAD') + (isDirty ? '+' : '');
 }
--- a/packages/gypsumwall-bench/src/cell_measures.ts
+++ b/packages/gypsumwall-bench/src/cell_measures.ts
@@ -10,78 +10,78 @@
   decideTotalNs: number;
   placements: number;
   deadlineJobs: number;
-  deadlineMissed: number;
+  deadlinesMissed: number;
   /** Missed though a fluid schedule of the admitted work meets them. */
-  deadlineAvoidable: number;
+  avoidableMisses: number;
   jobs: number;
   jobsDone: number;
   refused: Map<string, number>;
   /** Core milliseconds after the warm-up. */
-  used: number;
+  usedCoreMs: number;
   /** The most that any schedule could have used in that time. */
-  bound: number;
-  held: number;
-  capacity: number;
+  boundCoreMs: number;
+  reservedCoreMs: number;
+  capacityCoreMs: number;
   /** Worker milliseconds with more memory used than there is. */
-  memoryOver: number;
+  overMemoryWorkerMs: number;
   /** Worker milliseconds in which tasks slowed each other. */
-  crowded: number;
-  workerTime: number;
+  crowdedWorkerMs: number;
+  workerMs: number;
   throttles: number;
   checkpoints: number;
-  failedRuns: number;
-  jobsGivenUp: number;
+  failedAttempts: number;
+  jobsAbandoned: number;
 }
 
-const LONGEST_WAIT_MS = 1e9;
-const LONGEST_DECIDE_NS = 1e10;
+const MAX_WAIT_MS = 1e9;
+const MAX_DECIDE_NS = 1e10;
 
 /** Creates empty measures. */
 export function createCellMeasures(): CellMeasures {
   return {
     waits: new Map(),
-    decideNs: buildHistogram(LONGEST_DECIDE_NS),
+    decideNs: buildHistogram(MAX_DECIDE_NS),
     decideTotalNs: 0,
     placements: 0,
     deadlineJobs: 0,
-    deadlineMissed: 0,
-    deadlineAvoidable: 0,
+    deadlinesMissed: 0,
+    avoidableMisses: 0,
     jobs: 0,
     jobsDone: 0,
     refused: new Map(),
-    used: 0,
-    bound: 0,
-    held: 0,
-    capacity: 0,
-    memoryOver: 0,
-    crowded: 0,
-    workerTime: 0,
+    usedCoreMs: 0,
+    boundCoreMs: 0,
+    reservedCoreMs: 0,
+    capacityCoreMs: 0,
+    overMemoryWorkerMs: 0,
+    crowdedWorkerMs: 0,
+    workerMs: 0,
     throttles: 0,
     checkpoints: 0,
-    failedRuns: 0,
-    jobsGivenUp: 0,
+    failedAttempts: 0,
+    jobsAbandoned: 0,
   };
 }
 
 /** Records the wait of a task. */
-export function noteWait(
+export function recordWait(
   measures: CellMeasures,
   className: string,
   waitMs: number,
 ): void {
   let histogram = measures.waits.get(className);
   if (histogram === undefined) {
-    histogram = buildHistogram(LONGEST_WAIT_MS);
+    histogram = buildHistogram(MAX_WAIT_MS);
     measures.waits.set(className, histogram);
   }
   histogram.recordValue(Math.max(1, Math.round(waitMs)));
 }
 
 /** A histogram with three significant digits. */
-export function buildHistogram(highest: number): hdr.Histogram {
+export function buildHistogram(maxValue: number): hdr.Histogram {
   return hdr.build({
     bitBucketSize: 32,
     numberOfSignificantValueDigits: 3,
-    highestTrackableValue: highest,
+    highestTrackableValue: maxValue,
   });
 }
--- a/packages/gypsumwall-bench/src/control_calls.ts
+++ b/packages/gypsumwall-bench/src/control_calls.ts
@@ -8,15 +8,15 @@
 import type * as controlFakeWorker from './control_fake_worker.js';
 import * as statistics from './statistics.js';
 
-const TASKS_RUNNING = [0, 14, 50, 100];
-const TASKS_STARTED = [1, 4, 16, 64];
-const HOLDER: platform.worker.HolderCall = {
+const RUNNING_TASK_COUNTS = [0, 14, 50, 100];
+const STARTED_TASK_COUNTS = [1, 4, 16, 64];
+const HOLDER_CALL: platform.worker.HolderCall = {
   epoch: 1,
   incarnation: types.ids.brand<types.ids.WorkerIncarnation>('stay-1'),
 };
-const LEASE = 1e9 as platform.worker.WorkerMs;
+const LEASE_UNTIL = 1e9 as platform.worker.WorkerMs;
 /** Calls at a time: a holder talks to many workers at once. */
-const AT_ONCE = 16;
+const CONCURRENT_CALLS = 16;
 
 interface Cost {
   readonly cpuMicros: number;
@@ -31,40 +31,44 @@
     url.fileURLToPath(new URL('./control_fake_worker.js', import.meta.url)),
   );
   try {
-    const ready = (await nextMessage(
+    const ready = (await receiveMessage(
       fake,
     )) as controlFakeWorker.FakeWorkerReady;
-    const base = `http://127.0.0.1:${ready.port}`;
+    const baseUrl = `http://127.0.0.1:${ready.port}`;
     const calls = quick ? 1_000 : 5_000;
     // Code that is not yet compiled would count as the first row's cost.
-    await measureHeartbeats(fake, base, 14, calls);
-    const beats = [];
-    for (const tasks of TASKS_RUNNING) {
-      beats.push(await measureHeartbeats(fake, base, tasks, calls));
+    await measureHeartbeats(fake, baseUrl, 14, calls);
+    const heartbeats = [];
+    for (const tasks of RUNNING_TASK_COUNTS) {
+      heartbeats.push(await measureHeartbeats(fake, baseUrl, tasks, calls));
     }
     const starts = [];
-    for (const tasks of TASKS_STARTED) {
-      starts.push(await measureStarts(fake, base, tasks, calls));
+    for (const tasks of STARTED_TASK_COUNTS) {
+      starts.push(await measureStarts(fake, baseUrl, tasks, calls));
     }
     return [
-      toTable(
+      buildTable(
         'Heartbeat to a worker, by tasks running there',
-        TASKS_RUNNING,
-        beats,
+        RUNNING_TASK_COUNTS,
+        heartbeats,
+      ),
+      buildTable(
+        'Call that starts tasks, by tasks in it',
+        STARTED_TASK_COUNTS,
+        starts,
       ),
-      toTable('Call that starts tasks, by tasks in it', TASKS_STARTED, starts),
     ];
   } finally {
     fake.kill();
   }
 }
 
-function makeWorker(base: string, tasks: number): platform.worker.Worker {
+function createWorker(base: string, tasks: number): platform.worker.Worker {
   return platform.httpWorker.createHttpWorker({
     id: types.ids.brand<types.ids.WorkerId>('bench'),
     address: `${base}/tasks-${tasks}`,
     timeoutMs: 10_000,
-    dispatcher: new undici.Agent({connections: AT_ONCE}),
+    dispatcher: new undici.Agent({connections: CONCURRENT_CALLS}),
   });
 }
 
@@ -74,9 +78,9 @@
   tasks: number,
   calls: number,
 ): Promise<Cost> {
-  const worker = makeWorker(base, tasks);
-  return costOf(fake, calls, async () => {
-    const answer = await worker.heartbeat(HOLDER, LEASE, []);
+  const worker = createWorker(base, tasks);
+  return measureCost(fake, calls, async () => {
+    const answer = await worker.heartbeat(HOLDER_CALL, LEASE_UNTIL, []);
     if (answer.isErr) throw new Error(answer.error.message);
   });
 }
@@ -87,27 +91,27 @@
   tasks: number,
   calls: number,
 ): Promise<Cost> {
-  const worker = makeWorker(base, tasks);
+  const worker = createWorker(base, tasks);
   const starts = Array.from({length: tasks}, (_, index) => ({
     taskId: types.ids.brand<types.ids.TaskId>(`merkato-hall.0123/${index}`),
     attempt: types.ids.brand<types.ids.AttemptId>(`123456.${index}`),
     size: {cpuMillis: 1_000, memoryMb: 2_048, accelerators: 0},
     work: {command: 'build-plan', args: {client: 'household-1234'}},
-    leaseUntil: LEASE,
+    leaseUntil: LEASE_UNTIL,
   }));
-  return costOf(fake, calls, async () => {
-    const answer = await worker.start(HOLDER, LEASE, starts);
+  return measureCost(fake, calls, async () => {
+    const answer = await worker.start(HOLDER_CALL, LEASE_UNTIL, starts);
     if (answer.isErr) throw new Error(answer.error.message);
   });
 }
 
 /** Cost of one call of many, with some under way at a time. */
-async function costOf(
+async function measureCost(
   fake: childProcess.ChildProcess,
   calls: number,
   callOnce: () => Promise<void>,
 ): Promise<Cost> {
-  const bytesBefore = await bytesOf(fake);
+  const bytesBefore = await readByteCount(fake);
   const before = process.cpuUsage();
   let left = calls;
   const caller = async () => {
@@ -116,19 +120,19 @@
       await callOnce();
     }
   };
-  await Promise.all(Array.from({length: AT_ONCE}, caller));
+  await Promise.all(Array.from({length: CONCURRENT_CALLS}, caller));
   const used = process.cpuUsage(before);
   const ownMicros = used.user + used.system;
-  const bytes = (await bytesOf(fake)) - bytesBefore;
+  const bytes = (await readByteCount(fake)) - bytesBefore;
   return {cpuMicros: ownMicros / calls, bytes: bytes / calls};
 }
 
-async function bytesOf(fake: childProcess.ChildProcess): Promise<number> {
+async function readByteCount(fake: childProcess.ChildProcess): Promise<number> {
   fake.send('bytes');
-  return (await nextMessage(fake)) as number;
+  return (await receiveMessage(fake)) as number;
 }
 
-function nextMessage(fake: childProcess.ChildProcess): Promise<unknown> {
+function receiveMessage(fake: childProcess.ChildProcess): Promise<unknown> {
   fake.removeAllListeners('exit');
   return new Promise((resolve, reject) => {
     fake.once('message', resolve);
@@ -138,7 +142,7 @@
   });
 }
 
-function toTable(
+function buildTable(
   title: string,
   sizes: readonly number[],
   costs: readonly Cost[],
@@ -147,16 +151,16 @@
     const cost = costs[index];
     return [
       size,
-      statistics.short(cost?.cpuMicros ?? NaN),
-      statistics.short(cost?.bytes ?? NaN),
+      statistics.formatNumber(cost?.cpuMicros ?? NaN),
+      statistics.formatNumber(cost?.bytes ?? NaN),
     ];
   });
-  const slopeOf = (pick: (cost: Cost) => number) =>
-    statistics.short(
-      statistics.slope(
+  const slopeOf = (valueOf: (cost: Cost) => number) =>
+    statistics.formatNumber(
+      statistics.fitSlope(
         sizes.map((x, index) => {
           const cost = costs[index];
-          return {x, y: cost === undefined ? NaN : pick(cost)};
+          return {x, y: cost === undefined ? NaN : valueOf(cost)};
         }),
       ),
     );
--- a/packages/gypsumwall-bench/src/control_fake_worker.ts
+++ b/packages/gypsumwall-bench/src/control_fake_worker.ts
@@ -22,8 +22,8 @@
   req.on('end', () => {
     const tasks = Number(/^\/tasks-(\d+)\//.exec(req.url ?? '')?.[1] ?? 0);
     const body = req.url?.endsWith('/start')
-      ? startAnswers(Buffer.concat(chunks).toString('utf8'))
-      : heartbeatAnswer(tasks);
+      ? buildStartResponse(Buffer.concat(chunks).toString('utf8'))
+      : buildHeartbeatResponse(tasks);
     res.setHeader('content-type', 'application/json');
     res.end(JSON.stringify(body));
   });
@@ -43,12 +43,12 @@
   process.send?.(bytes);
 });
 
-function startAnswers(body: string): object {
+function buildStartResponse(body: string): object {
   const {tasks} = JSON.parse(body) as {tasks: unknown[]};
   return {answers: tasks.map(() => ({type: 'started'}))};
 }
 
-function heartbeatAnswer(tasks: number): object {
+function buildHeartbeatResponse(tasks: number): object {
   const now = performance.now();
   const named = Array.from({length: tasks}, (_, index) => ({
     taskId: `merkato-hall.0123456789abcdef/${index}`,
--- a/packages/gypsumwall-bench/src/control_records.ts
+++ b/packages/gypsumwall-bench/src/control_records.ts
@@ -7,13 +7,13 @@
 import type * as benchModule from './bench_module.js';
 import * as statistics from './statistics.js';
 
-const JOBS = [1_000, 4_000, 16_000, 64_000];
-const TASKS_A_JOB = 4;
-const RATES = [100, 1_000, 3_000, 7_500];
+const JOB_COUNTS = [1_000, 4_000, 16_000, 64_000];
+const TASKS_PER_JOB = 4;
+const RECORDS_PER_SECOND = [100, 1_000, 3_000, 7_500];
 /** Without a least gap, and with the one of a domain's stream. */
-const GAPS_MS = [0, 50];
+const MIN_GAPS_MS = [0, 50];
 /** Time that the platform's log takes for one append. */
-const APPEND_MS = 5;
+const APPEND_DURATION_MS = 5;
 const NOW = 0 as types.clock.MonotonicMs;
 
 /** Tables of group commit and of folding, snapshot and rebuild. */
@@ -21,14 +21,14 @@
   quick: boolean,
 ): Promise<benchModule.BenchTable[]> {
   const appended = [];
-  for (const gapMs of GAPS_MS) {
-    for (const rate of RATES) {
+  for (const gapMs of MIN_GAPS_MS) {
+    for (const rate of RECORDS_PER_SECOND) {
       appended.push(await measureAppends(rate, gapMs, quick ? 1_000 : 5_000));
     }
   }
   return [
     {
-      title: `Group commit on a log that takes ${APPEND_MS} ms an append`,
+      title: `Group commit on a log that takes ${APPEND_DURATION_MS} ms an append`,
       columns: [
         'records/s',
         'appends/s',
@@ -37,7 +37,7 @@
       ],
       rows: appended,
     },
-    foldTable(),
+    buildFoldTable(),
   ];
 }
 
@@ -48,13 +48,13 @@
 ): Promise<Array<string | number>> {
   const clock = types.clock.createSystemClock();
   let appends = 0;
-  let taken = 0;
+  let nextOffset = 0;
   const log: platform.platformLog.PlatformLog = {
     append: async ({bodies}) => {
       appends += 1;
-      const firstOffset = taken;
-      taken += bodies.length;
-      const done = types.clock.after(clock.monotonic(), APPEND_MS);
+      const firstOffset = nextOffset;
+      nextOffset += bodies.length;
+      const done = types.clock.after(clock.monotonic(), APPEND_DURATION_MS);
       await clock.sleepUntil(done);
       return result.ok({firstOffset});
     },
@@ -74,7 +74,7 @@
     },
     signal: new AbortController().signal,
   });
-  const body = records.envelope.encodeRecord(endRecord(0, 0));
+  const body = records.envelope.encodeRecord(buildTaskEndedRecord(0, 0));
   const startedAt = clock.monotonic();
   const before = process.cpuUsage();
   const pending: Array<Promise<unknown>> = [];
@@ -94,17 +94,17 @@
   return [
     gapMs,
     Math.round(sent / seconds),
-    statistics.short(appends / seconds),
-    statistics.short(sent / appends),
-    statistics.short((used.user + used.system) / sent),
+    statistics.formatNumber(appends / seconds),
+    statistics.formatNumber(sent / appends),
+    statistics.formatNumber((used.user + used.system) / sent),
   ];
 }
 
-function foldTable(): benchModule.BenchTable {
+function buildFoldTable(): benchModule.BenchTable {
   // Code that is not yet compiled would count as the first row's cost.
   measureFold(1_000);
   return {
-    title: `Folding open jobs of ${TASKS_A_JOB} tasks, half of them done`,
+    title: `Folding open jobs of ${TASKS_PER_JOB} tasks, half of them done`,
     columns: [
       'jobs',
       'fold us a record',
@@ -113,23 +113,23 @@
       'write ms',
       'restore ms',
     ],
-    rows: JOBS.map(measureFold),
+    rows: JOB_COUNTS.map(measureFold),
   };
 }
 
 function measureFold(jobs: number): Array<string | number> {
   const fold = records.jobFold.createJobFold();
-  const heapBefore = heapBytes();
+  const heapBefore = readHeapBytes();
   const startedAt = performance.now();
   let count = 0;
   for (let job = 0; job < jobs; job += 1) {
-    fold.apply(count++, acceptRecord(job), NOW);
-    for (let index = 0; index < TASKS_A_JOB / 2; index += 1) {
-      fold.apply(count++, endRecord(job, index), NOW);
+    fold.apply(count++, buildJobAcceptedRecord(job), NOW);
+    for (let index = 0; index < TASKS_PER_JOB / 2; index += 1) {
+      fold.apply(count++, buildTaskEndedRecord(job, index), NOW);
     }
   }
   const foldMs = performance.now() - startedAt;
-  const heapAfter = heapBytes();
+  const heapAfter = readHeapBytes();
   const writeAt = performance.now();
   const text = fold.snapshot();
   const writeMs = performance.now() - writeAt;
@@ -139,16 +139,16 @@
   const restoreMs = performance.now() - restoreAt;
   return [
     jobs,
-    statistics.short((foldMs * 1_000) / count),
-    statistics.short((heapAfter - heapBefore) / jobs),
-    statistics.short(text.length / jobs),
-    statistics.short(writeMs),
-    statistics.short(restoreMs),
+    statistics.formatNumber((foldMs * 1_000) / count),
+    statistics.formatNumber((heapAfter - heapBefore) / jobs),
+    statistics.formatNumber(text.length / jobs),
+    statistics.formatNumber(writeMs),
+    statistics.formatNumber(restoreMs),
   ];
 }
 
 /** Heap in use; needs `node --expose-gc` to be exact. */
-function heapBytes(): number {
+function readHeapBytes(): number {
   globalThis.gc?.();
   return process.memoryUsage().heapUsed;
 }
@@ -158,7 +158,9 @@
   return types.ids.makeJobId(home, job.toString(16).padStart(16, '0'));
 }
 
-function acceptRecord(job: number): records.domainRecords.DomainRecord {
+function buildJobAcceptedRecord(
+  job: number,
+): records.domainRecords.DomainRecord {
   return {
     type: 'job_accepted',
     jobId: jobIdOf(job),
@@ -166,7 +168,7 @@
     acceptedAt: 0 as types.clock.WallMs,
     spec: {
       team: types.ids.brand<types.ids.TeamId>('night-plans'),
-      shape: {kind: 'batch', tasks: TASKS_A_JOB},
+      shape: {kind: 'batch', tasks: TASKS_PER_JOB},
       jobClass: 'repayment-plan',
       urgency: 'overnight',
       size: {cpuMillis: 1_000, memoryMb: 2_048, accelerators: 0},
@@ -176,7 +178,7 @@
   };
 }
 
-function endRecord(
+function buildTaskEndedRecord(
   job: number,
   index: number,
 ): records.domainRecords.DomainRecord {
--- a/packages/gypsumwall-bench/src/decision_bench.ts
+++ b/packages/gypsumwall-bench/src/decision_bench.ts
@@ -4,7 +4,7 @@
 import * as types from '@gypsumwall/types';
 import type * as benchModule from './bench_module.js';
 import * as cellMeasures from './cell_measures.js';
-import * as draw from './draw.js';
+import * as distributions from './distributions.js';
 import * as statistics from './statistics.js';
 
 const WORKER_COUNTS = [30, 300, 2000, 31_000];
@@ -12,11 +12,11 @@
 const WORKERS_PER_RACK = 8;
 const TEAMS = 8;
 /** Jobs that wait throughout, so that a round always has a choice. */
-const BACKLOG = 500;
+const BACKLOG_TASKS = 500;
 /** A decision that took longer was interrupted by something else. */
-const LONGEST_NS = 1e9;
-const WARM_UP = 5000;
-const MOST_FOR_BASELINE = 2000;
+const MAX_DECIDE_NS = 1e9;
+const WARM_UP_ROUNDS = 5000;
+const MAX_BASELINE_WORKERS = 2000;
 
 const POLICIES = ['policy', 'baseline'] as const;
 type Policy = (typeof POLICIES)[number];
@@ -42,33 +42,35 @@
   for (const seed of seeds) {
     for (const workers of WORKER_COUNTS) {
       for (const policy of POLICIES) {
-        if (!isRun(policy, workers)) continue;
+        if (!isMeasured(policy, workers)) continue;
         // The baseline looks at every worker; fewer rounds will do for it.
         const share = policy === 'policy' ? 1 : 0.05;
-        runs.push(runOne(workers, policy, seed, Math.ceil(rounds * share)));
+        runs.push(
+          measureDecisions(workers, policy, seed, Math.ceil(rounds * share)),
+        );
       }
     }
   }
-  return report(runs, seeds, rounds);
+  return buildReport(runs, seeds, rounds);
 }
 
 /** Filling 31,000 workers takes the baseline most of a minute. */
-function isRun(policy: Policy, workers: number): boolean {
-  return policy === 'policy' || workers <= MOST_FOR_BASELINE;
+function isMeasured(policy: Policy, workers: number): boolean {
+  return policy === 'policy' || workers <= MAX_BASELINE_WORKERS;
 }
 
-function runOne(
+function measureDecisions(
   workers: number,
   policy: Policy,
   seed: number,
   rounds: number,
 ): DecisionRun {
   const random = types.random.createRandom(seed);
-  const placer = makePlacer(policy, seed);
+  const placer = createPlacer(policy, seed);
   const running: types.ids.TaskId[] = [];
   let now = 0;
   let jobs = 0;
-  const decideNs = cellMeasures.buildHistogram(LONGEST_NS);
+  const decideNs = cellMeasures.buildHistogram(MAX_DECIDE_NS);
 
   for (let n = 0; n < workers; n += 1) {
     const rack = Math.floor(n / WORKERS_PER_RACK);
@@ -100,49 +102,49 @@
   }
 
   /** Ends one task; the newest takes its place in the list. */
-  function endOne(): void {
-    const pick = random.integer(0, running.length - 1);
-    const taskId = running[pick]!;
+  function endRandomTask(): void {
+    const index = random.integer(0, running.length - 1);
+    const taskId = running[index]!;
     const last = running.pop()!;
-    if (pick < running.length) running[pick] = last;
+    if (index < running.length) running[index] = last;
     placer.release(taskId, {type: 'done', ranMs: 10_000});
   }
 
-  function fill(): void {
+  function fillWorkers(): void {
     for (;;) {
-      while (placer.waitingTasks() < BACKLOG) enqueue();
-      if (decide(BACKLOG) === 0) return;
+      while (placer.waitingTasks() < BACKLOG_TASKS) enqueue();
+      if (decide(BACKLOG_TASKS) === 0) return;
     }
   }
 
   /** One end, one arrival, decisions until nothing more is found. */
-  function round(measured: boolean): number {
-    endOne();
-    if (placer.waitingTasks() < BACKLOG) enqueue();
+  function runRound(isRecorded: boolean): number {
+    endRandomTask();
+    if (placer.waitingTasks() < BACKLOG_TASKS) enqueue();
     now += 1;
     let placed = 0;
     for (;;) {
       const before = process.hrtime.bigint();
       const count = decide(1);
       const spentNs = Number(process.hrtime.bigint() - before);
-      if (measured && count > 0) decideNs.recordValue(spentNs);
+      if (isRecorded && count > 0) decideNs.recordValue(spentNs);
       placed += count;
       if (count === 0) return placed;
     }
   }
 
-  fill();
-  const warmUp = Math.min(WARM_UP, rounds);
-  for (let n = 0; n < warmUp; n += 1) round(false);
+  fillWorkers();
+  const warmUp = Math.min(WARM_UP_ROUNDS, rounds);
+  for (let n = 0; n < warmUp; n += 1) runRound(false);
   const startedAt = performance.now();
   let placed = 0;
-  for (let n = 0; n < rounds; n += 1) placed += round(true);
+  for (let n = 0; n < rounds; n += 1) placed += runRound(true);
   const seconds = (performance.now() - startedAt) / 1000;
   const tasks = running.length;
   return {workers, policy, decideNs, perSecond: placed / seconds, tasks};
 }
 
-function makePlacer(policy: Policy, seed: number): placement.placer.Placer {
+function createPlacer(policy: Policy, seed: number): placement.placer.Placer {
   switch (policy) {
     case 'policy':
       return placement.createPlacer.createPlacer({
@@ -155,21 +157,22 @@
 
 /** Mostly single tasks of about 4 cores; some gangs, services and deadlines. */
 function drawSpec(random: types.random.Random, now: number): types.job.JobSpec {
-  const cores = draw.heavyTailed(random, {
+  const cores = distributions.drawHeavyTailed(random, {
     median: 3,
     sigma: 0.6,
     low: 0.5,
     high: 16,
   });
-  const kind = random.next();
-  const urgency = random.next();
+  const kindDraw = random.next();
+  const urgencyDraw = random.next();
   const deadline =
     random.next() < 0.2 ? now + random.integer(60_000, 3_600_000) : undefined;
   return {
     team: types.ids.brand(`team-${random.integer(1, TEAMS)}`),
-    shape: drawShape(kind, random),
+    shape: drawShape(kindDraw, random),
     jobClass: `class-${random.integer(1, 20)}`,
-    urgency: urgency < 0.1 ? 'urgent' : urgency < 0.5 ? 'normal' : 'overnight',
+    urgency:
+      urgencyDraw < 0.1 ? 'urgent' : urgencyDraw < 0.5 ? 'normal' : 'overnight',
     size: {
       cpuMillis: Math.ceil(cores * 1000),
       memoryMb: Math.ceil(cores * 1024 * (0.5 + random.next() * 3)),
@@ -182,53 +185,55 @@
 }
 
 function drawShape(
-  kind: number,
+  kindDraw: number,
   random: types.random.Random,
 ): types.job.JobShape {
-  if (kind < 0.02) return {kind: 'gang', tasks: random.integer(2, 8)};
-  if (kind < 0.04) return {kind: 'service', replicas: random.integer(2, 6)};
+  if (kindDraw < 0.02) return {kind: 'gang', tasks: random.integer(2, 8)};
+  if (kindDraw < 0.04) return {kind: 'service', replicas: random.integer(2, 6)};
   return {kind: 'batch', tasks: random.integer(1, 4)};
 }
 
-function report(
+function buildReport(
   runs: readonly DecisionRun[],
   seeds: readonly number[],
   rounds: number,
 ): benchModule.BenchReport {
-  const of = (policy: Policy, workers: number) =>
+  const runsOf = (policy: Policy, workers: number) =>
     runs.filter((run) => run.policy === policy && run.workers === workers);
-  const figure = (
+  const valuesOf = (
     policy: Policy,
     workers: number,
-    take: (run: DecisionRun) => number,
-  ) => of(policy, workers).map(take);
+    valueOf: (run: DecisionRun) => number,
+  ) => runsOf(policy, workers).map(valueOf);
   const at = (percentile: number) => (run: DecisionRun) =>
     run.decideNs.getValueAtPercentile(percentile) / 1000;
   const mean = (run: DecisionRun) => run.decideNs.mean / 1000;
   const rows = WORKER_COUNTS.flatMap((workers) =>
-    POLICIES.filter((policy) => isRun(policy, workers)).map((policy) => [
+    POLICIES.filter((policy) => isMeasured(policy, workers)).map((policy) => [
       workers,
       policy,
-      statistics.median(figure(policy, workers, (run) => run.tasks)),
-      statistics.spread(figure(policy, workers, mean)),
-      statistics.spread(figure(policy, workers, at(50))),
-      statistics.spread(figure(policy, workers, at(99))),
-      statistics.spread(figure(policy, workers, at(99.9))),
-      statistics.spread(figure(policy, workers, (run) => run.perSecond)),
+      statistics.median(valuesOf(policy, workers, (run) => run.tasks)),
+      statistics.formatMedianAndRange(valuesOf(policy, workers, mean)),
+      statistics.formatMedianAndRange(valuesOf(policy, workers, at(50))),
+      statistics.formatMedianAndRange(valuesOf(policy, workers, at(99))),
+      statistics.formatMedianAndRange(valuesOf(policy, workers, at(99.9))),
+      statistics.formatMedianAndRange(
+        valuesOf(policy, workers, (run) => run.perSecond),
+      ),
     ]),
   );
-  const points = (policy: Policy, take: (run: DecisionRun) => number) =>
-    WORKER_COUNTS.filter((workers) => isRun(policy, workers)).map(
+  const points = (policy: Policy, valueOf: (run: DecisionRun) => number) =>
+    WORKER_COUNTS.filter((workers) => isMeasured(policy, workers)).map(
       (workers) => ({
         x: workers,
-        y: statistics.median(figure(policy, workers, take)),
+        y: statistics.median(valuesOf(policy, workers, valueOf)),
       }),
     );
   return {
     notes: [
-      `full workers and ${BACKLOG} waiting tasks; each round ends a task, enqueues one job if fewer wait, and calls decide(now, 1) until it places nothing; ${rounds} rounds, seeds ${seeds.join(', ')}`,
+      `full workers and ${BACKLOG_TASKS} waiting tasks; each round ends a task, enqueues one job if fewer wait, and calls decide(now, 1) until it places nothing; ${rounds} rounds, seeds ${seeds.join(', ')}`,
       'decide times are of calls that placed a task; decisions/s count all calls, releases and enqueues, on one core',
-      `the baseline is not run beyond ${MOST_FOR_BASELINE} workers`,
+      `the baseline is not run beyond ${MAX_BASELINE_WORKERS} workers`,
     ],
     tables: [
       {
@@ -269,17 +274,17 @@
 ) => Array<{x: number; y: number}>;
 
 function slopeTable(points: Points): benchModule.BenchTable {
-  const takes = {
+  const figures = {
     mean: (run: DecisionRun) => run.decideNs.mean / 1000,
     p99: (run: DecisionRun) => run.decideNs.getValueAtPercentile(99) / 1000,
   };
   const rows = POLICIES.flatMap((policy) =>
-    Object.entries(takes).map(([name, take]) => {
+    Object.entries(figures).map(([name, take]) => {
       const measured = points(policy, take);
-      const perDoubling = statistics.slope(
+      const perDoubling = statistics.fitSlope(
         measured.map(({x, y}) => ({x: Math.log2(x), y})),
       );
-      const exponent = statistics.slope(
+      const exponent = statistics.fitSlope(
         measured.map(({x, y}) => ({x: Math.log(x), y: Math.log(y)})),
       );
       return [policy, name, perDoubling, exponent];
--- a/packages/gypsumwall-bench/src/draw.ts
+++ b/packages/gypsumwall-bench/src/distributions.ts
@@ -2,7 +2,7 @@
 import type * as types from '@gypsumwall/types';
 
 /** A log-normal amount within bounds. */
-export interface HeavyTailed {
+export interface HeavyTailedDistribution {
   readonly median: number;
   /** Standard deviation of the logarithm; 1.5 has a heavy tail. */
   readonly sigma: number;
@@ -11,30 +11,34 @@
 }
 
 /** Draws a heavy-tailed amount. */
-export function heavyTailed(
+export function drawHeavyTailed(
   random: types.random.Random,
-  shape: HeavyTailed,
+  distribution: HeavyTailedDistribution,
 ): number {
-  const drawn = shape.median * Math.exp(shape.sigma * normal(random));
-  return Math.min(shape.high, Math.max(shape.low, drawn));
+  const drawn =
+    distribution.median *
+    Math.exp(distribution.sigma * drawStandardNormal(random));
+  return Math.min(distribution.high, Math.max(distribution.low, drawn));
 }
 
 /** A log-normal amount with the given mean. */
-export function logNormalMean(
+export function drawLogNormal(
   random: types.random.Random,
   mean: number,
   sigma: number,
 ): number {
-  return mean * Math.exp(sigma * normal(random) - (sigma * sigma) / 2);
+  return (
+    mean * Math.exp(sigma * drawStandardNormal(random) - (sigma * sigma) / 2)
+  );
 }
 
 /** A factor around 1; a tenth either way is usual. */
-export function jitter(random: types.random.Random): number {
-  return Math.exp(0.1 * normal(random));
+export function drawJitter(random: types.random.Random): number {
+  return Math.exp(0.1 * drawStandardNormal(random));
 }
 
 /** Box-Muller. */
-function normal(random: types.random.Random): number {
+function drawStandardNormal(random: types.random.Random): number {
   const radius = Math.sqrt(-2 * Math.log(1 - random.next()));
   return radius * Math.cos(2 * Math.PI * random.next());
 }
--- a/packages/gypsumwall-bench/src/format_table.ts
+++ b/packages/gypsumwall-bench/src/format_table.ts
@@ -19,8 +19,8 @@
       .join('  ')
       .trimEnd(),
   );
-  const rule = widths.map((width) => '-'.repeat(width)).join('  ');
-  return [table.title, lines[0], rule, ...lines.slice(1)].join('\n');
+  const separator = widths.map((width) => '-'.repeat(width)).join('  ');
+  return [table.title, lines[0], separator, ...lines.slice(1)].join('\n');
 }
 
 /** At most four significant digits; whole numbers stay whole. */
--- a/packages/gypsumwall-bench/src/gang_coordinator.ts
+++ b/packages/gypsumwall-bench/src/gang_coordinator.ts
@@ -5,7 +5,7 @@
  */
 import type * as scheduling from '@gypsumwall/scheduling';
 import * as types from '@gypsumwall/types';
-import type * as shardRooms from './shard_rooms.js';
+import type * as shardCapacities from './shard_capacities.js';
 import type * as virtualDecider from './virtual_decider.js';
 import type * as virtualTimeline from './virtual_timeline.js';
 import * as workerCalls from './worker_calls.js';
@@ -23,15 +23,17 @@
 
 /** The coordinator of wide gangs. */
 export interface GangCoordinator {
-  launch(starts: readonly StartOrder[]): void;
-  runOver(run: scheduling.activeJob.Attempt): void;
+  reserveAndStart(starts: readonly StartOrder[]): void;
+  releaseAttempt(attempt: scheduling.activeJob.Attempt): void;
   /** Takes over what a shard tells of its workers. */
-  roomTold(rooms: readonly shardRooms.WorkerRoom[]): void;
+  applyFreeCapacity(
+    freeCapacities: readonly shardCapacities.FreeCapacity[],
+  ): void;
   conflicts(): number;
 }
 
 /** Step under which the room of all others is booked at the coordinator. */
-const OTHERS = 'others';
+const OTHERS_STEP = 'others';
 
 /** Creates a coordinator. */
 export function createGangCoordinator(
@@ -41,7 +43,7 @@
   const others = new Map<types.ids.WorkerId, types.resources.Resources>();
   let conflicts = 0;
 
-  const bookOf = (worker: types.ids.WorkerId) =>
+  const registryOf = (worker: types.ids.WorkerId) =>
     shards[shardOf(worker)]!.scheduler.book;
 
   function launch(starts: readonly StartOrder[]): void {
@@ -58,115 +60,130 @@
     const byShard = new Map<number, StartOrder[]>();
     for (const start of gang) {
       const shard = shardOf(start.attempt.workerId);
-      const part = byShard.get(shard) ?? [];
-      byShard.set(shard, part);
-      part.push(start);
+      const starts = byShard.get(shard) ?? [];
+      byShard.set(shard, starts);
+      starts.push(start);
     }
     const granted: StartOrder[] = [];
-    const told: shardRooms.WorkerRoom[] = [];
-    let missing = byShard.size;
+    const refusals: shardCapacities.FreeCapacity[] = [];
+    let pendingShards = byShard.size;
     for (const [shard, part] of byShard) {
-      ask(shard, part, (refusal) => {
+      requestReservation(shard, part, (refusal) => {
         if (refusal === undefined) granted.push(...part);
-        else told.push(...refusal);
-        if (--missing > 0) return;
-        if (told.length === 0) parts.decider().send(gang);
-        else giveBack(gang, granted, told);
+        else refusals.push(...refusal);
+        if (--pendingShards > 0) return;
+        if (refusals.length === 0) parts.decider().sendStarts(gang);
+        else rollBack(gang, granted, refusals);
       });
     }
   }
 
   /** Asks a shard for room, all or none; a refusal tells what room there is. */
-  function ask(
+  function requestReservation(
     shard: number,
     part: readonly StartOrder[],
-    answer: (refusal: shardRooms.WorkerRoom[] | undefined) => void,
+    onAnswer: (refusal: shardCapacities.FreeCapacity[] | undefined) => void,
   ): void {
     const {process} = parts.decider();
-    const back = (refusal: shardRooms.WorkerRoom[] | undefined) =>
-      timeline.later(workerCalls.ORDER_MS / 2, () =>
-        process.handle(0, () => answer(refusal)),
+    const sendBack = (refusal: shardCapacities.FreeCapacity[] | undefined) =>
+      timeline.schedule(workerCalls.ROUND_TRIP_MS / 2, () =>
+        process.enqueue(0, () => onAnswer(refusal)),
       );
-    process.handle(workerCalls.CALL_MS, () => {
-      timeline.later(workerCalls.ORDER_MS / 2, () => {
-        const costMs = workerCalls.CALL_MS + part.length * workerCalls.ITEM_MS;
-        shards[shard]!.process.handle(costMs, () => back(book(part)));
+    process.enqueue(workerCalls.CALL_COST_MS, () => {
+      timeline.schedule(workerCalls.ROUND_TRIP_MS / 2, () => {
+        const costMs =
+          workerCalls.CALL_COST_MS +
+          part.length * workerCalls.BATCH_ITEM_COST_MS;
+        shards[shard]!.process.enqueue(costMs, () =>
+          sendBack(reserveOnShard(part)),
+        );
       });
     });
   }
 
-  function book(
+  function reserveOnShard(
     part: readonly StartOrder[],
-  ): shardRooms.WorkerRoom[] | undefined {
-    const booked: StartOrder[] = [];
+  ): shardCapacities.FreeCapacity[] | undefined {
+    const reserved: StartOrder[] = [];
     for (const start of part) {
       const {workerId, stepRunId, size} = start.attempt;
-      const free = bookOf(workerId).workers.get(workerId)?.free;
+      const free = registryOf(workerId).workers.get(workerId)?.free;
       if (free === undefined || !types.resources.fits(size, free)) {
-        for (const {attempt: run} of booked) runOver(run);
-        return part.map((one) => roomOf(one.attempt.workerId));
+        for (const {attempt} of reserved) runOver(attempt);
+        return part.map((one) => readFreeCapacity(one.attempt.workerId));
       }
-      bookOf(workerId).book(workerId, stepRunId, size);
-      booked.push(start);
+      registryOf(workerId).book(workerId, stepRunId, size);
+      reserved.push(start);
     }
     return undefined;
   }
 
-  function roomOf(id: types.ids.WorkerId): shardRooms.WorkerRoom {
-    return {id, free: bookOf(id).workers.get(id)!.free};
+  function readFreeCapacity(
+    id: types.ids.WorkerId,
+  ): shardCapacities.FreeCapacity {
+    return {id, free: registryOf(id).workers.get(id)!.free};
   }
 
-  function giveBack(
+  function rollBack(
     gang: readonly StartOrder[],
     granted: readonly StartOrder[],
-    told: readonly shardRooms.WorkerRoom[],
+    reported: readonly shardCapacities.FreeCapacity[],
   ): void {
     conflicts++;
     for (const {attempt: run} of granted) runOver(run);
-    parts.decider().refuse(gang);
-    for (const room of told) mirror(parts.decider().scheduler.book, room);
+    parts.decider().refuseStarts(gang);
+    for (const room of reported)
+      applyOthersUsage(parts.decider().scheduler.book, room);
   }
 
   function runOver(run: scheduling.activeJob.Attempt): void {
-    bookOf(run.workerId).release(run.workerId, run.stepRunId, run.size);
+    registryOf(run.workerId).release(run.workerId, run.stepRunId, run.size);
     shards[shardOf(run.workerId)]!.requestCycle();
   }
 
-  function roomTold(rooms: readonly shardRooms.WorkerRoom[]): void {
+  function roomTold(
+    freeCapacities: readonly shardCapacities.FreeCapacity[],
+  ): void {
     const {process, scheduler} = parts.decider();
-    const costMs = workerCalls.CALL_MS + rooms.length * 0.001;
-    process.handle(costMs, () => {
+    const costMs = workerCalls.CALL_COST_MS + freeCapacities.length * 0.001;
+    process.enqueue(costMs, () => {
       process.measure(() => {
-        for (const room of rooms) mirror(scheduler.book, room);
+        for (const room of freeCapacities)
+          applyOthersUsage(scheduler.book, room);
       });
       parts.decider().requestCycle();
     });
   }
 
   /** Books on the own copy of a worker what others have on it. */
-  function mirror(
+  function applyOthersUsage(
     book: scheduling.workerRegistry.WorkerRegistry,
-    {id, free}: shardRooms.WorkerRoom,
+    {id, free}: shardCapacities.FreeCapacity,
   ): void {
-    const before = others.get(id) ?? types.resources.NO_RESOURCES;
+    const previous = others.get(id) ?? types.resources.NO_RESOURCES;
     const own = book.workers.get(id)!;
     // What is on its way to the shard isn't in the room that it told.
-    const known = minus(own.free, free);
-    const now = {
-      cpuMillis: Math.max(0, before.cpuMillis + known.cpuMillis),
-      memoryMb: Math.max(0, before.memoryMb + known.memoryMb),
+    const occupied = subtract(own.free, free);
+    const current = {
+      cpuMillis: Math.max(0, previous.cpuMillis + occupied.cpuMillis),
+      memoryMb: Math.max(0, previous.memoryMb + occupied.memoryMb),
       accelerators: 0,
     };
-    if (now.cpuMillis === before.cpuMillis) return;
-    book.book(id, OTHERS, now);
-    book.release(id, OTHERS, before);
-    others.set(id, now);
+    if (current.cpuMillis === previous.cpuMillis) return;
+    book.book(id, OTHERS_STEP, current);
+    book.release(id, OTHERS_STEP, previous);
+    others.set(id, current);
   }
 
-  return {launch, runOver, roomTold, conflicts: () => conflicts};
+  return {
+    reserveAndStart: launch,
+    releaseAttempt: runOver,
+    applyFreeCapacity: roomTold,
+    conflicts: () => conflicts,
+  };
 }
 
-function minus(
+function subtract(
   left: types.resources.Resources,
   right: types.resources.Resources,
 ): types.resources.Resources {
--- a/packages/gypsumwall-bench/src/job_moves.ts
+++ b/packages/gypsumwall-bench/src/job_rebalancing.ts
@@ -4,84 +4,88 @@
  */
 import type * as scheduling from '@gypsumwall/scheduling';
 import type * as types from '@gypsumwall/types';
-import * as shardRooms from './shard_rooms.js';
+import * as shardCapacities from './shard_capacities.js';
 import type * as virtualDecider from './virtual_decider.js';
 import type * as virtualTimeline from './virtual_timeline.js';
 import * as workerCalls from './worker_calls.js';
 
 /** How often a shard looks for jobs to offer; milliseconds. */
-const LOOK_MS = 50;
-const MOST_MOVES = 3;
+const CHECK_INTERVAL_MS = 50;
+const MAX_MOVES = 3;
 /** An append that hands the job over, and a call; milliseconds. */
-const MOVE_MS = 16 + workerCalls.ORDER_MS;
+const MOVE_DURATION_MS = 16 + workerCalls.ROUND_TRIP_MS;
 
 /** What the moves work on. */
 export interface JobMovesParts {
   readonly timeline: virtualTimeline.VirtualTimeline;
   readonly shards: readonly virtualDecider.VirtualDecider[];
-  readonly rooms: shardRooms.ShardRooms;
+  readonly capacities: shardCapacities.ShardCapacities;
 }
 
 /** Starts the looks of all shards; gives the number of moves so far. */
 export function startJobMoves(parts: JobMovesParts): () => number {
-  const {timeline, shards, rooms} = parts;
-  const movesOf = new Map<types.ids.JobId, number>();
-  let moves = 0;
+  const {timeline, shards, capacities: rooms} = parts;
+  const movesByJob = new Map<types.ids.JobId, number>();
+  let moveCount = 0;
 
-  function look(nth: number): void {
-    const shard = shards[nth]!;
-    shard.process.handle(0, () => {
-      const leaving: [scheduling.activeJob.ActiveJob, number][] = [];
+  function checkShard(shardIndex: number): void {
+    const shard = shards[shardIndex]!;
+    shard.process.enqueue(0, () => {
+      const moving: [scheduling.activeJob.ActiveJob, number][] = [];
       shard.process.measure(() => {
-        const own = shardRooms.readRoom(shard);
+        const ownCapacity = shardCapacities.readFreeCapacity(shard);
         for (const job of shard.jobs.values()) {
-          if ((movesOf.get(job.id) ?? 0) >= MOST_MOVES) continue;
-          const target = targetOf(job, nth, own);
-          if (target !== undefined) leaving.push([job, target]);
+          if ((movesByJob.get(job.id) ?? 0) >= MAX_MOVES) continue;
+          const target = findTarget(job, shardIndex, ownCapacity);
+          if (target !== undefined) moving.push([job, target]);
         }
       });
-      for (const [job, target] of leaving) move(job, nth, target);
+      for (const [job, target] of moving) moveJob(job, shardIndex, target);
     });
-    timeline.later(LOOK_MS, () => look(nth));
+    timeline.schedule(CHECK_INTERVAL_MS, () => checkShard(shardIndex));
   }
 
   /** The next shard with room, if this one has none. */
-  function targetOf(
+  function findTarget(
     job: scheduling.activeJob.ActiveJob,
-    nth: number,
-    own: readonly shardRooms.WorkerRoom[],
+    shardIndex: number,
+    ownCapacity: readonly shardCapacities.FreeCapacity[],
   ): number | undefined {
-    const request = idleRequest(job);
+    const request = findWaitingStep(job);
     if (request === undefined) return undefined;
-    const needed = shardRooms.neededSlots(request);
-    if (shardRooms.likelySlots(own, request) >= needed) return undefined;
+    const needed = shardCapacities.minSlotsToStart(request);
+    if (shardCapacities.estimateSlots(ownCapacity, request) >= needed)
+      return undefined;
     for (let step = 1; step < shards.length; step++) {
-      const other = (nth + step) % shards.length;
-      const slots = shardRooms.likelySlots(rooms.roomOf(other), request);
+      const other = (shardIndex + step) % shards.length;
+      const slots = shardCapacities.estimateSlots(
+        rooms.freeCapacityOf(other),
+        request,
+      );
       if (slots >= needed) return other;
     }
     return undefined;
   }
 
-  function move(
+  function moveJob(
     job: scheduling.activeJob.ActiveJob,
     from: number,
     to: number,
   ): void {
-    moves++;
-    movesOf.set(job.id, (movesOf.get(job.id) ?? 0) + 1);
-    const start = shards[from]!.giveAway(job);
-    shards[from]!.process.handle(workerCalls.CALL_MS, () => {
-      timeline.later(MOVE_MS, () => shards[to]!.accept(start));
+    moveCount++;
+    movesByJob.set(job.id, (movesByJob.get(job.id) ?? 0) + 1);
+    const start = shards[from]!.transferOut(job);
+    shards[from]!.process.enqueue(workerCalls.CALL_COST_MS, () => {
+      timeline.schedule(MOVE_DURATION_MS, () => shards[to]!.accept(start));
     });
   }
 
-  shards.forEach((_, nth) => look(nth));
-  return () => moves;
+  shards.forEach((_, nth) => checkShard(nth));
+  return () => moveCount;
 }
 
 /** The step that a job of which nothing runs waits with. */
-function idleRequest(
+function findWaitingStep(
   job: scheduling.activeJob.ActiveJob,
 ): scheduling.jobRequest.StepRequest | undefined {
   let found: scheduling.jobRequest.StepRequest | undefined;
--- a/packages/gypsumwall-bench/src/memory_bench.ts
+++ b/packages/gypsumwall-bench/src/memory_bench.ts
@@ -8,7 +8,7 @@
 import * as statistics from './statistics.js';
 
 const CAPACITY = {cpuMillis: 32_000, memoryMb: 131_072, accelerators: 0};
-const SMALL = {cpuMillis: 100, memoryMb: 256, accelerators: 0};
+const SMALL_TASK = {cpuMillis: 100, memoryMb: 256, accelerators: 0};
 
 interface Subject {
   readonly name: string;
@@ -17,23 +17,31 @@
 }
 
 const SUBJECTS: readonly Subject[] = [
-  {name: 'worker', sizes: [2000, 4000, 8000, 16_000, 31_000], build: workers},
+  {
+    name: 'worker',
+    sizes: [2000, 4000, 8000, 16_000, 31_000],
+    build: createWorkers,
+  },
   {
     name: 'running task',
     sizes: [20_000, 40_000, 80_000, 160_000],
-    build: runningTasks,
+    build: createRunningTasks,
   },
   {
     name: 'waiting job of one task',
     sizes: [10_000, 20_000, 40_000, 80_000],
-    build: waitingJobs,
+    build: createWaitingJobs,
   },
   {
     name: 'waiting task of one job',
     sizes: [20_000, 40_000, 80_000, 160_000],
-    build: waitingTasks,
+    build: createWaitingTasks,
+  },
+  {
+    name: 'job class learned',
+    sizes: [100, 200, 400, 800],
+    build: createJobClasses,
   },
-  {name: 'job class learned', sizes: [100, 200, 400, 800], build: classes},
 ];
 
 /** The bench. */
@@ -43,14 +51,15 @@
 };
 
 async function runAll(): Promise<benchModule.BenchReport> {
-  const collect = exposeCollector();
+  const collectGarbage = exposeGarbageCollector();
   // What the first build loads must not count as state.
-  for (const subject of SUBJECTS) await heapOf(subject, 200, collect);
+  for (const subject of SUBJECTS)
+    await measureHeap(subject, 200, collectGarbage);
   const measured = [];
   for (const subject of SUBJECTS) {
     const points = [];
     for (const x of subject.sizes) {
-      points.push({x, y: await heapOf(subject, x, collect)});
+      points.push({x, y: await measureHeap(subject, x, collectGarbage)});
     }
     measured.push({subject, points});
   }
@@ -64,9 +73,9 @@
         columns: ['one more', 'bytes (slope)', 'sizes', 'heap MB at each'],
         rows: measured.map(({subject, points}) => [
           subject.name,
-          Math.round(statistics.slope(points)),
+          Math.round(statistics.fitSlope(points)),
           points.map(({x}) => x).join(', '),
-          points.map(({y}) => statistics.short(y / 2 ** 20)).join(', '),
+          points.map(({y}) => statistics.formatNumber(y / 2 ** 20)).join(', '),
         ]),
       },
     ],
@@ -87,35 +96,35 @@
 }
 
 /** Forced collection, without a flag on the command line. */
-function exposeCollector(): () => void {
+function exposeGarbageCollector(): () => void {
   v8.setFlagsFromString('--expose-gc');
   return vm.runInNewContext('gc') as () => void;
 }
 
-async function heapOf(
+async function measureHeap(
   subject: Subject,
   count: number,
-  collect: () => void,
+  collectGarbage: () => void,
 ): Promise<number> {
-  const before = await heapInUse(collect);
+  const before = await readHeapBytes(collectGarbage);
   const placer = subject.build(count);
-  const after = await heapInUse(collect);
+  const after = await readHeapBytes(collectGarbage);
   // Keeps the state alive until it has been measured.
   placer.waitingTasks();
   return after - before;
 }
 
 /** Buffers are given back only some turns after their collection. */
-async function heapInUse(collect: () => void): Promise<number> {
+async function readHeapBytes(collectGarbage: () => void): Promise<number> {
   for (let turn = 0; turn < 3; turn += 1) {
-    collect();
+    collectGarbage();
     await timers.setTimeout(20);
   }
   const {heapUsed, arrayBuffers} = process.memoryUsage();
   return heapUsed + arrayBuffers;
 }
 
-function workers(count: number): placement.placer.Placer {
+function createWorkers(count: number): placement.placer.Placer {
   const placer = placement.createPlacer.createPlacer();
   for (let n = 0; n < count; n += 1) {
     placer.setWorker({
@@ -128,10 +137,10 @@
 }
 
 /** One shared specification, jobs of 100 tasks, all placed. */
-function runningTasks(count: number): placement.placer.Placer {
-  const placer = workers(count / 100);
+function createRunningTasks(count: number): placement.placer.Placer {
+  const placer = createWorkers(count / 100);
   for (let n = 0; n < count / 100; n += 1) {
-    enqueue(placer, `bench.${n}`, SHARED, 100);
+    enqueue(placer, `bench.${n}`, SHARED_SPEC, 100);
   }
   for (;;) {
     const now = 0 as types.clock.WallMs;
@@ -139,35 +148,35 @@
   }
 }
 
-function waitingJobs(count: number): placement.placer.Placer {
+function createWaitingJobs(count: number): placement.placer.Placer {
   const placer = placement.createPlacer.createPlacer();
   for (let n = 0; n < count; n += 1) {
-    enqueue(placer, `bench.${n}`, {...SHARED, size: {...SMALL}}, 1);
+    enqueue(placer, `bench.${n}`, {...SHARED_SPEC, size: {...SMALL_TASK}}, 1);
   }
   return placer;
 }
 
-function waitingTasks(count: number): placement.placer.Placer {
+function createWaitingTasks(count: number): placement.placer.Placer {
   const placer = placement.createPlacer.createPlacer();
-  enqueue(placer, 'bench.1', SHARED, count);
+  enqueue(placer, 'bench.1', SHARED_SPEC, count);
   return placer;
 }
 
-function classes(count: number): placement.placer.Placer {
+function createJobClasses(count: number): placement.placer.Placer {
   const placer = placement.createPlacer.createPlacer();
   for (let n = 0; n < count; n += 1) {
-    const spec = {...SHARED, jobClass: `class-${n}`};
+    const spec = {...SHARED_SPEC, jobClass: `class-${n}`};
     placer.admit(spec, 0 as types.clock.WallMs);
   }
   return placer;
 }
 
-const SHARED: types.job.JobSpec = {
+const SHARED_SPEC: types.job.JobSpec = {
   team: types.ids.brand('bench'),
   shape: {kind: 'batch', tasks: 100},
   jobClass: 'bench',
   urgency: 'normal',
-  size: SMALL,
+  size: SMALL_TASK,
   estimateMs: 1000,
   work: {command: 'bench', args: {}},
 };
--- a/packages/gypsumwall-bench/src/offline_schedule.ts
+++ b/packages/gypsumwall-bench/src/offline_schedule.ts
@@ -7,41 +7,41 @@
  */
 import type * as workload from './workload.js';
 
-const STEP_MS = 250;
+const TICK_MS = 250;
 
 interface Demand {
   readonly arrival: workload.Arrival;
-  readonly left: number[];
-  missed: boolean;
+  readonly remainingMs: number[];
+  isMissed: boolean;
 }
 
 /** Job ids whose deadlines the schedule misses. */
-export function missedOffline(
+export function findMissedDeadlines(
   arrivals: readonly workload.Arrival[],
   capacityMillis: number,
   horizonMs: number,
 ): Set<string> {
-  const coming = arrivals
+  const upcoming = arrivals
     .map((arrival) => ({
       arrival,
-      left: arrival.tasks.map((task) => task.runMs),
-      missed: false,
+      remainingMs: arrival.tasks.map((task) => task.runMs),
+      isMissed: false,
     }))
     .sort((left, right) => left.arrival.at - right.arrival.at);
   const missed = new Set<string>();
   let active: Demand[] = [];
   let next = 0;
-  for (let now = 0; now < horizonMs; now += STEP_MS) {
-    const end = now + STEP_MS;
-    while (next < coming.length && coming[next]!.arrival.at < end) {
-      active.push(coming[next]!);
+  for (let now = 0; now < horizonMs; now += TICK_MS) {
+    const end = now + TICK_MS;
+    while (next < upcoming.length && upcoming[next]!.arrival.at < end) {
+      active.push(upcoming[next]!);
       next += 1;
     }
     if (active.length === 0) continue;
     active.sort((left, right) => deadlineOf(left) - deadlineOf(right));
-    runStep(active, now, capacityMillis);
+    runTick(active, now, capacityMillis);
     active = active.filter((demand) => {
-      const done = demand.left.every((left) => left <= 0);
+      const done = demand.remainingMs.every((left) => left <= 0);
       if (!done && deadlineOf(demand) <= end) {
         missed.add(demand.arrival.jobId);
       }
@@ -51,19 +51,19 @@
   return missed;
 }
 
-function runStep(
+function runTick(
   active: readonly Demand[],
   now: number,
   capacityMillis: number,
 ): void {
   let free = capacityMillis;
   for (const demand of active) {
-    const runsMs = Math.min(STEP_MS, now + STEP_MS - demand.arrival.at);
+    const availableMs = Math.min(TICK_MS, now + TICK_MS - demand.arrival.at);
     demand.arrival.tasks.forEach((task, index) => {
-      const left = demand.left[index]!;
+      const left = demand.remainingMs[index]!;
       if (left <= 0 || free <= 0) return;
       const share = Math.min(1, free / task.cpuMillis);
-      demand.left[index] = left - runsMs * share;
+      demand.remainingMs[index] = left - availableMs * share;
       free -= task.cpuMillis * share;
     });
   }
--- a/packages/gypsumwall-bench/src/policy_bench.ts
+++ b/packages/gypsumwall-bench/src/policy_bench.ts
@@ -9,7 +9,7 @@
 import * as workload from './workload.js';
 
 const MINUTE_MS = 60_000;
-const BAD_WORKER = 15;
+const FAULTY_WORKER = 15;
 /** One in so many jobs can never run, in the scenario with faults. */
 const BROKEN_ONE_IN = 100;
 
@@ -17,8 +17,8 @@
   readonly name: string;
   readonly profile: profiles.Profile;
   readonly load: number;
-  readonly declared: workload.Declared;
-  readonly faults: boolean;
+  readonly accuracy: workload.DeclarationAccuracy;
+  readonly hasFaults: boolean;
 }
 
 const SCENARIOS: readonly Scenario[] = [
@@ -28,13 +28,13 @@
   scenario('thailand 130% (backlog)', profiles.THAILAND, 1.3),
   {
     ...scenario('thailand 95%, declared right', profiles.THAILAND, 0.95),
-    declared: 'right',
+    accuracy: 'right',
   },
   {
     ...scenario('addis 130%, declared too large', profiles.ADDIS, 1.3),
-    declared: 'too_large',
+    accuracy: 'too_large',
   },
-  {...scenario('addis 80%, faults', profiles.ADDIS, 0.8), faults: true},
+  {...scenario('addis 80%, faults', profiles.ADDIS, 0.8), hasFaults: true},
 ];
 
 function scenario(
@@ -42,7 +42,7 @@
   profile: profiles.Profile,
   load: number,
 ): Scenario {
-  return {name, profile, load, declared: 'off', faults: false};
+  return {name, profile, load, accuracy: 'off', hasFaults: false};
 }
 
 const POLICIES = ['policy', 'baseline'] as const;
@@ -59,28 +59,28 @@
   const results: policyTables.ScenarioResult[] = [];
   for (const each of SCENARIOS) {
     const runs = seeds.flatMap((seed) =>
-      POLICIES.map((policy) => runOne(each, policy, seed, horizonMs)),
+      POLICIES.map((policy) => runScenario(each, policy, seed, horizonMs)),
     );
     results.push({name: each.name, profile: each.profile, runs});
   }
-  return policyTables.tabulate(results, {seeds, horizonMs});
+  return policyTables.buildReport(results, {seeds, horizonMs});
 }
 
-function runOne(
+function runScenario(
   each: Scenario,
   policy: (typeof POLICIES)[number],
   seed: number,
   horizonMs: number,
 ): policyTables.PolicyRun {
-  const {profile, load, declared, faults} = each;
+  const {profile, load, accuracy, hasFaults} = each;
   const arrivals = workload.makeWorkload({
     profile,
     seed,
     horizonMs,
     load,
-    declared,
+    accuracy,
   });
-  const broken = new Set(
+  const brokenJobs = new Set(
     arrivals.filter((_, n) => n % BROKEN_ONE_IN === 7).map((a) => a.jobId),
   );
   const outcome = virtualCell.runCell({
@@ -88,15 +88,17 @@
     arrivals,
     horizonMs,
     warmUpMs: horizonMs / 4,
-    placer: makePlacer(policy, seed),
-    badWorker: faults ? BAD_WORKER : undefined,
-    isBroken: faults ? (arrival) => broken.has(arrival.jobId) : undefined,
+    placer: createPlacer(policy, seed),
+    badWorker: hasFaults ? FAULTY_WORKER : undefined,
+    isBroken: hasFaults
+      ? (arrival) => brokenJobs.has(arrival.jobId)
+      : undefined,
   });
   countDeadlines(outcome, profile, horizonMs);
   return {policy, seed, measures: outcome.measures};
 }
 
-function makePlacer(
+function createPlacer(
   policy: (typeof POLICIES)[number],
   seed: number,
 ): placement.placer.Placer {
@@ -116,7 +118,7 @@
   horizonMs: number,
 ): void {
   const {measures, deadlineJobs} = outcome;
-  const offline = offlineSchedule.missedOffline(
+  const missedOffline = offlineSchedule.findMissedDeadlines(
     deadlineJobs.map((each) => each.arrival),
     profile.workers * profile.capacity.cpuMillis,
     horizonMs,
@@ -125,7 +127,7 @@
     measures.deadlineJobs += 1;
     const deadline = arrival.spec.deadline ?? Infinity;
     if (doneAt !== undefined && doneAt <= deadline) continue;
-    measures.deadlineMissed += 1;
-    if (!offline.has(arrival.jobId)) measures.deadlineAvoidable += 1;
+    measures.deadlinesMissed += 1;
+    if (!missedOffline.has(arrival.jobId)) measures.avoidableMisses += 1;
   }
 }
--- a/packages/gypsumwall-bench/src/policy_tables.ts
+++ b/packages/gypsumwall-bench/src/policy_tables.ts
@@ -21,7 +21,7 @@
 const PERCENTILES = [50, 99, 99.9] as const;
 
 /** Makes the report out of all runs. */
-export function tabulate(
+export function buildReport(
   results: readonly ScenarioResult[],
   run: {readonly seeds: readonly number[]; readonly horizonMs: number},
 ): benchModule.BenchReport {
@@ -53,7 +53,11 @@
   return result.runs.filter((each) => each.policy === policy);
 }
 
-function waitAt(run: PolicyRun, className: string, percentile: number): number {
+function waitPercentile(
+  run: PolicyRun,
+  className: string,
+  percentile: number,
+): number {
   const histogram = run.measures.waits.get(className);
   return histogram === undefined
     ? NaN
@@ -74,9 +78,9 @@
         className,
         policy,
         ...PERCENTILES.map((percentile) =>
-          statistics.spread(
+          statistics.formatMedianAndRange(
             runsOf(result, policy).map((run) =>
-              waitAt(run, className, percentile),
+              waitPercentile(run, className, percentile),
             ),
           ),
         ),
@@ -95,7 +99,7 @@
 }
 
 /** Both policies of a seed, side by side. */
-function pairs(result: ScenarioResult): Array<[PolicyRun, PolicyRun]> {
+function pairBySeed(result: ScenarioResult): Array<[PolicyRun, PolicyRun]> {
   const baselines = new Map(
     runsOf(result, 'baseline').map((run) => [run.seed, run]),
   );
@@ -109,14 +113,20 @@
     const urgent = result.profile.classes.find(
       (each) => each.urgency === 'urgent' && each.kind === 'batch',
     )!;
-    const waits = pairs(result).map(
-      ([ours, naive]) =>
-        waitAt(naive, urgent.name, 99) / waitAt(ours, urgent.name, 99),
+    const waits = pairBySeed(result).map(
+      ([ownRun, baselineRun]) =>
+        waitPercentile(baselineRun, urgent.name, 99) /
+        waitPercentile(ownRun, urgent.name, 99),
     );
-    const work = pairs(result).map(
-      ([ours, naive]) => ours.measures.used / naive.measures.used,
+    const work = pairBySeed(result).map(
+      ([ownRun, baselineRun]) =>
+        ownRun.measures.usedCoreMs / baselineRun.measures.usedCoreMs,
     );
-    return [result.name, statistics.spread(waits), statistics.spread(work)];
+    return [
+      result.name,
+      statistics.formatMedianAndRange(waits),
+      statistics.formatMedianAndRange(work),
+    ];
   });
   return {
     title: 'Ratios within one seed',
@@ -129,12 +139,12 @@
   };
 }
 
-function table(
+function buildTable(
   title: string,
   results: readonly ScenarioResult[],
   figures: ReadonlyArray<{
     readonly name: string;
-    readonly of: (measures: cellMeasures.CellMeasures) => number;
+    readonly valueOf: (measures: cellMeasures.CellMeasures) => number;
   }>,
 ): benchModule.BenchTable {
   const rows = results.flatMap((result) =>
@@ -142,8 +152,8 @@
       result.name,
       policy,
       ...figures.map((figure) =>
-        statistics.spread(
-          runsOf(result, policy).map((run) => figure.of(run.measures)),
+        statistics.formatMedianAndRange(
+          runsOf(result, policy).map((run) => figure.valueOf(run.measures)),
         ),
       ),
     ]),
@@ -155,17 +165,26 @@
 function packingTable(
   results: readonly ScenarioResult[],
 ): benchModule.BenchTable {
-  return table('Packing', results, [
-    {name: 'work / bound %', of: (m) => (100 * m.used) / m.bound},
-    {name: 'used / held %', of: (m) => (100 * m.used) / m.held},
-    {name: 'held / capacity %', of: (m) => (100 * m.held) / m.capacity},
+  return buildTable('Packing', results, [
+    {
+      name: 'work / bound %',
+      valueOf: (m) => (100 * m.usedCoreMs) / m.boundCoreMs,
+    },
+    {
+      name: 'used / held %',
+      valueOf: (m) => (100 * m.usedCoreMs) / m.reservedCoreMs,
+    },
+    {
+      name: 'held / capacity %',
+      valueOf: (m) => (100 * m.reservedCoreMs) / m.capacityCoreMs,
+    },
     {
       name: 'worker time crowded %',
-      of: (m) => (100 * m.crowded) / m.workerTime,
+      valueOf: (m) => (100 * m.crowdedWorkerMs) / m.workerMs,
     },
     {
       name: 'worker time over memory %',
-      of: (m) => (100 * m.memoryOver) / m.workerTime,
+      valueOf: (m) => (100 * m.overMemoryWorkerMs) / m.workerMs,
     },
   ]);
 }
@@ -175,34 +194,37 @@
 ): benchModule.BenchTable {
   const total = (counts: ReadonlyMap<string, number>) =>
     [...counts.values()].reduce((sum, each) => sum + each, 0);
-  return table('Deadlines, refusals and ends', results, [
-    {name: 'jobs', of: (m) => m.jobs},
-    {name: 'refused', of: (m) => total(m.refused)},
-    {name: 'done', of: (m) => m.jobsDone},
-    {name: 'with deadline', of: (m) => m.deadlineJobs},
-    {name: 'missed', of: (m) => m.deadlineMissed},
-    {name: 'avoidable', of: (m) => m.deadlineAvoidable},
-    {name: 'failed runs', of: (m) => m.failedRuns},
-    {name: 'given up', of: (m) => m.jobsGivenUp},
+  return buildTable('Deadlines, refusals and ends', results, [
+    {name: 'jobs', valueOf: (m) => m.jobs},
+    {name: 'refused', valueOf: (m) => total(m.refused)},
+    {name: 'done', valueOf: (m) => m.jobsDone},
+    {name: 'with deadline', valueOf: (m) => m.deadlineJobs},
+    {name: 'missed', valueOf: (m) => m.deadlinesMissed},
+    {name: 'avoidable', valueOf: (m) => m.avoidableMisses},
+    {name: 'failed runs', valueOf: (m) => m.failedAttempts},
+    {name: 'given up', valueOf: (m) => m.jobsAbandoned},
   ]);
 }
 
 function controlTable(
   results: readonly ScenarioResult[],
 ): benchModule.BenchTable {
-  return table('Control cost', results, [
-    {name: 'placements', of: (m) => m.placements},
-    {name: 'us / placement', of: (m) => m.decideTotalNs / m.placements / 1000},
+  return buildTable('Control cost', results, [
+    {name: 'placements', valueOf: (m) => m.placements},
+    {
+      name: 'us / placement',
+      valueOf: (m) => m.decideTotalNs / m.placements / 1000,
+    },
     {
       name: 'decide p50 us',
-      of: (m) => m.decideNs.getValueAtPercentile(50) / 1000,
+      valueOf: (m) => m.decideNs.getValueAtPercentile(50) / 1000,
     },
     {
       name: 'decide p99 us',
-      of: (m) => m.decideNs.getValueAtPercentile(99) / 1000,
+      valueOf: (m) => m.decideNs.getValueAtPercentile(99) / 1000,
     },
-    {name: 'throttles', of: (m) => m.throttles},
-    {name: 'checkpoints', of: (m) => m.checkpoints},
+    {name: 'throttles', valueOf: (m) => m.throttles},
+    {name: 'checkpoints', valueOf: (m) => m.checkpoints},
   ]);
 }
 
@@ -223,7 +245,7 @@
         x: 100 / (100 - percent),
         y: statistics.median(
           runsOf(result, policy).map((run) =>
-            waitAt(run, urgent.name, percent),
+            waitPercentile(run, urgent.name, percent),
           ),
         ),
       })),
--- a/packages/gypsumwall-bench/src/profiles.ts
+++ b/packages/gypsumwall-bench/src/profiles.ts
@@ -1,6 +1,6 @@
 /** The two users' deployments and their work, as the brief tells of them. */
 import type * as types from '@gypsumwall/types';
-import type * as draw from './draw.js';
+import type * as distributions from './distributions.js';
 
 /** One class of work. */
 export interface WorkClass {
@@ -10,12 +10,12 @@
   readonly urgency: types.job.Urgency;
   /** Share of the load; all shares of a profile add up to 1. */
   readonly loadShare: number;
-  readonly tasks: draw.HeavyTailed;
-  readonly cores: draw.HeavyTailed;
+  readonly tasks: distributions.HeavyTailedDistribution;
+  readonly cores: distributions.HeavyTailedDistribution;
   readonly memoryPerCoreMb: number;
-  readonly runMs: draw.HeavyTailed;
+  readonly runMs: distributions.HeavyTailedDistribution;
   /** Deadline as a multiple of the run time; none when absent. */
-  readonly slackRuns?: draw.HeavyTailed;
+  readonly deadlineFactor?: distributions.HeavyTailedDistribution;
 }
 
 /** One user's failure domain. */
@@ -29,14 +29,19 @@
   readonly classes: readonly WorkClass[];
 }
 
-const ONE: draw.HeavyTailed = {median: 1, sigma: 0, low: 1, high: 1};
+const ALWAYS_ONE: distributions.HeavyTailedDistribution = {
+  median: 1,
+  sigma: 0,
+  low: 1,
+  high: 1,
+};
 
-function tailed(
+function heavyTailed(
   median: number,
   sigma: number,
   low: number,
   high: number,
-): draw.HeavyTailed {
+): distributions.HeavyTailedDistribution {
   return {median, sigma, low, high};
 }
 
@@ -54,10 +59,10 @@
       kind: 'service',
       urgency: 'urgent',
       loadShare: 0.1,
-      tasks: tailed(4, 0, 4, 4),
-      cores: tailed(2, 0.5, 0.5, 6),
+      tasks: heavyTailed(4, 0, 4, 4),
+      cores: heavyTailed(2, 0.5, 0.5, 6),
       memoryPerCoreMb: 1024,
-      runMs: ONE,
+      runMs: ALWAYS_ONE,
     },
     {
       name: 'confirmation',
@@ -65,10 +70,10 @@
       kind: 'batch',
       urgency: 'urgent',
       loadShare: 0.05,
-      tasks: ONE,
-      cores: tailed(0.5, 0.5, 0.1, 2),
+      tasks: ALWAYS_ONE,
+      cores: heavyTailed(0.5, 0.5, 0.1, 2),
       memoryPerCoreMb: 1024,
-      runMs: tailed(2000, 1, 200, 60_000),
+      runMs: heavyTailed(2000, 1, 200, 60_000),
     },
     {
       name: 'repayment-plan',
@@ -76,11 +81,11 @@
       kind: 'batch',
       urgency: 'normal',
       loadShare: 0.25,
-      tasks: tailed(4, 1, 1, 60),
-      cores: tailed(1, 0.6, 0.2, 6),
+      tasks: heavyTailed(4, 1, 1, 60),
+      cores: heavyTailed(1, 0.6, 0.2, 6),
       memoryPerCoreMb: 1024,
-      runMs: tailed(20_000, 0.8, 2000, 300_000),
-      slackRuns: tailed(20, 0.8, 4, 200),
+      runMs: heavyTailed(20_000, 0.8, 2000, 300_000),
+      deadlineFactor: heavyTailed(20, 0.8, 4, 200),
     },
     {
       name: 'letter-check',
@@ -88,10 +93,10 @@
       kind: 'batch',
       urgency: 'overnight',
       loadShare: 0.5,
-      tasks: tailed(20, 1.2, 1, 600),
-      cores: tailed(1, 0.8, 0.2, 8),
+      tasks: heavyTailed(20, 1.2, 1, 600),
+      cores: heavyTailed(1, 0.8, 0.2, 8),
       memoryPerCoreMb: 1024,
-      runMs: tailed(30_000, 1, 2000, 600_000),
+      runMs: heavyTailed(30_000, 1, 2000, 600_000),
     },
     {
       name: 'model-fit',
@@ -99,10 +104,10 @@
       kind: 'gang',
       urgency: 'overnight',
       loadShare: 0.1,
-      tasks: tailed(8, 0.6, 2, 24),
-      cores: tailed(4, 0.4, 2, 7),
+      tasks: heavyTailed(8, 0.6, 2, 24),
+      cores: heavyTailed(4, 0.4, 2, 7),
       memoryPerCoreMb: 1024,
-      runMs: tailed(60_000, 0.6, 10_000, 300_000),
+      runMs: heavyTailed(60_000, 0.6, 10_000, 300_000),
     },
   ],
 };
@@ -121,10 +126,10 @@
       kind: 'service',
       urgency: 'urgent',
       loadShare: 0.1,
-      tasks: tailed(4, 0, 4, 4),
-      cores: tailed(1, 0.5, 0.5, 3),
+      tasks: heavyTailed(4, 0, 4, 4),
+      cores: heavyTailed(1, 0.5, 0.5, 3),
       memoryPerCoreMb: 512,
-      runMs: ONE,
+      runMs: ALWAYS_ONE,
     },
     {
       name: 'airspace-check',
@@ -132,10 +137,10 @@
       kind: 'batch',
       urgency: 'urgent',
       loadShare: 0.1,
-      tasks: ONE,
-      cores: tailed(0.5, 0.5, 0.1, 2),
+      tasks: ALWAYS_ONE,
+      cores: heavyTailed(0.5, 0.5, 0.1, 2),
       memoryPerCoreMb: 512,
-      runMs: tailed(800, 0.8, 100, 20_000),
+      runMs: heavyTailed(800, 0.8, 100, 20_000),
     },
     {
       name: 'route-optimisation',
@@ -143,11 +148,11 @@
       kind: 'batch',
       urgency: 'normal',
       loadShare: 0.4,
-      tasks: tailed(2, 0.8, 1, 16),
-      cores: tailed(1.5, 0.5, 0.5, 3.5),
+      tasks: heavyTailed(2, 0.8, 1, 16),
+      cores: heavyTailed(1.5, 0.5, 0.5, 3.5),
       memoryPerCoreMb: 512,
-      runMs: tailed(30_000, 0.8, 5000, 300_000),
-      slackRuns: tailed(12, 1, 4, 200),
+      runMs: heavyTailed(30_000, 0.8, 5000, 300_000),
+      deadlineFactor: heavyTailed(12, 1, 4, 200),
     },
     {
       name: 'weather-pack',
@@ -155,10 +160,10 @@
       kind: 'batch',
       urgency: 'overnight',
       loadShare: 0.3,
-      tasks: tailed(10, 1, 1, 200),
-      cores: tailed(0.8, 0.7, 0.2, 3.5),
+      tasks: heavyTailed(10, 1, 1, 200),
+      cores: heavyTailed(0.8, 0.7, 0.2, 3.5),
       memoryPerCoreMb: 512,
-      runMs: tailed(20_000, 1, 2000, 300_000),
+      runMs: heavyTailed(20_000, 1, 2000, 300_000),
     },
     {
       name: 'wind-model',
@@ -166,10 +171,10 @@
       kind: 'gang',
       urgency: 'normal',
       loadShare: 0.1,
-      tasks: tailed(6, 0.5, 2, 16),
-      cores: tailed(2, 0.4, 1, 3.5),
+      tasks: heavyTailed(6, 0.5, 2, 16),
+      cores: heavyTailed(2, 0.4, 1, 3.5),
       memoryPerCoreMb: 512,
-      runMs: tailed(40_000, 0.6, 10_000, 300_000),
+      runMs: heavyTailed(40_000, 0.6, 10_000, 300_000),
     },
   ],
 };
--- a/packages/gypsumwall-bench/src/render_report.ts
+++ b/packages/gypsumwall-bench/src/render_report.ts
@@ -2,11 +2,11 @@
 import type * as benchModule from './bench_module.js';
 import * as formatTable from './format_table.js';
 
-const WIDTH = 640;
-const HEIGHT = 320;
-const MARGIN = 60;
-const TICKS = 5;
-const COLOURS = ['#1b6ca8', '#c8553d', '#3a7d44', '#7d3c98', '#8a6d3b'];
+const WIDTH_PX = 640;
+const HEIGHT_PX = 320;
+const MARGIN_PX = 60;
+const TICK_COUNT = 5;
+const SERIES_COLOURS = ['#1b6ca8', '#c8553d', '#3a7d44', '#7d3c98', '#8a6d3b'];
 
 /** A titled part of the page. */
 export interface ReportSection {
@@ -44,23 +44,25 @@
 }
 
 function renderTable(table: benchModule.BenchTable): string {
-  const head = table.columns.map((each) => `<th>${escapeText(each)}</th>`);
+  const headerCells = table.columns.map(
+    (each) => `<th>${escapeText(each)}</th>`,
+  );
   const rows = table.rows.map((row) => {
     const cells = row.map(
       (cell) => `<td>${escapeText(formatTable.formatCell(cell))}</td>`,
     );
     return `<tr>${cells.join('')}</tr>`;
   });
-  return `<h3>${escapeText(table.title)}</h3><table><tr>${head.join('')}</tr>${rows.join('')}</table>`;
+  return `<h3>${escapeText(table.title)}</h3><table><tr>${headerCells.join('')}</tr>${rows.join('')}</table>`;
 }
 
 /** Maps values of one axis to pixels. */
 interface Axis {
-  readonly place: (value: number) => number;
+  readonly toPixel: (value: number) => number;
   readonly ticks: readonly number[];
 }
 
-function makeAxis(
+function createAxis(
   values: readonly number[],
   log: boolean,
   from: number,
@@ -73,44 +75,44 @@
   const high = Math.max(scale(Math.max(...usable)), low + 1e-9);
   const place = (value: number) =>
     from + ((scale(value) - low) / (high - low)) * (to - from);
-  const ticks = Array.from({length: TICKS}, (_, index) => {
-    const at = low + ((high - low) * index) / (TICKS - 1);
+  const ticks = Array.from({length: TICK_COUNT}, (_, index) => {
+    const at = low + ((high - low) * index) / (TICK_COUNT - 1);
     return log ? 10 ** at : at;
   });
-  return {place, ticks};
+  return {toPixel: place, ticks};
 }
 
 /** Renders one plot as SVG. */
 export function renderPlot(plot: benchModule.BenchPlot): string {
   const points = plot.series.flatMap((each) => each.points);
   if (points.length === 0) return '';
-  const xAxis = makeAxis(
+  const xAxis = createAxis(
     points.map((each) => each.x),
     plot.logX === true,
-    MARGIN,
-    WIDTH - MARGIN,
+    MARGIN_PX,
+    WIDTH_PX - MARGIN_PX,
   );
-  const yAxis = makeAxis(
+  const yAxis = createAxis(
     points.map((each) => each.y),
     plot.logY === true,
-    HEIGHT - MARGIN,
-    MARGIN / 2,
+    HEIGHT_PX - MARGIN_PX,
+    MARGIN_PX / 2,
   );
   const parts = [
     ...xAxis.ticks.map((tick) =>
-      label(xAxis.place(tick), HEIGHT - MARGIN + 18, tick),
+      renderTickLabel(xAxis.toPixel(tick), HEIGHT_PX - MARGIN_PX + 18, tick),
     ),
     ...yAxis.ticks.map((tick) =>
-      label(MARGIN - 28, yAxis.place(tick) + 4, tick),
+      renderTickLabel(MARGIN_PX - 28, yAxis.toPixel(tick) + 4, tick),
     ),
     ...plot.series.map((each, index) =>
       renderSeries(each, index, xAxis, yAxis),
     ),
-    text(WIDTH / 2, HEIGHT - 12, plot.xLabel),
-    text(WIDTH / 2, 14, `${plot.title} (${plot.yLabel})`),
-    `<path d="M${MARGIN} ${MARGIN / 2}V${HEIGHT - MARGIN}H${WIDTH - MARGIN}" fill="none" stroke="#333"/>`,
+    renderText(WIDTH_PX / 2, HEIGHT_PX - 12, plot.xLabel),
+    renderText(WIDTH_PX / 2, 14, `${plot.title} (${plot.yLabel})`),
+    `<path d="M${MARGIN_PX} ${MARGIN_PX / 2}V${HEIGHT_PX - MARGIN_PX}H${WIDTH_PX - MARGIN_PX}" fill="none" stroke="#333"/>`,
   ];
-  return `<svg xmlns="http://www.w3.org/2000/svg" width="${WIDTH}" height="${HEIGHT}" font-size="11">${parts.join('')}</svg>`;
+  return `<svg xmlns="http://www.w3.org/2000/svg" width="${WIDTH_PX}" height="${HEIGHT_PX}" font-size="11">${parts.join('')}</svg>`;
 }
 
 function renderSeries(
@@ -119,31 +121,32 @@
   xAxis: Axis,
   yAxis: Axis,
 ): string {
-  const colour = COLOURS[index % COLOURS.length];
+  const colour = SERIES_COLOURS[index % SERIES_COLOURS.length];
   const path = series.points
     .map(
-      (each) => `${round(xAxis.place(each.x))},${round(yAxis.place(each.y))}`,
+      (each) =>
+        `${roundToTenth(xAxis.toPixel(each.x))},${roundToTenth(yAxis.toPixel(each.y))}`,
     )
     .join(' ');
   const dots = series.points
     .map(
       (each) =>
-        `<circle cx="${round(xAxis.place(each.x))}" cy="${round(yAxis.place(each.y))}" r="3" fill="${colour}"/>`,
+        `<circle cx="${roundToTenth(xAxis.toPixel(each.x))}" cy="${roundToTenth(yAxis.toPixel(each.y))}" r="3" fill="${colour}"/>`,
     )
     .join('');
-  const name = `<text x="${MARGIN + 8}" y="${MARGIN / 2 + 14 * (index + 1)}" fill="${colour}">${escapeText(series.name)}</text>`;
+  const name = `<text x="${MARGIN_PX + 8}" y="${MARGIN_PX / 2 + 14 * (index + 1)}" fill="${colour}">${escapeText(series.name)}</text>`;
   return `<polyline points="${path}" fill="none" stroke="${colour}"/>${dots}${name}`;
 }
 
-function label(x: number, y: number, value: number): string {
-  return text(x, y, formatTable.formatCell(Number(value.toPrecision(3))));
+function renderTickLabel(x: number, y: number, value: number): string {
+  return renderText(x, y, formatTable.formatCell(Number(value.toPrecision(3))));
 }
 
-function text(x: number, y: number, content: string): string {
-  return `<text x="${round(x)}" y="${round(y)}" text-anchor="middle">${escapeText(content)}</text>`;
+function renderText(x: number, y: number, content: string): string {
+  return `<text x="${roundToTenth(x)}" y="${roundToTenth(y)}" text-anchor="middle">${escapeText(content)}</text>`;
 }
 
-function round(value: number): number {
+function roundToTenth(value: number): number {
   return Math.round(value * 10) / 10;
 }
 
--- a/packages/gypsumwall-bench/src/routing_bench.ts
+++ b/packages/gypsumwall-bench/src/routing_bench.ts
@@ -30,12 +30,16 @@
   await warmUp(policy);
   await warmUp(routingCases.BASELINE.makeRouter);
   const measured = await measureAll(
-    [...routingCases.LOADS, routingCases.FLOOD, ...routingCases.FAULTS],
+    [
+      ...routingCases.LOAD_CASES,
+      routingCases.FLOOD_CASE,
+      ...routingCases.FAULT_CASES,
+    ],
     seeds,
     spanMs,
   );
   const sharing = await measureAll(
-    routingCases.SHARING,
+    routingCases.SHARING_CASES,
     seeds,
     SHARING_SPAN_MS,
   );
@@ -77,9 +81,9 @@
   spanMs: number,
 ): Promise<routingTables.Measured[]> {
   const measured: routingTables.Measured[] = [];
-  for (const one of cases) {
-    const {load, fault, cell, flood} = one;
-    for (const contender of one.contenders) {
+  for (const benchCase of cases) {
+    const {load, fault, cell, floodFactor: flood} = benchCase;
+    for (const contender of benchCase.contenders) {
       const {makeRouter} = contender;
       const figures: routingRun.RunFigures[] = [];
       for (const seed of seeds) {
@@ -90,12 +94,12 @@
             load,
             fault,
             cell,
-            flood,
+            floodFactor: flood,
             spanMs,
           }),
         );
       }
-      measured.push({one, contender, figures});
+      measured.push({benchCase, contender, figures});
     }
   }
   return measured;
--- a/packages/gypsumwall-bench/src/routing_cases.ts
+++ b/packages/gypsumwall-bench/src/routing_cases.ts
@@ -15,7 +15,7 @@
   readonly load: number;
   readonly fault: fakeUpstreams.UpstreamFault;
   readonly cell: routingRun.RoutingCell;
-  readonly flood?: number;
+  readonly floodFactor?: number;
   readonly contenders: readonly Contender[];
 }
 
@@ -30,7 +30,7 @@
   makeRouter: (options) =>
     routing.createBaselineRouter.createBaselineRouter(options),
 };
-const DRAWS: readonly Contender[] = [2, Infinity].map((drawn) => ({
+const DRAW_VARIANTS: readonly Contender[] = [2, Infinity].map((drawn) => ({
   name: `policy, best of ${drawn === Infinity ? 'all' : drawn}`,
   makeRouter: (options) =>
     routing.createRouter.createRouter(
@@ -40,7 +40,7 @@
 }));
 
 /** Growing load without a fault. */
-export const LOADS: readonly Case[] = [0.7, 0.95, 2, 5].map((load) => ({
+export const LOAD_CASES: readonly Case[] = [0.7, 0.95, 2, 5].map((load) => ({
   name: `${load}x`,
   load,
   fault: 'none',
@@ -51,7 +51,7 @@
 /** Load under which faults are met. */
 export const FAULT_LOAD = 0.7;
 /** One upstream with a fault. */
-export const FAULTS: readonly Case[] = (
+export const FAULT_CASES: readonly Case[] = (
   ['dead', 'slow', 'refusing', 'silent-connections'] as const
 ).map((fault) => ({
   name: fault,
@@ -59,36 +59,39 @@
   fault,
   cell: routingRun.ONE_ENTRY,
   contenders:
-    fault === 'slow' ? [POLICY, ...DRAWS, BASELINE] : [POLICY, BASELINE],
+    fault === 'slow'
+      ? [POLICY, ...DRAW_VARIANTS, BASELINE]
+      : [POLICY, BASELINE],
 }));
 
 /** One team sends eight times what it usually does. */
-export const FLOOD: Case = {
+export const FLOOD_CASE: Case = {
   name: '0.7x, team floods 8x',
   load: 0.7,
-  flood: 8,
+  floodFactor: 8,
   fault: 'none',
   cell: routingRun.ONE_ENTRY,
   contenders: [POLICY, BASELINE],
 };
 
 /** A service of today with the entries of today. */
-const SHARING_DRAWS_LOAD = 0.7;
+const DRAW_VARIANTS_LOAD = 0.7;
 const SIX_ENTRIES = {entries: 6, upstreams: 30, slots: 8};
 /** Entries that share upstreams, or do not know of each other. */
-export const SHARING: readonly Case[] = [0.7, 0.95].flatMap((load) => [
+export const SHARING_CASES: readonly Case[] = [0.7, 0.95].flatMap((load) => [
   {
     name: `6 entries, shares, ${load}x`,
     load,
     fault: 'none' as const,
     cell: SIX_ENTRIES,
-    contenders: load === SHARING_DRAWS_LOAD ? [POLICY, ...DRAWS] : [POLICY],
+    contenders:
+      load === DRAW_VARIANTS_LOAD ? [POLICY, ...DRAW_VARIANTS] : [POLICY],
   },
   {
     name: `6 entries, no shares, ${load}x`,
     load,
     fault: 'none' as const,
-    cell: {...SIX_ENTRIES, unaware: true},
+    cell: {...SIX_ENTRIES, ignoresOtherEntries: true},
     contenders: [POLICY],
   },
 ]);
--- a/packages/gypsumwall-bench/src/routing_fake_upstreams.ts
+++ b/packages/gypsumwall-bench/src/routing_fake_upstreams.ts
@@ -23,7 +23,7 @@
 }
 
 /** What the upstreams saw. */
-export interface UpstreamRecord {
+export interface UpstreamCounters {
   /** Requests that reached an upstream, or its address, with repeats. */
   tries: number;
   /** When each request was first tried. */
@@ -35,8 +35,8 @@
 
 /** All upstreams of a run. */
 export interface FakeUpstreams {
-  readonly record: UpstreamRecord;
-  make(
+  readonly counters: UpstreamCounters;
+  createUpstream(
     listed: platform.instanceList.ListedUpstream,
   ): platform.upstream.Upstream;
 }
@@ -44,8 +44,8 @@
 const FAULTY_UPSTREAM = 'u0';
 const SLOW_FACTOR = 10;
 /** So many connections go silent each time, and so often. */
-const SILENT_CONNECTIONS = 4;
-const SILENT_EVERY_MS = 1_000;
+const SILENT_CONNECTIONS_PER_ROUND = 4;
+const SILENT_INTERVAL_MS = 1_000;
 
 type Answer = result.Result<
   platform.upstream.UpstreamAnswer,
@@ -57,30 +57,31 @@
   options: FakeUpstreamsOptions,
 ): FakeUpstreams {
   const {clock} = options;
-  const record: UpstreamRecord = {
+  const record: UpstreamCounters = {
     tries: 0,
     firstTry: new Map(),
     usedMs: 0,
     refusals: 0,
   };
   /** Slots in use by all entries together. */
-  const busyAt = new Map<string, number>();
-  let silent = 0;
+  const busySlotsByUpstream = new Map<string, number>();
+  let silentCount = 0;
   /** Whether a request goes over a connection that has gone silent. */
-  const takeSilent = () => {
+  const hitsSilentConnection = () => {
     const since = clock.monotonic() - options.faultFrom;
-    const times = 1 + Math.floor(since / SILENT_EVERY_MS);
-    if (silent >= SILENT_CONNECTIONS * times) return false;
-    silent += 1;
+    const silencedRounds = 1 + Math.floor(since / SILENT_INTERVAL_MS);
+    if (silentCount >= SILENT_CONNECTIONS_PER_ROUND * silencedRounds)
+      return false;
+    silentCount += 1;
     return true;
   };
 
-  const faultOf = (id: string): UpstreamFault => {
+  const currentFault = (id: string): UpstreamFault => {
     const now = clock.monotonic();
     const faulty = now >= options.faultFrom && now < options.faultUntil;
     return faulty && id === FAULTY_UPSTREAM ? options.fault : 'none';
   };
-  const fail = (
+  const recordFailure = (
     peer: string,
     kind: types.stepError.StepErrorKind,
     effect: types.stepError.Effect,
@@ -99,49 +100,49 @@
     return clock.monotonic() >= until ? 'done' : 'timeout';
   };
 
-  const makeOne = (listed: platform.instanceList.ListedUpstream) => {
-    const work = async (until: number) => {
-      busyAt.set(listed.id, busyNow() + 1);
+  const createExecute = (listed: platform.instanceList.ListedUpstream) => {
+    const occupySlot = async (until: number) => {
+      busySlotsByUpstream.set(listed.id, busySlots() + 1);
       await clock.sleepUntil(until as types.clock.MonotonicMs);
-      busyAt.set(listed.id, busyNow() - 1);
+      busySlotsByUpstream.set(listed.id, busySlots() - 1);
     };
-    const busyNow = () => busyAt.get(listed.id) ?? 0;
+    const busySlots = () => busySlotsByUpstream.get(listed.id) ?? 0;
     const serve = async (
       req: platform.upstream.UpstreamRequest,
       factor: number,
     ): Promise<Answer> => {
-      if (busyNow() >= listed.slots)
-        return fail(listed.id, 'refused', 'not_run');
+      if (busySlots() >= listed.slots)
+        return recordFailure(listed.id, 'refused', 'not_run');
       const serviceMs = options.serviceMsOf(req.requestId) * factor;
       record.usedMs += serviceMs;
       const until = clock.monotonic() + serviceMs;
-      void work(until);
+      void occupySlot(until);
       if ((await waitAsCaller(req, until)) === 'done') {
-        return result.ok(makeAnswer());
+        return result.ok(createAnswer());
       }
-      return fail(listed.id, 'timeout', 'unknown');
+      return recordFailure(listed.id, 'timeout', 'unknown');
     };
     const execute = async (
       req: platform.upstream.UpstreamRequest,
     ): Promise<Answer> => {
       if (req.deadline <= clock.monotonic()) {
-        return fail(listed.id, 'too_late', 'not_run');
+        return recordFailure(listed.id, 'too_late', 'not_run');
       }
       record.tries += 1;
       if (!record.firstTry.has(req.requestId)) {
         record.firstTry.set(req.requestId, clock.monotonic());
       }
-      switch (faultOf(listed.id)) {
+      switch (currentFault(listed.id)) {
         case 'dead':
-          return fail(listed.id, 'unreachable', 'not_run');
+          return recordFailure(listed.id, 'unreachable', 'not_run');
         case 'refusing':
-          return fail(listed.id, 'refused', 'not_run');
+          return recordFailure(listed.id, 'refused', 'not_run');
         case 'slow':
           return serve(req, SLOW_FACTOR);
         case 'silent-connections':
-          if (!takeSilent()) return serve(req, 1);
+          if (!hitsSilentConnection()) return serve(req, 1);
           await waitAsCaller(req, Infinity);
-          return fail(listed.id, 'timeout', 'unknown');
+          return recordFailure(listed.id, 'timeout', 'unknown');
         case 'none':
           return serve(req, 1);
       }
@@ -149,16 +150,16 @@
     return execute;
   };
   return {
-    record,
-    make: (listed) => ({
-      execute: makeOne(listed),
+    counters: record,
+    createUpstream: (listed) => ({
+      execute: createExecute(listed),
       setMaxConnections: () => undefined,
       close: () => Promise.resolve(),
     }),
   };
 }
 
-function makeAnswer(): platform.upstream.UpstreamAnswer {
+function createAnswer(): platform.upstream.UpstreamAnswer {
   const body = new stream.Readable({read: () => undefined});
   body.push(null);
   return {contentType: 'application/octet-stream', contentLength: 0, body};
--- a/packages/gypsumwall-bench/src/routing_run.ts
+++ b/packages/gypsumwall-bench/src/routing_run.ts
@@ -20,9 +20,9 @@
   readonly load: number;
   readonly fault: fakeUpstreams.UpstreamFault;
   /** How many times its usual requests one team sends; 1 if left out. */
-  readonly flood?: number;
+  readonly floodFactor?: number;
   /** Into how many teams each team is split; 1 if left out. */
-  readonly split?: number;
+  readonly teamSplit?: number;
   readonly spanMs: number;
   readonly cell: RoutingCell;
 }
@@ -33,7 +33,7 @@
   readonly upstreams: number;
   readonly slots: number;
   /** Each entry believes that it is alone, and so takes every slot. */
-  readonly unaware?: boolean;
+  readonly ignoresOtherEntries?: boolean;
 }
 
 /** What came of the requests of one urgency. */
@@ -41,9 +41,9 @@
   sent: number;
   done: number;
   /** From arrival to the first try, in tenths of a millisecond. */
-  readonly waited: hdr.Histogram;
+  readonly waitTenths: hdr.Histogram;
   /** From arrival to the head of the answer, in tenths of a millisecond. */
-  readonly answered: hdr.Histogram;
+  readonly answerTenths: hdr.Histogram;
 }
 
 /** What came of a run. */
@@ -58,7 +58,7 @@
   /** Answers after the deadline, and requests without any word by the end. */
   readonly late: number;
   /** From arrival to the refusal, in tenths of a millisecond. */
-  readonly refusedAfter: hdr.Histogram;
+  readonly refusalTenths: hdr.Histogram;
   readonly upstreamRefusals: number;
   /** Processor time of everything, fakes included, for each request. */
   readonly cpuMicros: number;
@@ -67,28 +67,28 @@
 /** One entry and its share of a third of a service of today. */
 export const ONE_ENTRY: RoutingCell = {entries: 1, upstreams: 10, slots: 4};
 
-const LAG_MS = 500;
-const BOUND_MS = 8_000;
-const TENTHS = 10;
+const LIST_LAG_MS = 500;
+const REQUEST_BOUND_MS = 8_000;
+const TENTHS_PER_MS = 10;
 
 /** Runs routers through one workload. */
 export async function runOnce(options: RunOptions): Promise<RunFigures> {
   const {cell, spanMs} = options;
   const clock = types.virtualClock.createVirtualClock();
   const random = types.random.createRandom(options.seed);
-  const startMs = 2 * LAG_MS + BOUND_MS + LAG_MS;
+  const startMs = 2 * LIST_LAG_MS + REQUEST_BOUND_MS + LIST_LAG_MS;
   const endMs = startMs + spanMs;
   const requests = workload.makeWorkload({
     random,
     perSecond:
       (options.load * totalSlots(cell) * 1_000) / workload.MEAN_SERVICE_MS,
-    flood: options.flood ?? 1,
-    split: options.split ?? 1,
+    floodFactor: options.floodFactor ?? 1,
+    teamSplit: options.teamSplit ?? 1,
     fromMs: startMs,
     untilMs: endMs,
   });
   const serviceOf = new Map(
-    requests.map((each) => [each.req.requestId, each.serviceMs]),
+    requests.map((request) => [request.req.requestId, request.serviceMs]),
   );
   const fakes = fakeUpstreams.createFakeUpstreams({
     clock,
@@ -104,29 +104,29 @@
       clock,
       random,
       logger: telemetry.logger.createLogger('silent'),
-      listLagMs: LAG_MS,
-      requestBoundMs: BOUND_MS,
-      makeUpstream: (listed) => fakes.make(listed),
+      listLagMs: LIST_LAG_MS,
+      requestBoundMs: REQUEST_BOUND_MS,
+      makeUpstream: (listed) => fakes.createUpstream(listed),
       defaults: {weight: 1, maxQueuedRequests: 500, retryBudget: 0.1},
     }),
   );
   routers.forEach((router, index) => {
-    const entries = cell.unaware === true ? [`e${index}`] : ids;
-    void refreshView(clock, router, {upstreams: listAll(cell), entries});
+    const entries = cell.ignoresOtherEntries === true ? [`e${index}`] : ids;
+    void refreshView(clock, router, {upstreams: listUpstreams(cell), entries});
   });
-  const tally = createTally();
-  void offer(clock, routers, requests, tally, random);
+  const outcomes = createCallerOutcomes();
+  void sendRequests(clock, routers, requests, outcomes, random);
   const before = process.cpuUsage();
-  await clock.runUntil(endMs + BOUND_MS);
+  await clock.runUntil(endMs + REQUEST_BOUND_MS);
   const used = process.cpuUsage(before);
   await Promise.all(routers.map((router) => router.close()));
   return summarize({
     endMs,
     requests,
-    tally,
+    outcomes,
     used,
     slotMs: totalSlots(cell) * spanMs,
-    record: fakes.record,
+    record: fakes.counters,
   });
 }
 
@@ -135,23 +135,23 @@
 }
 
 /** What callers were told, as it comes in. */
-interface Tally {
+interface CallerOutcomes {
   readonly doneAt: Map<string, number>;
   readonly refusedAfter: hdr.Histogram;
   notRun: number;
   unknown: number;
 }
 
-function createTally(): Tally {
+function createCallerOutcomes(): CallerOutcomes {
   return {
     doneAt: new Map(),
-    refusedAfter: makeHistogram(),
+    refusedAfter: createHistogram(),
     notRun: 0,
     unknown: 0,
   };
 }
 
-function makeHistogram(): hdr.Histogram {
+function createHistogram(): hdr.Histogram {
   return hdr.build({numberOfSignificantValueDigits: 3});
 }
 
@@ -162,12 +162,14 @@
 ): Promise<never> {
   for (;;) {
     router.setView(view);
-    await clock.sleepUntil(types.clock.after(clock.monotonic(), LAG_MS / 2));
+    await clock.sleepUntil(
+      types.clock.after(clock.monotonic(), LIST_LAG_MS / 2),
+    );
   }
 }
 
 /** The upstreams of a cell as the platform lists them. */
-export function listAll(
+export function listUpstreams(
   cell: RoutingCell,
 ): platform.instanceList.ListedUpstream[] {
   return Array.from({length: cell.upstreams}, (_, index) => ({
@@ -181,41 +183,42 @@
   }));
 }
 
-async function offer(
+async function sendRequests(
   clock: types.clock.Clock,
   routers: readonly routing.router.Router[],
   requests: readonly workload.WorkloadRequest[],
-  tally: Tally,
+  outcomes: CallerOutcomes,
   random: types.random.Random,
 ): Promise<void> {
-  for (const each of requests) {
-    await clock.sleepUntil(each.at as types.clock.MonotonicMs);
+  for (const request of requests) {
+    await clock.sleepUntil(request.at as types.clock.MonotonicMs);
     const router = routers[random.integer(0, routers.length - 1)];
-    if (router !== undefined) void ask(clock, router, each, tally);
+    if (router !== undefined)
+      void sendRequest(clock, router, request, outcomes);
   }
 }
 
-async function ask(
+async function sendRequest(
   clock: types.clock.Clock,
   router: routing.router.Router,
   each: workload.WorkloadRequest,
-  tally: Tally,
+  outcomes: CallerOutcomes,
 ): Promise<void> {
   const routed = await router.route(each.req);
   if (routed.isOk) {
-    tally.doneAt.set(each.req.requestId, clock.monotonic());
+    outcomes.doneAt.set(each.req.requestId, clock.monotonic());
     routed.value.body.resume();
     return;
   }
   switch (routed.error.type) {
     case 'not_run':
-      tally.notRun += 1;
-      tally.refusedAfter.recordValue(
-        Math.round((clock.monotonic() - each.at) * TENTHS),
+      outcomes.notRun += 1;
+      outcomes.refusedAfter.recordValue(
+        Math.round((clock.monotonic() - each.at) * TENTHS_PER_MS),
       );
       return;
     case 'unknown':
-      tally.unknown += 1;
+      outcomes.unknown += 1;
       return;
   }
 }
@@ -224,17 +227,17 @@
   readonly endMs: number;
   readonly slotMs: number;
   readonly requests: readonly workload.WorkloadRequest[];
-  readonly record: fakeUpstreams.UpstreamRecord;
-  readonly tally: Tally;
+  readonly record: fakeUpstreams.UpstreamCounters;
+  readonly outcomes: CallerOutcomes;
   readonly used: NodeJS.CpuUsage;
 }
 
 function summarize(run: RunResult): RunFigures {
-  const {endMs, requests, record, tally, used} = run;
+  const {endMs, requests, record, outcomes, used} = run;
   const byUrgency = {
-    urgent: makeUrgencyFigures(),
-    normal: makeUrgencyFigures(),
-    overnight: makeUrgencyFigures(),
+    urgent: createUrgencyFigures(),
+    normal: createUrgencyFigures(),
+    overnight: createUrgencyFigures(),
   };
   let usefulMs = 0;
   let inTime = 0;
@@ -243,11 +246,13 @@
     figures.sent += 1;
     const triedAt = record.firstTry.get(req.requestId);
     if (triedAt !== undefined) {
-      figures.waited.recordValue(Math.round((triedAt - at) * TENTHS));
+      figures.waitTenths.recordValue(
+        Math.round((triedAt - at) * TENTHS_PER_MS),
+      );
     }
-    const doneAt = tally.doneAt.get(req.requestId);
+    const doneAt = outcomes.doneAt.get(req.requestId);
     if (doneAt === undefined) continue;
-    figures.answered.recordValue(Math.round((doneAt - at) * TENTHS));
+    figures.answerTenths.recordValue(Math.round((doneAt - at) * TENTHS_PER_MS));
     if (doneAt > req.deadline) continue;
     figures.done += 1;
     inTime += 1;
@@ -257,15 +262,20 @@
     byUrgency,
     goodput: usefulMs / run.slotMs,
     amplification: record.tries / Math.max(1, record.firstTry.size),
-    notRun: tally.notRun,
-    unknown: tally.unknown,
-    late: requests.length - inTime - tally.notRun - tally.unknown,
-    refusedAfter: tally.refusedAfter,
+    notRun: outcomes.notRun,
+    unknown: outcomes.unknown,
+    late: requests.length - inTime - outcomes.notRun - outcomes.unknown,
+    refusalTenths: outcomes.refusedAfter,
     upstreamRefusals: record.refusals,
     cpuMicros: (used.user + used.system) / requests.length,
   };
 }
 
-function makeUrgencyFigures(): UrgencyFigures {
-  return {sent: 0, done: 0, waited: makeHistogram(), answered: makeHistogram()};
+function createUrgencyFigures(): UrgencyFigures {
+  return {
+    sent: 0,
+    done: 0,
+    waitTenths: createHistogram(),
+    answerTenths: createHistogram(),
+  };
 }
--- a/packages/gypsumwall-bench/src/routing_slopes.ts
+++ b/packages/gypsumwall-bench/src/routing_slopes.ts
@@ -10,13 +10,13 @@
 import * as workload from './routing_workload.js';
 
 const UPSTREAM_COUNTS = [30, 100, 300, 1_000];
-const HELD_UPSTREAM_COUNTS = [300, 1_000, 3_000, 10_000];
-const VIEWS = 200;
+const HEAP_UPSTREAM_COUNTS = [300, 1_000, 3_000, 10_000];
+const VIEW_UPDATES = 200;
 /** Each of the two teams of the workload is split into so many. */
-const SPLITS = [1, 6, 60, 300];
+const TEAM_SPLITS = [1, 6, 60, 300];
 const QUEUE_LENGTHS = [1_000, 3_000, 10_000, 30_000];
 const REQUESTS_PER_RUN = 6_000;
-const LAG_MS = 1_000;
+const LIST_LAG_MS = 1_000;
 
 /** Makes the collector callable, so that only what is held counts. */
 const collectGarbage = (() => {
@@ -33,37 +33,37 @@
   for (const upstreams of UPSTREAM_COUNTS) {
     rows.push([
       `CPU us/request at 0.7x, ${upstreams} upstreams`,
-      await cpuMicros(seeds, makeRouter, 0.7, upstreams, 1),
+      await measureCpuMicros(seeds, makeRouter, 0.7, upstreams, 1),
     ]);
   }
-  for (const split of SPLITS) {
+  for (const teamSplit of TEAM_SPLITS) {
     rows.push([
-      `CPU us/request at 2x, 30 upstreams, ${2 * split} teams`,
-      await cpuMicros(seeds, makeRouter, 2, 30, split),
+      `CPU us/request at 2x, 30 upstreams, ${2 * teamSplit} teams`,
+      await measureCpuMicros(seeds, makeRouter, 2, 30, teamSplit),
     ]);
   }
   for (const upstreams of UPSTREAM_COUNTS) {
     rows.push([
       `CPU us/view, 6 entries, ${upstreams} upstreams, nothing changed`,
-      await viewMicros(upstreams),
+      await measureViewMicros(upstreams),
     ]);
   }
-  for (const upstreams of HELD_UPSTREAM_COUNTS) {
+  for (const upstreams of HEAP_UPSTREAM_COUNTS) {
     rows.push([
       `bytes/upstream, ${upstreams} upstreams, HTTP client without connections`,
-      await bytesPerUpstream(upstreams),
+      await measureBytesPerUpstream(upstreams),
     ]);
   }
   for (const waiting of QUEUE_LENGTHS) {
     rows.push([
       `bytes/queued request, ${waiting} queued, body not counted`,
-      await bytesPerQueued(waiting),
+      await measureBytesPerQueuedRequest(waiting),
     ]);
   }
   return {title: 'Slopes', columns: ['what', 'median'], rows};
 }
 
-async function cpuMicros(
+async function measureCpuMicros(
   seeds: readonly number[],
   makeRouter: routingRun.MakeRouter,
   load: number,
@@ -82,7 +82,7 @@
       cell,
       spanMs,
       load,
-      split,
+      teamSplit: split,
       fault: 'none',
     });
     measured.push(figures.cpuMicros);
@@ -91,31 +91,31 @@
   return measured[measured.length >> 1] ?? 0;
 }
 
-async function viewMicros(upstreams: number): Promise<number> {
+async function measureViewMicros(upstreams: number): Promise<number> {
   const clock = types.virtualClock.createVirtualClock();
-  const listed = routingRun.listAll({entries: 6, upstreams, slots: 8});
-  const router = makeOne(clock, () => ({
+  const listed = routingRun.listUpstreams({entries: 6, upstreams, slots: 8});
+  const router = createRouter(clock, () => ({
     execute: () => new Promise(() => undefined),
     setMaxConnections: () => undefined,
     close: () => Promise.resolve(),
   }));
   const entries = Array.from({length: 6}, (_, index) => `e${index}`);
   const view = {upstreams: listed, entries};
-  for (let now = 0; now <= 3 * LAG_MS; now += LAG_MS) {
+  for (let now = 0; now <= 3 * LIST_LAG_MS; now += LIST_LAG_MS) {
     await clock.runUntil(now);
     router.setView(view);
   }
   const before = process.cpuUsage();
-  for (let count = 0; count < VIEWS; count += 1) router.setView(view);
+  for (let count = 0; count < VIEW_UPDATES; count += 1) router.setView(view);
   const used = process.cpuUsage(before);
-  return (used.user + used.system) / VIEWS;
+  return (used.user + used.system) / VIEW_UPDATES;
 }
 
-async function bytesPerUpstream(upstreams: number): Promise<number> {
+async function measureBytesPerUpstream(upstreams: number): Promise<number> {
   const clock = types.virtualClock.createVirtualClock();
-  const listed = routingRun.listAll({entries: 1, upstreams, slots: 8});
-  const before = heldBytes();
-  const router = makeOne(clock, (one, connections) =>
+  const listed = routingRun.listUpstreams({entries: 1, upstreams, slots: 8});
+  const before = readHeapBytes();
+  const router = createRouter(clock, (one, connections) =>
     platform.httpUpstream.createHttpUpstream({
       id: one.id,
       address: one.address,
@@ -124,34 +124,34 @@
     }),
   );
   router.setView({upstreams: listed, entries: ['e0']});
-  const held = heldBytes() - before;
+  const heldBytes = readHeapBytes() - before;
   await router.close();
-  return Math.round(held / upstreams);
+  return Math.round(heldBytes / upstreams);
 }
 
-async function bytesPerQueued(waiting: number): Promise<number> {
+async function measureBytesPerQueuedRequest(waiting: number): Promise<number> {
   const clock = types.virtualClock.createVirtualClock();
-  const listed = routingRun.listAll({entries: 1, upstreams: 1, slots: 1});
-  const router = makeOne(clock, () => ({
+  const listed = routingRun.listUpstreams({entries: 1, upstreams: 1, slots: 1});
+  const router = createRouter(clock, () => ({
     execute: () => new Promise(() => undefined),
     setMaxConnections: () => undefined,
     close: () => Promise.resolve(),
   }));
   const view = {upstreams: listed, entries: ['e0']};
-  for (let now = 0; now <= 3 * LAG_MS; now += LAG_MS) {
+  for (let now = 0; now <= 3 * LIST_LAG_MS; now += LIST_LAG_MS) {
     await clock.runUntil(now);
     router.setView(view);
   }
-  const before = heldBytes();
+  const before = readHeapBytes();
   for (let sent = 0; sent < waiting; sent += 1) {
     void router.route(makeRequest(clock, sent));
   }
   const queued = router.status().queued;
-  const held = heldBytes() - before;
-  return Math.round(held / queued);
+  const heldBytes = readHeapBytes() - before;
+  return Math.round(heldBytes / queued);
 }
 
-function makeOne(
+function createRouter(
   clock: types.clock.Clock,
   makeUpstream: routing.routerOptions.RouterOptions['makeUpstream'],
 ): routing.router.Router {
@@ -161,8 +161,8 @@
     makeUpstream,
     random: types.random.createRandom(1),
     logger: telemetry.logger.createLogger('silent'),
-    listLagMs: LAG_MS,
-    requestBoundMs: LAG_MS,
+    listLagMs: LIST_LAG_MS,
+    requestBoundMs: LIST_LAG_MS,
     defaults: {weight: 1, maxQueuedRequests: Infinity, retryBudget: 0.1},
   });
 }
@@ -185,7 +185,7 @@
 
 const NO_BODY = new Uint8Array();
 
-function heldBytes(): number {
+function readHeapBytes(): number {
   // What the first pass frees may let go of more.
   collectGarbage();
   collectGarbage();
--- a/packages/gypsumwall-bench/src/routing_tables.ts
+++ b/packages/gypsumwall-bench/src/routing_tables.ts
@@ -9,11 +9,11 @@
   'normal',
   'overnight',
 ];
-const TENTHS = 10;
+const TENTHS_PER_MS = 10;
 
 /** A case met by one contender, a run for each seed. */
 export interface Measured {
-  readonly one: routingCases.Case;
+  readonly benchCase: routingCases.Case;
   readonly contender: routingCases.Contender;
   readonly figures: readonly routingRun.RunFigures[];
 }
@@ -36,23 +36,29 @@
       'upstream refusals',
       'CPU us/request',
     ],
-    rows: measured.map(({one, contender, figures}) => [
-      `${one.name}, ${contender.name}`,
-      spread(figures, (each) => each.goodput),
-      spread(figures, (each) => each.amplification),
-      spread(figures, (each) => (100 * each.notRun) / sentOf(each)),
-      spread(figures, (each) => (100 * each.unknown) / sentOf(each)),
-      spread(figures, (each) => (100 * each.late) / sentOf(each)),
-      spread(
+    rows: measured.map(({benchCase, contender, figures}) => [
+      `${benchCase.name}, ${contender.name}`,
+      formatMedianAndRange(figures, (each) => each.goodput),
+      formatMedianAndRange(figures, (each) => each.amplification),
+      formatMedianAndRange(
         figures,
-        (each) => each.refusedAfter.getValueAtPercentile(50) / TENTHS,
+        (each) => (100 * each.notRun) / sentOf(each),
       ),
-      spread(
+      formatMedianAndRange(
         figures,
-        (each) => each.refusedAfter.getValueAtPercentile(99) / TENTHS,
+        (each) => (100 * each.unknown) / sentOf(each),
       ),
-      spread(figures, (each) => each.upstreamRefusals),
-      spread(figures, (each) => each.cpuMicros),
+      formatMedianAndRange(figures, (each) => (100 * each.late) / sentOf(each)),
+      formatMedianAndRange(
+        figures,
+        (each) => each.refusalTenths.getValueAtPercentile(50) / TENTHS_PER_MS,
+      ),
+      formatMedianAndRange(
+        figures,
+        (each) => each.refusalTenths.getValueAtPercentile(99) / TENTHS_PER_MS,
+      ),
+      formatMedianAndRange(figures, (each) => each.upstreamRefusals),
+      formatMedianAndRange(figures, (each) => each.cpuMicros),
     ]),
   };
 }
@@ -61,23 +67,25 @@
 export function waitingTable(
   measured: readonly Measured[],
 ): benchModule.BenchTable {
-  const rows = measured.flatMap(({one, contender, figures}) =>
-    shownUrgencies(one).map((urgency) => {
+  const rows = measured.flatMap(({benchCase: one, contender, figures}) =>
+    urgenciesToShow(one).map((urgency) => {
       const waited = (percentile: number) =>
-        spread(
+        formatMedianAndRange(
           figures,
           (each) =>
-            each.byUrgency[urgency].waited.getValueAtPercentile(percentile) /
-            TENTHS,
+            each.byUrgency[urgency].waitTenths.getValueAtPercentile(
+              percentile,
+            ) / TENTHS_PER_MS,
         );
-      const inTime = spread(figures, (each) => {
+      const inTime = formatMedianAndRange(figures, (each) => {
         const {done, sent} = each.byUrgency[urgency];
         return (100 * done) / sent;
       });
-      const answered = spread(
+      const answered = formatMedianAndRange(
         figures,
         (each) =>
-          each.byUrgency[urgency].answered.getValueAtPercentile(99) / TENTHS,
+          each.byUrgency[urgency].answerTenths.getValueAtPercentile(99) /
+          TENTHS_PER_MS,
       );
       const name = `${one.name}, ${contender.name}, ${urgency}`;
       return [name, waited(50), waited(99), waited(99.9), answered, inTime];
@@ -98,7 +106,7 @@
 }
 
 /** With a fault, the urgent alone tell enough. */
-function shownUrgencies(one: routingCases.Case): readonly types.job.Urgency[] {
+function urgenciesToShow(one: routingCases.Case): readonly types.job.Urgency[] {
   return one.fault === 'none' ? URGENCIES : ['urgent'];
 }
 
@@ -111,9 +119,9 @@
       name: contender.name,
       points: measured
         .filter((each) => each.contender === contender)
-        .filter((each) => routingCases.LOADS.includes(each.one))
+        .filter((each) => routingCases.LOAD_CASES.includes(each.benchCase))
         .map((each) => ({
-          x: each.one.load,
+          x: each.benchCase.load,
           y: median(each.figures.map((figures) => figures.goodput)),
         })),
     }),
@@ -131,16 +139,16 @@
 }
 
 /** The median, with the least and the greatest. */
-function spread(
+function formatMedianAndRange(
   figures: readonly routingRun.RunFigures[],
   valueOf: (figures: routingRun.RunFigures) => number,
 ): string {
   const values = figures.map(valueOf);
-  const short = (value: number) => String(Number(value.toPrecision(3)));
-  const least = short(Math.min(...values));
-  const greatest = short(Math.max(...values));
-  const middle = short(median(values));
-  return least === greatest ? middle : `${middle} [${least}..${greatest}]`;
+  const formatNumber = (value: number) => String(Number(value.toPrecision(3)));
+  const min = formatNumber(Math.min(...values));
+  const max = formatNumber(Math.max(...values));
+  const middle = formatNumber(median(values));
+  return min === max ? middle : `${middle} [${min}..${max}]`;
 }
 
 function median(values: readonly number[]): number {
--- a/packages/gypsumwall-bench/src/routing_workload.ts
+++ b/packages/gypsumwall-bench/src/routing_workload.ts
@@ -76,16 +76,16 @@
   /** Mean requests a second, without the flood. */
   readonly perSecond: number;
   /** How many times the usual requests the flooding team sends. */
-  readonly flood: number;
+  readonly floodFactor: number;
   /** Into how many teams each team is split. */
-  readonly split: number;
+  readonly teamSplit: number;
   readonly fromMs: number;
   readonly untilMs: number;
 }
 
 /** The team whose demand nobody forecast. */
 const FLOODING_TEAM = 'skyroute-clubs';
-const FAR_OFF = 4;
+const MAX_ESTIMATE_FACTOR = 4;
 /** Spread of the logarithm; the largest in a thousand is about 13 x mean. */
 const SERVICE_SIGMA = 0.9;
 const GAP_SIGMA = 1.2;
@@ -94,28 +94,31 @@
 export function makeWorkload(options: WorkloadOptions): WorkloadRequest[] {
   const {random} = options;
   // How far off each kind declares itself; the same for the whole run.
-  const biases = OPERATIONS.map(() => FAR_OFF ** (2 * random.next() - 1));
+  const biases = OPERATIONS.map(
+    () => MAX_ESTIMATE_FACTOR ** (2 * random.next() - 1),
+  );
   const shares = OPERATIONS.map((each) =>
-    each.team === FLOODING_TEAM ? each.share * options.flood : each.share,
+    each.team === FLOODING_TEAM ? each.share * options.floodFactor : each.share,
   );
   const allShares = shares.reduce((sum, share) => sum + share, 0);
   const meanGapMs = 1_000 / (options.perSecond * allShares);
   const requests: WorkloadRequest[] = [];
   let at = options.fromMs;
   for (;;) {
-    at += logNormal(random, meanGapMs, GAP_SIGMA);
+    at += drawLogNormal(random, meanGapMs, GAP_SIGMA);
     if (at >= options.untilMs) return requests;
-    const index = pick(shares, random.next() * allShares);
+    const index = pickIndex(shares, random.next() * allShares);
     const operation = OPERATIONS[index];
     if (operation === undefined) continue;
-    const serviceMs = logNormal(random, operation.meanMs, SERVICE_SIGMA);
+    const serviceMs = drawLogNormal(random, operation.meanMs, SERVICE_SIGMA);
     const estimateMs = operation.meanMs * (biases[index] ?? 1);
     const id = `r${requests.length}`;
-    const part = options.split > 1 ? random.integer(1, options.split) : 0;
+    const teamPart =
+      options.teamSplit > 1 ? random.integer(1, options.teamSplit) : 0;
     requests.push({
       at,
       serviceMs,
-      req: makeRequest(operation, id, at, estimateMs, part),
+      req: makeRequest(operation, id, at, estimateMs, teamPart),
     });
   }
 }
@@ -125,12 +128,12 @@
   requestId: string,
   at: number,
   estimateMs: number,
-  part: number,
+  teamPart: number,
 ): routing.router.RoutedRequest {
   return {
     requestId,
     team: types.ids.brand<types.ids.TeamId>(
-      part === 0 ? operation.team : `${operation.team}-${part}`,
+      teamPart === 0 ? operation.team : `${operation.team}-${teamPart}`,
     ),
     operation: operation.name,
     urgency: operation.urgency,
@@ -144,7 +147,7 @@
 const NO_BODY = new Uint8Array();
 
 /** Index of the share in which the drawn number falls. */
-function pick(shares: readonly number[], drawn: number): number {
+function pickIndex(shares: readonly number[], drawn: number): number {
   let sum = 0;
   for (const [index, share] of shares.entries()) {
     sum += share;
@@ -154,7 +157,7 @@
 }
 
 /** A log-normal number with the given mean (Box and Muller). */
-function logNormal(
+function drawLogNormal(
   random: types.random.Random,
   mean: number,
   sigma: number,
--- a/packages/gypsumwall-bench/src/shard_rooms.ts
+++ b/packages/gypsumwall-bench/src/shard_capacities.ts
@@ -6,66 +6,66 @@
 import * as workerCalls from './worker_calls.js';
 
 /** How often a shard tells of its room; milliseconds. */
-export const ROOM_INTERVAL_MS = 100;
+export const REPORT_INTERVAL_MS = 100;
 /** Share of the workers that the strictest adviser approves. */
 const APPROVED_SHARE = 0.33;
 
 /** Free room of a worker, as told. */
-export interface WorkerRoom {
+export interface FreeCapacity {
   readonly id: types.ids.WorkerId;
   readonly free: types.resources.Resources;
 }
 
 /** Room of all shards, as last told. */
-export interface ShardRooms {
-  roomOf(shard: number): readonly WorkerRoom[];
+export interface ShardCapacities {
+  freeCapacityOf(shard: number): readonly FreeCapacity[];
 }
 
 /** Has every shard tell of its room; `onTold` hears of each time. */
-export function createShardRooms(
+export function createShardCapacities(
   timeline: virtualTimeline.VirtualTimeline,
   shards: readonly virtualDecider.VirtualDecider[],
-  onTold: (shard: number) => void,
-): ShardRooms {
-  const rooms = shards.map((shard) => readRoom(shard));
+  onReport: (shard: number) => void,
+): ShardCapacities {
+  const reported = shards.map((shard) => readFreeCapacity(shard));
 
-  function tell(nth: number): void {
-    const shard = shards[nth]!;
-    shard.process.handle(workerCalls.CALL_MS, () => {
-      const room = readRoom(shard);
-      timeline.later(workerCalls.ORDER_MS / 2, () => {
-        rooms[nth] = room;
-        onTold(nth);
+  function report(shardIndex: number): void {
+    const shard = shards[shardIndex]!;
+    shard.process.enqueue(workerCalls.CALL_COST_MS, () => {
+      const freeCapacity = readFreeCapacity(shard);
+      timeline.schedule(workerCalls.ROUND_TRIP_MS / 2, () => {
+        reported[shardIndex] = freeCapacity;
+        onReport(shardIndex);
       });
     });
-    timeline.later(ROOM_INTERVAL_MS, () => tell(nth));
+    timeline.schedule(REPORT_INTERVAL_MS, () => report(shardIndex));
   }
 
   shards.forEach((_, nth) => {
-    const offsetMs = (ROOM_INTERVAL_MS * nth) / shards.length;
-    timeline.later(offsetMs, () => tell(nth));
+    const offsetMs = (REPORT_INTERVAL_MS * nth) / shards.length;
+    timeline.schedule(offsetMs, () => report(nth));
   });
-  return {roomOf: (shard) => rooms[shard]!};
+  return {freeCapacityOf: (shard) => reported[shard]!};
 }
 
 /** The room of a decider's usable workers now. */
-export function readRoom({
+export function readFreeCapacity({
   scheduler,
-}: virtualDecider.VirtualDecider): WorkerRoom[] {
-  const rooms: WorkerRoom[] = [];
+}: virtualDecider.VirtualDecider): FreeCapacity[] {
+  const freeCapacities: FreeCapacity[] = [];
   for (const {info, free, usable} of scheduler.book.workers.values()) {
-    if (usable) rooms.push({id: info.id, free});
+    if (usable) freeCapacities.push({id: info.id, free});
   }
-  return rooms;
+  return freeCapacities;
 }
 
 /** How many tasks of a size the room is likely to take, advice included. */
-export function likelySlots(
-  rooms: readonly WorkerRoom[],
+export function estimateSlots(
+  freeCapacities: readonly FreeCapacity[],
   {size}: scheduling.jobRequest.StepRequest,
 ): number {
   let slots = 0;
-  for (const {free} of rooms) {
+  for (const {free} of freeCapacities) {
     const byCpu = Math.floor(free.cpuMillis / size.cpuMillis);
     const byMemory = Math.floor(free.memoryMb / size.memoryMb);
     slots += Math.max(0, Math.min(byCpu, byMemory));
@@ -74,7 +74,7 @@
 }
 
 /** Tasks that must find room at once for a step to begin. */
-export function neededSlots(
+export function minSlotsToStart(
   request: scheduling.jobRequest.StepRequest,
 ): number {
   return request.gang ? request.taskCount : 1;
--- a/packages/gypsumwall-bench/src/spread_bench.ts
+++ b/packages/gypsumwall-bench/src/spread_bench.ts
@@ -8,36 +8,35 @@
 const PEAK_WORKERS = 246;
 const SECONDS = 30;
 const QUICK_SECONDS = 10;
-const SIZES = [33, 250, 400, 1_000];
-const ONE_DECIDER = {helpers: false, coordinator: false};
+const WORKER_COUNTS = [33, 250, 400, 1_000];
+const SINGLE_DECIDER = {hasHelpers: false, hasCoordinator: false};
 
-const WAYS: readonly spreadCell.SpreadWay[] = [
-  {...ONE_DECIDER, name: 'one holder'},
-  {...ONE_DECIDER, name: 'one holder, helpers', helpers: true},
-  {...ONE_DECIDER, name: 'shards <= 64', shardSize: 64},
-  {...ONE_DECIDER, name: 'shards <= 128', shardSize: 128},
-  {...ONE_DECIDER, name: 'shards <= 256', shardSize: 256},
+const VARIANTS: readonly spreadCell.SpreadVariant[] = [
+  {...SINGLE_DECIDER, name: 'one holder'},
+  {...SINGLE_DECIDER, name: 'one holder, helpers', hasHelpers: true},
+  {...SINGLE_DECIDER, name: 'shards <= 64', shardSize: 64},
+  {...SINGLE_DECIDER, name: 'shards <= 128', shardSize: 128},
+  {...SINGLE_DECIDER, name: 'shards <= 256', shardSize: 256},
   {
     name: 'shards <= 256, helpers',
     shardSize: 256,
-    helpers: true,
-    coordinator: false,
+    hasHelpers: true,
+    hasCoordinator: false,
   },
   {
     name: 'shards <= 64, coordinator',
     shardSize: 64,
-    helpers: false,
-    coordinator: true,
+    hasHelpers: false,
+    hasCoordinator: true,
   },
 ];
 
 /** One bench for each size, so that they can run side by side. */
-export const SPREAD_BENCHES: readonly benchModule.BenchModule[] = SIZES.map(
-  (workers) => ({
+export const SPREAD_BENCHES: readonly benchModule.BenchModule[] =
+  WORKER_COUNTS.map((workers) => ({
     name: `spread-${workers}`,
     run: (options) => Promise.resolve(runSize(workers, options)),
-  }),
-);
+  }));
 
 function runSize(
   workers: number,
@@ -46,17 +45,17 @@
   const seeds = options.quick ? options.seeds.slice(0, 1) : options.seeds;
   const seconds = options.quick ? QUICK_SECONDS : SECONDS;
   warmUp();
-  const rows = waysFor(workers).map((way) => {
+  const rows = variantsFor(workers).map((variant) => {
     const runs = seeds.map((seed) =>
       spreadCell.runSpreadCell({
-        way,
+        variant,
         workers,
         seconds,
         seed,
         load: workers / PEAK_WORKERS,
       }),
     );
-    return {way, runs};
+    return {variant, runs};
   });
   return {
     notes: [
@@ -72,19 +71,25 @@
 
 /** Measured times are those of compiled code. */
 function warmUp(): void {
-  for (const way of WAYS) {
+  for (const variant of VARIANTS) {
     const workers = 250;
     const load = workers / PEAK_WORKERS;
-    spreadCell.runSpreadCell({way, workers, seconds: 3, seed: 1, load});
+    spreadCell.runSpreadCell({
+      variant,
+      workers,
+      seconds: 3,
+      seed: 1,
+      load,
+    });
   }
 }
 
 /** Ways that differ at this size. */
-function waysFor(workers: number): spreadCell.SpreadWay[] {
+function variantsFor(workers: number): spreadCell.SpreadVariant[] {
   const seen = new Set<string>();
-  return WAYS.filter((way) => {
-    const shards = spreadCell.countShards(way, workers);
-    const key = `${shards} ${way.helpers} ${way.coordinator}`;
+  return VARIANTS.filter((variant) => {
+    const shards = spreadCell.countShards(variant, workers);
+    const key = `${shards} ${variant.hasHelpers} ${variant.hasCoordinator}`;
     return seen.has(key) ? false : seen.add(key);
   });
 }
@@ -100,7 +105,7 @@
     `${name} on time`,
     (run) => run.onTime.get(name) ?? 0,
   ]),
-  ['gangs begun whole', (run) => run.gangsBegun],
+  ['gangs begun whole', (run) => run.gangsStartedWhole],
   ['gangs begun in part', (run) => run.gangsPartial],
   ['free, nothing fits', (run) => run.unfitShare],
   ['free, a task would fit', (run) => run.unusedShare],
@@ -117,23 +122,25 @@
   ['overbooked workers', (run) => run.overbooked],
 ];
 
-interface WayRuns {
-  readonly way: spreadCell.SpreadWay;
+interface VariantRuns {
+  readonly variant: spreadCell.SpreadVariant;
   readonly runs: readonly spreadCell.SpreadResult[];
 }
 
 function buildTable(
   title: string,
   columns: readonly Column[],
-  rows: readonly WayRuns[],
+  rows: readonly VariantRuns[],
 ): benchModule.BenchTable {
   return {
     title,
     columns: ['way', 'shards', ...columns.map(([name]) => name)],
-    rows: rows.map(({way, runs}) => [
-      way.name,
+    rows: rows.map(({variant, runs}) => [
+      variant.name,
       runs[0]?.shards ?? 0,
-      ...columns.map(([, pick]) => statistics.spread(runs.map(pick))),
+      ...columns.map(([, pick]) =>
+        statistics.formatMedianAndRange(runs.map(pick)),
+      ),
     ]),
   };
 }
--- a/packages/gypsumwall-bench/src/spread_cell.ts
+++ b/packages/gypsumwall-bench/src/spread_cell.ts
@@ -7,9 +7,9 @@
 import * as scheduling from '@gypsumwall/scheduling';
 import * as types from '@gypsumwall/types';
 import * as gangCoordinator from './gang_coordinator.js';
-import * as jobMoves from './job_moves.js';
-import * as runEnds from './run_ends.js';
-import * as shardRooms from './shard_rooms.js';
+import * as jobRebalancing from './job_rebalancing.js';
+import * as attemptOutcomes from './attempt_outcomes.js';
+import * as shardCapacities from './shard_capacities.js';
 import * as spreadLoad from './spread_load.js';
 import * as spreadMeasures from './spread_measures.js';
 import * as stepLoad from './step_load.js';
@@ -18,27 +18,27 @@
 import * as virtualTimeline from './virtual_timeline.js';
 import * as workerCalls from './worker_calls.js';
 
-const START_MS = 1_000;
+const START_AT_MS = 1_000;
 const DOMAINS = 4;
 const WORKERS_PER_RACK = 20;
 const WORKERS_PER_ENTRY = 8;
 const WORKERS_PER_HELPER = 64;
 const CAPACITY = {cpuMillis: 16_000, memoryMb: 32_768, accelerators: 0};
 /** A gang that needs more than this share of a shard's processors is wide. */
-const WIDE_SHARE = 0.05;
+const MIN_WIDE_GANG_SHARE = 0.05;
 /** Share of the entries that a coordinator may call the adviser by. */
-const COORDINATOR_ENTRIES = 0.4;
+const COORDINATOR_ENTRY_SHARE = 0.4;
 const ATTEMPTS_PER_DECIDER = 1_000;
 
 /** A way of spreading. */
-export interface SpreadWay {
+export interface SpreadVariant {
   readonly name: string;
   /** Workers of a shard at most; absent: one decider for all of them. */
   readonly shardSize?: number;
   /** Whether helpers make the calls to workers. */
-  readonly helpers: boolean;
+  readonly hasHelpers: boolean;
   /** Whether one coordinator decides on wide gangs. */
-  readonly coordinator: boolean;
+  readonly hasCoordinator: boolean;
 }
 
 /** What a run came to. */
@@ -58,7 +58,7 @@
 
 /** What a run is made of. */
 export interface SpreadOptions {
-  readonly way: SpreadWay;
+  readonly variant: SpreadVariant;
   readonly workers: number;
   readonly seconds: number;
   readonly seed: number;
@@ -67,21 +67,21 @@
 }
 
 /** How many shards a way makes of so many workers. */
-export function countShards(way: SpreadWay, workers: number): number {
-  if (way.shardSize === undefined) return 1;
-  return DOMAINS * Math.ceil(workers / DOMAINS / way.shardSize);
+export function countShards(variant: SpreadVariant, workers: number): number {
+  if (variant.shardSize === undefined) return 1;
+  return DOMAINS * Math.ceil(workers / DOMAINS / variant.shardSize);
 }
 
 /** Runs a cell. */
 export function runSpreadCell(options: SpreadOptions): SpreadResult {
-  const {way, workers, seconds} = options;
-  const timeline = virtualTimeline.createVirtualTimeline(START_MS);
-  const endMs = START_MS + seconds * 1_000;
-  const draws = types.random.createRandom(options.seed + 1);
-  const drawEnd = runEnds.createDrawEnd(draws);
-  const adviser = runEnds.createAdviser(draws);
+  const {variant, workers, seconds} = options;
+  const timeline = virtualTimeline.createVirtualTimeline(START_AT_MS);
+  const endMs = START_AT_MS + seconds * 1_000;
+  const random = types.random.createRandom(options.seed + 1);
+  const drawOutcome = attemptOutcomes.createDrawOutcome(random);
+  const adviser = attemptOutcomes.createAdviser(random);
   const infos = createWorkerInfos(workers);
-  const count = countShards(way, workers);
+  const count = countShards(variant, workers);
   const shardOfWorker = new Map(
     infos.map((info, nth) => [info.id, nth % count]),
   );
@@ -90,14 +90,14 @@
     {length: Math.ceil(workers / WORKERS_PER_ENTRY)},
     (_, nth) => `e${nth}`,
   );
-  const coordinated = way.coordinator
-    ? entries.splice(0, Math.ceil(entries.length * COORDINATOR_ENTRIES))
+  const coordinatorEntries = variant.hasCoordinator
+    ? entries.splice(0, Math.ceil(entries.length * COORDINATOR_ENTRY_SHARE))
     : [];
   const measures = spreadMeasures.createSpreadMeasures({
     timeline,
     endMs,
-    ofWorkers: () => shards,
-    ofJobs: () => deciders,
+    workerDeciders: () => shards,
+    jobDeciders: () => deciders,
   });
   const createProcess = () => virtualProcess.createVirtualProcess(timeline);
   const helpers = infos.map(createProcess).slice(0, countHelpers());
@@ -109,18 +109,18 @@
     shardOf,
     decider: () => wideDecider!,
   });
-  const wideDecider = way.coordinator ? createWideDecider() : undefined;
+  const wideDecider = variant.hasCoordinator ? createWideDecider() : undefined;
   const deciders =
     wideDecider === undefined ? shards : [...shards, wideDecider];
 
   function countHelpers(): number {
-    return way.helpers ? Math.ceil(workers / WORKERS_PER_HELPER) : 0;
+    return variant.hasHelpers ? Math.ceil(workers / WORKERS_PER_HELPER) : 0;
   }
 
   function createShard(nth: number): virtualDecider.VirtualDecider {
     const process = createProcess();
-    const calls = way.helpers
-      ? workerCalls.createHelpedCalls(
+    const calls = variant.hasHelpers
+      ? workerCalls.createHelperCalls(
           timeline,
           process,
           (id) => helpers[Number(id.split('-')[1]) % helpers.length]!,
@@ -132,11 +132,11 @@
       process,
       entries: entries.filter((_, entry) => entry % count === nth),
       attemptBase: nth * ATTEMPTS_PER_DECIDER,
-      drawEnd,
+      drawOutcome,
       adviser,
       callsFor: () => calls,
-      onStarts: (starts) => measures.noteStarts(starts),
-      onJobOver: (id) => measures.noteOver(id),
+      onStarts: (starts) => measures.recordStarts(starts),
+      onJobOver: (id) => measures.recordJobOver(id),
     });
     for (const info of infos) {
       if (shardOf(info.id) === nth) addWorker(decider, info);
@@ -153,53 +153,59 @@
     const decider = virtualDecider.createVirtualDecider({
       timeline,
       process,
-      entries: coordinated,
+      entries: coordinatorEntries,
       attemptBase: count * ATTEMPTS_PER_DECIDER,
-      drawEnd,
+      drawOutcome,
       adviser,
       callsFor: (id) => relayed[shardOf(id)]!,
-      launch: (starts) => coordinator.launch(starts),
-      onStarts: (starts) => measures.noteStarts(starts),
-      onRunOver: (run) => coordinator.runOver(run),
-      onJobOver: (id) => measures.noteOver(id),
+      dispatchStarts: (starts) => coordinator.reserveAndStart(starts),
+      onStarts: (starts) => measures.recordStarts(starts),
+      onAttemptEnd: (run) => coordinator.releaseAttempt(run),
+      onJobOver: (id) => measures.recordJobOver(id),
     });
     for (const info of infos) addWorker(decider, info);
     return decider;
   }
 
-  const rooms = shardRooms.createShardRooms(
+  const capacities = shardCapacities.createShardCapacities(
     timeline,
-    count > 1 || way.coordinator ? shards : [],
+    count > 1 || variant.hasCoordinator ? shards : [],
     (nth) => {
-      if (way.coordinator) coordinator.roomTold(rooms.roomOf(nth));
+      if (variant.hasCoordinator)
+        coordinator.applyFreeCapacity(capacities.freeCapacityOf(nth));
     },
   );
   const moves =
-    count > 1 ? jobMoves.startJobMoves({timeline, shards, rooms}) : () => 0;
+    count > 1
+      ? jobRebalancing.startJobMoves({timeline, shards, capacities})
+      : () => 0;
 
   function deciderOf(
     id: types.ids.JobId,
     request: scheduling.jobRequest.JobRequest,
   ): virtualDecider.VirtualDecider {
-    const home = shards[hash(id) % count]!;
+    const home = shards[hashOf(id) % count]!;
     const gang = request.steps.find((step) => isWide(step));
     if (gang === undefined || count === 1) return home;
-    return wideDecider ?? roomiest(gang);
+    return wideDecider ?? shardWithMostSlots(gang);
   }
 
   function isWide(step: scheduling.jobRequest.StepRequest): boolean {
     const needed = step.taskCount * step.size.cpuMillis;
     const ofShard = (workers / count) * CAPACITY.cpuMillis;
-    return step.gang && needed > ofShard * WIDE_SHARE;
+    return step.gang && needed > ofShard * MIN_WIDE_GANG_SHARE;
   }
 
-  function roomiest(
+  function shardWithMostSlots(
     gang: scheduling.jobRequest.StepRequest,
   ): virtualDecider.VirtualDecider {
     let best = 0;
     let mostSlots = -1;
     for (let nth = 0; nth < count; nth++) {
-      const slots = shardRooms.likelySlots(rooms.roomOf(nth), gang);
+      const slots = shardCapacities.estimateSlots(
+        capacities.freeCapacityOf(nth),
+        gang,
+      );
       if (slots <= mostSlots) continue;
       best = nth;
       mostSlots = slots;
@@ -207,7 +213,7 @@
     return shards[best]!;
   }
 
-  spreadLoad.startLoad({
+  spreadLoad.startArrivals({
     timeline,
     random: types.random.createRandom(options.seed),
     load: options.load,
@@ -215,7 +221,7 @@
       const {policy} = kind;
       const chainMs = scheduling.jobRequest.chainMs(request);
       const objectiveMs = chainMs * policy.slackFactor + policy.targetMs;
-      measures.noteAccepted(id, kind, request, objectiveMs);
+      measures.recordAccepted(id, kind, request, objectiveMs);
       const acceptedAt = timeline.now();
       const progress = scheduling.jobProgress.NO_PROGRESS;
       const start = {id, request, policy, acceptedAt, progress};
@@ -235,7 +241,7 @@
     decidingMs: sum(deciders.map(({process}) => process.measuredMs())),
     deciderCores: deciders.map(({process}) => coresOf(process)),
     helperCores: helpers.map(coresOf),
-    adviserCalls: sum(deciders.map((decider) => decider.adviserCalls())),
+    adviserCalls: sum(deciders.map((decider) => decider.adviserCallCount())),
     moves: moves(),
     conflicts: coordinator.conflicts(),
   };
@@ -265,7 +271,7 @@
 }
 
 /** FNV-1a. */
-function hash(text: string): number {
+function hashOf(text: string): number {
   let value = 0x811c9dc5;
   for (const char of text) {
     value = Math.imul(value ^ char.charCodeAt(0), 0x01000193) >>> 0;
--- a/packages/gypsumwall-bench/src/spread_load.ts
+++ b/packages/gypsumwall-bench/src/spread_load.ts
@@ -18,25 +18,25 @@
 }
 
 /** Lets jobs come from now on. */
-export function startLoad(parts: SpreadLoadParts): void {
+export function startArrivals(parts: SpreadLoadParts): void {
   const {timeline, random} = parts;
   let jobs = 0;
 
-  function arrive(kind: stepLoad.JobKind): void {
+  function handleArrival(kind: stepLoad.JobKind): void {
     const id = types.ids.brand<types.ids.JobId>(`job${++jobs}`);
     parts.accept(id, kind, stepLoad.drawRequest(kind, random));
-    plan(kind);
+    scheduleArrival(kind);
   }
 
-  function plan(kind: stepLoad.JobKind): void {
+  function scheduleArrival(kind: stepLoad.JobKind): void {
     const now = timeline.now();
     const burst = stepLoad.BURSTS.find(
       (one) => one.kind === kind.name && now >= one.fromMs && now < one.toMs,
     );
     const rate = kind.rate * parts.load * (burst?.factor ?? 1);
     const gapMs = (-Math.log(1 - random.next()) * 1_000) / rate;
-    timeline.later(gapMs, () => arrive(kind));
+    timeline.schedule(gapMs, () => handleArrival(kind));
   }
 
-  for (const kind of stepLoad.PEAK_KINDS) plan(kind);
+  for (const kind of stepLoad.PEAK_KINDS) scheduleArrival(kind);
 }
--- a/packages/gypsumwall-bench/src/spread_measures.ts
+++ b/packages/gypsumwall-bench/src/spread_measures.ts
@@ -9,8 +9,8 @@
  * How often the free room is looked at, after the cell has filled. Only tasks
  * count that waited at the look before as well; milliseconds.
  */
-const SAMPLE_MS = 500;
-const FIRST_SAMPLE_MS = 6_000;
+const SAMPLE_INTERVAL_MS = 500;
+const FIRST_SAMPLE_AFTER_MS = 6_000;
 /** Gangs accepted later than so long before the end aren't counted. */
 const GANG_MARGIN_MS = 5_000;
 
@@ -21,7 +21,7 @@
   /** Share of the jobs that ended within their objective, by kind. */
   readonly onTime: ReadonlyMap<string, number>;
   /** Share of the jobs with gangs whose first gang began, all members at once. */
-  readonly gangsBegun: number;
+  readonly gangsStartedWhole: number;
   /** Gangs of which only some members were started at once. */
   readonly gangsPartial: number;
   /** Share of the capacity that is free where no waiting task fits. */
@@ -34,18 +34,18 @@
 
 /** Takes the measures of one run. */
 export interface SpreadMeasures {
-  noteAccepted(
+  recordAccepted(
     id: types.ids.JobId,
     kind: stepLoad.JobKind,
     request: scheduling.jobRequest.JobRequest,
     objectiveMs: number,
   ): void;
-  noteStarts(starts: readonly scheduling.schedulerTypes.StartOrder[]): void;
-  noteOver(id: types.ids.JobId): void;
+  recordStarts(starts: readonly scheduling.schedulerTypes.StartOrder[]): void;
+  recordJobOver(id: types.ids.JobId): void;
   counts(): SpreadCounts;
 }
 
-interface JobNote {
+interface PendingJob {
   readonly kind: stepLoad.JobKind;
   readonly at: types.clock.MonotonicMs;
   readonly objectiveMs: number;
@@ -55,20 +55,20 @@
 export function createSpreadMeasures(parts: {
   readonly timeline: virtualTimeline.VirtualTimeline;
   readonly endMs: number;
-  readonly ofWorkers: () => readonly virtualDecider.VirtualDecider[];
-  readonly ofJobs: () => readonly virtualDecider.VirtualDecider[];
+  readonly workerDeciders: () => readonly virtualDecider.VirtualDecider[];
+  readonly jobDeciders: () => readonly virtualDecider.VirtualDecider[];
 }): SpreadMeasures {
   const {timeline} = parts;
-  const notes = new Map<types.ids.JobId, JobNote>();
+  const pendingJobs = new Map<types.ids.JobId, PendingJob>();
   const onTime = new Map<string, {met: number; all: number}>();
   const gangJobs = new Map<types.ids.JobId, boolean>();
-  let before = new Set<scheduling.activeJob.StepRun>();
+  let waitingBefore = new Set<scheduling.activeJob.StepRun>();
   const samples = {unfit: 0, unused: 0, capacity: 0, overbooked: 0};
   let jobs = 0;
   let starts = 0;
   let gangsPartial = 0;
 
-  function count({kind}: JobNote, met: boolean): void {
+  function count({kind}: PendingJob, met: boolean): void {
     const counts = onTime.get(kind.name) ?? {met: 0, all: 0};
     counts.all++;
     if (met) counts.met++;
@@ -76,10 +76,12 @@
   }
 
   function sample(): void {
-    const waiting = waitingSteps(parts.ofJobs());
-    const sizes = smallestSizes(waiting.filter((step) => before.has(step)));
-    before = new Set(waiting);
-    for (const {scheduler} of parts.ofWorkers()) {
+    const waiting = findWaitingSteps(parts.jobDeciders());
+    const sizes = findSmallestSizes(
+      waiting.filter((step) => waitingBefore.has(step)),
+    );
+    waitingBefore = new Set(waiting);
+    for (const {scheduler} of parts.workerDeciders()) {
       for (const {info, free} of scheduler.book.workers.values()) {
         samples.capacity += info.capacity.cpuMillis;
         if (free.cpuMillis < 0 || free.memoryMb < 0) samples.overbooked++;
@@ -88,10 +90,10 @@
         samples[fits ? 'unused' : 'unfit'] += free.cpuMillis;
       }
     }
-    timeline.later(SAMPLE_MS, sample);
+    timeline.schedule(SAMPLE_INTERVAL_MS, sample);
   }
 
-  function noteGang(
+  function recordGang(
     stepRun: scheduling.activeJob.StepRun,
     members: number,
   ): void {
@@ -99,16 +101,16 @@
     else if (gangJobs.has(stepRun.job.id)) gangJobs.set(stepRun.job.id, true);
   }
 
-  timeline.later(FIRST_SAMPLE_MS, sample);
+  timeline.schedule(FIRST_SAMPLE_AFTER_MS, sample);
   return {
-    noteAccepted(id, kind, request, objectiveMs) {
+    recordAccepted(id, kind, request, objectiveMs) {
       jobs++;
       const at = timeline.now();
-      notes.set(id, {kind, at, objectiveMs});
+      pendingJobs.set(id, {kind, at, objectiveMs});
       const gang = request.steps.some((step) => step.gang);
       if (gang && at < parts.endMs - GANG_MARGIN_MS) gangJobs.set(id, false);
     },
-    noteStarts(orders) {
+    recordStarts(orders) {
       starts += orders.length;
       const gangs = new Map<scheduling.activeJob.StepRun, number>();
       for (const {attempt: run} of orders) {
@@ -116,28 +118,32 @@
         if (!stepRun.request.gang) continue;
         gangs.set(stepRun, (gangs.get(stepRun) ?? 0) + 1);
       }
-      for (const [stepRun, members] of gangs) noteGang(stepRun, members);
+      for (const [stepRun, members] of gangs) recordGang(stepRun, members);
     },
-    noteOver(id) {
-      const note = notes.get(id);
-      if (note === undefined) return;
-      notes.delete(id);
-      count(note, timeline.now() - note.at <= note.objectiveMs);
+    recordJobOver(id) {
+      const pendingJob = pendingJobs.get(id);
+      if (pendingJob === undefined) return;
+      pendingJobs.delete(id);
+      count(
+        pendingJob,
+        timeline.now() - pendingJob.at <= pendingJob.objectiveMs,
+      );
     },
     counts() {
       // A job that is late by the end of the run never was on time.
-      for (const note of notes.values()) {
-        if (timeline.now() - note.at > note.objectiveMs) count(note, false);
+      for (const pendingJob of pendingJobs.values()) {
+        if (timeline.now() - pendingJob.at > pendingJob.objectiveMs)
+          count(pendingJob, false);
       }
       const shares = [...onTime].map(
         ([name, {met, all}]) => [name, met / all] as const,
       );
-      const begun = [...gangJobs.values()].filter(Boolean).length;
+      const startedWhole = [...gangJobs.values()].filter(Boolean).length;
       return {
         jobs,
         starts,
         onTime: new Map(shares),
-        gangsBegun: begun / gangJobs.size,
+        gangsStartedWhole: startedWhole / gangJobs.size,
         gangsPartial,
         unfitShare: samples.unfit / samples.capacity,
         unusedShare: samples.unused / samples.capacity,
@@ -147,7 +153,7 @@
   };
 }
 
-function waitingSteps(
+function findWaitingSteps(
   deciders: readonly virtualDecider.VirtualDecider[],
 ): scheduling.activeJob.StepRun[] {
   return deciders
@@ -158,7 +164,7 @@
 }
 
 /** Sizes of tasks, without those that a smaller one stands for. */
-function smallestSizes(
+function findSmallestSizes(
   steps: readonly scheduling.activeJob.StepRun[],
 ): types.resources.Resources[] {
   const smallest: types.resources.Resources[] = [];
--- a/packages/gypsumwall-bench/src/step_bench.ts
+++ b/packages/gypsumwall-bench/src/step_bench.ts
@@ -6,7 +6,7 @@
 
 /** The load is made for this many workers and grows with them. */
 const PEAK_WORKERS = 246;
-const SECONDS = 30;
+const RUN_SECONDS = 30;
 /** As in the cells that the load was taken from. */
 const WORKERS_PER_ENTRY = 8;
 
@@ -24,25 +24,25 @@
       stepCell.runStepCell({
         workers,
         entries: Math.ceil(workers / WORKERS_PER_ENTRY),
-        seconds: SECONDS,
+        seconds: RUN_SECONDS,
         seed,
         load: workers / PEAK_WORKERS,
       }),
     );
-    const over = (pick: (run: stepCell.StepCellResult) => number) =>
-      statistics.spread(runs.map(pick));
+    const spreadOf = (pick: (run: stepCell.StepCellResult) => number) =>
+      statistics.formatMedianAndRange(runs.map(pick));
     return [
       workers,
-      over((run) => run.starts / run.seconds),
-      over((run) => (run.schedulerMs * 1_000) / run.starts),
-      over((run) => run.schedulerMs / run.seconds / 1_000),
-      over((run) => run.longestPassMs),
-      ...kinds.map((kind) => over((run) => run.onTime.get(kind) ?? 0)),
+      spreadOf((run) => run.starts / run.seconds),
+      spreadOf((run) => (run.schedulerMs * 1_000) / run.starts),
+      spreadOf((run) => run.schedulerMs / run.seconds / 1_000),
+      spreadOf((run) => run.maxCycleMs),
+      ...kinds.map((kind) => spreadOf((run) => run.onTime.get(kind) ?? 0)),
     ];
   });
   return {
     notes: [
-      `${SECONDS} s on a virtual clock, seeds ${seeds.join(', ')}; the load grows with the workers; processor time is that of the scheduler alone, without calls`,
+      `${RUN_SECONDS} s on a virtual clock, seeds ${seeds.join(', ')}; the load grows with the workers; processor time is that of the scheduler alone, without calls`,
     ],
     tables: [
       {
--- a/packages/gypsumwall-bench/src/step_cell.ts
+++ b/packages/gypsumwall-bench/src/step_cell.ts
@@ -9,15 +9,15 @@
 import * as stepLoad from './step_load.js';
 
 /** Round trip of an append, and of an order; milliseconds. */
-const STORE_MS = 16;
-const ORDER_MS = 3;
+const APPEND_MS = 16;
+const ORDER_ROUND_TRIP_MS = 3;
 /** What a worker takes to stop a task; milliseconds. */
-const STOP_MS = 150;
+const STOP_TASK_MS = 150;
 /** Pause before a pass, as the holder makes it; milliseconds. */
-const PASS_GAP_MS = 3;
+const CYCLE_INTERVAL_MS = 3;
 const WORKERS_PER_RACK = 20;
 const CAPACITY = {cpuMillis: 16_000, memoryMb: 32_768, accelerators: 0};
-const LONGEST_WAIT_MS = 1e6;
+const MAX_WAIT_MS = 1e6;
 /** Virtual time at which a run starts; milliseconds. */
 const START_MS = 1_000;
 
@@ -27,16 +27,16 @@
   readonly seconds: number;
   /** Processor time in the scheduler, in milliseconds. */
   readonly schedulerMs: number;
-  readonly passes: number;
+  readonly cycles: number;
   /** Longest pass, in milliseconds of the processor. */
-  readonly longestPassMs: number;
+  readonly maxCycleMs: number;
   /** Milliseconds from acceptance to the end of a job, by kind. */
-  readonly tookMs: ReadonlyMap<string, ReturnType<typeof histogram>>;
+  readonly tookMs: ReadonlyMap<string, ReturnType<typeof createHistogram>>;
   /** Share of the jobs that ended within their objective, by kind. */
   readonly onTime: ReadonlyMap<string, number>;
 }
 
-interface JobNote {
+interface PendingJob {
   readonly kind: stepLoad.JobKind;
   readonly at: types.clock.MonotonicMs;
   readonly objectiveMs: number;
@@ -66,43 +66,43 @@
 }): StepCellResult {
   const random = types.random.createRandom(options.seed);
   const events: {at: number; run: () => void}[] = [];
-  const notes = new Map<string, JobNote>();
-  const tookMs = new Map<string, ReturnType<typeof histogram>>();
+  const pendingJobs = new Map<string, PendingJob>();
+  const tookMs = new Map<string, ReturnType<typeof createHistogram>>();
   const onTime = new Map<string, {met: number; all: number}>();
   const running = new Map<string, Set<scheduling.activeJob.Attempt>>();
   const sequences = new Map<string, number>();
-  const lanes = scheduling.adviserPool.createAdviserPool<string>();
+  const pool = scheduling.adviserPool.createAdviserPool<string>();
   const entries = Array.from({length: options.entries}, (_, nth) => `e${nth}`);
-  const lineEnds = new Map<string, number>();
+  const busyUntil = new Map<string, number>();
   let now = START_MS as types.clock.MonotonicMs;
   let schedulerMs = 0;
-  let longestPassMs = 0;
-  let passes = 0;
+  let maxCycleMs = 0;
+  let cycles = 0;
   let starts = 0;
-  let passPlanned = false;
+  let isCyclePlanned = false;
   let jobs = 0;
 
   const scheduler = scheduling.scheduler.createScheduler({
     attemptBase: 0,
     isAccounted: () => true,
     onEvent(event) {
-      if (event.type === 'job_over') noteOver(event.job);
+      if (event.type === 'job_over') recordJobOver(event.job);
     },
   });
 
-  function noteOver(id: string): void {
-    const note = notes.get(id);
-    if (note === undefined) return;
-    notes.delete(id);
-    if (note.at - START_MS < (options.backlog?.countFromMs ?? 0)) return;
-    const span = now - note.at;
-    const taken = tookMs.get(note.kind.name) ?? histogram();
-    taken.recordValue(Math.max(1, Math.round(span)));
-    tookMs.set(note.kind.name, taken);
-    count(note, span <= note.objectiveMs);
+  function recordJobOver(id: string): void {
+    const pendingJob = pendingJobs.get(id);
+    if (pendingJob === undefined) return;
+    pendingJobs.delete(id);
+    if (pendingJob.at - START_MS < (options.backlog?.countFromMs ?? 0)) return;
+    const span = now - pendingJob.at;
+    const durations = tookMs.get(pendingJob.kind.name) ?? createHistogram();
+    durations.recordValue(Math.max(1, Math.round(span)));
+    tookMs.set(pendingJob.kind.name, durations);
+    count(pendingJob, span <= pendingJob.objectiveMs);
   }
 
-  function count({kind}: JobNote, met: boolean): void {
+  function count({kind}: PendingJob, met: boolean): void {
     const counts = onTime.get(kind.name) ?? {met: 0, all: 0};
     counts.all++;
     if (met) counts.met++;
@@ -110,19 +110,19 @@
   }
 
   /** A job that is late by the end of the run never was on time. */
-  function noteUnfinished(note: JobNote): void {
-    if (note.at - START_MS < (options.backlog?.countFromMs ?? 0)) return;
-    if (now - note.at > note.objectiveMs) count(note, false);
+  function recordUnfinished(pendingJob: PendingJob): void {
+    if (pendingJob.at - START_MS < (options.backlog?.countFromMs ?? 0)) return;
+    if (now - pendingJob.at > pendingJob.objectiveMs) count(pendingJob, false);
   }
 
-  function timed<Value>(work: () => Value): Value {
+  function measure<Value>(work: () => Value): Value {
     const from = performance.now();
     const value = work();
     schedulerMs += performance.now() - from;
     return value;
   }
 
-  function later(spanMs: number, run: () => void): void {
+  function schedule(spanMs: number, run: () => void): void {
     const at = now + spanMs;
     let low = 0;
     let high = events.length;
@@ -135,57 +135,59 @@
     events.splice(low, 0, {at, run});
   }
 
-  function kick(): void {
-    if (passPlanned) return;
-    passPlanned = true;
-    later(PASS_GAP_MS, pass);
+  function requestCycle(): void {
+    if (isCyclePlanned) return;
+    isCyclePlanned = true;
+    schedule(CYCLE_INTERVAL_MS, runCycle);
   }
 
-  function pass(): void {
-    passPlanned = false;
-    passes++;
+  function runCycle(): void {
+    isCyclePlanned = false;
+    cycles++;
     const from = performance.now();
     const decisions = scheduler.decide(
       now,
       now as unknown as types.clock.WallMs,
-      lanes.capacity(entries),
+      pool.capacity(entries),
     );
-    const tookPassMs = performance.now() - from;
-    schedulerMs += tookPassMs;
-    longestPassMs = Math.max(longestPassMs, tookPassMs);
-    store();
-    for (const order of decisions.starts) startRun(order);
-    for (const wish of decisions.advice) advise(wish);
+    const cycleMs = performance.now() - from;
+    schedulerMs += cycleMs;
+    maxCycleMs = Math.max(maxCycleMs, cycleMs);
+    appendDirty();
+    for (const order of decisions.starts) startAttempt(order);
+    for (const request of decisions.advice) requestAdvice(request);
   }
 
-  function store(): void {
-    const dirty = timed(() => scheduler.takeDirty());
+  function appendDirty(): void {
+    const dirty = measure(() => scheduler.takeDirty());
     if (dirty.length === 0) return;
-    later(STORE_MS, () => {
-      timed(() => scheduler.stored(dirty));
-      kick();
+    schedule(APPEND_MS, () => {
+      measure(() => scheduler.stored(dirty));
+      requestCycle();
     });
   }
 
-  function startRun(order: scheduling.schedulerTypes.StartOrder): void {
+  function startAttempt(order: scheduling.schedulerTypes.StartOrder): void {
     const {attempt: run} = order;
     starts++;
-    later(ORDER_MS, () => {
+    schedule(ORDER_ROUND_TRIP_MS, () => {
       const runs = running.get(run.workerId) ?? new Set();
       running.set(run.workerId, runs.add(run));
-      timed(() => scheduler.startAnswered(run, {type: 'started'}, now));
+      measure(() => scheduler.startAnswered(run, {type: 'started'}, now));
     });
     const {request, job} = run.owner!.stepRun;
-    const fails = random.next() < kindOf(job.policy.queue).failingShare;
+    const fails = random.next() < jobKindOf(job.policy.queue).failingShare;
     const spanMs = request.expectedMs * (fails ? random.next() : 1);
-    later(ORDER_MS + spanMs, () => end(run, fails ? 'failed' : 'done'));
+    schedule(ORDER_ROUND_TRIP_MS + spanMs, () =>
+      endAttempt(run, fails ? 'failed' : 'done'),
+    );
   }
 
-  function kindOf(queue: string): stepLoad.JobKind {
+  function jobKindOf(queue: string): stepLoad.JobKind {
     return stepLoad.PEAK_KINDS.find((kind) => kind.policy.queue === queue)!;
   }
 
-  function end(
+  function endAttempt(
     run: scheduling.activeJob.Attempt,
     how: scheduling.jobSteps.RunEnd,
   ): void {
@@ -206,43 +208,43 @@
       ends: [{sequence, taskId, attempt, how, checkpoint: ''}],
       complete: true,
     };
-    timed(() => scheduler.report(report, now));
+    measure(() => scheduler.report(report, now));
     for (const stopped of scheduler.takeStops()) {
-      later(STOP_MS, () => {
+      schedule(STOP_TASK_MS, () => {
         scheduler.stopAnswered(stopped, now);
-        end(stopped, 'stopped');
+        endAttempt(stopped, 'stopped');
       });
     }
-    store();
-    kick();
+    appendDirty();
+    requestCycle();
   }
 
-  function advise(wish: scheduling.schedulerTypes.AdviceRequest): void {
-    const lane = lanes.take(entries, wish.callMs, wish.needed);
-    if (lane === undefined) {
+  function requestAdvice(wish: scheduling.schedulerTypes.AdviceRequest): void {
+    const entry = pool.take(entries, wish.callMs, wish.needed);
+    if (entry === undefined) {
       scheduler.adviceAnswered(wish, undefined, now);
       return;
     }
     // The adviser handles the calls of one entry one at a time.
-    const doneAt = Math.max(now, lineEnds.get(lane) ?? 0) + wish.callMs;
-    lineEnds.set(lane, doneAt);
-    later(doneAt - now, () => {
-      lanes.finish(lane, wish.callMs);
-      const share = kindOf(wish.stepRun.job.policy.queue).approvedShare;
+    const doneAt = Math.max(now, busyUntil.get(entry) ?? 0) + wish.callMs;
+    busyUntil.set(entry, doneAt);
+    schedule(doneAt - now, () => {
+      pool.finish(entry, wish.callMs);
+      const share = jobKindOf(wish.stepRun.job.policy.queue).approvedShare;
       const approved = new Map<types.ids.WorkerId, string>();
       for (const id of wish.workers) {
         if (random.next() < share) approved.set(id, 'ticket');
       }
       const validMs = wish.stepRun.job.policy.advice?.validMs ?? 0;
       const validUntil = types.clock.after(now, validMs);
-      timed(() => scheduler.adviceAnswered(wish, approved, validUntil));
-      kick();
+      measure(() => scheduler.adviceAnswered(wish, approved, validUntil));
+      requestCycle();
     });
   }
 
-  function arrive(kind: stepLoad.JobKind): void {
+  function handleArrival(kind: stepLoad.JobKind): void {
     accept(kind, now);
-    planArrival(kind);
+    scheduleArrival(kind);
   }
 
   function accept(
@@ -254,21 +256,21 @@
     const {policy} = kind;
     const chainMs = scheduling.jobRequest.chainMs(request);
     const objectiveMs = chainMs * policy.slackFactor + policy.targetMs;
-    notes.set(id, {kind, at: acceptedAt, objectiveMs});
+    pendingJobs.set(id, {kind, at: acceptedAt, objectiveMs});
     const progress = scheduling.jobProgress.NO_PROGRESS;
     const wall = now as unknown as types.clock.WallMs;
-    timed(() =>
+    measure(() =>
       scheduler.addJob(
         {id, request, policy, acceptedAt, inherited: false, progress},
         now,
         wall,
       ),
     );
-    kick();
+    requestCycle();
   }
 
   /** All jobs of a span without a holder, at once. */
-  function inherit({spanMs}: Backlog): void {
+  function acceptBacklog({spanMs}: Backlog): void {
     for (const kind of stepLoad.PEAK_KINDS) {
       const count = Math.round((kind.rate * options.load * spanMs) / 1_000);
       for (let nth = 0; nth < count; nth++) {
@@ -277,13 +279,15 @@
     }
   }
 
-  function planArrival(kind: stepLoad.JobKind): void {
+  function scheduleArrival(kind: stepLoad.JobKind): void {
     const burst = stepLoad.BURSTS.find(
       (one) => one.kind === kind.name && now >= one.fromMs && now < one.toMs,
     );
     const rate = kind.rate * options.load * (burst?.factor ?? 1);
     const meanGapMs = 1_000 / rate;
-    later(-Math.log(1 - random.next()) * meanGapMs, () => arrive(kind));
+    schedule(-Math.log(1 - random.next()) * meanGapMs, () =>
+      handleArrival(kind),
+    );
   }
 
   for (let number = 0; number < options.workers; number++) {
@@ -300,9 +304,10 @@
     });
     scheduler.setUsable(id, true, now);
   }
-  for (const kind of stepLoad.PEAK_KINDS) planArrival(kind);
+  for (const kind of stepLoad.PEAK_KINDS) scheduleArrival(kind);
   const {backlog} = options;
-  if (backlog !== undefined) later(backlog.atMs, () => inherit(backlog));
+  if (backlog !== undefined)
+    schedule(backlog.atMs, () => acceptBacklog(backlog));
   const endAt = now + options.seconds * 1_000;
   for (;;) {
     const next = events.pop();
@@ -310,7 +315,7 @@
     now = next.at as types.clock.MonotonicMs;
     next.run();
   }
-  for (const note of notes.values()) noteUnfinished(note);
+  for (const pendingJob of pendingJobs.values()) recordUnfinished(pendingJob);
   const shares = [...onTime].map(
     ([name, {met, all}]) => [name, met / all] as const,
   );
@@ -318,13 +323,13 @@
     starts,
     seconds: options.seconds,
     schedulerMs,
-    passes,
-    longestPassMs,
+    cycles,
+    maxCycleMs,
     tookMs,
     onTime: new Map(shares),
   };
 }
 
-function histogram() {
-  return cellMeasures.buildHistogram(LONGEST_WAIT_MS);
+function createHistogram() {
+  return cellMeasures.buildHistogram(MAX_WAIT_MS);
 }
--- a/packages/gypsumwall-bench/src/step_load.ts
+++ b/packages/gypsumwall-bench/src/step_load.ts
@@ -7,7 +7,7 @@
  */
 import type * as scheduling from '@gypsumwall/scheduling';
 import type * as types from '@gypsumwall/types';
-import * as draw from './draw.js';
+import * as distributions from './distributions.js';
 
 /** One kind of jobs. */
 export interface JobKind {
@@ -16,9 +16,9 @@
   readonly rate: number;
   readonly policy: scheduling.jobRequest.QueuePolicy;
   readonly meanSteps: number;
-  readonly mostSteps: number;
+  readonly maxSteps: number;
   readonly meanTasks: number;
-  readonly mostTasks: number;
+  readonly maxTasks: number;
   readonly cpuMillis: number;
   readonly memoryMb: number;
   /** Mean time of a task on a worker of usual speed, in milliseconds. */
@@ -64,9 +64,9 @@
       advice: {callMs: 572, perWorkerMs: 8.06, validMs: 2_000},
     },
     meanSteps: 1.2,
-    mostSteps: 3,
+    maxSteps: 3,
     meanTasks: 20,
-    mostTasks: 120,
+    maxTasks: 120,
     cpuMillis: 4_500,
     memoryMb: 8_100,
     workMs: 5_000,
@@ -86,9 +86,9 @@
       advice: {callMs: 104, perWorkerMs: 1.43, validMs: 2_000},
     },
     meanSteps: 1.5,
-    mostSteps: 4,
+    maxSteps: 4,
     meanTasks: 25,
-    mostTasks: 150,
+    maxTasks: 150,
     cpuMillis: 1_700,
     memoryMb: 2_500,
     workMs: 2_200,
@@ -108,9 +108,9 @@
       advice: {callMs: 14.3, perWorkerMs: 0.21, validMs: 2_000},
     },
     meanSteps: 1,
-    mostSteps: 1,
+    maxSteps: 1,
     meanTasks: 3.2,
-    mostTasks: 19,
+    maxTasks: 19,
     cpuMillis: 2_500,
     memoryMb: 4_600,
     workMs: 1_000,
@@ -125,7 +125,7 @@
   kind: JobKind,
   random: types.random.Random,
 ): scheduling.jobRequest.JobRequest {
-  const count = bounded(random, kind.meanSteps, 0.4, kind.mostSteps);
+  const count = drawBounded(random, kind.meanSteps, 0.4, kind.maxSteps);
   const steps: scheduling.jobRequest.StepRequest[] = [];
   for (let number = 0; number < count; number++) {
     steps.push(drawStep(kind, random, number));
@@ -139,13 +139,13 @@
   number: number,
 ): scheduling.jobRequest.StepRequest {
   return {
-    taskCount: bounded(random, kind.meanTasks, 0.8, kind.mostTasks),
+    taskCount: drawBounded(random, kind.meanTasks, 0.8, kind.maxTasks),
     size: {
-      cpuMillis: Math.ceil(kind.cpuMillis * draw.jitter(random)),
-      memoryMb: Math.ceil(kind.memoryMb * draw.jitter(random)),
+      cpuMillis: Math.ceil(kind.cpuMillis * distributions.drawJitter(random)),
+      memoryMb: Math.ceil(kind.memoryMb * distributions.drawJitter(random)),
       accelerators: 0,
     },
-    expectedMs: kind.workMs * draw.logNormalMean(random, 1, 0.5),
+    expectedMs: kind.workMs * distributions.drawLogNormal(random, 1, 0.5),
     after: number === 0 ? [] : [number - 1],
     savesProgress: false,
     gang: random.next() < kind.gangShare,
@@ -156,12 +156,12 @@
   };
 }
 
-function bounded(
+function drawBounded(
   random: types.random.Random,
   mean: number,
   sigma: number,
-  most: number,
+  max: number,
 ): number {
-  const drawn = Math.round(draw.logNormalMean(random, mean, sigma));
-  return Math.min(most, Math.max(1, drawn));
+  const drawn = Math.round(distributions.drawLogNormal(random, mean, sigma));
+  return Math.min(max, Math.max(1, drawn));
 }
--- a/packages/gypsumwall-bench/src/virtual_cell.ts
+++ b/packages/gypsumwall-bench/src/virtual_cell.ts
@@ -37,21 +37,21 @@
 
 interface CellJob {
   readonly arrival: workload.Arrival;
-  left: number;
+  tasksLeft: number;
   /** Run time left of tasks that were checkpointed. */
-  readonly resumeMs: Map<number, number>;
-  readonly started: Set<number>;
+  readonly remainingMsByTask: Map<number, number>;
+  readonly startedTasks: Set<number>;
   doneAt: number | undefined;
-  givenUp: boolean;
+  isAbandoned: boolean;
 }
 
-const TICK_MS = 250;
-const HEARTBEAT_MS = 5000;
-const DECIDE_LIMIT = 64;
+const TICK_INTERVAL_MS = 250;
+const HEARTBEAT_INTERVAL_MS = 5000;
+const MAX_PLACEMENTS_PER_DECISION = 64;
 /** How long a failing task takes to fail. */
-const FAILS_AFTER_MS = 50;
+const FAILING_TASK_MS = 50;
 /** Work that a checkpoint costs: saving, stopping and loading again. */
-const CHECKPOINT_MS = 1000;
+const CHECKPOINT_COST_MS = 1000;
 
 /** Jobs as they ended, for the offline schedule. */
 export interface CellOutcome {
@@ -78,52 +78,52 @@
   const jobs = new Map<types.ids.JobId, CellJob>();
   let now = 0;
   let measuredAt = 0;
-  let used = 0;
-  let held = 0;
-  let overMemory = 0;
-  let crowded = 0;
-  let usedBefore = 0;
+  let usedMillis = 0;
+  let reservedMillis = 0;
+  let overMemoryWorkers = 0;
+  let crowdedWorkers = 0;
+  let usedInWarmUpCoreMs = 0;
 
   /** Adds up what was in use since the last change. */
-  function measure(): void {
+  function accumulate(): void {
     const from = Math.max(measuredAt, Math.min(now, warmUpMs));
-    usedBefore += (used / 1000) * (from - measuredAt);
-    const passedMs = now - from;
+    usedInWarmUpCoreMs += (usedMillis / 1000) * (from - measuredAt);
+    const elapsedMs = now - from;
     measuredAt = now;
-    if (passedMs <= 0) return;
-    measures.used += (used / 1000) * passedMs;
-    measures.held += (held / 1000) * passedMs;
+    if (elapsedMs <= 0) return;
+    measures.usedCoreMs += (usedMillis / 1000) * elapsedMs;
+    measures.reservedCoreMs += (reservedMillis / 1000) * elapsedMs;
     const capacity = profile.workers * profile.capacity.cpuMillis;
-    measures.capacity += (capacity / 1000) * passedMs;
-    measures.memoryOver += overMemory * passedMs;
-    measures.crowded += crowded * passedMs;
-    measures.workerTime += profile.workers * passedMs;
+    measures.capacityCoreMs += (capacity / 1000) * elapsedMs;
+    measures.overMemoryWorkerMs += overMemoryWorkers * elapsedMs;
+    measures.crowdedWorkerMs += crowdedWorkers * elapsedMs;
+    measures.workerMs += profile.workers * elapsedMs;
   }
 
   /** Changes a worker and keeps the sums right. */
-  function change(number: number, action: () => void): void {
+  function updateWorker(number: number, action: () => void): void {
     const worker = workers[number]!;
     const isOver = () =>
       worker.usedMemoryMb() > profile.capacity.memoryMb ? 1 : 0;
-    measure();
-    used -= worker.usedMillis();
-    overMemory -= isOver();
-    crowded -= worker.isCrowded() ? 1 : 0;
+    accumulate();
+    usedMillis -= worker.usedMillis();
+    overMemoryWorkers -= isOver();
+    crowdedWorkers -= worker.isCrowded() ? 1 : 0;
     action();
-    used += worker.usedMillis();
-    overMemory += isOver();
-    crowded += worker.isCrowded() ? 1 : 0;
-    const at = worker.nextEnd(now);
+    usedMillis += worker.usedMillis();
+    overMemoryWorkers += isOver();
+    crowdedWorkers += worker.isCrowded() ? 1 : 0;
+    const at = worker.nextEndAt(now);
     if (at === Infinity) return;
     events.push({type: 'end', at, worker: number, version: worker.version()});
   }
 
-  function arrive(arrival: workload.Arrival): void {
-    const counts = arrival.at >= warmUpMs;
-    if (counts) measures.jobs += 1;
+  function handleArrival(arrival: workload.Arrival): void {
+    const isMeasured = arrival.at >= warmUpMs;
+    if (isMeasured) measures.jobs += 1;
     const refusal = placer.admit(arrival.spec, now as types.clock.WallMs);
     if (refusal !== undefined) {
-      if (!counts) return;
+      if (!isMeasured) return;
       const before = measures.refused.get(refusal.reason) ?? 0;
       measures.refused.set(refusal.reason, before + 1);
       return;
@@ -131,168 +131,187 @@
     const {jobId, spec, tasks} = arrival;
     jobs.set(jobId, {
       arrival,
-      left: tasks.length,
-      resumeMs: new Map(),
-      started: new Set(),
+      tasksLeft: tasks.length,
+      remainingMsByTask: new Map(),
+      startedTasks: new Set(),
       doneAt: undefined,
-      givenUp: false,
+      isAbandoned: false,
     });
     const acceptedAt = now as types.clock.WallMs;
     placer.enqueue({jobId, spec, acceptedAt, waiting: [...tasks.keys()]});
   }
 
-  function begin(placed: placement.placer.Placement): void {
-    const number = numberOf.get(placed.workerId)!;
-    const {jobId, index} = types.ids.splitTaskId(placed.taskId);
+  function startTask(placedTask: placement.placer.Placement): void {
+    const number = numberOf.get(placedTask.workerId)!;
+    const {jobId, index} = types.ids.splitTaskId(placedTask.taskId);
     const job = jobs.get(jobId)!;
-    const truth = job.arrival.tasks[index]!;
+    const actual = job.arrival.tasks[index]!;
     const fails =
       number === options.badWorker || options.isBroken?.(job.arrival) === true;
     // A start that fails at once ends nobody's waiting.
-    if (!fails && !job.started.has(index)) {
-      job.started.add(index);
-      noteWait(job, now - job.arrival.at);
+    if (!fails && !job.startedTasks.has(index)) {
+      job.startedTasks.add(index);
+      recordWait(job, now - job.arrival.at);
     }
-    const leftMs = fails
-      ? FAILS_AFTER_MS
-      : (job.resumeMs.get(index) ?? truth.runMs);
-    const {taskId, size} = placed;
-    const task = {taskId, truth, size, startedAt: now, leftMs, limitMillis: 0};
+    const remainingMs = fails
+      ? FAILING_TASK_MS
+      : (job.remainingMsByTask.get(index) ?? actual.runMs);
+    const {taskId, size} = placedTask;
+    const task = {
+      taskId,
+      actual,
+      size,
+      startedAt: now,
+      remainingMs,
+      throttleMillis: 0,
+    };
     workerOf.set(taskId, number);
-    change(number, () => {
-      held += size.cpuMillis;
+    updateWorker(number, () => {
+      reservedMillis += size.cpuMillis;
       workers[number]!.start(task, now);
     });
   }
 
-  function noteWait(job: CellJob, waitMs: number): void {
+  function recordWait(job: CellJob, waitMs: number): void {
     const {at, className, spec} = job.arrival;
     if (at < warmUpMs || spec.shape.kind === 'service') return;
-    cellMeasures.noteWait(measures, className, waitMs);
+    cellMeasures.recordWait(measures, className, waitMs);
   }
 
-  function finish(number: number): void {
+  function finishEndedTasks(number: number): void {
     const worker = workers[number]!;
     for (;;) {
-      const task = worker.ended(now);
+      const task = worker.findEndedTask(now);
       if (task === undefined) return;
-      change(number, () => {
-        held -= task.size.cpuMillis;
+      updateWorker(number, () => {
+        reservedMillis -= task.size.cpuMillis;
         worker.stop(task.taskId, now);
       });
-      noteEnd(task, number);
+      handleTaskEnd(task, number);
     }
   }
 
-  function noteEnd(task: virtualWorker.VirtualTask, number: number): void {
+  function handleTaskEnd(
+    task: virtualWorker.VirtualTask,
+    number: number,
+  ): void {
     workerOf.delete(task.taskId);
     const {jobId, index} = types.ids.splitTaskId(task.taskId);
     const job = jobs.get(jobId)!;
     const fails =
       number === options.badWorker || options.isBroken?.(job.arrival) === true;
     if (fails) {
-      measures.failedRuns += 1;
+      measures.failedAttempts += 1;
       placer.release(task.taskId, {type: 'failed', message: 'exit 1'});
-      dropGivenUp();
-      if (!job.givenUp) enqueueAgain(job, index);
+      markAbandonedJobs();
+      if (!job.isAbandoned) requeueTask(job, index);
       return;
     }
     placer.release(task.taskId, {type: 'done', ranMs: now - task.startedAt});
-    job.left -= 1;
-    if (job.left > 0) return;
+    job.tasksLeft -= 1;
+    if (job.tasksLeft > 0) return;
     job.doneAt = now;
     if (job.arrival.at >= warmUpMs) measures.jobsDone += 1;
   }
 
-  function dropGivenUp(): void {
+  function markAbandonedJobs(): void {
     for (const {jobId} of placer.takeAbandonedJobs()) {
       const job = jobs.get(jobId)!;
       // Its other tasks may still run, fail and have it given up again.
-      if (!job.givenUp) measures.jobsGivenUp += 1;
-      job.givenUp = true;
+      if (!job.isAbandoned) measures.jobsAbandoned += 1;
+      job.isAbandoned = true;
     }
   }
 
-  function enqueueAgain(job: CellJob, index: number): void {
+  function requeueTask(job: CellJob, index: number): void {
     const {jobId, spec} = job.arrival;
     const acceptedAt = job.arrival.at as types.clock.WallMs;
     placer.enqueue({jobId, spec, acceptedAt, waiting: [index]});
   }
 
-  function relieve(relief: placement.placer.PreemptionAction): void {
-    const number = workerOf.get(relief.taskId);
+  function applyPreemption(
+    preemption: placement.placer.PreemptionAction,
+  ): void {
+    const number = workerOf.get(preemption.taskId);
     if (number === undefined) return;
     const worker = workers[number]!;
-    switch (relief.type) {
+    switch (preemption.type) {
       case 'throttle':
         measures.throttles += 1;
-        change(number, () =>
-          worker.throttle(relief.taskId, relief.cpuMillis, now),
+        updateWorker(number, () =>
+          worker.throttle(preemption.taskId, preemption.cpuMillis, now),
         );
         return;
       case 'checkpoint':
         measures.checkpoints += 1;
-        change(number, () => stopForLater(worker, relief.taskId));
+        updateWorker(number, () => checkpointTask(worker, preemption.taskId));
         return;
     }
   }
 
-  function stopForLater(
+  function checkpointTask(
     worker: virtualWorker.VirtualWorker,
     taskId: types.ids.TaskId,
   ): void {
     const task = worker.stop(taskId, now);
     if (task === undefined) return;
-    held -= task.size.cpuMillis;
+    reservedMillis -= task.size.cpuMillis;
     workerOf.delete(taskId);
     const {jobId, index} = types.ids.splitTaskId(taskId);
     const job = jobs.get(jobId)!;
-    job.resumeMs.set(index, task.leftMs + CHECKPOINT_MS);
+    job.remainingMsByTask.set(index, task.remainingMs + CHECKPOINT_COST_MS);
     placer.release(taskId, {type: 'stopped'});
-    enqueueAgain(job, index);
+    requeueTask(job, index);
   }
 
-  function report(number: number): void {
+  function reportUsage(number: number): void {
     const worker = workers[number]!;
     for (const task of worker.tasks.values()) {
       placer.reportUsage(task.taskId, {
-        cpuMillis: Math.round(worker.usedBy(task)),
-        memoryMb: Math.round(task.truth.memoryMb),
+        cpuMillis: Math.round(worker.usedMillisOf(task)),
+        memoryMb: Math.round(task.actual.memoryMb),
         accelerators: 0,
       });
     }
-    events.push({type: 'heartbeat', at: now + HEARTBEAT_MS, worker: number});
+    events.push({
+      type: 'heartbeat',
+      at: now + HEARTBEAT_INTERVAL_MS,
+      worker: number,
+    });
   }
 
   function decide(): void {
     for (;;) {
       const before = process.hrtime.bigint();
-      const decided = placer.decide(now as types.clock.WallMs, DECIDE_LIMIT);
+      const decided = placer.decide(
+        now as types.clock.WallMs,
+        MAX_PLACEMENTS_PER_DECISION,
+      );
       const spentNs = Number(process.hrtime.bigint() - before);
       measures.decideTotalNs += spentNs;
       measures.placements += decided.placements.length;
       if (decided.placements.length > 0) measures.decideNs.recordValue(spentNs);
-      decided.placements.forEach(begin);
-      decided.preemptions.forEach(relieve);
-      if (decided.placements.length < DECIDE_LIMIT) return;
+      decided.placements.forEach(startTask);
+      decided.preemptions.forEach(applyPreemption);
+      if (decided.placements.length < MAX_PLACEMENTS_PER_DECISION) return;
     }
   }
 
-  function handle(event: CellEvent): void {
+  function handleEvent(event: CellEvent): void {
     switch (event.type) {
       case 'arrival':
-        arrive(arrivals[event.index]!);
+        handleArrival(arrivals[event.index]!);
         return;
       case 'end':
         if (event.version === workers[event.worker]!.version()) {
-          finish(event.worker);
+          finishEndedTasks(event.worker);
         }
         return;
       case 'heartbeat':
-        report(event.worker);
+        reportUsage(event.worker);
         return;
       case 'tick':
-        events.push({type: 'tick', at: now + TICK_MS});
+        events.push({type: 'tick', at: now + TICK_INTERVAL_MS});
         return;
     }
   }
@@ -312,7 +331,7 @@
       const {capacity} = profile;
       placer.setWorker({id, rack: types.ids.brand(`rack-${rack}`), capacity});
       // Workers report in turn and not all at once.
-      const at = (n / profile.workers) * HEARTBEAT_MS;
+      const at = (n / profile.workers) * HEARTBEAT_INTERVAL_MS;
       events.push({type: 'heartbeat', at, worker: n});
     }
     arrivals.forEach(({at}, index) =>
@@ -326,19 +345,22 @@
     const event = events.pop();
     if (event === undefined || event.at > horizonMs) break;
     now = event.at;
-    handle(event);
+    handleEvent(event);
     if (event.type !== 'heartbeat') decide();
   }
   now = horizonMs;
-  measure();
+  accumulate();
   const offered = offeredWork(arrivals, horizonMs);
-  measures.bound = Math.min(measures.capacity, offered - usedBefore);
+  measures.boundCoreMs = Math.min(
+    measures.capacityCoreMs,
+    offered - usedInWarmUpCoreMs,
+  );
   const deadlineJobs = [];
   for (const job of jobs.values()) {
     if (options.isBroken?.(job.arrival) === true) continue;
     // A task that never started has waited at least until now.
     for (let index = 0; index < job.arrival.tasks.length; index += 1) {
-      if (!job.started.has(index)) noteWait(job, now - job.arrival.at);
+      if (!job.startedTasks.has(index)) recordWait(job, now - job.arrival.at);
     }
     const {at, spec} = job.arrival;
     const {deadline} = spec;
@@ -358,8 +380,8 @@
   let sum = 0;
   for (const {at, tasks} of arrivals) {
     for (const task of tasks) {
-      const runsMs = Math.min(task.runMs, horizonMs - at);
-      sum += (task.cpuMillis * runsMs) / 1000;
+      const usableMs = Math.min(task.runMs, horizonMs - at);
+      sum += (task.cpuMillis * usableMs) / 1000;
     }
   }
   return sum;
--- a/packages/gypsumwall-bench/src/virtual_decider.ts
+++ b/packages/gypsumwall-bench/src/virtual_decider.ts
@@ -1,19 +1,19 @@
 /** One decider of a virtual cell: a scheduler and the process that runs it. */
 import * as scheduling from '@gypsumwall/scheduling';
 import type * as types from '@gypsumwall/types';
-import * as adviserLines from './adviser_lines.js';
-import type * as runEnds from './run_ends.js';
+import * as adviserCalls from './adviser_calls.js';
+import type * as attemptOutcomes from './attempt_outcomes.js';
 import type * as virtualProcess from './virtual_process.js';
 import type * as virtualTimeline from './virtual_timeline.js';
 import * as workerCalls from './worker_calls.js';
 
 /** Time of an append; milliseconds. */
-const STORE_MS = 16;
+const APPEND_MS = 16;
 /** What a worker takes to stop a task; milliseconds. */
-const STOP_MS = 150;
+const STOP_TASK_MS = 150;
 /** Pauses before a cycle, as the holder makes them. */
-const CYCLE_GAP_MS = 3;
-const CYCLE_GAP_FACTOR = 4;
+const MIN_CYCLE_DELAY_MS = 3;
+const CYCLE_DELAY_FACTOR = 4;
 
 /** A job as a decider takes it up. */
 export type JobStart = Omit<
@@ -28,18 +28,18 @@
   /** Entries whose calls to the adviser it may use. */
   readonly entries: readonly string[];
   readonly attemptBase: number;
-  readonly drawEnd: runEnds.DrawEnd;
-  readonly adviser: adviserLines.Adviser;
+  readonly drawOutcome: attemptOutcomes.DrawOutcome;
+  readonly adviser: adviserCalls.Adviser;
   readonly callsFor: (worker: types.ids.WorkerId) => workerCalls.WorkerCalls;
   /** Has starts sent; absent: they are sent as they are decided. */
-  readonly launch?: (
+  readonly dispatchStarts?: (
     starts: readonly scheduling.schedulerTypes.StartOrder[],
   ) => void;
   /** Starts are sent. */
   readonly onStarts: (
     starts: readonly scheduling.schedulerTypes.StartOrder[],
   ) => void;
-  readonly onRunOver?: (run: scheduling.activeJob.Attempt) => void;
+  readonly onAttemptEnd?: (attempt: scheduling.activeJob.Attempt) => void;
   readonly onJobOver: (job: types.ids.JobId) => void;
 }
 
@@ -51,28 +51,28 @@
   readonly jobs: ReadonlyMap<types.ids.JobId, scheduling.activeJob.ActiveJob>;
   accept(start: JobStart): void;
   /** Gives a job away; nothing of it may run. */
-  giveAway(job: scheduling.activeJob.ActiveJob): JobStart;
+  transferOut(job: scheduling.activeJob.ActiveJob): JobStart;
   /** Sends starts to workers. */
-  send(starts: readonly scheduling.schedulerTypes.StartOrder[]): void;
+  sendStarts(starts: readonly scheduling.schedulerTypes.StartOrder[]): void;
   /** Starts that surely never run. */
-  refuse(starts: readonly scheduling.schedulerTypes.StartOrder[]): void;
+  refuseStarts(starts: readonly scheduling.schedulerTypes.StartOrder[]): void;
   requestCycle(): void;
-  adviserCalls(): number;
+  adviserCallCount(): number;
 }
 
 /** Creates a decider without jobs or workers. */
 export function createVirtualDecider(parts: DeciderParts): VirtualDecider {
   const {timeline, process} = parts;
-  const launch = parts.launch ?? send;
+  const dispatchStarts = parts.dispatchStarts ?? sendStarts;
   const jobs = new Map<types.ids.JobId, scheduling.activeJob.ActiveJob>();
-  const leaving = new Set<types.ids.JobId>();
+  const transferredOut = new Set<types.ids.JobId>();
   const running = new Map<
     types.ids.WorkerId,
     Set<scheduling.activeJob.Attempt>
   >();
   const sequences = new Map<types.ids.WorkerId, number>();
-  let planned = false;
-  let gapMs = CYCLE_GAP_MS;
+  let isCyclePlanned = false;
+  let cycleDelayMs = MIN_CYCLE_DELAY_MS;
 
   const scheduler = scheduling.scheduler.createScheduler({
     attemptBase: parts.attemptBase,
@@ -80,10 +80,10 @@
     onEvent(event) {
       if (event.type !== 'job_over') return;
       jobs.delete(event.job);
-      if (!leaving.delete(event.job)) parts.onJobOver(event.job);
+      if (!transferredOut.delete(event.job)) parts.onJobOver(event.job);
     },
   });
-  const lines = adviserLines.createAdviserLines({
+  const adviser = adviserCalls.createAdviserCalls({
     ...parts,
     scheduler,
     onAnswer: requestCycle,
@@ -91,37 +91,37 @@
   const wall = () => timeline.now() as unknown as types.clock.WallMs;
 
   function requestCycle(): void {
-    if (planned) return;
-    planned = true;
-    timeline.later(gapMs, () => process.handle(0, cycle));
+    if (isCyclePlanned) return;
+    isCyclePlanned = true;
+    timeline.schedule(cycleDelayMs, () => process.enqueue(0, runCycle));
   }
 
-  function cycle(): void {
-    planned = false;
+  function runCycle(): void {
+    isCyclePlanned = false;
     let decisions: scheduling.schedulerTypes.Decisions = {
       starts: [],
       advice: [],
     };
     const tookMs = process.measure(() => {
-      const capacity = lines.capacity();
+      const capacity = adviser.capacity();
       decisions = scheduler.decide(timeline.now(), wall(), capacity);
     });
-    gapMs = Math.max(CYCLE_GAP_MS, tookMs * CYCLE_GAP_FACTOR);
-    store();
-    if (decisions.starts.length > 0) launch(decisions.starts);
-    for (const wish of decisions.advice) {
-      const {job} = wish.stepRun;
+    cycleDelayMs = Math.max(MIN_CYCLE_DELAY_MS, tookMs * CYCLE_DELAY_FACTOR);
+    appendDirty();
+    if (decisions.starts.length > 0) dispatchStarts(decisions.starts);
+    for (const request of decisions.advice) {
+      const {job} = request.stepRun;
       jobs.set(job.id, job);
-      lines.ask(wish);
+      adviser.ask(request);
     }
   }
 
-  function store(): void {
+  function appendDirty(): void {
     const dirty = scheduler.takeDirty();
     if (dirty.length === 0) return;
-    process.handle(workerCalls.CALL_MS, () => {
-      timeline.later(STORE_MS, () => {
-        process.handle(0, () => {
+    process.enqueue(workerCalls.CALL_COST_MS, () => {
+      timeline.schedule(APPEND_MS, () => {
+        process.enqueue(0, () => {
           process.measure(() => scheduler.stored(dirty));
           requestCycle();
         });
@@ -129,7 +129,9 @@
     });
   }
 
-  function send(starts: readonly scheduling.schedulerTypes.StartOrder[]): void {
+  function sendStarts(
+    starts: readonly scheduling.schedulerTypes.StartOrder[],
+  ): void {
     parts.onStarts(starts);
     const batches = new Map<workerCalls.WorkerCalls, workerCalls.Order[]>();
     for (const {attempt: run} of starts) {
@@ -138,8 +140,8 @@
       batches.set(calls, batch);
       batch.push({
         workerId: run.workerId,
-        arrive: () => begin(run),
-        answer: () => answer(run),
+        onArrival: () => startAttempt(run),
+        confirmStart: () => answer(run),
       });
     }
     for (const [calls, batch] of batches) calls.send(batch);
@@ -151,21 +153,21 @@
     );
   }
 
-  function begin(run: scheduling.activeJob.Attempt): void {
+  function startAttempt(run: scheduling.activeJob.Attempt): void {
     const runs = running.get(run.workerId) ?? new Set();
     running.set(run.workerId, runs.add(run));
-    const {spanMs, how} = parts.drawEnd(run);
-    timeline.later(spanMs, () => end(run, how));
+    const {spanMs, outcome: how} = parts.drawOutcome(run);
+    timeline.schedule(spanMs, () => endAttempt(run, how));
   }
 
-  function end(
+  function endAttempt(
     run: scheduling.activeJob.Attempt,
     how: scheduling.jobSteps.RunEnd,
   ): void {
     const {taskId, number: attempt, workerId} = run;
     const runs = running.get(workerId);
     if (runs?.delete(run) !== true) return;
-    parts.onRunOver?.(run);
+    parts.onAttemptEnd?.(run);
     const sequence = (sequences.get(workerId) ?? 0) + 1;
     sequences.set(workerId, sequence);
     const report: scheduling.schedulerTypes.WorkerReport = {
@@ -175,26 +177,29 @@
         taskId: one.taskId,
         attempt: one.number,
         checkpoint: '',
-        percent: parts.drawEnd.percent(),
+        percent: parts.drawOutcome.drawPercent(),
       })),
       ends: [{sequence, taskId, attempt, how, checkpoint: ''}],
       complete: true,
     };
-    parts.callsFor(workerId).bring(workerId, () => take(report));
+    parts.callsFor(workerId).deliverReport(workerId, () => applyReport(report));
   }
 
-  function take(report: scheduling.schedulerTypes.WorkerReport): void {
+  function applyReport(report: scheduling.schedulerTypes.WorkerReport): void {
     process.measure(() => scheduler.report(report, timeline.now()));
-    for (const run of scheduler.takeStops()) stop(run);
-    store();
+    for (const run of scheduler.takeStops()) stopTask(run);
+    appendDirty();
     requestCycle();
   }
 
-  function stop(run: scheduling.activeJob.Attempt): void {
+  function stopTask(run: scheduling.activeJob.Attempt): void {
     const {workerId} = run;
-    const arrive = () => timeline.later(STOP_MS, () => end(run, 'stopped'));
+    const arrive = () =>
+      timeline.schedule(STOP_TASK_MS, () => endAttempt(run, 'stopped'));
     const answered = () => scheduler.stopAnswered(run, timeline.now());
-    parts.callsFor(workerId).send([{workerId, arrive, answer: answered}]);
+    parts
+      .callsFor(workerId)
+      .send([{workerId, onArrival: arrive, confirmStart: answered}]);
   }
 
   return {
@@ -202,7 +207,7 @@
     process,
     jobs,
     accept(start) {
-      process.handle(workerCalls.CALL_MS, () => {
+      process.enqueue(workerCalls.CALL_COST_MS, () => {
         process.measure(() =>
           scheduler.addJob(
             {...start, inherited: false},
@@ -213,10 +218,10 @@
         requestCycle();
       });
     },
-    giveAway(job) {
+    transferOut(job) {
       const {id, request, policy, acceptedAt} = job;
       const progress = scheduling.activeJob.progressOf(job);
-      leaving.add(id);
+      transferredOut.add(id);
       scheduler.cancelJob(id);
       return {
         id,
@@ -226,8 +231,8 @@
         progress: {...progress, workers: []},
       };
     },
-    send,
-    refuse(starts) {
+    sendStarts,
+    refuseStarts(starts) {
       for (const {attempt: run} of starts) {
         const outcome = {type: 'refused', reason: 'superseded'} as const;
         scheduler.startAnswered(run, outcome, timeline.now());
@@ -235,6 +240,6 @@
       requestCycle();
     },
     requestCycle,
-    adviserCalls: () => lines.calls(),
+    adviserCallCount: () => adviser.callCount(),
   };
 }
--- a/packages/gypsumwall-bench/src/virtual_process.ts
+++ b/packages/gypsumwall-bench/src/virtual_process.ts
@@ -7,7 +7,7 @@
 /** One process. */
 export interface VirtualProcess {
   /** Does some work after a set time of the thread, in its turn. */
-  handle(costMs: number, work: () => void): void;
+  enqueue(costMs: number, work: () => void): void;
   /** Work whose real time the thread is busy for; that time. */
   measure(work: () => void): number;
   /** Milliseconds that the thread was busy for. */
@@ -22,40 +22,40 @@
 ): VirtualProcess {
   let queue: {costMs: number; work: () => void}[] = [];
   let head = 0;
-  let running = false;
-  let pendingMs = 0;
+  let isRunning = false;
+  let measuredInItemMs = 0;
   let busyMs = 0;
   let measuredMs = 0;
 
-  function next(): void {
+  function runNext(): void {
     const item = queue[head++];
-    running = item !== undefined;
+    isRunning = item !== undefined;
     if (item === undefined) {
       queue = [];
       head = 0;
       return;
     }
     busyMs += item.costMs;
-    timeline.later(item.costMs, () => {
-      pendingMs = 0;
+    timeline.schedule(item.costMs, () => {
+      measuredInItemMs = 0;
       item.work();
-      timeline.later(pendingMs, next);
+      timeline.schedule(measuredInItemMs, runNext);
     });
   }
 
   return {
-    handle(costMs, work) {
+    enqueue(costMs, work) {
       queue.push({costMs, work});
-      if (!running) next();
+      if (!isRunning) runNext();
     },
     measure(work) {
-      const from = performance.now();
+      const startedAt = performance.now();
       work();
-      const tookMs = performance.now() - from;
-      pendingMs += tookMs;
-      busyMs += tookMs;
-      measuredMs += tookMs;
-      return tookMs;
+      const elapsedMs = performance.now() - startedAt;
+      measuredInItemMs += elapsedMs;
+      busyMs += elapsedMs;
+      measuredMs += elapsedMs;
+      return elapsedMs;
     },
     busyMs: () => busyMs,
     measuredMs: () => measuredMs,
--- a/packages/gypsumwall-bench/src/virtual_timeline.ts
+++ b/packages/gypsumwall-bench/src/virtual_timeline.ts
@@ -4,7 +4,7 @@
 /** What happens, and when. */
 export interface VirtualTimeline {
   now(): types.clock.MonotonicMs;
-  later(spanMs: number, work: () => void): void;
+  schedule(delayMs: number, callback: () => void): void;
   /** Lets everything happen up to a moment. */
   runUntil(endMs: number): void;
 }
@@ -17,7 +17,7 @@
 
   return {
     now: () => now as types.clock.MonotonicMs,
-    later(spanMs, work) {
+    schedule(spanMs, work) {
       const at = now + spanMs;
       let low = 0;
       let high = events.length;
--- a/packages/gypsumwall-bench/src/virtual_worker.ts
+++ b/packages/gypsumwall-bench/src/virtual_worker.ts
@@ -9,13 +9,13 @@
 /** A running task. */
 export interface VirtualTask {
   readonly taskId: types.ids.TaskId;
-  readonly truth: workload.Truth;
+  readonly actual: workload.ActualTask;
   readonly size: types.resources.Resources;
   readonly startedAt: number;
   /** Run time left at full speed. */
-  leftMs: number;
+  remainingMs: number;
   /** A throttle in force; 0 for none. */
-  limitMillis: number;
+  throttleMillis: number;
 }
 
 /** The fake worker. */
@@ -27,52 +27,53 @@
   stop(taskId: types.ids.TaskId, now: number): VirtualTask | undefined;
   throttle(taskId: types.ids.TaskId, cpuMillis: number, now: number): void;
   /** When the next task ends, if nothing changes before. */
-  nextEnd(now: number): number;
+  nextEndAt(now: number): number;
   /** A task that has run to its end. */
-  ended(now: number): VirtualTask | undefined;
+  findEndedTask(now: number): VirtualTask | undefined;
   /** Processors in use. */
   usedMillis(): number;
   /** Whether tasks want more processors than there are. */
   isCrowded(): boolean;
   usedMemoryMb(): number;
   /** Processors in use by one task. */
-  usedBy(task: VirtualTask): number;
+  usedMillisOf(task: VirtualTask): number;
 }
 
-const DONE_BELOW_MS = 1e-6;
+const DONE_TOLERANCE_MS = 1e-6;
 /** Tasks that are slowed by a hundredth don't count as crowded. */
-const CROWDED_FROM = 1.01;
+const MIN_CROWDED_RATIO = 1.01;
 
 /** Creates an idle worker. */
 export function createVirtualWorker(
   capacity: types.resources.Resources,
 ): VirtualWorker {
   const tasks = new Map<types.ids.TaskId, VirtualTask>();
-  let wantedMillis = 0;
+  let demandMillis = 0;
   let memoryMb = 0;
   let lastAt = 0;
   let version = 0;
 
   /** What the task may use, before others crowd it. */
-  function wanted(task: VirtualTask): number {
-    const {cpuMillis} = task.truth;
-    if (task.limitMillis === 0) return cpuMillis;
-    return Math.min(cpuMillis, task.limitMillis);
+  function demandOf(task: VirtualTask): number {
+    const {cpuMillis} = task.actual;
+    if (task.throttleMillis === 0) return cpuMillis;
+    return Math.min(cpuMillis, task.throttleMillis);
   }
 
-  function crowding(): number {
-    return Math.min(1, capacity.cpuMillis / Math.max(1, wantedMillis));
+  function sharingFactor(): number {
+    return Math.min(1, capacity.cpuMillis / Math.max(1, demandMillis));
   }
 
-  function speed(task: VirtualTask): number {
-    return (wanted(task) / task.truth.cpuMillis) * crowding();
+  function speedOf(task: VirtualTask): number {
+    return (demandOf(task) / task.actual.cpuMillis) * sharingFactor();
   }
 
   function advance(now: number): void {
-    const passedMs = now - lastAt;
+    const elapsedMs = now - lastAt;
     lastAt = now;
-    if (passedMs <= 0) return;
-    for (const task of tasks.values()) task.leftMs -= passedMs * speed(task);
+    if (elapsedMs <= 0) return;
+    for (const task of tasks.values())
+      task.remainingMs -= elapsedMs * speedOf(task);
   }
 
   return {
@@ -82,8 +83,8 @@
       advance(now);
       version += 1;
       tasks.set(task.taskId, task);
-      wantedMillis += wanted(task);
-      memoryMb += task.truth.memoryMb;
+      demandMillis += demandOf(task);
+      memoryMb += task.actual.memoryMb;
     },
     stop(taskId, now) {
       const task = tasks.get(taskId);
@@ -91,8 +92,8 @@
       advance(now);
       version += 1;
       tasks.delete(taskId);
-      wantedMillis -= wanted(task);
-      memoryMb -= task.truth.memoryMb;
+      demandMillis -= demandOf(task);
+      memoryMb -= task.actual.memoryMb;
       return task;
     },
     throttle(taskId, cpuMillis, now) {
@@ -100,28 +101,28 @@
       if (task === undefined) return;
       advance(now);
       version += 1;
-      wantedMillis -= wanted(task);
-      task.limitMillis = cpuMillis;
-      wantedMillis += wanted(task);
+      demandMillis -= demandOf(task);
+      task.throttleMillis = cpuMillis;
+      demandMillis += demandOf(task);
     },
-    nextEnd(now) {
+    nextEndAt(now) {
       advance(now);
       let soonest = Infinity;
       for (const task of tasks.values()) {
-        soonest = Math.min(soonest, task.leftMs / speed(task));
+        soonest = Math.min(soonest, task.remainingMs / speedOf(task));
       }
       return now + Math.max(0, soonest);
     },
-    ended(now) {
+    findEndedTask(now) {
       advance(now);
       for (const task of tasks.values()) {
-        if (task.leftMs <= DONE_BELOW_MS) return task;
+        if (task.remainingMs <= DONE_TOLERANCE_MS) return task;
       }
       return undefined;
     },
-    isCrowded: () => wantedMillis > capacity.cpuMillis * CROWDED_FROM,
-    usedMillis: () => Math.min(capacity.cpuMillis, wantedMillis),
+    isCrowded: () => demandMillis > capacity.cpuMillis * MIN_CROWDED_RATIO,
+    usedMillis: () => Math.min(capacity.cpuMillis, demandMillis),
     usedMemoryMb: () => memoryMb,
-    usedBy: (task) => wanted(task) * crowding(),
+    usedMillisOf: (task) => demandOf(task) * sharingFactor(),
   };
 }
