--- a/packages/gypsumwall-bench/src/worker_calls.ts
+++ b/packages/gypsumwall-bench/src/worker_calls.ts
@@ -7,27 +7,27 @@
 import type * as virtualTimeline from './virtual_timeline.js';
 
 /** Processor time of a call and of one more item in a batch; milliseconds. */
-export const CALL_MS = 0.25;
-export const ITEM_MS = 0.02;
+export const CALL_COST_MS = 0.25;
+export const BATCH_ITEM_COST_MS = 0.02;
 /** Round trip between two processes; milliseconds. */
-export const ORDER_MS = 3;
+export const ROUND_TRIP_MS = 3;
 /** For how long a helper gathers what it hands on; milliseconds. */
-const GATHER_MS = 5;
+const BATCH_WINDOW_MS = 5;
 
 /** An order to a worker. */
 export interface Order {
   readonly workerId: types.ids.WorkerId;
   /** At the worker. */
-  arrive(): void;
+  onArrival(): void;
   /** At the decider, once the worker has answered. */
-  answer(): void;
+  confirmStart(): void;
 }
 
 /** The calls of one decider to workers. */
 export interface WorkerCalls {
   send(orders: readonly Order[]): void;
   /** Brings a worker's report to the decider. */
-  bring(workerId: types.ids.WorkerId, apply: () => void): void;
+  deliverReport(workerId: types.ids.WorkerId, apply: () => void): void;
 }
 
 /** Calls that the decider makes itself. */
@@ -38,56 +38,64 @@
   return {
     send(orders) {
       for (const order of orders) {
-        process.handle(CALL_MS, () => {
-          timeline.later(ORDER_MS / 2, () => order.arrive());
-          timeline.later(ORDER_MS, () =>
-            process.handle(0, () => order.answer()),
+        process.enqueue(CALL_COST_MS, () => {
+          timeline.schedule(ROUND_TRIP_MS / 2, () => order.onArrival());
+          timeline.schedule(ROUND_TRIP_MS, () =>
+            process.enqueue(0, () => order.confirmStart()),
           );
         });
       }
     },
-    bring: (_, apply) => process.handle(CALL_MS, apply),
+    deliverReport: (_, apply) => process.enqueue(CALL_COST_MS, apply),
   };
 }
 
 /** Calls that helpers make, each for its own workers. */
-export function createHelpedCalls(
+export function createHelperCalls(
   timeline: virtualTimeline.VirtualTimeline,
   process: virtualProcess.VirtualProcess,
   helperOf: (workerId: types.ids.WorkerId) => virtualProcess.VirtualProcess,
 ): WorkerCalls {
-  const gathered = new Map<virtualProcess.VirtualProcess, (() => void)[]>();
+  const pendingBatches = new Map<
+    virtualProcess.VirtualProcess,
+    (() => void)[]
+  >();
 
-  function handOn(helper: virtualProcess.VirtualProcess): void {
-    const items = gathered.get(helper) ?? [];
-    gathered.delete(helper);
-    helper.handle(CALL_MS, () => {
-      timeline.later(ORDER_MS / 2, () => {
-        const costMs = CALL_MS + items.length * ITEM_MS;
-        process.handle(costMs, () => {
+  function forwardBatch(helper: virtualProcess.VirtualProcess): void {
+    const items = pendingBatches.get(helper) ?? [];
+    pendingBatches.delete(helper);
+    helper.enqueue(CALL_COST_MS, () => {
+      timeline.schedule(ROUND_TRIP_MS / 2, () => {
+        const costMs = CALL_COST_MS + items.length * BATCH_ITEM_COST_MS;
+        process.enqueue(costMs, () => {
           for (const item of items) item();
         });
       });
     });
   }
 
-  function gather(
+  function addToBatch(
     helper: virtualProcess.VirtualProcess,
     item: () => void,
   ): void {
-    const items = gathered.get(helper);
+    const items = pendingBatches.get(helper);
     if (items !== undefined) {
       items.push(item);
       return;
     }
-    gathered.set(helper, [item]);
-    timeline.later(GATHER_MS, () => handOn(helper));
+    pendingBatches.set(helper, [item]);
+    timeline.schedule(BATCH_WINDOW_MS, () => forwardBatch(helper));
   }
 
-  function call(helper: virtualProcess.VirtualProcess, order: Order): void {
-    helper.handle(CALL_MS, () => {
-      timeline.later(ORDER_MS / 2, () => order.arrive());
-      timeline.later(ORDER_MS, () => gather(helper, () => order.answer()));
+  function callWorker(
+    helper: virtualProcess.VirtualProcess,
+    order: Order,
+  ): void {
+    helper.enqueue(CALL_COST_MS, () => {
+      timeline.schedule(ROUND_TRIP_MS / 2, () => order.onArrival());
+      timeline.schedule(ROUND_TRIP_MS, () =>
+        addToBatch(helper, () => order.confirmStart()),
+      );
     });
   }
 
@@ -101,16 +109,19 @@
         batch.push(order);
       }
       for (const [helper, batch] of batches) {
-        process.handle(CALL_MS + batch.length * ITEM_MS, () => {
-          timeline.later(ORDER_MS / 2, () => {
-            for (const order of batch) call(helper, order);
-          });
-        });
+        process.enqueue(
+          CALL_COST_MS + batch.length * BATCH_ITEM_COST_MS,
+          () => {
+            timeline.schedule(ROUND_TRIP_MS / 2, () => {
+              for (const order of batch) callWorker(helper, order);
+            });
+          },
+        );
       }
     },
-    bring(workerId, apply) {
+    deliverReport(workerId, apply) {
       const helper = helperOf(workerId);
-      helper.handle(CALL_MS, () => gather(helper, apply));
+      helper.enqueue(CALL_COST_MS, () => addToBatch(helper, apply));
     },
   };
 }
@@ -121,17 +132,20 @@
   process: virtualProcess.VirtualProcess,
   calls: WorkerCalls,
 ): WorkerCalls {
-  const back = (work: () => void) => () =>
-    timeline.later(ORDER_MS / 2, () => process.handle(ITEM_MS, work));
+  const deliverBack = (work: () => void) => () =>
+    timeline.schedule(ROUND_TRIP_MS / 2, () =>
+      process.enqueue(BATCH_ITEM_COST_MS, work),
+    );
   return {
     send(orders) {
       calls.send(
         orders.map((order) => ({
           ...order,
-          answer: back(() => order.answer()),
+          onAnswer: deliverBack(() => order.confirmStart()),
         })),
       );
     },
-    bring: (workerId, apply) => calls.bring(workerId, back(apply)),
+    deliverReport: (workerId, apply) =>
+      calls.deliverReport(workerId, deliverBack(apply)),
   };
 }
