--- a/packages/gypsumwall-bench/src/adviser_calls.ts
+++ b/packages/gypsumwall-bench/src/adviser_calls.ts
@@ -30,29 +30,29 @@
 
   function handleAnswer(
     entry: string,
-    wish: scheduling.schedulerTypes.AdviceRequest,
+    request: scheduling.schedulerTypes.AdviceRequest,
   ): void {
-    pool.finish(entry, wish.callMs);
-    const validMs = wish.stepRun.job.policy.advice?.validMs ?? 0;
+    pool.finish(entry, request.callMs);
+    const validMs = request.stepRun.job.policy.advice?.validMs ?? 0;
     const validUntil = types.clock.after(timeline.now(), validMs);
-    scheduler.adviceAnswered(wish, parts.adviser(wish), validUntil);
+    scheduler.adviceAnswered(request, parts.adviser(request), validUntil);
     parts.onAnswer();
   }
 
   return {
     capacity: () => pool.capacity(entries),
-    ask(wish) {
-      const entry = pool.take(entries, wish.callMs, wish.needed);
+    ask(request) {
+      const entry = pool.take(entries, request.callMs, request.needed);
       if (entry === undefined) {
-        scheduler.adviceAnswered(wish, undefined, timeline.now());
+        scheduler.adviceAnswered(request, undefined, timeline.now());
         return;
       }
       callCount++;
       // The adviser handles the calls of one entry one at a time.
       const now = timeline.now();
-      const doneAt = Math.max(now, busyUntil.get(entry) ?? 0) + wish.callMs;
+      const doneAt = Math.max(now, busyUntil.get(entry) ?? 0) + request.callMs;
       busyUntil.set(entry, doneAt);
-      timeline.schedule(doneAt - now, () => handleAnswer(entry, wish));
+      timeline.schedule(doneAt - now, () => handleAnswer(entry, request));
     },
     callCount: () => callCount,
   };
--- a/packages/gypsumwall-bench/src/distributions.ts
+++ b/packages/gypsumwall-bench/src/distributions.ts
@@ -16,8 +16,7 @@
   distribution: HeavyTailedDistribution,
 ): number {
   const drawn =
-    distribution.median *
-    Math.exp(distribution.sigma * drawStandardNormal(random));
+    distribution.median * Math.exp(distribution.sigma * drawNormal(random));
   return Math.min(distribution.high, Math.max(distribution.low, drawn));
 }
 
@@ -27,18 +26,16 @@
   mean: number,
   sigma: number,
 ): number {
-  return (
-    mean * Math.exp(sigma * drawStandardNormal(random) - (sigma * sigma) / 2)
-  );
+  return mean * Math.exp(sigma * drawNormal(random) - (sigma * sigma) / 2);
 }
 
 /** A factor around 1; a tenth either way is usual. */
 export function drawJitter(random: types.random.Random): number {
-  return Math.exp(0.1 * drawStandardNormal(random));
+  return Math.exp(0.1 * drawNormal(random));
 }
 
 /** Box-Muller. */
-function drawStandardNormal(random: types.random.Random): number {
+function drawNormal(random: types.random.Random): number {
   const radius = Math.sqrt(-2 * Math.log(1 - random.next()));
   return radius * Math.cos(2 * Math.PI * random.next());
 }
--- a/packages/gypsumwall-bench/src/gang_coordinator.ts
+++ b/packages/gypsumwall-bench/src/gang_coordinator.ts
@@ -46,7 +46,7 @@
   const registryOf = (worker: types.ids.WorkerId) =>
     shards[shardOf(worker)]!.scheduler.book;
 
-  function launch(starts: readonly StartOrder[]): void {
+  function reserveAndStart(starts: readonly StartOrder[]): void {
     const gangs = new Map<string, StartOrder[]>();
     for (const start of starts) {
       const gang = gangs.get(start.attempt.stepRunId) ?? [];
@@ -109,7 +109,7 @@
       const {workerId, stepRunId, size} = start.attempt;
       const free = registryOf(workerId).workers.get(workerId)?.free;
       if (free === undefined || !types.resources.fits(size, free)) {
-        for (const {attempt} of reserved) runOver(attempt);
+        for (const {attempt} of reserved) releaseAttempt(attempt);
         return part.map((one) => readFreeCapacity(one.attempt.workerId));
       }
       registryOf(workerId).book(workerId, stepRunId, size);
@@ -130,26 +130,30 @@
     reported: readonly shardCapacities.FreeCapacity[],
   ): void {
     conflicts++;
-    for (const {attempt: run} of granted) runOver(run);
+    for (const {attempt} of granted) releaseAttempt(attempt);
     parts.decider().refuseStarts(gang);
-    for (const room of reported)
-      applyOthersUsage(parts.decider().scheduler.book, room);
+    for (const freeCapacity of reported)
+      applyOthersUsage(parts.decider().scheduler.book, freeCapacity);
   }
 
-  function runOver(run: scheduling.activeJob.Attempt): void {
-    registryOf(run.workerId).release(run.workerId, run.stepRunId, run.size);
-    shards[shardOf(run.workerId)]!.requestCycle();
+  function releaseAttempt(attempt: scheduling.activeJob.Attempt): void {
+    registryOf(attempt.workerId).release(
+      attempt.workerId,
+      attempt.stepRunId,
+      attempt.size,
+    );
+    shards[shardOf(attempt.workerId)]!.requestCycle();
   }
 
-  function roomTold(
+  function applyFreeCapacity(
     freeCapacities: readonly shardCapacities.FreeCapacity[],
   ): void {
     const {process, scheduler} = parts.decider();
     const costMs = workerCalls.CALL_COST_MS + freeCapacities.length * 0.001;
     process.enqueue(costMs, () => {
       process.measure(() => {
-        for (const room of freeCapacities)
-          applyOthersUsage(scheduler.book, room);
+        for (const freeCapacity of freeCapacities)
+          applyOthersUsage(scheduler.book, freeCapacity);
       });
       parts.decider().requestCycle();
     });
@@ -176,9 +180,9 @@
   }
 
   return {
-    reserveAndStart: launch,
-    releaseAttempt: runOver,
-    applyFreeCapacity: roomTold,
+    reserveAndStart,
+    releaseAttempt,
+    applyFreeCapacity,
     conflicts: () => conflicts,
   };
 }
--- a/packages/gypsumwall-bench/src/job_rebalancing.ts
+++ b/packages/gypsumwall-bench/src/job_rebalancing.ts
@@ -24,7 +24,7 @@
 
 /** Starts the looks of all shards; gives the number of moves so far. */
 export function startJobMoves(parts: JobMovesParts): () => number {
-  const {timeline, shards, capacities: rooms} = parts;
+  const {timeline, shards, capacities} = parts;
   const movesByJob = new Map<types.ids.JobId, number>();
   let moveCount = 0;
 
@@ -59,7 +59,7 @@
     for (let step = 1; step < shards.length; step++) {
       const other = (shardIndex + step) % shards.length;
       const slots = shardCapacities.estimateSlots(
-        rooms.freeCapacityOf(other),
+        capacities.freeCapacityOf(other),
         request,
       );
       if (slots >= needed) return other;
@@ -80,7 +80,7 @@
     });
   }
 
-  shards.forEach((_, nth) => checkShard(nth));
+  shards.forEach((_, shardIndex) => checkShard(shardIndex));
   return () => moveCount;
 }
 
@@ -90,8 +90,8 @@
 ): scheduling.jobRequest.StepRequest | undefined {
   let found: scheduling.jobRequest.StepRequest | undefined;
   for (const {steps} of job.open.values()) {
-    for (const {attempts: runs, waiting, request} of steps) {
-      if (runs.size > 0) return undefined;
+    for (const {attempts, waiting, request} of steps) {
+      if (attempts.size > 0) return undefined;
       if (waiting.length > 0) found ??= request;
     }
   }
--- a/packages/gypsumwall-bench/src/routing_slopes.ts
+++ b/packages/gypsumwall-bench/src/routing_slopes.ts
@@ -115,10 +115,10 @@
   const clock = types.virtualClock.createVirtualClock();
   const listed = routingRun.listUpstreams({entries: 1, upstreams, slots: 8});
   const before = readHeapBytes();
-  const router = createRouter(clock, (one, connections) =>
+  const router = createRouter(clock, (listed, connections) =>
     platform.httpUpstream.createHttpUpstream({
-      id: one.id,
-      address: one.address,
+      id: listed.id,
+      address: listed.address,
       connections,
       clock,
     }),
--- a/packages/gypsumwall-bench/src/routing_tables.ts
+++ b/packages/gypsumwall-bench/src/routing_tables.ts
@@ -67,8 +67,8 @@
 export function waitingTable(
   measured: readonly Measured[],
 ): benchModule.BenchTable {
-  const rows = measured.flatMap(({benchCase: one, contender, figures}) =>
-    urgenciesToShow(one).map((urgency) => {
+  const rows = measured.flatMap(({benchCase, contender, figures}) =>
+    urgenciesToShow(benchCase).map((urgency) => {
       const waited = (percentile: number) =>
         formatMedianAndRange(
           figures,
@@ -87,7 +87,7 @@
           each.byUrgency[urgency].answerTenths.getValueAtPercentile(99) /
           TENTHS_PER_MS,
       );
-      const name = `${one.name}, ${contender.name}, ${urgency}`;
+      const name = `${benchCase.name}, ${contender.name}, ${urgency}`;
       return [name, waited(50), waited(99), waited(99.9), answered, inTime];
     }),
   );
--- a/packages/gypsumwall-bench/src/shard_capacities.ts
+++ b/packages/gypsumwall-bench/src/shard_capacities.ts
@@ -41,9 +41,9 @@
     timeline.schedule(REPORT_INTERVAL_MS, () => report(shardIndex));
   }
 
-  shards.forEach((_, nth) => {
-    const offsetMs = (REPORT_INTERVAL_MS * nth) / shards.length;
-    timeline.schedule(offsetMs, () => report(nth));
+  shards.forEach((_, shardIndex) => {
+    const offsetMs = (REPORT_INTERVAL_MS * shardIndex) / shards.length;
+    timeline.schedule(offsetMs, () => report(shardIndex));
   });
   return {freeCapacityOf: (shard) => reported[shard]!};
 }
--- a/packages/gypsumwall-bench/src/spread_cell.ts
+++ b/packages/gypsumwall-bench/src/spread_cell.ts
@@ -83,12 +83,12 @@
   const infos = createWorkerInfos(workers);
   const count = countShards(variant, workers);
   const shardOfWorker = new Map(
-    infos.map((info, nth) => [info.id, nth % count]),
+    infos.map((info, index) => [info.id, index % count]),
   );
   const shardOf = (id: types.ids.WorkerId) => shardOfWorker.get(id)!;
   const entries = Array.from(
     {length: Math.ceil(workers / WORKERS_PER_ENTRY)},
-    (_, nth) => `e${nth}`,
+    (_, index) => `e${index}`,
   );
   const coordinatorEntries = variant.hasCoordinator
     ? entries.splice(0, Math.ceil(entries.length * COORDINATOR_ENTRY_SHARE))
@@ -102,7 +102,9 @@
   const createProcess = () => virtualProcess.createVirtualProcess(timeline);
   const helpers = infos.map(createProcess).slice(0, countHelpers());
   const shardCalls: workerCalls.WorkerCalls[] = [];
-  const shards = Array.from({length: count}, (_, nth) => createShard(nth));
+  const shards = Array.from({length: count}, (_, shardIndex) =>
+    createShard(shardIndex),
+  );
   const coordinator = gangCoordinator.createGangCoordinator({
     timeline,
     shards,
@@ -117,7 +119,7 @@
     return variant.hasHelpers ? Math.ceil(workers / WORKERS_PER_HELPER) : 0;
   }
 
-  function createShard(nth: number): virtualDecider.VirtualDecider {
+  function createShard(shardIndex: number): virtualDecider.VirtualDecider {
     const process = createProcess();
     const calls = variant.hasHelpers
       ? workerCalls.createHelperCalls(
@@ -130,8 +132,8 @@
     const decider = virtualDecider.createVirtualDecider({
       timeline,
       process,
-      entries: entries.filter((_, entry) => entry % count === nth),
-      attemptBase: nth * ATTEMPTS_PER_DECIDER,
+      entries: entries.filter((_, entry) => entry % count === shardIndex),
+      attemptBase: shardIndex * ATTEMPTS_PER_DECIDER,
       drawOutcome,
       adviser,
       callsFor: () => calls,
@@ -139,7 +141,7 @@
       onJobOver: (id) => measures.recordJobOver(id),
     });
     for (const info of infos) {
-      if (shardOf(info.id) === nth) addWorker(decider, info);
+      if (shardOf(info.id) === shardIndex) addWorker(decider, info);
     }
     return decider;
   }
@@ -160,7 +162,7 @@
       callsFor: (id) => relayed[shardOf(id)]!,
       dispatchStarts: (starts) => coordinator.reserveAndStart(starts),
       onStarts: (starts) => measures.recordStarts(starts),
-      onAttemptEnd: (run) => coordinator.releaseAttempt(run),
+      onAttemptEnd: (attempt) => coordinator.releaseAttempt(attempt),
       onJobOver: (id) => measures.recordJobOver(id),
     });
     for (const info of infos) addWorker(decider, info);
@@ -170,9 +172,9 @@
   const capacities = shardCapacities.createShardCapacities(
     timeline,
     count > 1 || variant.hasCoordinator ? shards : [],
-    (nth) => {
+    (shardIndex) => {
       if (variant.hasCoordinator)
-        coordinator.applyFreeCapacity(capacities.freeCapacityOf(nth));
+        coordinator.applyFreeCapacity(capacities.freeCapacityOf(shardIndex));
     },
   );
   const moves =
@@ -201,13 +203,13 @@
   ): virtualDecider.VirtualDecider {
     let best = 0;
     let mostSlots = -1;
-    for (let nth = 0; nth < count; nth++) {
+    for (let shardIndex = 0; shardIndex < count; shardIndex++) {
       const slots = shardCapacities.estimateSlots(
-        capacities.freeCapacityOf(nth),
+        capacities.freeCapacityOf(shardIndex),
         gang,
       );
       if (slots <= mostSlots) continue;
-      best = nth;
+      best = shardIndex;
       mostSlots = slots;
     }
     return shards[best]!;
@@ -258,14 +260,14 @@
 function createWorkerInfos(
   count: number,
 ): scheduling.workerRegistry.WorkerInfo[] {
-  return Array.from({length: count}, (_, nth) => ({
-    id: types.ids.brand(`worker-${nth}`),
+  return Array.from({length: count}, (_, index) => ({
+    id: types.ids.brand(`worker-${index}`),
     address: '',
-    domain: types.ids.brand(`domain-${nth % DOMAINS}`),
+    domain: types.ids.brand(`domain-${index % DOMAINS}`),
     pool: stepLoad.POOL,
     capacity: CAPACITY,
     labels: [],
-    rack: types.ids.brand(`rack-${Math.floor(nth / WORKERS_PER_RACK)}`),
+    rack: types.ids.brand(`rack-${Math.floor(index / WORKERS_PER_RACK)}`),
     draining: false,
   }));
 }
--- a/packages/gypsumwall-bench/src/spread_measures.ts
+++ b/packages/gypsumwall-bench/src/spread_measures.ts
@@ -113,8 +113,8 @@
     recordStarts(orders) {
       starts += orders.length;
       const gangs = new Map<scheduling.activeJob.StepRun, number>();
-      for (const {attempt: run} of orders) {
-        const {stepRun} = run.owner!;
+      for (const {attempt} of orders) {
+        const {stepRun} = attempt.owner!;
         if (!stepRun.request.gang) continue;
         gangs.set(stepRun, (gangs.get(stepRun) ?? 0) + 1);
       }
--- a/packages/gypsumwall-bench/src/step_cell.ts
+++ b/packages/gypsumwall-bench/src/step_cell.ts
@@ -65,14 +65,17 @@
   readonly backlog?: Backlog;
 }): StepCellResult {
   const random = types.random.createRandom(options.seed);
-  const events: {at: number; run: () => void}[] = [];
+  const events: {at: number; callback: () => void}[] = [];
   const pendingJobs = new Map<string, PendingJob>();
   const tookMs = new Map<string, ReturnType<typeof createHistogram>>();
   const onTime = new Map<string, {met: number; all: number}>();
   const running = new Map<string, Set<scheduling.activeJob.Attempt>>();
   const sequences = new Map<string, number>();
   const pool = scheduling.adviserPool.createAdviserPool<string>();
-  const entries = Array.from({length: options.entries}, (_, nth) => `e${nth}`);
+  const entries = Array.from(
+    {length: options.entries},
+    (_, index) => `e${index}`,
+  );
   const busyUntil = new Map<string, number>();
   let now = START_MS as types.clock.MonotonicMs;
   let schedulerMs = 0;
@@ -116,14 +119,14 @@
   }
 
   function measure<Value>(work: () => Value): Value {
-    const from = performance.now();
+    const startedAt = performance.now();
     const value = work();
-    schedulerMs += performance.now() - from;
+    schedulerMs += performance.now() - startedAt;
     return value;
   }
 
-  function schedule(spanMs: number, run: () => void): void {
-    const at = now + spanMs;
+  function schedule(delayMs: number, callback: () => void): void {
+    const at = now + delayMs;
     let low = 0;
     let high = events.length;
     // Latest first, so that the next one is taken off the end.
@@ -132,7 +135,7 @@
       if (events[middle]!.at > at) low = middle + 1;
       else high = middle;
     }
-    events.splice(low, 0, {at, run});
+    events.splice(low, 0, {at, callback});
   }
 
   function requestCycle(): void {
@@ -144,13 +147,13 @@
   function runCycle(): void {
     isCyclePlanned = false;
     cycles++;
-    const from = performance.now();
+    const startedAt = performance.now();
     const decisions = scheduler.decide(
       now,
       now as unknown as types.clock.WallMs,
       pool.capacity(entries),
     );
-    const cycleMs = performance.now() - from;
+    const cycleMs = performance.now() - startedAt;
     schedulerMs += cycleMs;
     maxCycleMs = Math.max(maxCycleMs, cycleMs);
     appendDirty();
@@ -168,18 +171,18 @@
   }
 
   function startAttempt(order: scheduling.schedulerTypes.StartOrder): void {
-    const {attempt: run} = order;
+    const {attempt} = order;
     starts++;
     schedule(ORDER_ROUND_TRIP_MS, () => {
-      const runs = running.get(run.workerId) ?? new Set();
-      running.set(run.workerId, runs.add(run));
-      measure(() => scheduler.startAnswered(run, {type: 'started'}, now));
+      const attempts = running.get(attempt.workerId) ?? new Set();
+      running.set(attempt.workerId, attempts.add(attempt));
+      measure(() => scheduler.startAnswered(attempt, {type: 'started'}, now));
     });
-    const {request, job} = run.owner!.stepRun;
+    const {request, job} = attempt.owner!.stepRun;
     const fails = random.next() < jobKindOf(job.policy.queue).failingShare;
     const spanMs = request.expectedMs * (fails ? random.next() : 1);
     schedule(ORDER_ROUND_TRIP_MS + spanMs, () =>
-      endAttempt(run, fails ? 'failed' : 'done'),
+      endAttempt(attempt, fails ? 'failed' : 'done'),
     );
   }
 
@@ -188,24 +191,24 @@
   }
 
   function endAttempt(
-    run: scheduling.activeJob.Attempt,
-    how: scheduling.jobSteps.RunEnd,
+    attempt: scheduling.activeJob.Attempt,
+    outcome: scheduling.jobSteps.RunEnd,
   ): void {
-    const runs = running.get(run.workerId);
-    if (runs?.delete(run) !== true) return;
-    const sequence = (sequences.get(run.workerId) ?? 0) + 1;
-    sequences.set(run.workerId, sequence);
-    const {taskId, number: attempt, workerId} = run;
+    const attempts = running.get(attempt.workerId);
+    if (attempts?.delete(attempt) !== true) return;
+    const sequence = (sequences.get(attempt.workerId) ?? 0) + 1;
+    sequences.set(attempt.workerId, sequence);
+    const {taskId, number, workerId} = attempt;
     const report: scheduling.schedulerTypes.WorkerReport = {
       workerId,
       askedAt: now,
-      running: [...runs].map((one) => ({
+      running: [...attempts].map((one) => ({
         taskId: one.taskId,
         attempt: one.number,
         checkpoint: '',
         percent: Math.floor(random.next() * 100),
       })),
-      ends: [{sequence, taskId, attempt, how, checkpoint: ''}],
+      ends: [{sequence, taskId, attempt: number, how: outcome, checkpoint: ''}],
       complete: true,
     };
     measure(() => scheduler.report(report, now));
@@ -219,25 +222,27 @@
     requestCycle();
   }
 
-  function requestAdvice(wish: scheduling.schedulerTypes.AdviceRequest): void {
-    const entry = pool.take(entries, wish.callMs, wish.needed);
+  function requestAdvice(
+    request: scheduling.schedulerTypes.AdviceRequest,
+  ): void {
+    const entry = pool.take(entries, request.callMs, request.needed);
     if (entry === undefined) {
-      scheduler.adviceAnswered(wish, undefined, now);
+      scheduler.adviceAnswered(request, undefined, now);
       return;
     }
     // The adviser handles the calls of one entry one at a time.
-    const doneAt = Math.max(now, busyUntil.get(entry) ?? 0) + wish.callMs;
+    const doneAt = Math.max(now, busyUntil.get(entry) ?? 0) + request.callMs;
     busyUntil.set(entry, doneAt);
     schedule(doneAt - now, () => {
-      pool.finish(entry, wish.callMs);
-      const share = jobKindOf(wish.stepRun.job.policy.queue).approvedShare;
+      pool.finish(entry, request.callMs);
+      const share = jobKindOf(request.stepRun.job.policy.queue).approvedShare;
       const approved = new Map<types.ids.WorkerId, string>();
-      for (const id of wish.workers) {
+      for (const id of request.workers) {
         if (random.next() < share) approved.set(id, 'ticket');
       }
-      const validMs = wish.stepRun.job.policy.advice?.validMs ?? 0;
+      const validMs = request.stepRun.job.policy.advice?.validMs ?? 0;
       const validUntil = types.clock.after(now, validMs);
-      measure(() => scheduler.adviceAnswered(wish, approved, validUntil));
+      measure(() => scheduler.adviceAnswered(request, approved, validUntil));
       requestCycle();
     });
   }
@@ -273,7 +278,7 @@
   function acceptBacklog({spanMs}: Backlog): void {
     for (const kind of stepLoad.PEAK_KINDS) {
       const count = Math.round((kind.rate * options.load * spanMs) / 1_000);
-      for (let nth = 0; nth < count; nth++) {
+      for (let index = 0; index < count; index++) {
         accept(kind, types.clock.after(now, -random.next() * spanMs));
       }
     }
@@ -313,7 +318,7 @@
     const next = events.pop();
     if (next === undefined || next.at > endAt) break;
     now = next.at as types.clock.MonotonicMs;
-    next.run();
+    next.callback();
   }
   for (const pendingJob of pendingJobs.values()) recordUnfinished(pendingJob);
   const shares = [...onTime].map(
--- a/packages/gypsumwall-bench/src/virtual_cell.ts
+++ b/packages/gypsumwall-bench/src/virtual_cell.ts
@@ -86,9 +86,9 @@
 
   /** Adds up what was in use since the last change. */
   function accumulate(): void {
-    const from = Math.max(measuredAt, Math.min(now, warmUpMs));
-    usedInWarmUpCoreMs += (usedMillis / 1000) * (from - measuredAt);
-    const elapsedMs = now - from;
+    const measuredFrom = Math.max(measuredAt, Math.min(now, warmUpMs));
+    usedInWarmUpCoreMs += (usedMillis / 1000) * (measuredFrom - measuredAt);
+    const elapsedMs = now - measuredFrom;
     measuredAt = now;
     if (elapsedMs <= 0) return;
     measures.usedCoreMs += (usedMillis / 1000) * elapsedMs;
--- a/packages/gypsumwall-bench/src/virtual_decider.ts
+++ b/packages/gypsumwall-bench/src/virtual_decider.ts
@@ -134,52 +134,52 @@
   ): void {
     parts.onStarts(starts);
     const batches = new Map<workerCalls.WorkerCalls, workerCalls.Order[]>();
-    for (const {attempt: run} of starts) {
-      const calls = parts.callsFor(run.workerId);
+    for (const {attempt} of starts) {
+      const calls = parts.callsFor(attempt.workerId);
       const batch = batches.get(calls) ?? [];
       batches.set(calls, batch);
       batch.push({
-        workerId: run.workerId,
-        onArrival: () => startAttempt(run),
-        confirmStart: () => answer(run),
+        workerId: attempt.workerId,
+        onArrival: () => startAttempt(attempt),
+        onAnswer: () => confirmStart(attempt),
       });
     }
     for (const [calls, batch] of batches) calls.send(batch);
   }
 
-  function answer(run: scheduling.activeJob.Attempt): void {
+  function confirmStart(attempt: scheduling.activeJob.Attempt): void {
     process.measure(() =>
-      scheduler.startAnswered(run, {type: 'started'}, timeline.now()),
+      scheduler.startAnswered(attempt, {type: 'started'}, timeline.now()),
     );
   }
 
-  function startAttempt(run: scheduling.activeJob.Attempt): void {
-    const runs = running.get(run.workerId) ?? new Set();
-    running.set(run.workerId, runs.add(run));
-    const {spanMs, outcome: how} = parts.drawOutcome(run);
-    timeline.schedule(spanMs, () => endAttempt(run, how));
+  function startAttempt(attempt: scheduling.activeJob.Attempt): void {
+    const attempts = running.get(attempt.workerId) ?? new Set();
+    running.set(attempt.workerId, attempts.add(attempt));
+    const {spanMs, outcome} = parts.drawOutcome(attempt);
+    timeline.schedule(spanMs, () => endAttempt(attempt, outcome));
   }
 
   function endAttempt(
-    run: scheduling.activeJob.Attempt,
-    how: scheduling.jobSteps.RunEnd,
+    attempt: scheduling.activeJob.Attempt,
+    outcome: scheduling.jobSteps.RunEnd,
   ): void {
-    const {taskId, number: attempt, workerId} = run;
-    const runs = running.get(workerId);
-    if (runs?.delete(run) !== true) return;
-    parts.onAttemptEnd?.(run);
+    const {taskId, number, workerId} = attempt;
+    const attempts = running.get(workerId);
+    if (attempts?.delete(attempt) !== true) return;
+    parts.onAttemptEnd?.(attempt);
     const sequence = (sequences.get(workerId) ?? 0) + 1;
     sequences.set(workerId, sequence);
     const report: scheduling.schedulerTypes.WorkerReport = {
       workerId,
       askedAt: timeline.now(),
-      running: [...runs].map((one) => ({
+      running: [...attempts].map((one) => ({
         taskId: one.taskId,
         attempt: one.number,
         checkpoint: '',
         percent: parts.drawOutcome.drawPercent(),
       })),
-      ends: [{sequence, taskId, attempt, how, checkpoint: ''}],
+      ends: [{sequence, taskId, attempt: number, how: outcome, checkpoint: ''}],
       complete: true,
     };
     parts.callsFor(workerId).deliverReport(workerId, () => applyReport(report));
@@ -187,19 +187,17 @@
 
   function applyReport(report: scheduling.schedulerTypes.WorkerReport): void {
     process.measure(() => scheduler.report(report, timeline.now()));
-    for (const run of scheduler.takeStops()) stopTask(run);
+    for (const attempt of scheduler.takeStops()) stopTask(attempt);
     appendDirty();
     requestCycle();
   }
 
-  function stopTask(run: scheduling.activeJob.Attempt): void {
-    const {workerId} = run;
-    const arrive = () =>
-      timeline.schedule(STOP_TASK_MS, () => endAttempt(run, 'stopped'));
-    const answered = () => scheduler.stopAnswered(run, timeline.now());
-    parts
-      .callsFor(workerId)
-      .send([{workerId, onArrival: arrive, confirmStart: answered}]);
+  function stopTask(attempt: scheduling.activeJob.Attempt): void {
+    const {workerId} = attempt;
+    const onArrival = () =>
+      timeline.schedule(STOP_TASK_MS, () => endAttempt(attempt, 'stopped'));
+    const onAnswer = () => scheduler.stopAnswered(attempt, timeline.now());
+    parts.callsFor(workerId).send([{workerId, onArrival, onAnswer}]);
   }
 
   return {
@@ -233,9 +231,9 @@
     },
     sendStarts,
     refuseStarts(starts) {
-      for (const {attempt: run} of starts) {
+      for (const {attempt} of starts) {
         const outcome = {type: 'refused', reason: 'superseded'} as const;
-        scheduler.startAnswered(run, outcome, timeline.now());
+        scheduler.startAnswered(attempt, outcome, timeline.now());
       }
       requestCycle();
     },
--- a/packages/gypsumwall-bench/src/worker_calls.ts
+++ b/packages/gypsumwall-bench/src/worker_calls.ts
@@ -20,7 +20,7 @@
   /** At the worker. */
   onArrival(): void;
   /** At the decider, once the worker has answered. */
-  confirmStart(): void;
+  onAnswer(): void;
 }
 
 /** The calls of one decider to workers. */
@@ -41,7 +41,7 @@
         process.enqueue(CALL_COST_MS, () => {
           timeline.schedule(ROUND_TRIP_MS / 2, () => order.onArrival());
           timeline.schedule(ROUND_TRIP_MS, () =>
-            process.enqueue(0, () => order.confirmStart()),
+            process.enqueue(0, () => order.onAnswer()),
           );
         });
       }
@@ -94,7 +94,7 @@
     helper.enqueue(CALL_COST_MS, () => {
       timeline.schedule(ROUND_TRIP_MS / 2, () => order.onArrival());
       timeline.schedule(ROUND_TRIP_MS, () =>
-        addToBatch(helper, () => order.confirmStart()),
+        addToBatch(helper, () => order.onAnswer()),
       );
     });
   }
@@ -141,7 +141,7 @@
       calls.send(
         orders.map((order) => ({
           ...order,
-          onAnswer: deliverBack(() => order.confirmStart()),
+          onAnswer: deliverBack(() => order.onAnswer()),
         })),
       );
     },
