--- a/packages/gypsumwall-bench/src/adviser_calls.ts
+++ b/packages/gypsumwall-bench/src/adviser_calls.ts
@@ -1,21 +1,26 @@
-/** The calls of one decider to the adviser, over the entries it may use. */
+/**
+ * The calls of one decider to the adviser, through the entries that it may use.
+ */
 import * as scheduling from '@gypsumwall/scheduling';
 import * as types from '@gypsumwall/types';
 import type * as virtualTimeline from './virtual_timeline.js';
 
-/** Which of the named workers the adviser approves for a step. */
+/**
+ * Returns the workers of the request that the adviser approves, each with its
+ * ticket.
+ */
 export type Adviser = (
   request: scheduling.schedulerTypes.AdviceRequest,
 ) => ReadonlyMap<types.ids.WorkerId, string>;
 
-/** The calls of one decider. */
+/** The calls of one decider to the adviser. */
 export interface AdviserCalls {
   capacity(): scheduling.adviserPool.AdviceCapacity;
   ask(request: scheduling.schedulerTypes.AdviceRequest): void;
   callCount(): number;
 }
 
-/** Creates lines with nothing in them. */
+/** Creates the calls of a decider; none is under way yet. */
 export function createAdviserCalls(parts: {
   readonly timeline: virtualTimeline.VirtualTimeline;
   readonly entries: readonly string[];
--- a/packages/gypsumwall-bench/src/attempt_outcomes.ts
+++ b/packages/gypsumwall-bench/src/attempt_outcomes.ts
@@ -1,10 +1,15 @@
-/** How runs of a virtual cell end, and whom its adviser approves. */
+/**
+ * Random outcomes of a virtual cell: how attempts end and which workers are
+ * approved.
+ */
 import type * as scheduling from '@gypsumwall/scheduling';
 import type * as types from '@gypsumwall/types';
 import type * as adviserCalls from './adviser_calls.js';
 import * as stepLoad from './step_load.js';
 
-/** Draws how a run ends, and its progress in between. */
+/**
+ * Draws how and when an attempt ends, and the progress it reports meanwhile.
+ */
 export interface DrawOutcome {
   (attempt: scheduling.activeJob.Attempt): {
     readonly spanMs: number;
@@ -13,7 +18,6 @@
   drawPercent(): number;
 }
 
-/** Creates the draws of one cell. */
 export function createDrawOutcome(random: types.random.Random): DrawOutcome {
   const drawOutcome = (attempt: scheduling.activeJob.Attempt) => {
     const {request, job} = attempt.owner!.stepRun;
@@ -26,7 +30,10 @@
   return Object.assign(drawOutcome, {drawPercent});
 }
 
-/** Creates an adviser that approves each kind's share of the workers. */
+/**
+ * Creates an adviser that approves a random share of the workers, set by the
+ * kind of job.
+ */
 export function createAdviser(
   random: types.random.Random,
 ): adviserCalls.Adviser {
--- a/packages/gypsumwall-bench/src/bench_module.ts
+++ b/packages/gypsumwall-bench/src/bench_module.ts
@@ -1,27 +1,36 @@
-/** What one bench takes and gives; `bin/bench.ts` runs a list of them. */
+/**
+ * Interface of a benchmark: its options and its report. `bin/bench.ts` runs a
+ * list of them.
+ */
 
-/** How long and on which random numbers a bench runs. */
+/** Duration and random seeds of a benchmark run. */
 export interface BenchOptions {
-  /** Same tables in under a minute: fewer seeds and shorter runs. */
+  /**
+   * Produces the same tables in under a minute, with fewer seeds and shorter
+   * runs.
+   */
   readonly quick: boolean;
-  /** One run for each; ratios are taken inside one run. */
+  /**
+   * The benchmark runs once per seed; ratios compare results of the same seed
+   * only.
+   */
   readonly seeds: readonly number[];
 }
 
-/** Rows of figures under named columns; the units are in the column names. */
+/** A table of results. Units are part of the column names. */
 export interface BenchTable {
   readonly title: string;
   readonly columns: readonly string[];
   readonly rows: ReadonlyArray<ReadonlyArray<string | number>>;
 }
 
-/** One line of a plot. */
+/** One curve of a plot. */
 export interface BenchSeries {
   readonly name: string;
   readonly points: ReadonlyArray<{readonly x: number; readonly y: number}>;
 }
 
-/** A plot of one or more lines. */
+/** A plot of one or more curves. */
 export interface BenchPlot {
   readonly title: string;
   readonly xLabel: string;
@@ -31,15 +40,15 @@
   readonly series: readonly BenchSeries[];
 }
 
-/** What a bench measured. */
+/** The results of a benchmark. */
 export interface BenchReport {
-  /** How the figures came about and how bounds are computed. */
+  /** How the values were measured and how bounds are computed. */
   readonly notes: readonly string[];
   readonly tables: readonly BenchTable[];
   readonly plots: readonly BenchPlot[];
 }
 
-/** A bench with a name that `--only` takes. */
+/** A benchmark; `--only` selects it by its name. */
 export interface BenchModule {
   readonly name: string;
   run(options: BenchOptions): Promise<BenchReport>;
--- a/packages/gypsumwall-bench/src/bench_modules.ts
+++ b/packages/gypsumwall-bench/src/bench_modules.ts
@@ -1,4 +1,4 @@
-/** Every bench, in the order they run. */
+/** All benchmarks, in the order in which they run. */
 import type * as benchModule from './bench_module.js';
 import * as controlBench from './control_bench.js';
 import * as decisionBench from './decision_bench.js';
--- a/packages/gypsumwall-bench/src/bin/bench.ts
+++ b/packages/gypsumwall-bench/src/bin/bench.ts
@@ -1,7 +1,7 @@
 /**
- * Runs the benches: `npm run bench -- [--quick] [--only=NAME] [--out=NAME]`.
- * Prints the tables and writes bench-results/NAME.json and NAME.html; without
- * --out the name is `full` or `quick`.
+ * Runs the benchmarks: `npm run bench -- [--quick] [--only=NAME] [--out=NAME]`.
+ * Prints the tables and writes bench-results/NAME.json and
+ * bench-results/NAME.html. NAME is `full` or `quick` unless --out is given.
  */
 import * as childProcess from 'node:child_process';
 import * as fs from 'node:fs';
@@ -38,7 +38,7 @@
     process.exitCode = 2;
     return;
   }
-  // Read first: the tree may change while a long run goes on.
+  // Read before the run, because the working tree may change during a long run.
   const commit = currentCommit();
   const sections = [];
   for (const each of selected) {
@@ -88,7 +88,7 @@
   console.log(`wrote ${json} and ${html}`);
 }
 
-/** The commit the figures belong to; `+` marks changes not yet committed. */
+/** Commit of the measured code; `+` marks uncommitted changes. */
 function currentCommit(): string {
   const git = (...args: string[]) =>
     childProcess.execFileSync('git', args, {encoding: 'utf8'}).trim();
--- a/packages/gypsumwall-bench/src/cell_measures.ts
+++ b/packages/gypsumwall-bench/src/cell_measures.ts
@@ -1,30 +1,38 @@
-/** What one run of a virtual cell measured. */
+/** Measurements of one run of a virtual cell. */
 import * as hdr from 'hdr-histogram-js';
 
 /** Counters and histograms of one run. */
 export interface CellMeasures {
-  /** Waits of tasks by class, in milliseconds. */
+  /** Waiting times of tasks by class of work, in milliseconds. */
   readonly waits: Map<string, hdr.Histogram>;
-  /** Nanoseconds of calls of `decide` that placed something. */
+  /** Duration of the calls of `decide` that placed a task, in nanoseconds. */
   readonly decideNs: hdr.Histogram;
   decideTotalNs: number;
   placements: number;
   deadlineJobs: number;
   deadlinesMissed: number;
-  /** Missed though a fluid schedule of the admitted work meets them. */
+  /** Missed deadlines that an offline schedule of the admitted jobs meets. */
   avoidableMisses: number;
   jobs: number;
   jobsDone: number;
   refused: Map<string, number>;
-  /** Core milliseconds after the warm-up. */
+  /** Processor time used after the warm-up, in core milliseconds. */
   usedCoreMs: number;
-  /** The most that any schedule could have used in that time. */
+  /**
+   * Upper bound of the processor time that any schedule could have used after
+   * the warm-up.
+   */
   boundCoreMs: number;
   reservedCoreMs: number;
   capacityCoreMs: number;
-  /** Worker milliseconds with more memory used than there is. */
+  /**
+   * Worker milliseconds in which tasks used more memory than the worker has.
+   */
   overMemoryWorkerMs: number;
-  /** Worker milliseconds in which tasks slowed each other. */
+  /**
+   * Worker milliseconds in which tasks needed more processors than the worker
+   * has.
+   */
   crowdedWorkerMs: number;
   workerMs: number;
   throttles: number;
@@ -36,7 +44,6 @@
 const MAX_WAIT_MS = 1e9;
 const MAX_DECIDE_NS = 1e10;
 
-/** Creates empty measures. */
 export function createCellMeasures(): CellMeasures {
   return {
     waits: new Map(),
@@ -63,7 +70,6 @@
   };
 }
 
-/** Records the wait of a task. */
 export function recordWait(
   measures: CellMeasures,
   className: string,
@@ -77,7 +83,7 @@
   histogram.recordValue(Math.max(1, Math.round(waitMs)));
 }
 
-/** A histogram with three significant digits. */
+/** Builds a histogram with three significant digits. */
 export function buildHistogram(maxValue: number): hdr.Histogram {
   return hdr.build({
     bitBucketSize: 32,
--- a/packages/gypsumwall-bench/src/decision_bench.ts
+++ b/packages/gypsumwall-bench/src/decision_bench.ts
@@ -1,4 +1,6 @@
-/** Processor time of one placement decision, by the number of workers. */
+/**
+ * Measures the processor time of a placement decision by the number of workers.
+ */
 import type * as hdr from 'hdr-histogram-js';
 import * as placement from '@gypsumwall/placement';
 import * as types from '@gypsumwall/types';
@@ -11,9 +13,11 @@
 const CAPACITY = {cpuMillis: 32_000, memoryMb: 131_072, accelerators: 0};
 const WORKERS_PER_RACK = 8;
 const TEAMS = 8;
-/** Jobs that wait throughout, so that a round always has a choice. */
+/**
+ * Number of waiting tasks that is maintained, so that each round has a choice.
+ */
 const BACKLOG_TASKS = 500;
-/** A decision that took longer was interrupted by something else. */
+/** Upper end of the histogram; a decision that takes longer was interrupted. */
 const MAX_DECIDE_NS = 1e9;
 const WARM_UP_ROUNDS = 5000;
 const MAX_BASELINE_WORKERS = 2000;
@@ -29,7 +33,6 @@
   readonly tasks: number;
 }
 
-/** The bench. */
 export const DECISION_BENCH: benchModule.BenchModule = {
   name: 'placement-decisions',
   run: (options) => Promise.resolve(runAll(options)),
@@ -43,7 +46,8 @@
     for (const workers of WORKER_COUNTS) {
       for (const policy of POLICIES) {
         if (!isMeasured(policy, workers)) continue;
-        // The baseline looks at every worker; fewer rounds will do for it.
+        // The baseline checks every worker on each decision, so it runs fewer
+        // rounds.
         const share = policy === 'policy' ? 1 : 0.05;
         runs.push(
           measureDecisions(workers, policy, seed, Math.ceil(rounds * share)),
@@ -54,7 +58,10 @@
   return buildReport(runs, seeds, rounds);
 }
 
-/** Filling 31,000 workers takes the baseline most of a minute. */
+/**
+ * The baseline is skipped for 31,000 workers, because filling them takes it
+ * most of a minute.
+ */
 function isMeasured(policy: Policy, workers: number): boolean {
   return policy === 'policy' || workers <= MAX_BASELINE_WORKERS;
 }
@@ -101,7 +108,7 @@
     return placements.length;
   }
 
-  /** Ends one task; the newest takes its place in the list. */
+  /** Ends a random task. The last task of the list takes its place. */
   function endRandomTask(): void {
     const index = random.integer(0, running.length - 1);
     const taskId = running[index]!;
@@ -117,7 +124,10 @@
     }
   }
 
-  /** One end, one arrival, decisions until nothing more is found. */
+  /**
+   * Ends a task, enqueues a job if too few tasks wait, and decides until
+   * nothing is placed.
+   */
   function runRound(isRecorded: boolean): number {
     endRandomTask();
     if (placer.waitingTasks() < BACKLOG_TASKS) enqueue();
@@ -155,7 +165,10 @@
   }
 }
 
-/** Mostly single tasks of about 4 cores; some gangs, services and deadlines. */
+/**
+ * Draws mostly small batch jobs with tasks of about 4 cores; some are gangs or
+ * services, some have deadlines.
+ */
 function drawSpec(random: types.random.Random, now: number): types.job.JobSpec {
   const cores = distributions.drawHeavyTailed(random, {
     median: 3,
--- a/packages/gypsumwall-bench/src/distributions.ts
+++ b/packages/gypsumwall-bench/src/distributions.ts
@@ -1,16 +1,15 @@
-/** Random amounts, drawn with the handed-in source. */
+/** Draws random amounts from the given random source. */
 import type * as types from '@gypsumwall/types';
 
-/** A log-normal amount within bounds. */
+/** A log-normal distribution, clamped to `low` and `high`. */
 export interface HeavyTailedDistribution {
   readonly median: number;
-  /** Standard deviation of the logarithm; 1.5 has a heavy tail. */
+  /** Standard deviation of the logarithm; 1.5 gives a heavy tail. */
   readonly sigma: number;
   readonly low: number;
   readonly high: number;
 }
 
-/** Draws a heavy-tailed amount. */
 export function drawHeavyTailed(
   random: types.random.Random,
   distribution: HeavyTailedDistribution,
@@ -20,7 +19,7 @@
   return Math.min(distribution.high, Math.max(distribution.low, drawn));
 }
 
-/** A log-normal amount with the given mean. */
+/** Draws from a log-normal distribution with the given mean. */
 export function drawLogNormal(
   random: types.random.Random,
   mean: number,
@@ -29,12 +28,12 @@
   return mean * Math.exp(sigma * drawNormal(random) - (sigma * sigma) / 2);
 }
 
-/** A factor around 1; a tenth either way is usual. */
+/** Draws a factor around 1, with a standard deviation of about a tenth. */
 export function drawJitter(random: types.random.Random): number {
   return Math.exp(0.1 * drawNormal(random));
 }
 
-/** Box-Muller. */
+/** Draws from the standard normal distribution (Box-Muller transform). */
 function drawNormal(random: types.random.Random): number {
   const radius = Math.sqrt(-2 * Math.log(1 - random.next()));
   return radius * Math.cos(2 * Math.PI * random.next());
--- a/packages/gypsumwall-bench/src/format_table.ts
+++ b/packages/gypsumwall-bench/src/format_table.ts
@@ -1,7 +1,7 @@
-/** Tables as text, for a terminal. */
+/** Formats tables as text for a terminal. */
 import type * as benchModule from './bench_module.js';
 
-/** Aligns a table's columns; numbers to the right. */
+/** Aligns the first column to the left and all others to the right. */
 export function formatTable(table: benchModule.BenchTable): string {
   const cells = [table.columns, ...table.rows].map((row) =>
     row.map((cell) => formatCell(cell)),
@@ -23,7 +23,10 @@
   return [table.title, lines[0], separator, ...lines.slice(1)].join('\n');
 }
 
-/** At most four significant digits; whole numbers stay whole. */
+/**
+ * Formats a number with at most four significant digits; integers keep all
+ * digits.
+ */
 export function formatCell(cell: string | number): string {
   if (typeof cell === 'string') return cell;
   if (Number.isInteger(cell)) return String(cell);
--- a/packages/gypsumwall-bench/src/gang_coordinator.ts
+++ b/packages/gypsumwall-bench/src/gang_coordinator.ts
@@ -1,7 +1,8 @@
 /**
- * Decides on wide gangs for all shards: places them by the room that shards
- * tell of, has the shards reserve it, and has them start the gang once each of
- * them has; if one refuses, the others give the room back.
+ * Schedules wide gangs across all shards. The coordinator places a gang on the
+ * free capacity that the shards report, asks each shard involved to reserve its
+ * part, and starts the gang once all of them have. If one shard refuses, the
+ * reservations of the others are released.
  */
 import type * as scheduling from '@gypsumwall/scheduling';
 import * as types from '@gypsumwall/types';
@@ -12,12 +13,12 @@
 
 type StartOrder = scheduling.schedulerTypes.StartOrder;
 
-/** What a coordinator works on. */
+/** Dependencies of a coordinator. */
 export interface GangCoordinatorParts {
   readonly timeline: virtualTimeline.VirtualTimeline;
   readonly shards: readonly virtualDecider.VirtualDecider[];
   readonly shardOf: (worker: types.ids.WorkerId) => number;
-  /** The decider of the coordinator. */
+  /** Returns the coordinator's own decider. */
   readonly decider: () => virtualDecider.VirtualDecider;
 }
 
@@ -25,17 +26,16 @@
 export interface GangCoordinator {
   reserveAndStart(starts: readonly StartOrder[]): void;
   releaseAttempt(attempt: scheduling.activeJob.Attempt): void;
-  /** Takes over what a shard tells of its workers. */
+  /** Applies the free capacity that a shard reported for its workers. */
   applyFreeCapacity(
     freeCapacities: readonly shardCapacities.FreeCapacity[],
   ): void;
   conflicts(): number;
 }
 
-/** Step under which the room of all others is booked at the coordinator. */
+/** Step id under which the coordinator's registry reserves what others use. */
 const OTHERS_STEP = 'others';
 
-/** Creates a coordinator. */
 export function createGangCoordinator(
   parts: GangCoordinatorParts,
 ): GangCoordinator {
@@ -78,7 +78,10 @@
     }
   }
 
-  /** Asks a shard for room, all or none; a refusal tells what room there is. */
+  /**
+   * Asks a shard to reserve all starts or none. A refusal contains the current
+   * free capacity of the workers.
+   */
   function requestReservation(
     shard: number,
     part: readonly StartOrder[],
@@ -159,14 +162,16 @@
     });
   }
 
-  /** Books on the own copy of a worker what others have on it. */
+  /** Reserves in the coordinator's registry what others use on a worker. */
   function applyOthersUsage(
     book: scheduling.workerRegistry.WorkerRegistry,
     {id, free}: shardCapacities.FreeCapacity,
   ): void {
     const previous = others.get(id) ?? types.resources.NO_RESOURCES;
     const own = book.workers.get(id)!;
-    // What is on its way to the shard isn't in the room that it told.
+    // The reported free capacity does not include reservations that are still
+    // on
+    // their way to the shard.
     const occupied = subtract(own.free, free);
     const current = {
       cpuMillis: Math.max(0, previous.cpuMillis + occupied.cpuMillis),
--- a/packages/gypsumwall-bench/src/job_rebalancing.ts
+++ b/packages/gypsumwall-bench/src/job_rebalancing.ts
@@ -1,6 +1,7 @@
 /**
- * Offers jobs that their shard can't place to the next shard with room. Only
- * a job of which nothing runs moves, and only so often.
+ * Moves jobs that their shard cannot place to the next shard with enough free
+ * capacity. A job moves only while none of its tasks run, and at most
+ * `MAX_MOVES` times.
  */
 import type * as scheduling from '@gypsumwall/scheduling';
 import type * as types from '@gypsumwall/types';
@@ -9,20 +10,23 @@
 import type * as virtualTimeline from './virtual_timeline.js';
 import * as workerCalls from './worker_calls.js';
 
-/** How often a shard looks for jobs to offer; milliseconds. */
+/** Interval at which a shard checks which of its jobs should move. */
 const CHECK_INTERVAL_MS = 50;
 const MAX_MOVES = 3;
-/** An append that hands the job over, and a call; milliseconds. */
+/** Duration of a move: the append that records it, and a call. */
 const MOVE_DURATION_MS = 16 + workerCalls.ROUND_TRIP_MS;
 
-/** What the moves work on. */
+/** Dependencies of the job moves. */
 export interface JobMovesParts {
   readonly timeline: virtualTimeline.VirtualTimeline;
   readonly shards: readonly virtualDecider.VirtualDecider[];
   readonly capacities: shardCapacities.ShardCapacities;
 }
 
-/** Starts the looks of all shards; gives the number of moves so far. */
+/**
+ * Starts the periodic checks; the returned function gives the number of moves
+ * so far.
+ */
 export function startJobMoves(parts: JobMovesParts): () => number {
   const {timeline, shards, capacities} = parts;
   const movesByJob = new Map<types.ids.JobId, number>();
@@ -45,7 +49,10 @@
     timeline.schedule(CHECK_INTERVAL_MS, () => checkShard(shardIndex));
   }
 
-  /** The next shard with room, if this one has none. */
+  /**
+   * Returns the next shard with enough free capacity, if this shard has too
+   * little.
+   */
   function findTarget(
     job: scheduling.activeJob.ActiveJob,
     shardIndex: number,
@@ -84,7 +91,7 @@
   return () => moveCount;
 }
 
-/** The step that a job of which nothing runs waits with. */
+/** Returns the first step with waiting tasks, if no task of the job runs. */
 function findWaitingStep(
   job: scheduling.activeJob.ActiveJob,
 ): scheduling.jobRequest.StepRequest | undefined {
--- a/packages/gypsumwall-bench/src/memory_bench.ts
+++ b/packages/gypsumwall-bench/src/memory_bench.ts
@@ -1,4 +1,6 @@
-/** Heap that the policy's state takes, as slopes over four sizes. */
+/**
+ * Measures the heap use of the placement state, as slopes over several sizes.
+ */
 import * as timers from 'node:timers/promises';
 import * as v8 from 'node:v8';
 import * as vm from 'node:vm';
@@ -44,7 +46,6 @@
   },
 ];
 
-/** The bench. */
 export const MEMORY_BENCH: benchModule.BenchModule = {
   name: 'placement-memory',
   run: () => runAll(),
@@ -52,7 +53,7 @@
 
 async function runAll(): Promise<benchModule.BenchReport> {
   const collectGarbage = exposeGarbageCollector();
-  // What the first build loads must not count as state.
+  // The first build loads code and data that must not count as state.
   for (const subject of SUBJECTS)
     await measureHeap(subject, 200, collectGarbage);
   const measured = [];
@@ -95,7 +96,7 @@
   };
 }
 
-/** Forced collection, without a flag on the command line. */
+/** Makes the garbage collector callable without a flag on the command line. */
 function exposeGarbageCollector(): () => void {
   v8.setFlagsFromString('--expose-gc');
   return vm.runInNewContext('gc') as () => void;
@@ -109,12 +110,14 @@
   const before = await readHeapBytes(collectGarbage);
   const placer = subject.build(count);
   const after = await readHeapBytes(collectGarbage);
-  // Keeps the state alive until it has been measured.
+  // Keeps the state reachable until it has been measured.
   placer.waitingTasks();
   return after - before;
 }
 
-/** Buffers are given back only some turns after their collection. */
+/**
+ * Buffers are freed only some turns of the event loop after their collection.
+ */
 async function readHeapBytes(collectGarbage: () => void): Promise<number> {
   for (let turn = 0; turn < 3; turn += 1) {
     collectGarbage();
@@ -136,7 +139,7 @@
   return placer;
 }
 
-/** One shared specification, jobs of 100 tasks, all placed. */
+/** Places jobs of 100 tasks that share one specification. */
 function createRunningTasks(count: number): placement.placer.Placer {
   const placer = createWorkers(count / 100);
   for (let n = 0; n < count / 100; n += 1) {
--- a/packages/gypsumwall-bench/src/offline_schedule.ts
+++ b/packages/gypsumwall-bench/src/offline_schedule.ts
@@ -1,9 +1,9 @@
 /**
- * The offline schedule that deadlines are judged by: it knows every true size
- * and run time beforehand, runs deadline work alone, may stop and move tasks at
- * no cost and sees all processors as one pool, earliest deadline first. No
- * policy can have it so well; a deadline that even this schedule misses is
- * nobody's fault.
+ * The offline schedule against which missed deadlines are judged: preemptive
+ * earliest deadline first. It knows all actual sizes and run times in advance,
+ * runs only jobs with deadlines, preempts and migrates tasks at no cost, and
+ * treats all processors as one pool. No real policy has these advantages, so a
+ * deadline that this schedule misses counts as unavoidable.
  */
 import type * as workload from './workload.js';
 
@@ -15,7 +15,7 @@
   isMissed: boolean;
 }
 
-/** Job ids whose deadlines the schedule misses. */
+/** Returns the ids of the jobs whose deadlines the schedule misses. */
 export function findMissedDeadlines(
   arrivals: readonly workload.Arrival[],
   capacityMillis: number,
--- a/packages/gypsumwall-bench/src/policy_bench.ts
+++ b/packages/gypsumwall-bench/src/policy_bench.ts
@@ -1,4 +1,4 @@
-/** The placement policy against the naive baseline, on the same seeds. */
+/** Compares the placement policy with the naive baseline on the same seeds. */
 import * as placement from '@gypsumwall/placement';
 import * as types from '@gypsumwall/types';
 import type * as benchModule from './bench_module.js';
@@ -10,7 +10,7 @@
 
 const MINUTE_MS = 60_000;
 const FAULTY_WORKER = 15;
-/** One in so many jobs can never run, in the scenario with faults. */
+/** In the scenario with faults, one job in this many always fails. */
 const BROKEN_ONE_IN = 100;
 
 interface Scenario {
@@ -47,7 +47,6 @@
 
 const POLICIES = ['policy', 'baseline'] as const;
 
-/** The bench. */
 export const POLICY_BENCH: benchModule.BenchModule = {
   name: 'placement-policy',
   run: (options) => Promise.resolve(runAll(options)),
--- a/packages/gypsumwall-bench/src/policy_tables.ts
+++ b/packages/gypsumwall-bench/src/policy_tables.ts
@@ -1,17 +1,16 @@
-/** Tables of the policy bench. */
+/** Tables and plots of the policy benchmark. */
 import type * as benchModule from './bench_module.js';
 import type * as cellMeasures from './cell_measures.js';
 import type * as profiles from './profiles.js';
 import * as statistics from './statistics.js';
 
-/** One run of one policy. */
+/** One run of one policy with one seed. */
 export interface PolicyRun {
   readonly policy: 'policy' | 'baseline';
   readonly seed: number;
   readonly measures: cellMeasures.CellMeasures;
 }
 
-/** All runs of a scenario. */
 export interface ScenarioResult {
   readonly name: string;
   readonly profile: profiles.Profile;
@@ -20,7 +19,6 @@
 
 const PERCENTILES = [50, 99, 99.9] as const;
 
-/** Makes the report out of all runs. */
 export function buildReport(
   results: readonly ScenarioResult[],
   run: {readonly seeds: readonly number[]; readonly horizonMs: number},
@@ -98,7 +96,7 @@
   return {title: 'Waiting until the start', columns, rows};
 }
 
-/** Both policies of a seed, side by side. */
+/** Returns the policy run and the baseline run of each seed. */
 function pairBySeed(result: ScenarioResult): Array<[PolicyRun, PolicyRun]> {
   const baselines = new Map(
     runsOf(result, 'baseline').map((run) => [run.seed, run]),
--- a/packages/gypsumwall-bench/src/profiles.ts
+++ b/packages/gypsumwall-bench/src/profiles.ts
@@ -1,20 +1,22 @@
-/** The two users' deployments and their work, as the brief tells of them. */
+/** Deployments of two users and the classes of work that run on them. */
 import type * as types from '@gypsumwall/types';
 import type * as distributions from './distributions.js';
 
-/** One class of work. */
+/** A class of work: who submits it and how its sizes are distributed. */
 export interface WorkClass {
   readonly name: string;
   readonly team: string;
   readonly kind: types.job.JobShape['kind'];
   readonly urgency: types.job.Urgency;
-  /** Share of the load; all shares of a profile add up to 1. */
+  /** Share of the load. The shares of a profile add up to 1. */
   readonly loadShare: number;
   readonly tasks: distributions.HeavyTailedDistribution;
   readonly cores: distributions.HeavyTailedDistribution;
   readonly memoryPerCoreMb: number;
   readonly runMs: distributions.HeavyTailedDistribution;
-  /** Deadline as a multiple of the run time; none when absent. */
+  /**
+   * Deadline as a multiple of the run time; absent if jobs have no deadline.
+   */
   readonly deadlineFactor?: distributions.HeavyTailedDistribution;
 }
 
@@ -45,7 +47,10 @@
   return {median, sigma, low, high};
 }
 
-/** Tesfaye: overnight work on the workers there are; packing counts most. */
+/**
+ * Tesfaye runs overnight work on a fixed set of workers, so packing matters
+ * most.
+ */
 export const ADDIS: Profile = {
   name: 'addis',
   workers: 30,
@@ -112,7 +117,10 @@
   ],
 };
 
-/** Skyroute: pilots wait at the counter; waiting time counts most. */
+/**
+ * At Skyroute, pilots wait at the counter for results, so waiting time matters
+ * most.
+ */
 export const THAILAND: Profile = {
   name: 'thailand',
   workers: 30,
--- a/packages/gypsumwall-bench/src/render_report.ts
+++ b/packages/gypsumwall-bench/src/render_report.ts
@@ -1,4 +1,7 @@
-/** The report as one HTML page with plots in SVG, without any library. */
+/**
+ * Renders the report as one HTML page with SVG plots, without a plotting
+ * library.
+ */
 import type * as benchModule from './bench_module.js';
 import * as formatTable from './format_table.js';
 
@@ -8,13 +11,12 @@
 const TICK_COUNT = 5;
 const SERIES_COLOURS = ['#1b6ca8', '#c8553d', '#3a7d44', '#7d3c98', '#8a6d3b'];
 
-/** A titled part of the page. */
+/** The results of one benchmark, as a section of the page. */
 export interface ReportSection {
   readonly name: string;
   readonly report: benchModule.BenchReport;
 }
 
-/** Renders all sections as one page. */
 export function renderReport(
   title: string,
   sections: readonly ReportSection[],
@@ -56,7 +58,7 @@
   return `<h3>${escapeText(table.title)}</h3><table><tr>${headerCells.join('')}</tr>${rows.join('')}</table>`;
 }
 
-/** Maps values of one axis to pixels. */
+/** Maps the values of one axis to pixels. */
 interface Axis {
   readonly toPixel: (value: number) => number;
   readonly ticks: readonly number[];
@@ -82,7 +84,7 @@
   return {toPixel: place, ticks};
 }
 
-/** Renders one plot as SVG. */
+/** Renders a plot as SVG; returns an empty string if it has no points. */
 export function renderPlot(plot: benchModule.BenchPlot): string {
   const points = plot.series.flatMap((each) => each.points);
   if (points.length === 0) return '';
--- a/packages/gypsumwall-bench/src/routing_slopes.ts
+++ b/packages/gypsumwall-bench/src/routing_slopes.ts
@@ -1,4 +1,6 @@
-/** What routing costs as the number of upstreams or of waiting requests grows. */
+/**
+ * What routing costs as the number of upstreams or of waiting requests grows.
+ */
 import * as v8 from 'node:v8';
 import * as vm from 'node:vm';
 import * as platform from '@gypsumwall/platform';
--- a/packages/gypsumwall-bench/src/shard_capacities.ts
+++ b/packages/gypsumwall-bench/src/shard_capacities.ts
@@ -1,27 +1,30 @@
-/** What deciders know of each other's free room, some time old. */
+/** Free capacity of all shards, as each shard last reported it. */
 import type * as scheduling from '@gypsumwall/scheduling';
 import * as types from '@gypsumwall/types';
 import type * as virtualDecider from './virtual_decider.js';
 import type * as virtualTimeline from './virtual_timeline.js';
 import * as workerCalls from './worker_calls.js';
 
-/** How often a shard tells of its room; milliseconds. */
+/** Interval at which a shard reports its free capacity. */
 export const REPORT_INTERVAL_MS = 100;
 /** Share of the workers that the strictest adviser approves. */
 const APPROVED_SHARE = 0.33;
 
-/** Free room of a worker, as told. */
+/** Free capacity of a worker, as last reported. */
 export interface FreeCapacity {
   readonly id: types.ids.WorkerId;
   readonly free: types.resources.Resources;
 }
 
-/** Room of all shards, as last told. */
+/** The last reported free capacity of each shard. */
 export interface ShardCapacities {
   freeCapacityOf(shard: number): readonly FreeCapacity[];
 }
 
-/** Has every shard tell of its room; `onTold` hears of each time. */
+/**
+ * Makes every shard report its free capacity; `onReport` is called after each
+ * report.
+ */
 export function createShardCapacities(
   timeline: virtualTimeline.VirtualTimeline,
   shards: readonly virtualDecider.VirtualDecider[],
@@ -48,7 +51,7 @@
   return {freeCapacityOf: (shard) => reported[shard]!};
 }
 
-/** The room of a decider's usable workers now. */
+/** Returns the current free capacity of a decider's usable workers. */
 export function readFreeCapacity({
   scheduler,
 }: virtualDecider.VirtualDecider): FreeCapacity[] {
@@ -59,7 +62,10 @@
   return freeCapacities;
 }
 
-/** How many tasks of a size the room is likely to take, advice included. */
+/**
+ * Estimates how many tasks of a step fit, given the share that the adviser
+ * approves.
+ */
 export function estimateSlots(
   freeCapacities: readonly FreeCapacity[],
   {size}: scheduling.jobRequest.StepRequest,
@@ -73,7 +79,7 @@
   return slots * APPROVED_SHARE;
 }
 
-/** Tasks that must find room at once for a step to begin. */
+/** Number of tasks that must be placed together for the step to start. */
 export function minSlotsToStart(
   request: scheduling.jobRequest.StepRequest,
 ): number {
--- a/packages/gypsumwall-bench/src/spread_bench.ts
+++ b/packages/gypsumwall-bench/src/spread_bench.ts
@@ -1,10 +1,15 @@
-/** Ways of spreading the scheduling over entries, by size of the cell. */
+/**
+ * Compares ways to distribute the scheduling over entries, by the size of the
+ * cell.
+ */
 import type * as benchModule from './bench_module.js';
 import * as spreadCell from './spread_cell.js';
 import * as statistics from './statistics.js';
 import * as stepLoad from './step_load.js';
 
-/** The load is made for this many workers and grows with them. */
+/**
+ * The load is defined for this many workers and is scaled to the actual number.
+ */
 const PEAK_WORKERS = 246;
 const SECONDS = 30;
 const QUICK_SECONDS = 10;
@@ -31,7 +36,7 @@
   },
 ];
 
-/** One bench for each size, so that they can run side by side. */
+/** One benchmark for each size, so that they can run in parallel. */
 export const SPREAD_BENCHES: readonly benchModule.BenchModule[] =
   WORKER_COUNTS.map((workers) => ({
     name: `spread-${workers}`,
@@ -69,7 +74,7 @@
   };
 }
 
-/** Measured times are those of compiled code. */
+/** Runs all variants once, so that compilation time is not measured. */
 function warmUp(): void {
   for (const variant of VARIANTS) {
     const workers = 250;
@@ -84,7 +89,7 @@
   }
 }
 
-/** Ways that differ at this size. */
+/** Returns the variants that differ from each other at this size. */
 function variantsFor(workers: number): spreadCell.SpreadVariant[] {
   const seen = new Set<string>();
   return VARIANTS.filter((variant) => {
--- a/packages/gypsumwall-bench/src/spread_cell.ts
+++ b/packages/gypsumwall-bench/src/spread_cell.ts
@@ -1,8 +1,9 @@
 /**
- * A cell on a time of its own whose scheduling is spread over processes: one
- * decider or shards of it, each with or without helpers that make its calls,
- * and with or without a coordinator for wide gangs. Load, workers and adviser
- * are those of the cell with one holder.
+ * Simulates, on a virtual clock, a cell whose scheduling is distributed over
+ * processes: either a single decider or one decider per shard, with or without
+ * helpers that make its calls, and with or without a coordinator for wide
+ * gangs. Load, workers and adviser are the same as in `step_cell.ts`, where one
+ * holder schedules the whole cell.
  */
 import * as scheduling from '@gypsumwall/scheduling';
 import * as types from '@gypsumwall/types';
@@ -24,55 +25,57 @@
 const WORKERS_PER_ENTRY = 8;
 const WORKERS_PER_HELPER = 64;
 const CAPACITY = {cpuMillis: 16_000, memoryMb: 32_768, accelerators: 0};
-/** A gang that needs more than this share of a shard's processors is wide. */
+/** A gang is wide if it needs more than this share of a shard's processors. */
 const MIN_WIDE_GANG_SHARE = 0.05;
-/** Share of the entries that a coordinator may call the adviser by. */
+/** Share of the entries through which the coordinator calls the adviser. */
 const COORDINATOR_ENTRY_SHARE = 0.4;
 const ATTEMPTS_PER_DECIDER = 1_000;
 
-/** A way of spreading. */
+/** A way to distribute the scheduling over processes. */
 export interface SpreadVariant {
   readonly name: string;
-  /** Workers of a shard at most; absent: one decider for all of them. */
+  /**
+   * Maximum number of workers of a shard; if absent, one decider has all
+   * workers.
+   */
   readonly shardSize?: number;
-  /** Whether helpers make the calls to workers. */
+  /** Whether helpers make the calls to the workers. */
   readonly hasHelpers: boolean;
-  /** Whether one coordinator decides on wide gangs. */
+  /** Whether a coordinator schedules the wide gangs. */
   readonly hasCoordinator: boolean;
 }
 
-/** What a run came to. */
+/** Results of a run. */
 export interface SpreadResult extends spreadMeasures.SpreadCounts {
   readonly seconds: number;
   readonly shards: number;
-  /** Processor time that deciding took, all deciders together. */
+  /** Processor time of the scheduling decisions of all deciders. */
   readonly decidingMs: number;
-  /** Share of a core that each decider took, calls included. */
+  /** Mean cores used by each decider, including its calls. */
   readonly deciderCores: readonly number[];
-  /** The same for each helper. */
+  /** Mean cores used by each helper. */
   readonly helperCores: readonly number[];
   readonly adviserCalls: number;
   readonly moves: number;
   readonly conflicts: number;
 }
 
-/** What a run is made of. */
+/** Parameters of a run. */
 export interface SpreadOptions {
   readonly variant: SpreadVariant;
   readonly workers: number;
   readonly seconds: number;
   readonly seed: number;
-  /** Factor on the rates of the load. */
+  /** Factor by which the arrival rates are scaled. */
   readonly load: number;
 }
 
-/** How many shards a way makes of so many workers. */
+/** Number of shards that a variant makes of the given number of workers. */
 export function countShards(variant: SpreadVariant, workers: number): number {
   if (variant.shardSize === undefined) return 1;
   return DOMAINS * Math.ceil(workers / DOMAINS / variant.shardSize);
 }
 
-/** Runs a cell. */
 export function runSpreadCell(options: SpreadOptions): SpreadResult {
   const {variant, workers, seconds} = options;
   const timeline = virtualTimeline.createVirtualTimeline(START_AT_MS);
@@ -146,7 +149,10 @@
     return decider;
   }
 
-  /** Its orders and reports go through the shards of the workers. */
+  /**
+   * Creates the coordinator's decider; its orders and reports go through the
+   * shards.
+   */
   function createWideDecider(): virtualDecider.VirtualDecider {
     const process = createProcess();
     const relayed = shardCalls.map((calls) =>
@@ -272,7 +278,7 @@
   }));
 }
 
-/** FNV-1a. */
+/** FNV-1a hash. */
 function hashOf(text: string): number {
   let value = 0x811c9dc5;
   for (const char of text) {
--- a/packages/gypsumwall-bench/src/spread_load.ts
+++ b/packages/gypsumwall-bench/src/spread_load.ts
@@ -1,14 +1,16 @@
-/** Jobs as they come to a cell: the same ones however it is scheduled. */
+/**
+ * Generates the jobs of a cell; they are the same for every scheduling variant.
+ */
 import type * as scheduling from '@gypsumwall/scheduling';
 import * as types from '@gypsumwall/types';
 import * as stepLoad from './step_load.js';
 import type * as virtualTimeline from './virtual_timeline.js';
 
-/** What a load is made of. */
+/** Parameters of the load. */
 export interface SpreadLoadParts {
   readonly timeline: virtualTimeline.VirtualTimeline;
   readonly random: types.random.Random;
-  /** Factor on the rates. */
+  /** Factor by which the arrival rates are scaled. */
   readonly load: number;
   readonly accept: (
     id: types.ids.JobId,
@@ -17,7 +19,7 @@
   ) => void;
 }
 
-/** Lets jobs come from now on. */
+/** Starts the arrivals of all kinds of jobs. */
 export function startArrivals(parts: SpreadLoadParts): void {
   const {timeline, random} = parts;
   let jobs = 0;
--- a/packages/gypsumwall-bench/src/spread_measures.ts
+++ b/packages/gypsumwall-bench/src/spread_measures.ts
@@ -1,4 +1,4 @@
-/** What a run of a cell with several deciders came to. */
+/** Measurements of a run of a cell with several deciders. */
 import type * as scheduling from '@gypsumwall/scheduling';
 import * as types from '@gypsumwall/types';
 import type * as stepLoad from './step_load.js';
@@ -6,33 +6,43 @@
 import type * as virtualTimeline from './virtual_timeline.js';
 
 /**
- * How often the free room is looked at, after the cell has filled. Only tasks
- * count that waited at the look before as well; milliseconds.
+ * Interval at which the free capacity is sampled once the cell has filled. Only
+ * steps that were already waiting at the previous sample count.
  */
 const SAMPLE_INTERVAL_MS = 500;
 const FIRST_SAMPLE_AFTER_MS = 6_000;
-/** Gangs accepted later than so long before the end aren't counted. */
+/** Gangs accepted within this time before the end are not counted. */
 const GANG_MARGIN_MS = 5_000;
 
-/** Counts by the end of a run. */
+/** Totals at the end of a run. */
 export interface SpreadCounts {
   readonly jobs: number;
   readonly starts: number;
-  /** Share of the jobs that ended within their objective, by kind. */
+  /** Share of the jobs that met their objective, by kind. */
   readonly onTime: ReadonlyMap<string, number>;
-  /** Share of the jobs with gangs whose first gang began, all members at once. */
+  /**
+   * Share of the jobs with gangs of which a gang was started with all members
+   * at once.
+   */
   readonly gangsStartedWhole: number;
-  /** Gangs of which only some members were started at once. */
+  /** Number of gangs that were started with only some of their members. */
   readonly gangsPartial: number;
-  /** Share of the capacity that is free where no waiting task fits. */
+  /**
+   * Share of the capacity that is free on workers where no waiting task fits.
+   */
   readonly unfitShare: number;
-  /** Share of the capacity that is free though a waiting task would fit. */
+  /**
+   * Share of the capacity that is free on workers where a waiting task would
+   * fit.
+   */
   readonly unusedShare: number;
-  /** Looks at a worker with more booked than it has. */
+  /**
+   * Number of samples of a worker on which more is reserved than its capacity.
+   */
   readonly overbooked: number;
 }
 
-/** Takes the measures of one run. */
+/** Records the measurements of one run. */
 export interface SpreadMeasures {
   recordAccepted(
     id: types.ids.JobId,
@@ -51,7 +61,10 @@
   readonly objectiveMs: number;
 }
 
-/** Creates measures; the deciders of workers and of jobs are looked at. */
+/**
+ * Creates empty measurements and starts the sampling of workers and waiting
+ * steps.
+ */
 export function createSpreadMeasures(parts: {
   readonly timeline: virtualTimeline.VirtualTimeline;
   readonly endMs: number;
@@ -130,7 +143,7 @@
       );
     },
     counts() {
-      // A job that is late by the end of the run never was on time.
+      // A job that is already late at the end of the run missed its objective.
       for (const pendingJob of pendingJobs.values()) {
         if (timeline.now() - pendingJob.at > pendingJob.objectiveMs)
           count(pendingJob, false);
@@ -163,7 +176,10 @@
     .filter(({waiting}) => waiting.length > 0);
 }
 
-/** Sizes of tasks, without those that a smaller one stands for. */
+/**
+ * Returns the task sizes of the steps, without those that are at least as large
+ * as another one.
+ */
 function findSmallestSizes(
   steps: readonly scheduling.activeJob.StepRun[],
 ): types.resources.Resources[] {
--- a/packages/gypsumwall-bench/src/statistics.ts
+++ b/packages/gypsumwall-bench/src/statistics.ts
@@ -1,6 +1,6 @@
-/** Medians and spreads over seeds. */
+/** Summary statistics over seeds, and formatting of numbers. */
 
-/** The middle value; the mean of the two middle ones. */
+/** The median; for an even count, the mean of the two middle values. */
 export function median(values: readonly number[]): number {
   const sorted = [...values].sort((left, right) => left - right);
   const middleIndex = sorted.length >> 1;
@@ -8,20 +8,23 @@
   return ((sorted[middleIndex - 1] ?? NaN) + (sorted[middleIndex] ?? NaN)) / 2;
 }
 
-/** Median with lowest and highest, as `median [low..high]`. */
+/** Formats the median and the range as `median [low..high]`. */
 export function formatMedianAndRange(values: readonly number[]): string {
   const low = Math.min(...values);
   const high = Math.max(...values);
   return `${formatNumber(median(values))} [${formatNumber(low)}..${formatNumber(high)}]`;
 }
 
-/** Three significant digits. */
+/** Formats a number with three significant digits. */
 export function formatNumber(value: number): string {
   if (!Number.isFinite(value)) return String(value);
   return String(Number(value.toPrecision(3)));
 }
 
-/** Slope and exponent of a line through points, by least squares. */
+/**
+ * Slope of the least-squares line through the points; an exponent if both axes
+ * are logarithms.
+ */
 export function fitSlope(
   points: ReadonlyArray<{readonly x: number; readonly y: number}>,
 ): number {
--- a/packages/gypsumwall-bench/src/step_bench.ts
+++ b/packages/gypsumwall-bench/src/step_bench.ts
@@ -1,16 +1,20 @@
-/** Processor time of the scheduler of step jobs, by workers and load. */
+/**
+ * Measures the processor time of the scheduler of step jobs by the number of
+ * workers.
+ */
 import type * as benchModule from './bench_module.js';
 import * as statistics from './statistics.js';
 import * as stepCell from './step_cell.js';
 import * as stepLoad from './step_load.js';
 
-/** The load is made for this many workers and grows with them. */
+/**
+ * The load is defined for this many workers and is scaled to the actual number.
+ */
 const PEAK_WORKERS = 246;
 const RUN_SECONDS = 30;
-/** As in the cells that the load was taken from. */
+/** Same ratio as in the cells from which the load was taken. */
 const WORKERS_PER_ENTRY = 8;
 
-/** The bench. */
 export const STEP_BENCH: benchModule.BenchModule = {
   name: 'step-jobs',
   run: (options) => Promise.resolve(runAll(options)),
--- a/packages/gypsumwall-bench/src/step_cell.ts
+++ b/packages/gypsumwall-bench/src/step_cell.ts
@@ -1,38 +1,39 @@
 /**
- * A cell on a time of its own: the scheduler of step jobs as its holder drives
- * it, with workers, adviser and store that answer after their usual times.
- * What the scheduler itself takes is measured on the processor's clock.
+ * Simulates a cell on a virtual clock. It drives the real scheduler of step jobs
+ * as a holder does; simulated workers, adviser and store answer after their
+ * usual latencies. The processor time of the scheduler is measured in real time.
  */
 import * as scheduling from '@gypsumwall/scheduling';
 import * as types from '@gypsumwall/types';
 import * as cellMeasures from './cell_measures.js';
 import * as stepLoad from './step_load.js';
 
-/** Round trip of an append, and of an order; milliseconds. */
+/** Round trip of an append to the store. */
 const APPEND_MS = 16;
+/** Round trip of an order to a worker. */
 const ORDER_ROUND_TRIP_MS = 3;
-/** What a worker takes to stop a task; milliseconds. */
+/** Time that a worker takes to stop a task. */
 const STOP_TASK_MS = 150;
-/** Pause before a pass, as the holder makes it; milliseconds. */
+/** Delay before a scheduling cycle, as the holder waits. */
 const CYCLE_INTERVAL_MS = 3;
 const WORKERS_PER_RACK = 20;
 const CAPACITY = {cpuMillis: 16_000, memoryMb: 32_768, accelerators: 0};
 const MAX_WAIT_MS = 1e6;
-/** Virtual time at which a run starts; milliseconds. */
+/** Virtual time at which a run starts. */
 const START_MS = 1_000;
 
-/** What a run of a cell came to. */
+/** Results of a run. */
 export interface StepCellResult {
   readonly starts: number;
   readonly seconds: number;
-  /** Processor time in the scheduler, in milliseconds. */
+  /** Processor time of the scheduler. */
   readonly schedulerMs: number;
   readonly cycles: number;
-  /** Longest pass, in milliseconds of the processor. */
+  /** Processor time of the longest scheduling cycle. */
   readonly maxCycleMs: number;
-  /** Milliseconds from acceptance to the end of a job, by kind. */
+  /** Time from the acceptance to the end of a job, by kind. */
   readonly tookMs: ReadonlyMap<string, ReturnType<typeof createHistogram>>;
-  /** Share of the jobs that ended within their objective, by kind. */
+  /** Share of the jobs that met their objective, by kind. */
   readonly onTime: ReadonlyMap<string, number>;
 }
 
@@ -42,26 +43,28 @@
   readonly objectiveMs: number;
 }
 
-/** Jobs that were accepted while nobody held the cell. */
+/** Jobs that were accepted while the cell had no holder. */
 export interface Backlog {
-  /** When the holder takes over, in milliseconds from the start. */
+  /** Time from the start of the run until a holder takes over the cell. */
   readonly atMs: number;
-  /** For how long jobs had come by then, in milliseconds. */
+  /** Time for which jobs had accumulated by then. */
   readonly spanMs: number;
-  /** Figures count only jobs accepted from here on, in milliseconds. */
+  /**
+   * Jobs accepted earlier than this, counted from the start, are not measured.
+   */
   readonly countFromMs: number;
 }
 
-/** Runs a cell of so many workers for so many seconds. */
+/** Simulates a cell with the given number of workers for the given time. */
 export function runStepCell(options: {
   readonly workers: number;
-  /** Entries that may ask the adviser. */
+  /** Number of entries that may call the adviser. */
   readonly entries: number;
   readonly seconds: number;
   readonly seed: number;
-  /** Factor on the rates of the load. */
+  /** Factor by which the arrival rates are scaled. */
   readonly load: number;
-  /** Work that waits when a holder takes over, if any. */
+  /** Jobs that wait when a holder takes over, if any. */
   readonly backlog?: Backlog;
 }): StepCellResult {
   const random = types.random.createRandom(options.seed);
@@ -112,7 +115,10 @@
     onTime.set(kind.name, counts);
   }
 
-  /** A job that is late by the end of the run never was on time. */
+  /**
+   * Counts a job that is already late at the end of the run as a missed
+   * objective.
+   */
   function recordUnfinished(pendingJob: PendingJob): void {
     if (pendingJob.at - START_MS < (options.backlog?.countFromMs ?? 0)) return;
     if (now - pendingJob.at > pendingJob.objectiveMs) count(pendingJob, false);
@@ -129,7 +135,8 @@
     const at = now + delayMs;
     let low = 0;
     let high = events.length;
-    // Latest first, so that the next one is taken off the end.
+    // Events are ordered latest first, so that the next one is popped off the
+    // end.
     while (low < high) {
       const middle = (low + high) >> 1;
       if (events[middle]!.at > at) low = middle + 1;
@@ -274,7 +281,7 @@
     requestCycle();
   }
 
-  /** All jobs of a span without a holder, at once. */
+  /** Accepts at once all jobs that arrived while there was no holder. */
   function acceptBacklog({spanMs}: Backlog): void {
     for (const kind of stepLoad.PEAK_KINDS) {
       const count = Math.round((kind.rate * options.load * spanMs) / 1_000);
--- a/packages/gypsumwall-bench/src/step_load.ts
+++ b/packages/gypsumwall-bench/src/step_load.ts
@@ -1,18 +1,18 @@
 /**
- * The load of a cell whose workers are shared by three kinds of jobs: few wide
- * ones with large tasks, some wide ones with small tasks, and many urgent ones
- * of two or three tasks. The figures are those of a planning service at its
- * peak, as its operators gave them: rates, widths, sizes and the time their
- * adviser takes; a rack and a worker are as theirs.
+ * The load of a cell in which three kinds of jobs share the workers: few wide
+ * jobs with large tasks, more wide jobs with small tasks, and many urgent jobs
+ * of two or three tasks. The arrival rates, widths, sizes and adviser latencies
+ * are those of a planning service at its peak, as reported by its operators.
+ * Racks and workers have the same sizes as theirs.
  */
 import type * as scheduling from '@gypsumwall/scheduling';
 import type * as types from '@gypsumwall/types';
 import * as distributions from './distributions.js';
 
-/** One kind of jobs. */
+/** A kind of jobs. */
 export interface JobKind {
   readonly name: string;
-  /** Jobs a second. */
+  /** Arrivals per second. */
   readonly rate: number;
   readonly policy: scheduling.jobRequest.QueuePolicy;
   readonly meanSteps: number;
@@ -21,22 +21,22 @@
   readonly maxTasks: number;
   readonly cpuMillis: number;
   readonly memoryMb: number;
-  /** Mean time of a task on a worker of usual speed, in milliseconds. */
+  /** Mean run time of a task on a worker of usual speed. */
   readonly workMs: number;
-  /** Share of the steps whose tasks run all together. */
+  /** Share of the steps that are gangs. */
   readonly gangShare: number;
   /** Share of the workers that the adviser approves. */
   readonly approvedShare: number;
-  /** Share of the runs that fail at some point, through nobody's fault. */
+  /** Share of the attempts that fail at random. */
   readonly failingShare: number;
 }
 
-/** The pool that all of them run in. */
+/** The pool in which all kinds of jobs run. */
 export const POOL = 'pool';
 
 const COMMON = {pool: POOL, maxFailures: 4} as const;
 
-/** A few seconds in which a kind comes more often. */
+/** A period in which jobs of a kind arrive more often. */
 export interface Burst {
   readonly kind: string;
   readonly factor: number;
@@ -44,13 +44,13 @@
   readonly toMs: number;
 }
 
-/** Bursts as the operators see them. */
+/** Bursts as observed by the operators. */
 export const BURSTS: readonly Burst[] = [
   {kind: 'urgent', factor: 2.1, fromMs: 7_000, toMs: 11_000},
   {kind: 'wide-large', factor: 1.6, fromMs: 20_000, toMs: 24_000},
 ];
 
-/** The kinds at the peak of a cell of 246 workers. */
+/** The kinds of jobs at the peak of a cell of 246 workers. */
 export const PEAK_KINDS: readonly JobKind[] = [
   {
     name: 'wide-large',
@@ -120,7 +120,7 @@
   },
 ];
 
-/** Draws a job of a kind. */
+/** Draws a request for a job of the given kind. */
 export function drawRequest(
   kind: JobKind,
   random: types.random.Random,
--- a/packages/gypsumwall-bench/src/virtual_cell.ts
+++ b/packages/gypsumwall-bench/src/virtual_cell.ts
@@ -1,7 +1,7 @@
 /**
- * Drives a real placer on a virtual clock: arrivals, ends and usage reports
- * come out of one event queue. It is no cluster simulator: workers are fakes
- * that share processors, and nothing is sent anywhere.
+ * Drives a real placer on a virtual clock: arrivals, task ends and usage reports
+ * come from one event queue. This is not a full cluster simulator: workers only
+ * share their processors among tasks, and there are no network calls.
  */
 import * as placement from '@gypsumwall/placement';
 import * as types from '@gypsumwall/types';
@@ -10,17 +10,17 @@
 import * as virtualWorker from './virtual_worker.js';
 import type * as workload from './workload.js';
 
-/** One run. */
+/** Parameters of one run. */
 export interface CellOptions {
   readonly profile: profiles.Profile;
   readonly placer: placement.placer.Placer;
   readonly arrivals: readonly workload.Arrival[];
   readonly horizonMs: number;
-  /** Figures count from here on; before, the policy learns. */
+  /** Start of the measurement; until then the policy learns. */
   readonly warmUpMs: number;
-  /** The worker that fails every task, if any. */
+  /** Index of the worker on which every task fails, if any. */
   readonly badWorker?: number;
-  /** Whether a job can never run. */
+  /** Whether every attempt of a job fails. */
   readonly isBroken?: (arrival: workload.Arrival) => boolean;
 }
 
@@ -38,7 +38,7 @@
 interface CellJob {
   readonly arrival: workload.Arrival;
   tasksLeft: number;
-  /** Run time left of tasks that were checkpointed. */
+  /** Remaining run time of checkpointed tasks, by task index. */
   readonly remainingMsByTask: Map<number, number>;
   readonly startedTasks: Set<number>;
   doneAt: number | undefined;
@@ -48,15 +48,21 @@
 const TICK_INTERVAL_MS = 250;
 const HEARTBEAT_INTERVAL_MS = 5000;
 const MAX_PLACEMENTS_PER_DECISION = 64;
-/** How long a failing task takes to fail. */
+/** Run time of a task that fails. */
 const FAILING_TASK_MS = 50;
-/** Work that a checkpoint costs: saving, stopping and loading again. */
+/**
+ * Extra run time of a checkpointed task: saving, stopping and loading its
+ * state.
+ */
 const CHECKPOINT_COST_MS = 1000;
 
-/** Jobs as they ended, for the offline schedule. */
+/** Results of a run. */
 export interface CellOutcome {
   readonly measures: cellMeasures.CellMeasures;
-  /** Admitted jobs with deadlines, and when they were done. */
+  /**
+   * Admitted jobs with deadlines and the time each finished, for the offline
+   * schedule.
+   */
   readonly deadlineJobs: ReadonlyArray<{
     readonly arrival: workload.Arrival;
     readonly doneAt: number | undefined;
@@ -84,7 +90,7 @@
   let crowdedWorkers = 0;
   let usedInWarmUpCoreMs = 0;
 
-  /** Adds up what was in use since the last change. */
+  /** Adds the resource use since the last change to the totals. */
   function accumulate(): void {
     const measuredFrom = Math.max(measuredAt, Math.min(now, warmUpMs));
     usedInWarmUpCoreMs += (usedMillis / 1000) * (measuredFrom - measuredAt);
@@ -100,7 +106,7 @@
     measures.workerMs += profile.workers * elapsedMs;
   }
 
-  /** Changes a worker and keeps the sums right. */
+  /** Changes a worker, updates the totals and schedules its next task end. */
   function updateWorker(number: number, action: () => void): void {
     const worker = workers[number]!;
     const isOver = () =>
@@ -148,7 +154,7 @@
     const actual = job.arrival.tasks[index]!;
     const fails =
       number === options.badWorker || options.isBroken?.(job.arrival) === true;
-    // A start that fails at once ends nobody's waiting.
+    // A start that fails immediately does not end the waiting time of the task.
     if (!fails && !job.startedTasks.has(index)) {
       job.startedTasks.add(index);
       recordWait(job, now - job.arrival.at);
@@ -217,7 +223,8 @@
   function markAbandonedJobs(): void {
     for (const {jobId} of placer.takeAbandonedJobs()) {
       const job = jobs.get(jobId)!;
-      // Its other tasks may still run, fail and have it given up again.
+      // Other tasks of the job may still run and fail, which reports the job as
+      // abandoned again.
       if (!job.isAbandoned) measures.jobsAbandoned += 1;
       job.isAbandoned = true;
     }
@@ -330,7 +337,7 @@
       numberOf.set(id, n);
       const {capacity} = profile;
       placer.setWorker({id, rack: types.ids.brand(`rack-${rack}`), capacity});
-      // Workers report in turn and not all at once.
+      // Heartbeats are spread evenly over the interval.
       const at = (n / profile.workers) * HEARTBEAT_INTERVAL_MS;
       events.push({type: 'heartbeat', at, worker: n});
     }
@@ -358,7 +365,7 @@
   const deadlineJobs = [];
   for (const job of jobs.values()) {
     if (options.isBroken?.(job.arrival) === true) continue;
-    // A task that never started has waited at least until now.
+    // A task that never started has waited until the end of the run.
     for (let index = 0; index < job.arrival.tasks.length; index += 1) {
       if (!job.startedTasks.has(index)) recordWait(job, now - job.arrival.at);
     }
@@ -372,7 +379,10 @@
   return {measures, deadlineJobs};
 }
 
-/** Core milliseconds that tasks could use until the horizon at the most. */
+/**
+ * Upper bound of the core milliseconds that the tasks could use until the
+ * horizon.
+ */
 function offeredWork(
   arrivals: readonly workload.Arrival[],
   horizonMs: number,
--- a/packages/gypsumwall-bench/src/virtual_decider.ts
+++ b/packages/gypsumwall-bench/src/virtual_decider.ts
@@ -1,4 +1,4 @@
-/** One decider of a virtual cell: a scheduler and the process that runs it. */
+/** A decider of a virtual cell: a scheduler and the process that runs it. */
 import * as scheduling from '@gypsumwall/scheduling';
 import type * as types from '@gypsumwall/types';
 import * as adviserCalls from './adviser_calls.js';
@@ -7,35 +7,42 @@
 import type * as virtualTimeline from './virtual_timeline.js';
 import * as workerCalls from './worker_calls.js';
 
-/** Time of an append; milliseconds. */
+/** Duration of an append to the store. */
 const APPEND_MS = 16;
-/** What a worker takes to stop a task; milliseconds. */
+/** Time that a worker takes to stop a task. */
 const STOP_TASK_MS = 150;
-/** Pauses before a cycle, as the holder makes them. */
+/**
+ * Delay before a scheduling cycle, as the holder waits: at least
+ * `MIN_CYCLE_DELAY_MS`, and `CYCLE_DELAY_FACTOR` times the duration of the
+ * previous cycle.
+ */
 const MIN_CYCLE_DELAY_MS = 3;
 const CYCLE_DELAY_FACTOR = 4;
 
-/** A job as a decider takes it up. */
+/** A job as it is passed to a decider. */
 export type JobStart = Omit<
   scheduling.jobSteps.JobStart,
   'arrival' | 'inherited'
 >;
 
-/** What a decider is made of. */
+/** Dependencies of a decider. */
 export interface DeciderParts {
   readonly timeline: virtualTimeline.VirtualTimeline;
   readonly process: virtualProcess.VirtualProcess;
-  /** Entries whose calls to the adviser it may use. */
+  /** Entries through which the decider may call the adviser. */
   readonly entries: readonly string[];
   readonly attemptBase: number;
   readonly drawOutcome: attemptOutcomes.DrawOutcome;
   readonly adviser: adviserCalls.Adviser;
   readonly callsFor: (worker: types.ids.WorkerId) => workerCalls.WorkerCalls;
-  /** Has starts sent; absent: they are sent as they are decided. */
+  /**
+   * Takes the decided starts, to send them later; if absent, they are sent at
+   * once.
+   */
   readonly dispatchStarts?: (
     starts: readonly scheduling.schedulerTypes.StartOrder[],
   ) => void;
-  /** Starts are sent. */
+  /** Called when starts are sent. */
   readonly onStarts: (
     starts: readonly scheduling.schedulerTypes.StartOrder[],
   ) => void;
@@ -43,24 +50,27 @@
   readonly onJobOver: (job: types.ids.JobId) => void;
 }
 
-/** One decider. */
+/** A decider of a virtual cell. */
 export interface VirtualDecider {
   readonly scheduler: scheduling.schedulerTypes.Scheduler;
   readonly process: virtualProcess.VirtualProcess;
-  /** Jobs that the adviser was asked about. */
+  /** Unfinished jobs for which the adviser was called. */
   readonly jobs: ReadonlyMap<types.ids.JobId, scheduling.activeJob.ActiveJob>;
   accept(start: JobStart): void;
-  /** Gives a job away; nothing of it may run. */
+  /**
+   * Removes a job so that another decider can accept it; none of its tasks may
+   * run.
+   */
   transferOut(job: scheduling.activeJob.ActiveJob): JobStart;
-  /** Sends starts to workers. */
+  /** Sends the starts to the workers. */
   sendStarts(starts: readonly scheduling.schedulerTypes.StartOrder[]): void;
-  /** Starts that surely never run. */
+  /** Reports that these starts were never sent and will not run. */
   refuseStarts(starts: readonly scheduling.schedulerTypes.StartOrder[]): void;
   requestCycle(): void;
   adviserCallCount(): number;
 }
 
-/** Creates a decider without jobs or workers. */
+/** Creates a decider without jobs and workers. */
 export function createVirtualDecider(parts: DeciderParts): VirtualDecider {
   const {timeline, process} = parts;
   const dispatchStarts = parts.dispatchStarts ?? sendStarts;
--- a/packages/gypsumwall-bench/src/virtual_process.ts
+++ b/packages/gypsumwall-bench/src/virtual_process.ts
@@ -1,18 +1,22 @@
 /**
- * A process with one thread on a virtual timeline. Calls take a set time of
- * it, decisions what they took on the real processor; the rest waits in line.
+ * A single-threaded process on a virtual timeline. Calls occupy its thread for a
+ * fixed cost, and decisions for the time that they took on the real processor.
+ * Work that arrives meanwhile waits in a queue.
  */
 import type * as virtualTimeline from './virtual_timeline.js';
 
-/** One process. */
+/** A single-threaded process. */
 export interface VirtualProcess {
-  /** Does some work after a set time of the thread, in its turn. */
+  /** Queues work that occupies the thread for `costMs` before it runs. */
   enqueue(costMs: number, work: () => void): void;
-  /** Work whose real time the thread is busy for; that time. */
+  /**
+   * Runs work, occupies the thread for the real time it took, and returns that
+   * time.
+   */
   measure(work: () => void): number;
-  /** Milliseconds that the thread was busy for. */
+  /** Time for which the thread was busy. */
   busyMs(): number;
-  /** Of these, those that were measured. */
+  /** The part of `busyMs` that `measure` measured. */
   measuredMs(): number;
 }
 
--- a/packages/gypsumwall-bench/src/virtual_timeline.ts
+++ b/packages/gypsumwall-bench/src/virtual_timeline.ts
@@ -1,17 +1,17 @@
-/** A time of its own: events in order, each at its virtual moment. */
+/** A virtual clock with an event queue, for discrete-event simulation. */
 import type * as types from '@gypsumwall/types';
 
-/** What happens, and when. */
+/** A virtual clock and its scheduled events. */
 export interface VirtualTimeline {
   now(): types.clock.MonotonicMs;
   schedule(delayMs: number, callback: () => void): void;
-  /** Lets everything happen up to a moment. */
+  /** Runs all events that are due at or before `endMs`. */
   runUntil(endMs: number): void;
 }
 
-/** Creates a timeline on which nothing is planned. */
+/** Creates a timeline without scheduled events. */
 export function createVirtualTimeline(startMs: number): VirtualTimeline {
-  /** Latest first, so that the next one is taken off the end. */
+  /** Ordered latest first, so that the next event is popped off the end. */
   const events: {at: number; work: () => void}[] = [];
   let now = startMs;
 
--- a/packages/gypsumwall-bench/src/virtual_worker.ts
+++ b/packages/gypsumwall-bench/src/virtual_worker.ts
@@ -1,7 +1,8 @@
 /**
- * A fake of a worker's processors: tasks that together want more than there
- * is get equal shares of it and take longer. Nothing else of a worker is
- * here; the bench drives the placement code alone.
+ * Simulates the processors of a worker. If the running tasks need more
+ * processors than the worker has, all of them are slowed by the same factor.
+ * Nothing else of a worker is simulated, because the benchmark exercises only
+ * the placement code.
  */
 import type * as types from '@gypsumwall/types';
 import type * as workload from './workload.js';
@@ -12,35 +13,46 @@
   readonly actual: workload.ActualTask;
   readonly size: types.resources.Resources;
   readonly startedAt: number;
-  /** Run time left at full speed. */
+  /** Remaining run time at full speed. */
   remainingMs: number;
-  /** A throttle in force; 0 for none. */
+  /**
+   * Processor limit of the current throttle; 0 if the task is not throttled.
+   */
   throttleMillis: number;
 }
 
-/** The fake worker. */
+/** A simulated worker. */
 export interface VirtualWorker {
   readonly tasks: ReadonlyMap<types.ids.TaskId, VirtualTask>;
-  /** Counts up with each change; an end computed before is void. */
+  /**
+   * Increases with each change; an end time computed for an older version is
+   * invalid.
+   */
   version(): number;
   start(task: VirtualTask, now: number): void;
   stop(taskId: types.ids.TaskId, now: number): VirtualTask | undefined;
   throttle(taskId: types.ids.TaskId, cpuMillis: number, now: number): void;
-  /** When the next task ends, if nothing changes before. */
+  /**
+   * Time at which the next task ends, unless a task is started, stopped or
+   * throttled first.
+   */
   nextEndAt(now: number): number;
-  /** A task that has run to its end. */
+  /** Returns a task that has finished, if there is one. */
   findEndedTask(now: number): VirtualTask | undefined;
-  /** Processors in use. */
+  /** Processor use of all tasks. */
   usedMillis(): number;
-  /** Whether tasks want more processors than there are. */
+  /** Whether the tasks need more processors than the worker has. */
   isCrowded(): boolean;
   usedMemoryMb(): number;
-  /** Processors in use by one task. */
+  /** Processor use of one task. */
   usedMillisOf(task: VirtualTask): number;
 }
 
 const DONE_TOLERANCE_MS = 1e-6;
-/** Tasks that are slowed by a hundredth don't count as crowded. */
+/**
+ * Ratio of demand to capacity above which a worker counts as crowded; a
+ * slowdown of 1% is ignored.
+ */
 const MIN_CROWDED_RATIO = 1.01;
 
 /** Creates an idle worker. */
@@ -53,7 +65,7 @@
   let lastAt = 0;
   let version = 0;
 
-  /** What the task may use, before others crowd it. */
+  /** Processors that the task would use if it ran alone, with its throttle. */
   function demandOf(task: VirtualTask): number {
     const {cpuMillis} = task.actual;
     if (task.throttleMillis === 0) return cpuMillis;
--- a/packages/gypsumwall-bench/src/worker_calls.ts
+++ b/packages/gypsumwall-bench/src/worker_calls.ts
@@ -1,36 +1,40 @@
 /**
- * How orders reach workers and their reports come back: by the decider's own
- * calls, or in batches through helpers that make the calls.
+ * Transports for orders to workers and for their reports: the decider either
+ * calls the workers itself, or exchanges batches with helper processes that
+ * make the calls.
  */
 import type * as types from '@gypsumwall/types';
 import type * as virtualProcess from './virtual_process.js';
 import type * as virtualTimeline from './virtual_timeline.js';
 
-/** Processor time of a call and of one more item in a batch; milliseconds. */
+/** Processor time of a call. */
 export const CALL_COST_MS = 0.25;
+/** Processor time of each item in a batch. */
 export const BATCH_ITEM_COST_MS = 0.02;
-/** Round trip between two processes; milliseconds. */
+/** Round trip between two processes. */
 export const ROUND_TRIP_MS = 3;
-/** For how long a helper gathers what it hands on; milliseconds. */
+/**
+ * Time for which a helper collects answers and reports before it forwards them.
+ */
 const BATCH_WINDOW_MS = 5;
 
-/** An order to a worker. */
+/** An order to start or stop a task on a worker. */
 export interface Order {
   readonly workerId: types.ids.WorkerId;
-  /** At the worker. */
+  /** Called when the order reaches the worker. */
   onArrival(): void;
-  /** At the decider, once the worker has answered. */
+  /** Called at the decider when it receives the worker's answer. */
   onAnswer(): void;
 }
 
-/** The calls of one decider to workers. */
+/** The transport between one decider and the workers. */
 export interface WorkerCalls {
   send(orders: readonly Order[]): void;
-  /** Brings a worker's report to the decider. */
+  /** Delivers a worker's report to the decider. */
   deliverReport(workerId: types.ids.WorkerId, apply: () => void): void;
 }
 
-/** Calls that the decider makes itself. */
+/** Creates a transport in which the decider calls the workers itself. */
 export function createDirectCalls(
   timeline: virtualTimeline.VirtualTimeline,
   process: virtualProcess.VirtualProcess,
@@ -50,7 +54,10 @@
   };
 }
 
-/** Calls that helpers make, each for its own workers. */
+/**
+ * Creates a transport in which helpers call the workers; each worker has one
+ * helper.
+ */
 export function createHelperCalls(
   timeline: virtualTimeline.VirtualTimeline,
   process: virtualProcess.VirtualProcess,
@@ -126,7 +133,10 @@
   };
 }
 
-/** Calls that another decider makes; only it talks to the workers. */
+/**
+ * Creates a transport that goes through another decider, the only one that
+ * calls the workers.
+ */
 export function createRelayedCalls(
   timeline: virtualTimeline.VirtualTimeline,
   process: virtualProcess.VirtualProcess,
--- a/packages/gypsumwall-bench/src/workload.ts
+++ b/packages/gypsumwall-bench/src/workload.ts
@@ -1,21 +1,23 @@
 /**
- * Seeded work shaped on the two users of the brief: heavy-tailed gaps between
- * arrivals, sizes and run times, and declared figures that are off by up to a
- * factor of 4 either way.
+ * Generates a seeded workload modelled on two users' deployments: interarrival
+ * times, sizes and run times are heavy-tailed, and declared sizes and run times
+ * are too small or too large by up to a factor of 4.
  */
 import * as types from '@gypsumwall/types';
 import * as distributions from './distributions.js';
 import type * as profiles from './profiles.js';
 
-/** What a task really does; the policy only learns of it by reports. */
+/**
+ * Actual resource use of a task; the policy learns it only from usage reports.
+ */
 export interface ActualTask {
   readonly cpuMillis: number;
   readonly memoryMb: number;
-  /** At full speed. */
+  /** Run time at full speed. */
   readonly runMs: number;
 }
 
-/** A job on its way. */
+/** A job and the time at which it is submitted. */
 export interface Arrival {
   readonly at: number;
   readonly jobId: types.ids.JobId;
@@ -25,29 +27,37 @@
 }
 
 /**
- * How teams declare: what they really need, up to a factor of 4 off either
- * way, or up to 4 times too much.
+ * How accurately teams declare what their jobs need: exactly (`right`), too
+ * little or too much by up to a factor of 4 (`off`), or up to 4 times too much
+ * (`too_large`).
  */
 export type DeclarationAccuracy = 'right' | 'off' | 'too_large';
 
-/** What to make. */
+/** Parameters of a generated workload. */
 export interface WorkloadOptions {
   readonly profile: profiles.Profile;
   readonly seed: number;
   readonly horizonMs: number;
-  /** True processor use over capacity. */
+  /** Ratio of the processor time that is actually needed to the capacity. */
   readonly load: number;
   readonly accuracy: DeclarationAccuracy;
 }
 
-/** Each class of work has so many job classes, each off in its own way. */
+/**
+ * Number of job classes per class of work; each has its own declaration bias.
+ */
 const JOB_CLASS_COUNT = 5;
-/** Declared figures are off by up to this factor either way. */
+/**
+ * Largest factor by which declared values exceed or fall short of actual ones.
+ */
 const MAX_DECLARED_FACTOR = 4;
-/** Spread of the gaps between arrivals; their standard deviation is 2.9 times the mean. */
+/**
+ * Sigma of the log-normal interarrival times; their standard deviation is 2.9
+ * times the mean.
+ */
 const GAP_SIGMA = 1.5;
 
-/** Makes all arrivals of a run, in order of time. */
+/** Generates all arrivals of a run, ordered by time. */
 export function makeWorkload(options: WorkloadOptions): Arrival[] {
   const arrivals: Arrival[] = [];
   options.profile.classes.forEach((workClass, position) => {
@@ -59,7 +69,7 @@
   );
 }
 
-/** How a job class declares, against the truth. */
+/** Ratios of the declared to the actual values of a job class. */
 interface DeclarationBias {
   readonly cpu: number;
   readonly memory: number;
@@ -90,8 +100,8 @@
     drawnCoreMs += coreMsOf(tasks);
     drawn.push({at, tasks});
   }
-  // Heavy tails leave no run at its nominal load; the gaps are stretched so
-  // that the work offered is the load asked for.
+  // With heavy tails, no run meets its nominal load by itself. The interarrival
+  // times are scaled so that the offered work matches the requested load.
   const stretchFactor = horizonMs / at;
   return drawn.map(({at: drawnAt, tasks}, n) => {
     const arrivesAt = drawnAt * stretchFactor;
@@ -107,7 +117,7 @@
   });
 }
 
-/** Services are there from the start and stay. */
+/** Services start at time 0 and run beyond the end of the run. */
 function makeServiceArrivals(
   options: WorkloadOptions,
   workClass: profiles.WorkClass,
@@ -168,7 +178,7 @@
   }
 }
 
-/** Processor time of a job, in core milliseconds. */
+/** Processor time of all tasks of a job, in core milliseconds. */
 function coreMsOf(tasks: readonly ActualTask[]): number {
   let sum = 0;
   for (const task of tasks) sum += (task.cpuMillis * task.runMs) / 1000;
@@ -184,7 +194,7 @@
   const jobCores = distributions.drawHeavyTailed(random, cores);
   const jobRunMs = distributions.drawHeavyTailed(random, runMs);
   return Array.from({length: count}, () => {
-    // Tasks of one job are alike, but not the same.
+    // Tasks of one job differ only by a small jitter.
     const cpuMillis = Math.max(
       20,
       jobCores * 1000 * distributions.drawJitter(random),
