--- a/packages/gypsumwall-bench/src/__tests__/virtual_worker.test.ts
+++ b/packages/gypsumwall-bench/src/__tests__/virtual_worker.test.ts
@@ -17,7 +17,7 @@
 }
 
 nodeTest.describe('createVirtualWorker', () => {
-  nodeTest.it('slows tasks that together want too much', () => {
+  nodeTest.it('slows tasks that together need more than the capacity', () => {
     const worker = virtualWorker.createVirtualWorker({
       ...SIZE,
       cpuMillis: 2000,
@@ -26,14 +26,15 @@
     assert.equal(worker.nextEndAt(0), 100);
     worker.start(task('b', 2), 50);
     assert.ok(worker.isCrowded());
-    // Half of `a` was done alone; the other half takes twice as long.
+    // Task `a` ran alone for its first half; its second half takes twice as
+    // long.
     assert.equal(worker.nextEndAt(50), 150);
     assert.equal(worker.findEndedTask(150)?.taskId, 'a');
     worker.stop(types.ids.brand('a'), 150);
     assert.equal(worker.nextEndAt(150), 200);
   });
 
-  nodeTest.it('holds a throttle', () => {
+  nodeTest.it('limits a task to its throttle', () => {
     const worker = virtualWorker.createVirtualWorker(SIZE);
     worker.start(task('a', 1), 0);
     worker.throttle(types.ids.brand('a'), 250, 0);
--- a/packages/gypsumwall-bench/src/__tests__/workload.test.ts
+++ b/packages/gypsumwall-bench/src/__tests__/workload.test.ts
@@ -20,7 +20,7 @@
     assert.notDeepEqual(workload.makeWorkload({...OPTIONS, seed: 6}), first);
   });
 
-  nodeTest.it('declares at most a factor of 4 off', () => {
+  nodeTest.it('declares sizes that are off by at most a factor of 4', () => {
     for (const {tasks, spec} of workload.makeWorkload(OPTIONS)) {
       const factor = spec.size.cpuMillis / tasks[0]!.cpuMillis;
       assert.ok(factor > 0.24 && factor < 4.1, `${factor}`);
@@ -29,7 +29,7 @@
 });
 
 nodeTest.describe('missedOffline', () => {
-  /** A job of one task on one core for a second. */
+  /** A job with one task that uses one core for a second. */
   const arrival = (name: string, deadline: number) => {
     const made = workload.makeWorkload(OPTIONS)[0]!;
     return {
@@ -41,7 +41,7 @@
     };
   };
 
-  nodeTest.it('misses only what nobody could meet', () => {
+  nodeTest.it('misses only deadlines that no schedule can meet', () => {
     const jobs = [arrival('a', 2000), arrival('b', 1000), arrival('c', 2500)];
     const missed = offlineSchedule.findMissedDeadlines(jobs, 1000, 10_000);
     assert.deepEqual([...missed], ['c']);
--- a/packages/gypsumwall-bench/src/control_bench.ts
+++ b/packages/gypsumwall-bench/src/control_bench.ts
@@ -1,12 +1,12 @@
 /**
- * What control costs an entry that holds a domain: heartbeats and starts over
- * HTTP, records through the log, snapshots and rebuilding.
+ * Measures what an entry spends on control while it holds a domain: heartbeats
+ * and starts over HTTP, appending records to the log, writing snapshots and
+ * rebuilding state from them.
  */
 import type * as benchModule from './bench_module.js';
 import * as controlCalls from './control_calls.js';
 import * as controlRecords from './control_records.js';
 
-/** The bench `control`. */
 export const CONTROL_BENCH: benchModule.BenchModule = {
   name: 'control',
   run: async ({quick}) => {
--- a/packages/gypsumwall-bench/src/control_calls.ts
+++ b/packages/gypsumwall-bench/src/control_calls.ts
@@ -1,4 +1,4 @@
-/** Cost of the holder's calls to workers: processor time and bytes. */
+/** Measures the processor time and bytes of the holder's calls to workers. */
 import * as childProcess from 'node:child_process';
 import * as url from 'node:url';
 import * as undici from 'undici';
@@ -15,7 +15,7 @@
   incarnation: types.ids.brand<types.ids.WorkerIncarnation>('stay-1'),
 };
 const LEASE_UNTIL = 1e9 as platform.worker.WorkerMs;
-/** Calls at a time: a holder talks to many workers at once. */
+/** Number of concurrent calls; a holder calls many workers at once. */
 const CONCURRENT_CALLS = 16;
 
 interface Cost {
@@ -23,7 +23,7 @@
   readonly bytes: number;
 }
 
-/** Tables of the cost of a heartbeat and of a start. */
+/** Measures the cost of heartbeats and of starts, one table each. */
 export async function measureCalls(
   quick: boolean,
 ): Promise<benchModule.BenchTable[]> {
@@ -36,7 +36,7 @@
     )) as controlFakeWorker.FakeWorkerReady;
     const baseUrl = `http://127.0.0.1:${ready.port}`;
     const calls = quick ? 1_000 : 5_000;
-    // Code that is not yet compiled would count as the first row's cost.
+    // Warms up, so that the first row does not include the cost of compilation.
     await measureHeartbeats(fake, baseUrl, 14, calls);
     const heartbeats = [];
     for (const tasks of RUNNING_TASK_COUNTS) {
@@ -105,7 +105,10 @@
   });
 }
 
-/** Cost of one call of many, with some under way at a time. */
+/**
+ * Measures the mean cost of a call, with `CONCURRENT_CALLS` in flight at a
+ * time.
+ */
 async function measureCost(
   fake: childProcess.ChildProcess,
   calls: number,
--- a/packages/gypsumwall-bench/src/control_fake_worker.ts
+++ b/packages/gypsumwall-bench/src/control_fake_worker.ts
@@ -1,12 +1,12 @@
 /**
- * A worker's answers over HTTP, in a process of its own, so that the
- * bench counts only the caller's processor time. It answers with as many running
- * tasks as the query asks and counts the bytes on its sockets.
+ * A fake worker that answers over HTTP. It runs as a separate process, so that
+ * the benchmark counts only the processor time of the caller. It reports as many
+ * running tasks as the path names and counts the bytes on its sockets.
  */
 import * as http from 'node:http';
 import type * as net from 'node:net';
 
-/** What the process tells when it listens. */
+/** Message that the process sends to its parent once it listens. */
 export interface FakeWorkerReady {
   readonly port: number;
 }
--- a/packages/gypsumwall-bench/src/control_records.ts
+++ b/packages/gypsumwall-bench/src/control_records.ts
@@ -1,4 +1,7 @@
-/** Cost of records: appending by group commit, folding, snapshots, rebuild. */
+/**
+ * Measures the cost of records: group commit, folding, snapshots and
+ * rebuilding.
+ */
 import * as result from 'true-myth/result';
 import type * as platform from '@gypsumwall/platform';
 import * as records from '@gypsumwall/records';
@@ -10,13 +13,16 @@
 const JOB_COUNTS = [1_000, 4_000, 16_000, 64_000];
 const TASKS_PER_JOB = 4;
 const RECORDS_PER_SECOND = [100, 1_000, 3_000, 7_500];
-/** Without a least gap, and with the one of a domain's stream. */
+/** Minimum gaps between appends: none, and that of a domain's stream. */
 const MIN_GAPS_MS = [0, 50];
-/** Time that the platform's log takes for one append. */
+/** Duration of one append to the platform's log. */
 const APPEND_DURATION_MS = 5;
 const NOW = 0 as types.clock.MonotonicMs;
 
-/** Tables of group commit and of folding, snapshot and rebuild. */
+/**
+ * Measures group commit, and folding with snapshots and rebuilding, one table
+ * each.
+ */
 export async function measureRecords(
   quick: boolean,
 ): Promise<benchModule.BenchTable[]> {
@@ -58,7 +64,8 @@
       await clock.sleepUntil(done);
       return result.ok({firstOffset});
     },
-    read: () => Promise.reject(new Error('the bench reads nothing')),
+    read: () =>
+      Promise.reject(new Error('the benchmark does not read from the log')),
   };
   const appender = records.logAppender.createLogAppender({
     stream: 'bench',
@@ -101,7 +108,7 @@
 }
 
 function buildFoldTable(): benchModule.BenchTable {
-  // Code that is not yet compiled would count as the first row's cost.
+  // Warms up, so that the first row does not include the cost of compilation.
   measureFold(1_000);
   return {
     title: `Folding open jobs of ${TASKS_PER_JOB} tasks, half of them done`,
@@ -147,7 +154,7 @@
   ];
 }
 
-/** Heap in use; needs `node --expose-gc` to be exact. */
+/** Returns the heap in use; exact only with `node --expose-gc`. */
 function readHeapBytes(): number {
   globalThis.gc?.();
   return process.memoryUsage().heapUsed;
--- a/packages/gypsumwall-bench/src/routing_bench.ts
+++ b/packages/gypsumwall-bench/src/routing_bench.ts
@@ -1,6 +1,7 @@
 /**
- * Routing of quick requests, policy beside baseline on the same seeds: real
- * router code, upstreams in process, virtual time.
+ * Compares the routing policy for quick requests with the baseline on the same
+ * seeds. It runs the real routers against in-process fake upstreams in virtual
+ * time.
  */
 import type * as benchModule from './bench_module.js';
 import * as routingCases from './routing_cases.js';
@@ -13,7 +14,6 @@
 const QUICK_SEEDS = 2;
 const SHARING_SPAN_MS = 2_500;
 
-/** The bench of the routing policy. */
 export const ROUTING_BENCH: benchModule.BenchModule = {
   name: 'routing',
   run,
@@ -61,7 +61,10 @@
   };
 }
 
-/** Runs what is measured once, so that no contender pays for compiling. */
+/**
+ * Runs the measured code once, so that no contender includes the cost of
+ * compilation.
+ */
 async function warmUp(makeRouter: routingRun.MakeRouter): Promise<void> {
   for (const load of [0.7, 2]) {
     await routingRun.runOnce({
--- a/packages/gypsumwall-bench/src/routing_cases.ts
+++ b/packages/gypsumwall-bench/src/routing_cases.ts
@@ -1,15 +1,17 @@
-/** What the routing bench compares. */
+/** The cases and routers that the routing benchmark compares. */
 import * as routing from '@gypsumwall/routing';
 import type * as fakeUpstreams from './routing_fake_upstreams.js';
 import * as routingRun from './routing_run.js';
 
-/** A router with a name. */
+/** A named router under comparison. */
 export interface Contender {
   readonly name: string;
   readonly makeRouter: routingRun.MakeRouter;
 }
 
-/** One load with one fault, and who meets it. */
+/**
+ * A combination of load and fault, and the routers that are measured under it.
+ */
 export interface Case {
   readonly name: string;
   readonly load: number;
@@ -19,12 +21,12 @@
   readonly contenders: readonly Contender[];
 }
 
-/** The router of the product. */
+/** The production router. */
 export const POLICY: Contender = {
   name: 'policy',
   makeRouter: (options) => routing.createRouter.createRouter(options),
 };
-/** The naive router. */
+/** The naive baseline router. */
 export const BASELINE: Contender = {
   name: 'baseline',
   makeRouter: (options) =>
@@ -39,7 +41,7 @@
     ),
 }));
 
-/** Growing load without a fault. */
+/** Increasing load without faults. */
 export const LOAD_CASES: readonly Case[] = [0.7, 0.95, 2, 5].map((load) => ({
   name: `${load}x`,
   load,
@@ -48,9 +50,9 @@
   contenders: [POLICY, BASELINE],
 }));
 
-/** Load under which faults are met. */
+/** Load of the cases with faults. */
 export const FAULT_LOAD = 0.7;
-/** One upstream with a fault. */
+/** Cases in which one upstream has a fault. */
 export const FAULT_CASES: readonly Case[] = (
   ['dead', 'slow', 'refusing', 'silent-connections'] as const
 ).map((fault) => ({
@@ -64,7 +66,7 @@
       : [POLICY, BASELINE],
 }));
 
-/** One team sends eight times what it usually does. */
+/** A team sends eight times its usual number of requests. */
 export const FLOOD_CASE: Case = {
   name: '0.7x, team floods 8x',
   load: 0.7,
@@ -74,10 +76,13 @@
   contenders: [POLICY, BASELINE],
 };
 
-/** A service of today with the entries of today. */
+/** Load at which the draw variants are compared with several entries. */
 const DRAW_VARIANTS_LOAD = 0.7;
+/** Size of a present-day service, with its present-day number of entries. */
 const SIX_ENTRIES = {entries: 6, upstreams: 30, slots: 8};
-/** Entries that share upstreams, or do not know of each other. */
+/**
+ * Several entries, which either share the upstream slots or ignore each other.
+ */
 export const SHARING_CASES: readonly Case[] = [0.7, 0.95].flatMap((load) => [
   {
     name: `6 entries, shares, ${load}x`,
--- a/packages/gypsumwall-bench/src/routing_fake_upstreams.ts
+++ b/packages/gypsumwall-bench/src/routing_fake_upstreams.ts
@@ -1,39 +1,41 @@
 /**
- * Upstreams in process that keep what real ones would: they refuse beyond
- * their slots and work on at a request whose caller has given up.
+ * In-process fake upstreams. Like real ones, they refuse requests beyond their
+ * slots and continue to execute a request after its caller has given up.
  */
 import * as stream from 'node:stream';
 import * as result from 'true-myth/result';
 import type * as platform from '@gypsumwall/platform';
 import type * as types from '@gypsumwall/types';
 
-/** What is wrong with the faulty upstream of a run. */
+/** Fault of the faulty upstream of a run. */
 export type UpstreamFault =
   'none' | 'dead' | 'slow' | 'refusing' | 'silent-connections';
 
-/** How the upstreams of a run behave. */
+/** Behaviour of the upstreams of a run. */
 export interface FakeUpstreamsOptions {
   readonly clock: types.clock.Clock;
-  /** The first upstream has it from `faultFrom` to `faultUntil`. */
+  /** Fault of the first upstream from `faultFrom` to `faultUntil`. */
   readonly fault: UpstreamFault;
   readonly faultFrom: number;
   readonly faultUntil: number;
-  /** True service time of a request, in milliseconds. */
+  /** Actual service time of a request. */
   readonly serviceMsOf: (requestId: string) => number;
 }
 
-/** What the upstreams saw. */
+/** Counters over all upstreams. */
 export interface UpstreamCounters {
-  /** Requests that reached an upstream, or its address, with repeats. */
+  /**
+   * Attempts to reach an upstream, including retries and unreachable upstreams.
+   */
   tries: number;
-  /** When each request was first tried. */
+  /** Time of the first try of each request. */
   readonly firstTry: Map<string, number>;
-  /** Slot time of answers given, of all work, and most slots in use. */
+  /** Slot time of all executed requests. */
   usedMs: number;
   refusals: number;
 }
 
-/** All upstreams of a run. */
+/** The fake upstreams of a run. */
 export interface FakeUpstreams {
   readonly counters: UpstreamCounters;
   createUpstream(
@@ -43,7 +45,7 @@
 
 const FAULTY_UPSTREAM = 'u0';
 const SLOW_FACTOR = 10;
-/** So many connections go silent each time, and so often. */
+/** Number of connections that become silent every `SILENT_INTERVAL_MS`. */
 const SILENT_CONNECTIONS_PER_ROUND = 4;
 const SILENT_INTERVAL_MS = 1_000;
 
@@ -52,7 +54,7 @@
   types.stepError.StepError
 >;
 
-/** Makes upstreams that have seen nothing. */
+/** Creates fake upstreams with all counters at zero. */
 export function createFakeUpstreams(
   options: FakeUpstreamsOptions,
 ): FakeUpstreams {
@@ -63,10 +65,13 @@
     usedMs: 0,
     refusals: 0,
   };
-  /** Slots in use by all entries together. */
+  /** Slots in use by all entries together, by upstream. */
   const busySlotsByUpstream = new Map<string, number>();
   let silentCount = 0;
-  /** Whether a request goes over a connection that has gone silent. */
+  /**
+   * Returns whether the request uses a silent connection, and counts that
+   * connection.
+   */
   const hitsSilentConnection = () => {
     const since = clock.monotonic() - options.faultFrom;
     const silencedRounds = 1 + Math.floor(since / SILENT_INTERVAL_MS);
@@ -90,7 +95,10 @@
     const step = 'upstream.execute';
     return result.err({kind, effect, peer, step, message: kind});
   };
-  /** Waits as a caller does: until the end, its deadline or its signal. */
+  /**
+   * Waits until `until`, the deadline or the abort signal, whichever comes
+   * first.
+   */
   const waitAsCaller = async (
     req: platform.upstream.UpstreamRequest,
     until: number,
--- a/packages/gypsumwall-bench/src/routing_run.ts
+++ b/packages/gypsumwall-bench/src/routing_run.ts
@@ -1,4 +1,4 @@
-/** One run of a router under one load and one fault, and what came of it. */
+/** Runs a router under one load and one fault, and summarizes the results. */
 import * as hdr from 'hdr-histogram-js';
 import type * as platform from '@gypsumwall/platform';
 import * as routing from '@gypsumwall/routing';
@@ -7,21 +7,21 @@
 import * as fakeUpstreams from './routing_fake_upstreams.js';
 import * as workload from './routing_workload.js';
 
-/** A router to be measured. */
+/** Creates a router to be measured. */
 export type MakeRouter = (
   options: routing.routerOptions.RouterOptions,
 ) => routing.router.Router;
 
-/** What a run is. */
+/** Parameters of a run. */
 export interface RunOptions {
   readonly seed: number;
   readonly makeRouter: MakeRouter;
-  /** Offered work over what all slots can do. */
+  /** Ratio of the offered work to the capacity of all slots. */
   readonly load: number;
   readonly fault: fakeUpstreams.UpstreamFault;
-  /** How many times its usual requests one team sends; 1 if left out. */
+  /** Factor by which one team increases its request rate; 1 by default. */
   readonly floodFactor?: number;
-  /** Into how many teams each team is split; 1 if left out. */
+  /** Number of teams into which each team is split; 1 by default. */
   readonly teamSplit?: number;
   readonly spanMs: number;
   readonly cell: RoutingCell;
@@ -32,46 +32,56 @@
   readonly entries: number;
   readonly upstreams: number;
   readonly slots: number;
-  /** Each entry believes that it is alone, and so takes every slot. */
+  /**
+   * Whether each entry is unaware of the others and therefore uses every slot.
+   */
   readonly ignoresOtherEntries?: boolean;
 }
 
-/** What came of the requests of one urgency. */
+/** Results of the requests of one urgency. */
 export interface UrgencyFigures {
   sent: number;
   done: number;
-  /** From arrival to the first try, in tenths of a millisecond. */
+  /** Time from arrival to the first try, in tenths of a millisecond. */
   readonly waitTenths: hdr.Histogram;
-  /** From arrival to the head of the answer, in tenths of a millisecond. */
+  /**
+   * Time from arrival to the head of the answer, in tenths of a millisecond.
+   */
   readonly answerTenths: hdr.Histogram;
 }
 
-/** What came of a run. */
+/** Results of a run. */
 export interface RunFigures {
   readonly byUrgency: Record<types.job.Urgency, UrgencyFigures>;
-  /** Slot time of answers in time, within the span, over all slot time. */
+  /**
+   * Ratio of the slot time of answers given in time, within the span, to all
+   * slot time.
+   */
   readonly goodput: number;
-  /** Tries over requests that were tried. */
+  /** Mean tries per request that was tried at least once. */
   readonly amplification: number;
   readonly notRun: number;
   readonly unknown: number;
-  /** Answers after the deadline, and requests without any word by the end. */
+  /** Requests answered after their deadline or not answered by the end. */
   readonly late: number;
-  /** From arrival to the refusal, in tenths of a millisecond. */
+  /** Time from arrival to the refusal, in tenths of a millisecond. */
   readonly refusalTenths: hdr.Histogram;
   readonly upstreamRefusals: number;
-  /** Processor time of everything, fakes included, for each request. */
+  /** Processor time per request, including the fake upstreams. */
   readonly cpuMicros: number;
 }
 
-/** One entry and its share of a third of a service of today. */
+/**
+ * One entry with its share of the upstreams of a third of a present-day
+ * service.
+ */
 export const ONE_ENTRY: RoutingCell = {entries: 1, upstreams: 10, slots: 4};
 
 const LIST_LAG_MS = 500;
 const REQUEST_BOUND_MS = 8_000;
 const TENTHS_PER_MS = 10;
 
-/** Runs routers through one workload. */
+/** Runs the routers of all entries with one workload. */
 export async function runOnce(options: RunOptions): Promise<RunFigures> {
   const {cell, spanMs} = options;
   const clock = types.virtualClock.createVirtualClock();
@@ -134,7 +144,7 @@
   return cell.upstreams * cell.slots;
 }
 
-/** What callers were told, as it comes in. */
+/** Outcomes that callers received, collected during the run. */
 interface CallerOutcomes {
   readonly doneAt: Map<string, number>;
   readonly refusedAfter: hdr.Histogram;
@@ -168,7 +178,9 @@
   }
 }
 
-/** The upstreams of a cell as the platform lists them. */
+/**
+ * Returns the upstreams of a cell in the form in which the platform lists them.
+ */
 export function listUpstreams(
   cell: RoutingCell,
 ): platform.instanceList.ListedUpstream[] {
--- a/packages/gypsumwall-bench/src/routing_slopes.ts
+++ b/packages/gypsumwall-bench/src/routing_slopes.ts
@@ -1,5 +1,6 @@
 /**
- * What routing costs as the number of upstreams or of waiting requests grows.
+ * Measures how the cost of routing grows with the number of upstreams, teams and
+ * waiting requests.
  */
 import * as v8 from 'node:v8';
 import * as vm from 'node:vm';
@@ -14,19 +15,21 @@
 const UPSTREAM_COUNTS = [30, 100, 300, 1_000];
 const HEAP_UPSTREAM_COUNTS = [300, 1_000, 3_000, 10_000];
 const VIEW_UPDATES = 200;
-/** Each of the two teams of the workload is split into so many. */
+/**
+ * Number of teams into which each of the two teams of the workload is split.
+ */
 const TEAM_SPLITS = [1, 6, 60, 300];
 const QUEUE_LENGTHS = [1_000, 3_000, 10_000, 30_000];
 const REQUESTS_PER_RUN = 6_000;
 const LIST_LAG_MS = 1_000;
 
-/** Makes the collector callable, so that only what is held counts. */
+/** Runs the garbage collector, so that only reachable objects are measured. */
 const collectGarbage = (() => {
   v8.setFlagsFromString('--expose-gc');
   return vm.runInNewContext('gc') as () => void;
 })();
 
-/** All slopes as one table. */
+/** Measures all slopes and returns them as one table. */
 export async function slopeTable(
   seeds: readonly number[],
   makeRouter: routingRun.MakeRouter,
@@ -73,7 +76,7 @@
   split: number,
 ): Promise<number> {
   const cell = {entries: 1, upstreams, slots: 4};
-  // The same number of requests at any size.
+  // The span is chosen so that the number of requests is the same at any size.
   const workMs = REQUESTS_PER_RUN * workload.MEAN_SERVICE_MS;
   const spanMs = workMs / (load * upstreams * cell.slots);
   const measured: number[] = [];
@@ -188,7 +191,7 @@
 const NO_BODY = new Uint8Array();
 
 function readHeapBytes(): number {
-  // What the first pass frees may let go of more.
+  // Objects freed by the first collection may make others unreachable.
   collectGarbage();
   collectGarbage();
   return process.memoryUsage().heapUsed;
--- a/packages/gypsumwall-bench/src/routing_tables.ts
+++ b/packages/gypsumwall-bench/src/routing_tables.ts
@@ -1,4 +1,4 @@
-/** Tables and plot of the routing bench. */
+/** Tables and plot of the routing benchmark. */
 import type * as types from '@gypsumwall/types';
 import type * as benchModule from './bench_module.js';
 import * as routingCases from './routing_cases.js';
@@ -11,14 +11,14 @@
 ];
 const TENTHS_PER_MS = 10;
 
-/** A case met by one contender, a run for each seed. */
+/** Results of one contender in one case, one run per seed. */
 export interface Measured {
   readonly benchCase: routingCases.Case;
   readonly contender: routingCases.Contender;
   readonly figures: readonly routingRun.RunFigures[];
 }
 
-/** What callers were told, and what it cost. */
+/** Outcomes that callers received, and the cost of routing. */
 export function outcomeTable(
   measured: readonly Measured[],
 ): benchModule.BenchTable {
@@ -63,7 +63,7 @@
   };
 }
 
-/** How long callers waited. */
+/** Waiting times of the callers, by urgency. */
 export function waitingTable(
   measured: readonly Measured[],
 ): benchModule.BenchTable {
@@ -105,12 +105,12 @@
   };
 }
 
-/** With a fault, the urgent alone tell enough. */
+/** For cases with a fault, only urgent requests are shown. */
 function urgenciesToShow(one: routingCases.Case): readonly types.job.Urgency[] {
   return one.fault === 'none' ? URGENCIES : ['urgent'];
 }
 
-/** Goodput over load. */
+/** Plots goodput against load. */
 export function goodputPlot(
   measured: readonly Measured[],
 ): benchModule.BenchPlot {
@@ -138,7 +138,7 @@
   return URGENCIES.reduce((sum, each) => sum + figures.byUrgency[each].sent, 0);
 }
 
-/** The median, with the least and the greatest. */
+/** Formats the median with the minimum and maximum, where they differ. */
 function formatMedianAndRange(
   figures: readonly routingRun.RunFigures[],
   valueOf: (figures: routingRun.RunFigures) => number,
--- a/packages/gypsumwall-bench/src/routing_workload.ts
+++ b/packages/gypsumwall-bench/src/routing_workload.ts
@@ -1,12 +1,12 @@
 /**
- * Requests shaped on the brief's two users: kinds of quick work with their
- * own urgency and deadline, heavy-tailed service times and gaps, and declared
- * times that are off by up to a factor of four.
+ * Generates quick requests modelled on two users: each operation has its own
+ * urgency and deadline, service times and interarrival times are heavy-tailed,
+ * and declared service times are off by up to a factor of four.
  */
 import type * as routing from '@gypsumwall/routing';
 import * as types from '@gypsumwall/types';
 
-/** One kind of quick request. */
+/** A kind of quick request. */
 interface Operation {
   readonly team: string;
   readonly name: string;
@@ -57,43 +57,51 @@
   },
 ];
 
-/** Mean slot time of a request, in milliseconds. */
+/** Mean slot time of a request over all operations. */
 export const MEAN_SERVICE_MS = OPERATIONS.reduce(
   (sum, each) => sum + each.share * each.meanMs,
   0,
 );
 
-/** A request and what nobody but the bench knows of it. */
+/**
+ * A request with its arrival time and its actual service time, which the router
+ * does not know.
+ */
 export interface WorkloadRequest {
   readonly at: number;
   readonly serviceMs: number;
   readonly req: routing.router.RoutedRequest;
 }
 
-/** How much work there is. */
+/** Parameters of a generated workload. */
 export interface WorkloadOptions {
   readonly random: types.random.Random;
-  /** Mean requests a second, without the flood. */
+  /** Mean requests per second, without the flood. */
   readonly perSecond: number;
-  /** How many times the usual requests the flooding team sends. */
+  /** Factor by which the flooding team increases its request rate. */
   readonly floodFactor: number;
-  /** Into how many teams each team is split. */
+  /** Number of teams into which each team is split. */
   readonly teamSplit: number;
   readonly fromMs: number;
   readonly untilMs: number;
 }
 
-/** The team whose demand nobody forecast. */
+/** The team whose demand rises unexpectedly. */
 const FLOODING_TEAM = 'skyroute-clubs';
 const MAX_ESTIMATE_FACTOR = 4;
-/** Spread of the logarithm; the largest in a thousand is about 13 x mean. */
+/**
+ * Standard deviation of the logarithm; the largest of a thousand is about 13
+ * times the mean.
+ */
 const SERVICE_SIGMA = 0.9;
 const GAP_SIGMA = 1.2;
 
-/** Makes the requests of one run, in order of arrival. */
+/** Generates the requests of one run, in order of arrival. */
 export function makeWorkload(options: WorkloadOptions): WorkloadRequest[] {
   const {random} = options;
-  // How far off each kind declares itself; the same for the whole run.
+  // Ratio of the declared to the mean service time of each operation, constant
+  // for
+  // the whole run.
   const biases = OPERATIONS.map(
     () => MAX_ESTIMATE_FACTOR ** (2 * random.next() - 1),
   );
@@ -146,7 +154,7 @@
 
 const NO_BODY = new Uint8Array();
 
-/** Index of the share in which the drawn number falls. */
+/** Returns the index of the share into which the drawn number falls. */
 function pickIndex(shares: readonly number[], drawn: number): number {
   let sum = 0;
   for (const [index, share] of shares.entries()) {
@@ -156,7 +164,10 @@
   return shares.length - 1;
 }
 
-/** A log-normal number with the given mean (Box and Muller). */
+/**
+ * Draws from a log-normal distribution with the given mean (Box-Muller
+ * transform).
+ */
 function drawLogNormal(
   random: types.random.Random,
   mean: number,
