--- a/packages/gypsumwall-bench/src/adviser_calls.ts
+++ b/packages/gypsumwall-bench/src/adviser_calls.ts
@@ -16,7 +16,7 @@
 /** The calls of one decider to the adviser. */
 export interface AdviserCalls {
   capacity(): scheduling.adviserPool.AdviceCapacity;
-  ask(request: scheduling.schedulerTypes.AdviceRequest): void;
+  requestAdvice(request: scheduling.schedulerTypes.AdviceRequest): void;
   callCount(): number;
 }
 
@@ -46,7 +46,7 @@
 
   return {
     capacity: () => pool.capacity(entries),
-    ask(request) {
+    requestAdvice(request) {
       const entry = pool.take(entries, request.callMs, request.needed);
       if (entry === undefined) {
         scheduler.adviceAnswered(request, undefined, timeline.now());
--- a/packages/gypsumwall-bench/src/control_records.ts
+++ b/packages/gypsumwall-bench/src/control_records.ts
@@ -85,11 +85,11 @@
   const startedAt = clock.monotonic();
   const before = process.cpuUsage();
   const pending: Array<Promise<unknown>> = [];
-  let sent = 0;
+  let recordCount = 0;
   for (;;) {
     const elapsedMs = clock.monotonic() - startedAt;
     if (elapsedMs >= spanMs) break;
-    for (; sent < (elapsedMs * rate) / 1_000; sent += 1) {
+    for (; recordCount < (elapsedMs * rate) / 1_000; recordCount += 1) {
       const deadline = types.clock.after(clock.monotonic(), 10_000);
       pending.push(appender.append(body, deadline));
     }
@@ -100,10 +100,10 @@
   const seconds = (clock.monotonic() - startedAt) / 1_000;
   return [
     gapMs,
-    Math.round(sent / seconds),
+    Math.round(recordCount / seconds),
     statistics.formatNumber(appends / seconds),
-    statistics.formatNumber(sent / appends),
-    statistics.formatNumber((used.user + used.system) / sent),
+    statistics.formatNumber(recordCount / appends),
+    statistics.formatNumber((used.user + used.system) / recordCount),
   ];
 }
 
@@ -128,11 +128,11 @@
   const fold = records.jobFold.createJobFold();
   const heapBefore = readHeapBytes();
   const startedAt = performance.now();
-  let count = 0;
+  let recordCount = 0;
   for (let job = 0; job < jobs; job += 1) {
-    fold.apply(count++, buildJobAcceptedRecord(job), NOW);
+    fold.apply(recordCount++, buildJobAcceptedRecord(job), NOW);
     for (let index = 0; index < TASKS_PER_JOB / 2; index += 1) {
-      fold.apply(count++, buildTaskEndedRecord(job, index), NOW);
+      fold.apply(recordCount++, buildTaskEndedRecord(job, index), NOW);
     }
   }
   const foldMs = performance.now() - startedAt;
@@ -146,7 +146,7 @@
   const restoreMs = performance.now() - restoreAt;
   return [
     jobs,
-    statistics.formatNumber((foldMs * 1_000) / count),
+    statistics.formatNumber((foldMs * 1_000) / recordCount),
     statistics.formatNumber((heapAfter - heapBefore) / jobs),
     statistics.formatNumber(text.length / jobs),
     statistics.formatNumber(writeMs),
--- a/packages/gypsumwall-bench/src/distributions.ts
+++ b/packages/gypsumwall-bench/src/distributions.ts
@@ -14,9 +14,9 @@
   random: types.random.Random,
   distribution: HeavyTailedDistribution,
 ): number {
-  const drawn =
+  const amount =
     distribution.median * Math.exp(distribution.sigma * drawNormal(random));
-  return Math.min(distribution.high, Math.max(distribution.low, drawn));
+  return Math.min(distribution.high, Math.max(distribution.low, amount));
 }
 
 /** Draws from a log-normal distribution with the given mean. */
--- a/packages/gypsumwall-bench/src/gang_coordinator.ts
+++ b/packages/gypsumwall-bench/src/gang_coordinator.ts
@@ -40,7 +40,7 @@
   parts: GangCoordinatorParts,
 ): GangCoordinator {
   const {timeline, shards, shardOf} = parts;
-  const others = new Map<types.ids.WorkerId, types.resources.Resources>();
+  const othersUsage = new Map<types.ids.WorkerId, types.resources.Resources>();
   let conflicts = 0;
 
   const registryOf = (worker: types.ids.WorkerId) =>
@@ -67,9 +67,9 @@
     const granted: StartOrder[] = [];
     const refusals: shardCapacities.FreeCapacity[] = [];
     let pendingShards = byShard.size;
-    for (const [shard, part] of byShard) {
-      requestReservation(shard, part, (refusal) => {
-        if (refusal === undefined) granted.push(...part);
+    for (const [shard, starts] of byShard) {
+      requestReservation(shard, starts, (refusal) => {
+        if (refusal === undefined) granted.push(...starts);
         else refusals.push(...refusal);
         if (--pendingShards > 0) return;
         if (refusals.length === 0) parts.decider().sendStarts(gang);
@@ -84,7 +84,7 @@
    */
   function requestReservation(
     shard: number,
-    part: readonly StartOrder[],
+    starts: readonly StartOrder[],
     onAnswer: (refusal: shardCapacities.FreeCapacity[] | undefined) => void,
   ): void {
     const {process} = parts.decider();
@@ -96,24 +96,24 @@
       timeline.schedule(workerCalls.ROUND_TRIP_MS / 2, () => {
         const costMs =
           workerCalls.CALL_COST_MS +
-          part.length * workerCalls.BATCH_ITEM_COST_MS;
+          starts.length * workerCalls.BATCH_ITEM_COST_MS;
         shards[shard]!.process.enqueue(costMs, () =>
-          sendBack(reserveOnShard(part)),
+          sendBack(reserveOnShard(starts)),
         );
       });
     });
   }
 
   function reserveOnShard(
-    part: readonly StartOrder[],
+    starts: readonly StartOrder[],
   ): shardCapacities.FreeCapacity[] | undefined {
     const reserved: StartOrder[] = [];
-    for (const start of part) {
+    for (const start of starts) {
       const {workerId, stepRunId, size} = start.attempt;
       const free = registryOf(workerId).workers.get(workerId)?.free;
       if (free === undefined || !types.resources.fits(size, free)) {
         for (const {attempt} of reserved) releaseAttempt(attempt);
-        return part.map((one) => readFreeCapacity(one.attempt.workerId));
+        return starts.map((start) => readFreeCapacity(start.attempt.workerId));
       }
       registryOf(workerId).book(workerId, stepRunId, size);
       reserved.push(start);
@@ -164,14 +164,13 @@
 
   /** Reserves in the coordinator's registry what others use on a worker. */
   function applyOthersUsage(
-    book: scheduling.workerRegistry.WorkerRegistry,
+    registry: scheduling.workerRegistry.WorkerRegistry,
     {id, free}: shardCapacities.FreeCapacity,
   ): void {
-    const previous = others.get(id) ?? types.resources.NO_RESOURCES;
-    const own = book.workers.get(id)!;
+    const previous = othersUsage.get(id) ?? types.resources.NO_RESOURCES;
+    const own = registry.workers.get(id)!;
     // The reported free capacity does not include reservations that are still
-    // on
-    // their way to the shard.
+    // on their way to the shard.
     const occupied = subtract(own.free, free);
     const current = {
       cpuMillis: Math.max(0, previous.cpuMillis + occupied.cpuMillis),
@@ -179,9 +178,9 @@
       accelerators: 0,
     };
     if (current.cpuMillis === previous.cpuMillis) return;
-    book.book(id, OTHERS_STEP, current);
-    book.release(id, OTHERS_STEP, previous);
-    others.set(id, current);
+    registry.book(id, OTHERS_STEP, current);
+    registry.release(id, OTHERS_STEP, previous);
+    othersUsage.set(id, current);
   }
 
   return {
--- a/packages/gypsumwall-bench/src/job_rebalancing.ts
+++ b/packages/gypsumwall-bench/src/job_rebalancing.ts
@@ -17,7 +17,7 @@
 const MOVE_DURATION_MS = 16 + workerCalls.ROUND_TRIP_MS;
 
 /** Dependencies of the job moves. */
-export interface JobMovesParts {
+export interface JobRebalancingParts {
   readonly timeline: virtualTimeline.VirtualTimeline;
   readonly shards: readonly virtualDecider.VirtualDecider[];
   readonly capacities: shardCapacities.ShardCapacities;
@@ -27,7 +27,7 @@
  * Starts the periodic checks; the returned function gives the number of moves
  * so far.
  */
-export function startJobMoves(parts: JobMovesParts): () => number {
+export function startJobRebalancing(parts: JobRebalancingParts): () => number {
   const {timeline, shards, capacities} = parts;
   const movesByJob = new Map<types.ids.JobId, number>();
   let moveCount = 0;
--- a/packages/gypsumwall-bench/src/offline_schedule.ts
+++ b/packages/gypsumwall-bench/src/offline_schedule.ts
@@ -41,11 +41,11 @@
     active.sort((left, right) => deadlineOf(left) - deadlineOf(right));
     runTick(active, now, capacityMillis);
     active = active.filter((demand) => {
-      const done = demand.remainingMs.every((left) => left <= 0);
-      if (!done && deadlineOf(demand) <= end) {
+      const isDone = demand.remainingMs.every((left) => left <= 0);
+      if (!isDone && deadlineOf(demand) <= end) {
         missed.add(demand.arrival.jobId);
       }
-      return !done && deadlineOf(demand) > end;
+      return !isDone && deadlineOf(demand) > end;
     });
   }
   return missed;
@@ -56,15 +56,15 @@
   now: number,
   capacityMillis: number,
 ): void {
-  let free = capacityMillis;
+  let freeMillis = capacityMillis;
   for (const demand of active) {
     const availableMs = Math.min(TICK_MS, now + TICK_MS - demand.arrival.at);
     demand.arrival.tasks.forEach((task, index) => {
       const left = demand.remainingMs[index]!;
-      if (left <= 0 || free <= 0) return;
-      const share = Math.min(1, free / task.cpuMillis);
+      if (left <= 0 || freeMillis <= 0) return;
+      const share = Math.min(1, freeMillis / task.cpuMillis);
       demand.remainingMs[index] = left - availableMs * share;
-      free -= task.cpuMillis * share;
+      freeMillis -= task.cpuMillis * share;
     });
   }
 }
--- a/packages/gypsumwall-bench/src/policy_bench.ts
+++ b/packages/gypsumwall-bench/src/policy_bench.ts
@@ -56,11 +56,11 @@
   const horizonMs = (options.quick ? 3 : 6) * MINUTE_MS;
   const seeds = options.quick ? options.seeds.slice(0, 2) : options.seeds;
   const results: policyTables.ScenarioResult[] = [];
-  for (const each of SCENARIOS) {
+  for (const scenario of SCENARIOS) {
     const runs = seeds.flatMap((seed) =>
-      POLICIES.map((policy) => runScenario(each, policy, seed, horizonMs)),
+      POLICIES.map((policy) => runScenario(scenario, policy, seed, horizonMs)),
     );
-    results.push({name: each.name, profile: each.profile, runs});
+    results.push({name: scenario.name, profile: scenario.profile, runs});
   }
   return policyTables.buildReport(results, {seeds, horizonMs});
 }
--- a/packages/gypsumwall-bench/src/routing_bench.ts
+++ b/packages/gypsumwall-bench/src/routing_bench.ts
@@ -65,11 +65,11 @@
  * Runs the measured code once, so that no contender includes the cost of
  * compilation.
  */
-async function warmUp(makeRouter: routingRun.MakeRouter): Promise<void> {
+async function warmUp(makeRouter: routingRun.CreateRouter): Promise<void> {
   for (const load of [0.7, 2]) {
     await routingRun.runOnce({
       seed: 1,
-      makeRouter,
+      createRouter: makeRouter,
       load,
       fault: 'none',
       cell: routingRun.ONE_ENTRY,
@@ -93,7 +93,7 @@
         figures.push(
           await routingRun.runOnce({
             seed,
-            makeRouter,
+            createRouter: makeRouter,
             load,
             fault,
             cell,
--- a/packages/gypsumwall-bench/src/routing_cases.ts
+++ b/packages/gypsumwall-bench/src/routing_cases.ts
@@ -6,7 +6,7 @@
 /** A named router under comparison. */
 export interface Contender {
   readonly name: string;
-  readonly makeRouter: routingRun.MakeRouter;
+  readonly makeRouter: routingRun.CreateRouter;
 }
 
 /**
--- a/packages/gypsumwall-bench/src/routing_fake_upstreams.ts
+++ b/packages/gypsumwall-bench/src/routing_fake_upstreams.ts
@@ -59,7 +59,7 @@
   options: FakeUpstreamsOptions,
 ): FakeUpstreams {
   const {clock} = options;
-  const record: UpstreamCounters = {
+  const counters: UpstreamCounters = {
     tries: 0,
     firstTry: new Map(),
     usedMs: 0,
@@ -73,8 +73,8 @@
    * connection.
    */
   const hitsSilentConnection = () => {
-    const since = clock.monotonic() - options.faultFrom;
-    const silencedRounds = 1 + Math.floor(since / SILENT_INTERVAL_MS);
+    const sinceFaultMs = clock.monotonic() - options.faultFrom;
+    const silencedRounds = 1 + Math.floor(sinceFaultMs / SILENT_INTERVAL_MS);
     if (silentCount >= SILENT_CONNECTIONS_PER_ROUND * silencedRounds)
       return false;
     silentCount += 1;
@@ -83,15 +83,15 @@
 
   const currentFault = (id: string): UpstreamFault => {
     const now = clock.monotonic();
-    const faulty = now >= options.faultFrom && now < options.faultUntil;
-    return faulty && id === FAULTY_UPSTREAM ? options.fault : 'none';
+    const isFaulty = now >= options.faultFrom && now < options.faultUntil;
+    return isFaulty && id === FAULTY_UPSTREAM ? options.fault : 'none';
   };
   const recordFailure = (
     peer: string,
     kind: types.stepError.StepErrorKind,
     effect: types.stepError.Effect,
   ): Answer => {
-    if (kind === 'refused') record.refusals += 1;
+    if (kind === 'refused') counters.refusals += 1;
     const step = 'upstream.execute';
     return result.err({kind, effect, peer, step, message: kind});
   };
@@ -122,7 +122,7 @@
       if (busySlots() >= listed.slots)
         return recordFailure(listed.id, 'refused', 'not_run');
       const serviceMs = options.serviceMsOf(req.requestId) * factor;
-      record.usedMs += serviceMs;
+      counters.usedMs += serviceMs;
       const until = clock.monotonic() + serviceMs;
       void occupySlot(until);
       if ((await waitAsCaller(req, until)) === 'done') {
@@ -136,9 +136,9 @@
       if (req.deadline <= clock.monotonic()) {
         return recordFailure(listed.id, 'too_late', 'not_run');
       }
-      record.tries += 1;
-      if (!record.firstTry.has(req.requestId)) {
-        record.firstTry.set(req.requestId, clock.monotonic());
+      counters.tries += 1;
+      if (!counters.firstTry.has(req.requestId)) {
+        counters.firstTry.set(req.requestId, clock.monotonic());
       }
       switch (currentFault(listed.id)) {
         case 'dead':
@@ -158,7 +158,7 @@
     return execute;
   };
   return {
-    counters: record,
+    counters,
     createUpstream: (listed) => ({
       execute: createExecute(listed),
       setMaxConnections: () => undefined,
--- a/packages/gypsumwall-bench/src/routing_run.ts
+++ b/packages/gypsumwall-bench/src/routing_run.ts
@@ -8,14 +8,14 @@
 import * as workload from './routing_workload.js';
 
 /** Creates a router to be measured. */
-export type MakeRouter = (
+export type CreateRouter = (
   options: routing.routerOptions.RouterOptions,
 ) => routing.router.Router;
 
 /** Parameters of a run. */
 export interface RunOptions {
   readonly seed: number;
-  readonly makeRouter: MakeRouter;
+  readonly createRouter: CreateRouter;
   /** Ratio of the offered work to the capacity of all slots. */
   readonly load: number;
   readonly fault: fakeUpstreams.UpstreamFault;
@@ -109,7 +109,7 @@
   });
   const ids = Array.from({length: cell.entries}, (_, index) => `e${index}`);
   const routers = ids.map((entryId) =>
-    options.makeRouter({
+    options.createRouter({
       entryId,
       clock,
       random,
@@ -134,9 +134,9 @@
     endMs,
     requests,
     outcomes,
-    used,
+    cpuUsage: used,
     slotMs: totalSlots(cell) * spanMs,
-    record: fakes.counters,
+    counters: fakes.counters,
   });
 }
 
@@ -147,7 +147,7 @@
 /** Outcomes that callers received, collected during the run. */
 interface CallerOutcomes {
   readonly doneAt: Map<string, number>;
-  readonly refusedAfter: hdr.Histogram;
+  readonly refusalTenths: hdr.Histogram;
   notRun: number;
   unknown: number;
 }
@@ -155,7 +155,7 @@
 function createCallerOutcomes(): CallerOutcomes {
   return {
     doneAt: new Map(),
-    refusedAfter: createHistogram(),
+    refusalTenths: createHistogram(),
     notRun: 0,
     unknown: 0,
   };
@@ -213,20 +213,20 @@
 async function sendRequest(
   clock: types.clock.Clock,
   router: routing.router.Router,
-  each: workload.WorkloadRequest,
+  request: workload.WorkloadRequest,
   outcomes: CallerOutcomes,
 ): Promise<void> {
-  const routed = await router.route(each.req);
+  const routed = await router.route(request.req);
   if (routed.isOk) {
-    outcomes.doneAt.set(each.req.requestId, clock.monotonic());
+    outcomes.doneAt.set(request.req.requestId, clock.monotonic());
     routed.value.body.resume();
     return;
   }
   switch (routed.error.type) {
     case 'not_run':
       outcomes.notRun += 1;
-      outcomes.refusedAfter.recordValue(
-        Math.round((clock.monotonic() - each.at) * TENTHS_PER_MS),
+      outcomes.refusalTenths.recordValue(
+        Math.round((clock.monotonic() - request.at) * TENTHS_PER_MS),
       );
       return;
     case 'unknown':
@@ -239,13 +239,13 @@
   readonly endMs: number;
   readonly slotMs: number;
   readonly requests: readonly workload.WorkloadRequest[];
-  readonly record: fakeUpstreams.UpstreamCounters;
+  readonly counters: fakeUpstreams.UpstreamCounters;
   readonly outcomes: CallerOutcomes;
-  readonly used: NodeJS.CpuUsage;
+  readonly cpuUsage: NodeJS.CpuUsage;
 }
 
 function summarize(run: RunResult): RunFigures {
-  const {endMs, requests, record, outcomes, used} = run;
+  const {endMs, requests, counters, outcomes, cpuUsage} = run;
   const byUrgency = {
     urgent: createUrgencyFigures(),
     normal: createUrgencyFigures(),
@@ -254,32 +254,34 @@
   let usefulMs = 0;
   let inTime = 0;
   for (const {at, req, serviceMs} of requests) {
-    const figures = byUrgency[req.urgency];
-    figures.sent += 1;
-    const triedAt = record.firstTry.get(req.requestId);
+    const urgencyFigures = byUrgency[req.urgency];
+    urgencyFigures.sent += 1;
+    const triedAt = counters.firstTry.get(req.requestId);
     if (triedAt !== undefined) {
-      figures.waitTenths.recordValue(
+      urgencyFigures.waitTenths.recordValue(
         Math.round((triedAt - at) * TENTHS_PER_MS),
       );
     }
     const doneAt = outcomes.doneAt.get(req.requestId);
     if (doneAt === undefined) continue;
-    figures.answerTenths.recordValue(Math.round((doneAt - at) * TENTHS_PER_MS));
+    urgencyFigures.answerTenths.recordValue(
+      Math.round((doneAt - at) * TENTHS_PER_MS),
+    );
     if (doneAt > req.deadline) continue;
-    figures.done += 1;
+    urgencyFigures.done += 1;
     inTime += 1;
     if (doneAt <= endMs) usefulMs += serviceMs;
   }
   return {
     byUrgency,
     goodput: usefulMs / run.slotMs,
-    amplification: record.tries / Math.max(1, record.firstTry.size),
+    amplification: counters.tries / Math.max(1, counters.firstTry.size),
     notRun: outcomes.notRun,
     unknown: outcomes.unknown,
     late: requests.length - inTime - outcomes.notRun - outcomes.unknown,
-    refusalTenths: outcomes.refusedAfter,
-    upstreamRefusals: record.refusals,
-    cpuMicros: (used.user + used.system) / requests.length,
+    refusalTenths: outcomes.refusalTenths,
+    upstreamRefusals: counters.refusals,
+    cpuMicros: (cpuUsage.user + cpuUsage.system) / requests.length,
   };
 }
 
--- a/packages/gypsumwall-bench/src/routing_slopes.ts
+++ b/packages/gypsumwall-bench/src/routing_slopes.ts
@@ -32,7 +32,7 @@
 /** Measures all slopes and returns them as one table. */
 export async function slopeTable(
   seeds: readonly number[],
-  makeRouter: routingRun.MakeRouter,
+  makeRouter: routingRun.CreateRouter,
 ): Promise<benchModule.BenchTable> {
   const rows: Array<readonly (string | number)[]> = [];
   for (const upstreams of UPSTREAM_COUNTS) {
@@ -70,7 +70,7 @@
 
 async function measureCpuMicros(
   seeds: readonly number[],
-  makeRouter: routingRun.MakeRouter,
+  makeRouter: routingRun.CreateRouter,
   load: number,
   upstreams: number,
   split: number,
@@ -83,7 +83,7 @@
   for (const seed of seeds) {
     const figures = await routingRun.runOnce({
       seed,
-      makeRouter,
+      createRouter: makeRouter,
       cell,
       spanMs,
       load,
--- a/packages/gypsumwall-bench/src/routing_workload.ts
+++ b/packages/gypsumwall-bench/src/routing_workload.ts
@@ -100,8 +100,7 @@
 export function makeWorkload(options: WorkloadOptions): WorkloadRequest[] {
   const {random} = options;
   // Ratio of the declared to the mean service time of each operation, constant
-  // for
-  // the whole run.
+  // for the whole run.
   const biases = OPERATIONS.map(
     () => MAX_ESTIMATE_FACTOR ** (2 * random.next() - 1),
   );
--- a/packages/gypsumwall-bench/src/spread_bench.ts
+++ b/packages/gypsumwall-bench/src/spread_bench.ts
@@ -101,7 +101,7 @@
 
 type Column = readonly [
   name: string,
-  pick: (run: spreadCell.SpreadResult) => number,
+  valueOf: (run: spreadCell.SpreadResult) => number,
 ];
 
 const QUALITY: readonly Column[] = [
@@ -143,8 +143,8 @@
     rows: rows.map(({variant, runs}) => [
       variant.name,
       runs[0]?.shards ?? 0,
-      ...columns.map(([, pick]) =>
-        statistics.formatMedianAndRange(runs.map(pick)),
+      ...columns.map(([, valueOf]) =>
+        statistics.formatMedianAndRange(runs.map(valueOf)),
       ),
     ]),
   };
--- a/packages/gypsumwall-bench/src/spread_cell.ts
+++ b/packages/gypsumwall-bench/src/spread_cell.ts
@@ -84,9 +84,9 @@
   const drawOutcome = attemptOutcomes.createDrawOutcome(random);
   const adviser = attemptOutcomes.createAdviser(random);
   const infos = createWorkerInfos(workers);
-  const count = countShards(variant, workers);
+  const shardCount = countShards(variant, workers);
   const shardOfWorker = new Map(
-    infos.map((info, index) => [info.id, index % count]),
+    infos.map((info, index) => [info.id, index % shardCount]),
   );
   const shardOf = (id: types.ids.WorkerId) => shardOfWorker.get(id)!;
   const entries = Array.from(
@@ -105,18 +105,20 @@
   const createProcess = () => virtualProcess.createVirtualProcess(timeline);
   const helpers = infos.map(createProcess).slice(0, countHelpers());
   const shardCalls: workerCalls.WorkerCalls[] = [];
-  const shards = Array.from({length: count}, (_, shardIndex) =>
+  const shards = Array.from({length: shardCount}, (_, shardIndex) =>
     createShard(shardIndex),
   );
   const coordinator = gangCoordinator.createGangCoordinator({
     timeline,
     shards,
     shardOf,
-    decider: () => wideDecider!,
+    decider: () => coordinatorDecider!,
   });
-  const wideDecider = variant.hasCoordinator ? createWideDecider() : undefined;
+  const coordinatorDecider = variant.hasCoordinator
+    ? createCoordinatorDecider()
+    : undefined;
   const deciders =
-    wideDecider === undefined ? shards : [...shards, wideDecider];
+    coordinatorDecider === undefined ? shards : [...shards, coordinatorDecider];
 
   function countHelpers(): number {
     return variant.hasHelpers ? Math.ceil(workers / WORKERS_PER_HELPER) : 0;
@@ -135,7 +137,7 @@
     const decider = virtualDecider.createVirtualDecider({
       timeline,
       process,
-      entries: entries.filter((_, entry) => entry % count === shardIndex),
+      entries: entries.filter((_, entry) => entry % shardCount === shardIndex),
       attemptBase: shardIndex * ATTEMPTS_PER_DECIDER,
       drawOutcome,
       adviser,
@@ -153,19 +155,19 @@
    * Creates the coordinator's decider; its orders and reports go through the
    * shards.
    */
-  function createWideDecider(): virtualDecider.VirtualDecider {
+  function createCoordinatorDecider(): virtualDecider.VirtualDecider {
     const process = createProcess();
-    const relayed = shardCalls.map((calls) =>
+    const relayedCalls = shardCalls.map((calls) =>
       workerCalls.createRelayedCalls(timeline, process, calls),
     );
     const decider = virtualDecider.createVirtualDecider({
       timeline,
       process,
       entries: coordinatorEntries,
-      attemptBase: count * ATTEMPTS_PER_DECIDER,
+      attemptBase: shardCount * ATTEMPTS_PER_DECIDER,
       drawOutcome,
       adviser,
-      callsFor: (id) => relayed[shardOf(id)]!,
+      callsFor: (id) => relayedCalls[shardOf(id)]!,
       dispatchStarts: (starts) => coordinator.reserveAndStart(starts),
       onStarts: (starts) => measures.recordStarts(starts),
       onAttemptEnd: (attempt) => coordinator.releaseAttempt(attempt),
@@ -177,31 +179,31 @@
 
   const capacities = shardCapacities.createShardCapacities(
     timeline,
-    count > 1 || variant.hasCoordinator ? shards : [],
+    shardCount > 1 || variant.hasCoordinator ? shards : [],
     (shardIndex) => {
       if (variant.hasCoordinator)
         coordinator.applyFreeCapacity(capacities.freeCapacityOf(shardIndex));
     },
   );
-  const moves =
-    count > 1
-      ? jobRebalancing.startJobMoves({timeline, shards, capacities})
+  const countMoves =
+    shardCount > 1
+      ? jobRebalancing.startJobRebalancing({timeline, shards, capacities})
       : () => 0;
 
   function deciderOf(
     id: types.ids.JobId,
     request: scheduling.jobRequest.JobRequest,
   ): virtualDecider.VirtualDecider {
-    const home = shards[hashOf(id) % count]!;
+    const homeShard = shards[hashOf(id) % shardCount]!;
     const gang = request.steps.find((step) => isWide(step));
-    if (gang === undefined || count === 1) return home;
-    return wideDecider ?? shardWithMostSlots(gang);
+    if (gang === undefined || shardCount === 1) return homeShard;
+    return coordinatorDecider ?? shardWithMostSlots(gang);
   }
 
   function isWide(step: scheduling.jobRequest.StepRequest): boolean {
-    const needed = step.taskCount * step.size.cpuMillis;
-    const ofShard = (workers / count) * CAPACITY.cpuMillis;
-    return step.gang && needed > ofShard * MIN_WIDE_GANG_SHARE;
+    const neededMillis = step.taskCount * step.size.cpuMillis;
+    const shardMillis = (workers / shardCount) * CAPACITY.cpuMillis;
+    return step.gang && neededMillis > shardMillis * MIN_WIDE_GANG_SHARE;
   }
 
   function shardWithMostSlots(
@@ -209,7 +211,7 @@
   ): virtualDecider.VirtualDecider {
     let best = 0;
     let mostSlots = -1;
-    for (let shardIndex = 0; shardIndex < count; shardIndex++) {
+    for (let shardIndex = 0; shardIndex < shardCount; shardIndex++) {
       const slots = shardCapacities.estimateSlots(
         capacities.freeCapacityOf(shardIndex),
         gang,
@@ -245,12 +247,12 @@
   return {
     ...measures.counts(),
     seconds,
-    shards: count,
+    shards: shardCount,
     decidingMs: sum(deciders.map(({process}) => process.measuredMs())),
     deciderCores: deciders.map(({process}) => coresOf(process)),
     helperCores: helpers.map(coresOf),
     adviserCalls: sum(deciders.map((decider) => decider.adviserCallCount())),
-    moves: moves(),
+    moves: countMoves(),
     conflicts: coordinator.conflicts(),
   };
 }
--- a/packages/gypsumwall-bench/src/spread_load.ts
+++ b/packages/gypsumwall-bench/src/spread_load.ts
@@ -22,10 +22,10 @@
 /** Starts the arrivals of all kinds of jobs. */
 export function startArrivals(parts: SpreadLoadParts): void {
   const {timeline, random} = parts;
-  let jobs = 0;
+  let jobCount = 0;
 
   function handleArrival(kind: stepLoad.JobKind): void {
-    const id = types.ids.brand<types.ids.JobId>(`job${++jobs}`);
+    const id = types.ids.brand<types.ids.JobId>(`job${++jobCount}`);
     parts.accept(id, kind, stepLoad.drawRequest(kind, random));
     scheduleArrival(kind);
   }
@@ -33,7 +33,10 @@
   function scheduleArrival(kind: stepLoad.JobKind): void {
     const now = timeline.now();
     const burst = stepLoad.BURSTS.find(
-      (one) => one.kind === kind.name && now >= one.fromMs && now < one.toMs,
+      (candidate) =>
+        candidate.kind === kind.name &&
+        now >= candidate.fromMs &&
+        now < candidate.toMs,
     );
     const rate = kind.rate * parts.load * (burst?.factor ?? 1);
     const gapMs = (-Math.log(1 - random.next()) * 1_000) / rate;
--- a/packages/gypsumwall-bench/src/spread_measures.ts
+++ b/packages/gypsumwall-bench/src/spread_measures.ts
@@ -81,7 +81,7 @@
   let starts = 0;
   let gangsPartial = 0;
 
-  function count({kind}: PendingJob, met: boolean): void {
+  function countObjective({kind}: PendingJob, met: boolean): void {
     const counts = onTime.get(kind.name) ?? {met: 0, all: 0};
     counts.all++;
     if (met) counts.met++;
@@ -120,8 +120,8 @@
       jobs++;
       const at = timeline.now();
       pendingJobs.set(id, {kind, at, objectiveMs});
-      const gang = request.steps.some((step) => step.gang);
-      if (gang && at < parts.endMs - GANG_MARGIN_MS) gangJobs.set(id, false);
+      const hasGang = request.steps.some((step) => step.gang);
+      if (hasGang && at < parts.endMs - GANG_MARGIN_MS) gangJobs.set(id, false);
     },
     recordStarts(orders) {
       starts += orders.length;
@@ -137,7 +137,7 @@
       const pendingJob = pendingJobs.get(id);
       if (pendingJob === undefined) return;
       pendingJobs.delete(id);
-      count(
+      countObjective(
         pendingJob,
         timeline.now() - pendingJob.at <= pendingJob.objectiveMs,
       );
@@ -146,7 +146,7 @@
       // A job that is already late at the end of the run missed its objective.
       for (const pendingJob of pendingJobs.values()) {
         if (timeline.now() - pendingJob.at > pendingJob.objectiveMs)
-          count(pendingJob, false);
+          countObjective(pendingJob, false);
       }
       const shares = [...onTime].map(
         ([name, {met, all}]) => [name, met / all] as const,
@@ -186,7 +186,8 @@
   const smallest: types.resources.Resources[] = [];
   for (const {request} of steps) {
     const {size} = request;
-    if (smallest.some((one) => types.resources.fits(one, size))) continue;
+    if (smallest.some((smaller) => types.resources.fits(smaller, size)))
+      continue;
     smallest.push(size);
   }
   return smallest;
--- a/packages/gypsumwall-bench/src/step_cell.ts
+++ b/packages/gypsumwall-bench/src/step_cell.ts
@@ -1,7 +1,8 @@
 /**
- * Simulates a cell on a virtual clock. It drives the real scheduler of step jobs
- * as a holder does; simulated workers, adviser and store answer after their
- * usual latencies. The processor time of the scheduler is measured in real time.
+ * Simulates a cell on a virtual clock. It drives the real scheduler of step
+ * jobs as a holder does; simulated workers, adviser and store answer after
+ * their usual latencies. The processor time of the scheduler is measured in
+ * real time.
  */
 import * as scheduling from '@gypsumwall/scheduling';
 import * as types from '@gypsumwall/types';
@@ -20,7 +21,7 @@
 const CAPACITY = {cpuMillis: 16_000, memoryMb: 32_768, accelerators: 0};
 const MAX_WAIT_MS = 1e6;
 /** Virtual time at which a run starts. */
-const START_MS = 1_000;
+const START_AT_MS = 1_000;
 
 /** Results of a run. */
 export interface StepCellResult {
@@ -46,7 +47,7 @@
 /** Jobs that were accepted while the cell had no holder. */
 export interface Backlog {
   /** Time from the start of the run until a holder takes over the cell. */
-  readonly atMs: number;
+  readonly takeoverAtMs: number;
   /** Time for which jobs had accumulated by then. */
   readonly spanMs: number;
   /**
@@ -80,13 +81,13 @@
     (_, index) => `e${index}`,
   );
   const busyUntil = new Map<string, number>();
-  let now = START_MS as types.clock.MonotonicMs;
+  let now = START_AT_MS as types.clock.MonotonicMs;
   let schedulerMs = 0;
   let maxCycleMs = 0;
   let cycles = 0;
   let starts = 0;
   let isCyclePlanned = false;
-  let jobs = 0;
+  let jobCount = 0;
 
   const scheduler = scheduling.scheduler.createScheduler({
     attemptBase: 0,
@@ -100,15 +101,16 @@
     const pendingJob = pendingJobs.get(id);
     if (pendingJob === undefined) return;
     pendingJobs.delete(id);
-    if (pendingJob.at - START_MS < (options.backlog?.countFromMs ?? 0)) return;
-    const span = now - pendingJob.at;
+    if (pendingJob.at - START_AT_MS < (options.backlog?.countFromMs ?? 0))
+      return;
+    const durationMs = now - pendingJob.at;
     const durations = tookMs.get(pendingJob.kind.name) ?? createHistogram();
-    durations.recordValue(Math.max(1, Math.round(span)));
+    durations.recordValue(Math.max(1, Math.round(durationMs)));
     tookMs.set(pendingJob.kind.name, durations);
-    count(pendingJob, span <= pendingJob.objectiveMs);
+    countObjective(pendingJob, durationMs <= pendingJob.objectiveMs);
   }
 
-  function count({kind}: PendingJob, met: boolean): void {
+  function countObjective({kind}: PendingJob, met: boolean): void {
     const counts = onTime.get(kind.name) ?? {met: 0, all: 0};
     counts.all++;
     if (met) counts.met++;
@@ -120,8 +122,10 @@
    * objective.
    */
   function recordUnfinished(pendingJob: PendingJob): void {
-    if (pendingJob.at - START_MS < (options.backlog?.countFromMs ?? 0)) return;
-    if (now - pendingJob.at > pendingJob.objectiveMs) count(pendingJob, false);
+    if (pendingJob.at - START_AT_MS < (options.backlog?.countFromMs ?? 0))
+      return;
+    if (now - pendingJob.at > pendingJob.objectiveMs)
+      countObjective(pendingJob, false);
   }
 
   function measure<Value>(work: () => Value): Value {
@@ -209,9 +213,9 @@
     const report: scheduling.schedulerTypes.WorkerReport = {
       workerId,
       askedAt: now,
-      running: [...attempts].map((one) => ({
-        taskId: one.taskId,
-        attempt: one.number,
+      running: [...attempts].map((other) => ({
+        taskId: other.taskId,
+        attempt: other.number,
         checkpoint: '',
         percent: Math.floor(random.next() * 100),
       })),
@@ -263,7 +267,7 @@
     kind: stepLoad.JobKind,
     acceptedAt: types.clock.MonotonicMs,
   ): void {
-    const id = types.ids.brand<types.ids.JobId>(`job${++jobs}`);
+    const id = types.ids.brand<types.ids.JobId>(`job${++jobCount}`);
     const request = stepLoad.drawRequest(kind, random);
     const {policy} = kind;
     const chainMs = scheduling.jobRequest.chainMs(request);
@@ -293,7 +297,10 @@
 
   function scheduleArrival(kind: stepLoad.JobKind): void {
     const burst = stepLoad.BURSTS.find(
-      (one) => one.kind === kind.name && now >= one.fromMs && now < one.toMs,
+      (candidate) =>
+        candidate.kind === kind.name &&
+        now >= candidate.fromMs &&
+        now < candidate.toMs,
     );
     const rate = kind.rate * options.load * (burst?.factor ?? 1);
     const meanGapMs = 1_000 / rate;
@@ -319,7 +326,7 @@
   for (const kind of stepLoad.PEAK_KINDS) scheduleArrival(kind);
   const {backlog} = options;
   if (backlog !== undefined)
-    schedule(backlog.atMs, () => acceptBacklog(backlog));
+    schedule(backlog.takeoverAtMs, () => acceptBacklog(backlog));
   const endAt = now + options.seconds * 1_000;
   for (;;) {
     const next = events.pop();
--- a/packages/gypsumwall-bench/src/virtual_cell.ts
+++ b/packages/gypsumwall-bench/src/virtual_cell.ts
@@ -1,7 +1,8 @@
 /**
- * Drives a real placer on a virtual clock: arrivals, task ends and usage reports
- * come from one event queue. This is not a full cluster simulator: workers only
- * share their processors among tasks, and there are no network calls.
+ * Drives a real placer on a virtual clock: arrivals, task ends and usage
+ * reports come from one event queue. This is not a full cluster simulator:
+ * workers only share their processors among tasks, and there are no network
+ * calls.
  */
 import * as placement from '@gypsumwall/placement';
 import * as types from '@gypsumwall/types';
@@ -79,8 +80,8 @@
   const workers = Array.from({length: profile.workers}, () =>
     virtualWorker.createVirtualWorker(profile.capacity),
   );
-  const numberOf = new Map<types.ids.WorkerId, number>();
-  const workerOf = new Map<types.ids.TaskId, number>();
+  const workerIndexById = new Map<types.ids.WorkerId, number>();
+  const workerIndexByTask = new Map<types.ids.TaskId, number>();
   const jobs = new Map<types.ids.JobId, CellJob>();
   let now = 0;
   let measuredAt = 0;
@@ -107,8 +108,8 @@
   }
 
   /** Changes a worker, updates the totals and schedules its next task end. */
-  function updateWorker(number: number, action: () => void): void {
-    const worker = workers[number]!;
+  function updateWorker(workerIndex: number, action: () => void): void {
+    const worker = workers[workerIndex]!;
     const isOver = () =>
       worker.usedMemoryMb() > profile.capacity.memoryMb ? 1 : 0;
     accumulate();
@@ -121,7 +122,12 @@
     crowdedWorkers += worker.isCrowded() ? 1 : 0;
     const at = worker.nextEndAt(now);
     if (at === Infinity) return;
-    events.push({type: 'end', at, worker: number, version: worker.version()});
+    events.push({
+      type: 'end',
+      at,
+      worker: workerIndex,
+      version: worker.version(),
+    });
   }
 
   function handleArrival(arrival: workload.Arrival): void {
@@ -148,12 +154,13 @@
   }
 
   function startTask(placedTask: placement.placer.Placement): void {
-    const number = numberOf.get(placedTask.workerId)!;
+    const workerIndex = workerIndexById.get(placedTask.workerId)!;
     const {jobId, index} = types.ids.splitTaskId(placedTask.taskId);
     const job = jobs.get(jobId)!;
     const actual = job.arrival.tasks[index]!;
     const fails =
-      number === options.badWorker || options.isBroken?.(job.arrival) === true;
+      workerIndex === options.badWorker ||
+      options.isBroken?.(job.arrival) === true;
     // A start that fails immediately does not end the waiting time of the task.
     if (!fails && !job.startedTasks.has(index)) {
       job.startedTasks.add(index);
@@ -171,10 +178,10 @@
       remainingMs,
       throttleMillis: 0,
     };
-    workerOf.set(taskId, number);
-    updateWorker(number, () => {
+    workerIndexByTask.set(taskId, workerIndex);
+    updateWorker(workerIndex, () => {
       reservedMillis += size.cpuMillis;
-      workers[number]!.start(task, now);
+      workers[workerIndex]!.start(task, now);
     });
   }
 
@@ -184,28 +191,29 @@
     cellMeasures.recordWait(measures, className, waitMs);
   }
 
-  function finishEndedTasks(number: number): void {
-    const worker = workers[number]!;
+  function finishEndedTasks(workerIndex: number): void {
+    const worker = workers[workerIndex]!;
     for (;;) {
       const task = worker.findEndedTask(now);
       if (task === undefined) return;
-      updateWorker(number, () => {
+      updateWorker(workerIndex, () => {
         reservedMillis -= task.size.cpuMillis;
         worker.stop(task.taskId, now);
       });
-      handleTaskEnd(task, number);
+      handleTaskEnd(task, workerIndex);
     }
   }
 
   function handleTaskEnd(
     task: virtualWorker.VirtualTask,
-    number: number,
+    workerIndex: number,
   ): void {
-    workerOf.delete(task.taskId);
+    workerIndexByTask.delete(task.taskId);
     const {jobId, index} = types.ids.splitTaskId(task.taskId);
     const job = jobs.get(jobId)!;
     const fails =
-      number === options.badWorker || options.isBroken?.(job.arrival) === true;
+      workerIndex === options.badWorker ||
+      options.isBroken?.(job.arrival) === true;
     if (fails) {
       measures.failedAttempts += 1;
       placer.release(task.taskId, {type: 'failed', message: 'exit 1'});
@@ -239,19 +247,21 @@
   function applyPreemption(
     preemption: placement.placer.PreemptionAction,
   ): void {
-    const number = workerOf.get(preemption.taskId);
-    if (number === undefined) return;
-    const worker = workers[number]!;
+    const workerIndex = workerIndexByTask.get(preemption.taskId);
+    if (workerIndex === undefined) return;
+    const worker = workers[workerIndex]!;
     switch (preemption.type) {
       case 'throttle':
         measures.throttles += 1;
-        updateWorker(number, () =>
+        updateWorker(workerIndex, () =>
           worker.throttle(preemption.taskId, preemption.cpuMillis, now),
         );
         return;
       case 'checkpoint':
         measures.checkpoints += 1;
-        updateWorker(number, () => checkpointTask(worker, preemption.taskId));
+        updateWorker(workerIndex, () =>
+          checkpointTask(worker, preemption.taskId),
+        );
         return;
     }
   }
@@ -263,7 +273,7 @@
     const task = worker.stop(taskId, now);
     if (task === undefined) return;
     reservedMillis -= task.size.cpuMillis;
-    workerOf.delete(taskId);
+    workerIndexByTask.delete(taskId);
     const {jobId, index} = types.ids.splitTaskId(taskId);
     const job = jobs.get(jobId)!;
     job.remainingMsByTask.set(index, task.remainingMs + CHECKPOINT_COST_MS);
@@ -271,8 +281,8 @@
     requeueTask(job, index);
   }
 
-  function reportUsage(number: number): void {
-    const worker = workers[number]!;
+  function reportUsage(workerIndex: number): void {
+    const worker = workers[workerIndex]!;
     for (const task of worker.tasks.values()) {
       placer.reportUsage(task.taskId, {
         cpuMillis: Math.round(worker.usedMillisOf(task)),
@@ -283,24 +293,25 @@
     events.push({
       type: 'heartbeat',
       at: now + HEARTBEAT_INTERVAL_MS,
-      worker: number,
+      worker: workerIndex,
     });
   }
 
   function decide(): void {
     for (;;) {
       const before = process.hrtime.bigint();
-      const decided = placer.decide(
+      const decisions = placer.decide(
         now as types.clock.WallMs,
         MAX_PLACEMENTS_PER_DECISION,
       );
       const spentNs = Number(process.hrtime.bigint() - before);
       measures.decideTotalNs += spentNs;
-      measures.placements += decided.placements.length;
-      if (decided.placements.length > 0) measures.decideNs.recordValue(spentNs);
-      decided.placements.forEach(startTask);
-      decided.preemptions.forEach(applyPreemption);
-      if (decided.placements.length < MAX_PLACEMENTS_PER_DECISION) return;
+      measures.placements += decisions.placements.length;
+      if (decisions.placements.length > 0)
+        measures.decideNs.recordValue(spentNs);
+      decisions.placements.forEach(startTask);
+      decisions.preemptions.forEach(applyPreemption);
+      if (decisions.placements.length < MAX_PLACEMENTS_PER_DECISION) return;
     }
   }
 
@@ -334,7 +345,7 @@
     for (let n = 0; n < profile.workers; n += 1) {
       const rack = Math.floor(n / profile.workersPerRack);
       const id = types.ids.brand<types.ids.WorkerId>(`worker-${n}`);
-      numberOf.set(id, n);
+      workerIndexById.set(id, n);
       const {capacity} = profile;
       placer.setWorker({id, rack: types.ids.brand(`rack-${rack}`), capacity});
       // Heartbeats are spread evenly over the interval.
--- a/packages/gypsumwall-bench/src/virtual_decider.ts
+++ b/packages/gypsumwall-bench/src/virtual_decider.ts
@@ -112,17 +112,17 @@
       starts: [],
       advice: [],
     };
-    const tookMs = process.measure(() => {
+    const cycleMs = process.measure(() => {
       const capacity = adviser.capacity();
       decisions = scheduler.decide(timeline.now(), wall(), capacity);
     });
-    cycleDelayMs = Math.max(MIN_CYCLE_DELAY_MS, tookMs * CYCLE_DELAY_FACTOR);
+    cycleDelayMs = Math.max(MIN_CYCLE_DELAY_MS, cycleMs * CYCLE_DELAY_FACTOR);
     appendDirty();
     if (decisions.starts.length > 0) dispatchStarts(decisions.starts);
     for (const request of decisions.advice) {
       const {job} = request.stepRun;
       jobs.set(job.id, job);
-      adviser.ask(request);
+      adviser.requestAdvice(request);
     }
   }
 
@@ -183,9 +183,9 @@
     const report: scheduling.schedulerTypes.WorkerReport = {
       workerId,
       askedAt: timeline.now(),
-      running: [...attempts].map((one) => ({
-        taskId: one.taskId,
-        attempt: one.number,
+      running: [...attempts].map((other) => ({
+        taskId: other.taskId,
+        attempt: other.number,
         checkpoint: '',
         percent: parts.drawOutcome.drawPercent(),
       })),
--- a/packages/gypsumwall-bench/src/virtual_process.ts
+++ b/packages/gypsumwall-bench/src/virtual_process.ts
@@ -1,7 +1,7 @@
 /**
- * A single-threaded process on a virtual timeline. Calls occupy its thread for a
- * fixed cost, and decisions for the time that they took on the real processor.
- * Work that arrives meanwhile waits in a queue.
+ * A single-threaded process on a virtual timeline. Calls occupy its thread for
+ * a fixed time, and decisions for the time that they took on the real
+ * processor. Work that arrives meanwhile waits in a queue.
  */
 import type * as virtualTimeline from './virtual_timeline.js';
 
--- a/packages/gypsumwall-bench/src/virtual_timeline.ts
+++ b/packages/gypsumwall-bench/src/virtual_timeline.ts
@@ -12,13 +12,13 @@
 /** Creates a timeline without scheduled events. */
 export function createVirtualTimeline(startMs: number): VirtualTimeline {
   /** Ordered latest first, so that the next event is popped off the end. */
-  const events: {at: number; work: () => void}[] = [];
+  const events: {at: number; callback: () => void}[] = [];
   let now = startMs;
 
   return {
     now: () => now as types.clock.MonotonicMs,
-    schedule(spanMs, work) {
-      const at = now + spanMs;
+    schedule(delayMs, callback) {
+      const at = now + delayMs;
       let low = 0;
       let high = events.length;
       while (low < high) {
@@ -26,14 +26,14 @@
         if (events[middle]!.at > at) low = middle + 1;
         else high = middle;
       }
-      events.splice(low, 0, {at, work});
+      events.splice(low, 0, {at, callback});
     },
     runUntil(endMs) {
       for (;;) {
         const next = events.pop();
         if (next === undefined || next.at > endMs) break;
         now = next.at;
-        next.work();
+        next.callback();
       }
       now = endMs;
     },
--- a/packages/gypsumwall-bench/src/workload.ts
+++ b/packages/gypsumwall-bench/src/workload.ts
@@ -64,16 +64,14 @@
     const random = types.random.createRandom(options.seed * 1000 + position);
     arrivals.push(...makeArrivalsOfClass(options, workClass, random));
   });
-  return arrivals.sort(
-    (remainingMillis, right) => remainingMillis.at - right.at,
-  );
+  return arrivals.sort((left, right) => left.at - right.at);
 }
 
 /** Ratios of the declared to the actual values of a job class. */
 interface DeclarationBias {
   readonly cpu: number;
   readonly memory: number;
-  readonly run: number;
+  readonly runTime: number;
 }
 
 function makeArrivalsOfClass(
@@ -125,10 +123,10 @@
   biases: readonly DeclarationBias[],
 ): Arrival[] {
   const {profile, load} = options;
-  let left =
+  let remainingMillis =
     profile.workers * profile.capacity.cpuMillis * load * workClass.loadShare;
   const arrivals: Arrival[] = [];
-  while (left > 0) {
+  while (remainingMillis > 0) {
     const classIndex = arrivals.length % JOB_CLASS_COUNT;
     const task = drawTasks(workClass, random)[0]!;
     const tasks = Array.from({length: workClass.tasks.median}, () => ({
@@ -151,7 +149,7 @@
       tasks,
       spec,
     });
-    left -= task.cpuMillis * tasks.length;
+    remainingMillis -= task.cpuMillis * tasks.length;
   }
   return arrivals;
 }
@@ -161,7 +159,7 @@
   accuracy: DeclarationAccuracy,
 ): DeclarationBias {
   const factor = () => MAX_DECLARED_FACTOR ** drawExponent(random, accuracy);
-  return {cpu: factor(), memory: factor(), run: factor()};
+  return {cpu: factor(), memory: factor(), runTime: factor()};
 }
 
 function drawExponent(
@@ -237,7 +235,7 @@
       memoryMb: Math.ceil(first.memoryMb * bias.memory),
       accelerators: 0,
     },
-    estimateMs: Math.ceil(first.runMs * bias.run),
+    estimateMs: Math.ceil(first.runMs * bias.runTime),
     deadline: deadline as types.clock.WallMs | undefined,
     work: {command: workClass.name, args: {}},
   };
