--- a/scripts/build_binary.mjs
+++ b/scripts/build_binary.mjs
@@ -1,7 +1,8 @@
 /**
- * Makes dist/gypsumwall, one file that runs without anything beside it: the
- * compiled code and its libraries in one script, put into a copy of Node.
- * Run after tsc -b. An argument names another folder than dist.
+ * Builds dist/gypsumwall, a single executable without external dependencies:
+ * bundles the compiled code and its libraries into one script and injects it
+ * into a copy of the Node binary. Run it after tsc -b. An optional argument
+ * names an output folder other than dist.
  */
 import * as childProcess from 'node:child_process';
 import * as fs from 'node:fs';
@@ -16,14 +17,14 @@
 const BLOB = path.join(OUT_DIR, 'gypsumwall.blob');
 const SEA_CONFIG = path.join(OUT_DIR, 'sea_config.json');
 
-/** Names that Node's loader of single executables looks for. */
+/** Names that Node expects in a single executable application. */
 const BLOB_NAME = 'NODE_SEA_BLOB';
-const FUSE = 'NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2';
+const FUSE_NAME = 'NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2';
 
 fs.rmSync(OUT_DIR, {recursive: true, force: true});
 fs.mkdirSync(OUT_DIR, {recursive: true});
 await bundle();
-makeBlob();
+createBlob();
 await inject();
 for (const file of [BUNDLE, BLOB, SEA_CONFIG]) fs.rmSync(file);
 const megabytes = (fs.statSync(BINARY).size / 1e6).toFixed(1);
@@ -37,20 +38,21 @@
     platform: 'node',
     target: 'node20',
     format: 'cjs',
-    // oclif asks for the compiler only to run commands from sources, and
-    // hot-shots for the socket only to write to Unix sockets.
+    // oclif loads the compiler only to run commands from their sources, and
+    // hot-shots loads unix-dgram only to write to Unix sockets.
     external: ['typescript', 'unix-dgram'],
-    // Its main file is UMD, whose inner imports a bundler can't see.
+    // The main file of jsonc-parser is UMD; bundlers cannot resolve its imports.
     alias: {'jsonc-parser': 'jsonc-parser/lib/esm/main.js'},
-    // oclif would look for its package.json, which isn't there any more.
+    // oclif would read its package.json, which is not part of the bundle.
     define: {'process.env.OCLIF_DISABLE_ENGINE_WARNING': '"1"'},
-    // The entry is started from the commands, not from the file's own URL.
+    // import.meta is empty in a CommonJS bundle. The entry does not need it,
+    // because the commands start it.
     logOverride: {'empty-import-meta': 'silent'},
     logLevel: 'warning',
   });
 }
 
-function makeBlob() {
+function createBlob() {
   const config = {
     main: BUNDLE,
     output: BLOB,
@@ -68,6 +70,6 @@
   fs.copyFileSync(process.execPath, BINARY);
   fs.chmodSync(BINARY, 0o755);
   await postject.inject(BINARY, BLOB_NAME, fs.readFileSync(BLOB), {
-    sentinelFuse: FUSE,
+    sentinelFuse: FUSE_NAME,
   });
 }
--- a/scripts/build_deploy.mjs
+++ b/scripts/build_deploy.mjs
@@ -1,17 +1,17 @@
 /**
- * Makes target/gypsumwall.cjs, which starts the entry for the users' platform:
- * target/entry.cjs is one script with its libraries in it, and
- * target/entry.cjs.cache its compiled code, so that a start neither looks for
- * files nor compiles them. Run without tsc. An argument names another folder
- * than target/, for tests that run beside each other.
+ * Builds target/gypsumwall.cjs, which starts the entry on the users' platform.
+ * target/entry.cjs is the entry bundled with its libraries, and
+ * target/entry.cjs.cache is its V8 code cache, so that a start neither resolves
+ * modules nor compiles them. tsc need not run first. An optional argument names
+ * an output folder other than target/, for tests that run in parallel.
  */
 import * as childProcess from 'node:child_process';
 import * as fs from 'node:fs';
 import * as esbuild from 'esbuild';
 
-const folder = process.argv[2] ?? 'target';
+const outDir = process.argv[2] ?? 'target';
 
-/** Compiled code fits only a process with the same flags. */
+/** Node accepts the code cache only in a process with the same flags. */
 function readNodeFlags() {
   const deployFile = fs.readFileSync('deploy/system.toml', 'utf8');
   const run = /^run = "node (.*) target\/gypsumwall\.cjs"$/m.exec(deployFile);
@@ -22,16 +22,16 @@
 
 await esbuild.build({
   entryPoints: {entry: 'platform/main.ts'},
-  outdir: folder,
+  outdir: outDir,
   outExtension: {'.js': '.cjs'},
   bundle: true,
   platform: 'node',
   target: 'node20',
   format: 'cjs',
-  // Names stay, so that stacks can be read.
+  // Identifiers are not minified, so that stack traces stay readable.
   minifySyntax: true,
   minifyWhitespace: true,
-  // Packages are built from their sources; their exports name compiled files.
+  // Bundles the packages from their sources; their exports name compiled files.
   alias: {
     '@gypsumwall/types': './packages/gypsumwall-types/src/index.ts',
     '@gypsumwall/telemetry': './packages/gypsumwall-telemetry/src/index.ts',
@@ -40,9 +40,9 @@
   },
   logLevel: 'warning',
 });
-fs.copyFileSync('scripts/start_cached.cjs', `${folder}/gypsumwall.cjs`);
+fs.copyFileSync('scripts/start_cached.cjs', `${outDir}/gypsumwall.cjs`);
 childProcess.execFileSync(
   process.execPath,
-  [...readNodeFlags(), `${folder}/gypsumwall.cjs`, '--write-code-cache'],
+  [...readNodeFlags(), `${outDir}/gypsumwall.cjs`, '--write-code-cache'],
   {stdio: ['ignore', 'inherit', 'inherit']},
 );
--- a/scripts/known_red.mjs
+++ b/scripts/known_red.mjs
@@ -1,15 +1,19 @@
 /**
- * Tests that fail for a real fault that is not mended yet. KNOWN-RED.txt has
- * one on a line: `test name | cause | issue`; at most three. A fault that only
- * a play of the users' days shows has `command: ...` in place of the name; it
- * is printed, nothing runs it here, and it doesn't count as one of the tests.
+ * Known test failures that are caused by faults not yet fixed. KNOWN-RED.txt
+ * lists one per line as `test name | cause | issue`, and at most three tests. A
+ * fault that only a simulation of the users' workloads reveals has
+ * `command: ...` in place of the test name. It is printed but not run here, and
+ * does not count as a test.
  */
 import * as fs from 'node:fs';
 
-const MOST_TESTS = 3;
-const COMMAND = 'command: ';
+const MAX_TESTS = 3;
+const COMMAND_PREFIX = 'command: ';
 
-/** Names, causes and issues in the file; none where there is no file. */
+/**
+ * Reads the names, causes and issues from the file; returns an empty list if it
+ * does not exist.
+ */
 export function readKnownRed(file) {
   if (!fs.existsSync(file)) return [];
   const lines = fs
@@ -25,19 +29,19 @@
 }
 
 /**
- * Prints the known failures; what is wrong with the run, one line each.
- * `complete` is false for a run of some files only.
+ * Prints the known failures and returns the faults of the run, one line each.
+ * `complete` is false if only some of the test files ran.
  */
 export function judge({known, failed, passed, complete}) {
   const faults = known
     .filter(({name, cause, issue}) => !name || !cause || !issue)
     .map(({name}) => `KNOWN-RED.txt: "${name}" lacks its cause or its issue`);
-  const tests = known.filter(({name}) => !name.startsWith(COMMAND));
-  if (tests.length > MOST_TESTS) {
-    faults.push(`KNOWN-RED.txt: ${tests.length} tests, at most ${MOST_TESTS}`);
+  const tests = known.filter(({name}) => !name.startsWith(COMMAND_PREFIX));
+  if (tests.length > MAX_TESTS) {
+    faults.push(`KNOWN-RED.txt: ${tests.length} tests, at most ${MAX_TESTS}`);
   }
   for (const {name, cause, issue} of known) {
-    if (name.startsWith(COMMAND)) {
+    if (name.startsWith(COMMAND_PREFIX)) {
       console.log(`known red, not run here: ${name} (${cause}; ${issue})`);
     } else if (failed.includes(name)) {
       console.log(`known red: ${name} (${cause}; ${issue})`);
--- a/scripts/package_arrows.mjs
+++ b/scripts/package_arrows.mjs
@@ -1,6 +1,7 @@
 /**
- * Which package may import which. The lint rule and the project references
- * are both made from this table, so an arrow the wrong way fails the build.
+ * The allowed dependencies between packages. The lint rule and the project
+ * references are both generated from this table, so an import that it does not
+ * allow fails the build.
  */
 export const PACKAGE_ARROWS = {
   types: [],
@@ -54,7 +55,7 @@
   ],
 };
 
-/** Folder name of a package, from its short name in the table above. */
+/** Returns the folder of a package, given its short name in the table above. */
 export function folderOf(name) {
   return name === '' ? 'gypsumwall' : `gypsumwall-${name}`;
 }
--- a/scripts/run_tests.mjs
+++ b/scripts/run_tests.mjs
@@ -1,10 +1,10 @@
 /**
- * Runs every test file that has a source, with Node's own runner. Compiled
- * files whose source is gone are left out, so a stale build can't pass.
- * Arguments narrow the run to files whose path contains one of them.
+ * Runs the test files with Node's test runner. Only compiled files that still
+ * have a source are run, so that a stale build cannot pass. Arguments restrict
+ * the run to files whose path contains one of them.
  *
- * A failure that KNOWN-RED.txt lists is printed and passed over; any other
- * fails the run, and so does a listed test that passes again.
+ * A failure that KNOWN-RED.txt lists is printed and does not fail the run. Any
+ * other failure does, and so does a listed test that passes.
  */
 import * as fs from 'node:fs';
 import * as path from 'node:path';
@@ -12,44 +12,45 @@
 import * as reporters from 'node:test/reporters';
 import * as knownRed from './known_red.mjs';
 
-const wanted = process.argv.slice(2);
-const chosen = testFiles().filter(
-  (file) => wanted.length === 0 || wanted.some((word) => file.includes(word)),
+const filters = process.argv.slice(2);
+const selectedFiles = findTestFiles().filter(
+  (file) =>
+    filters.length === 0 || filters.some((filter) => file.includes(filter)),
 );
-if (chosen.length === 0) {
-  console.error(`no test file matches ${JSON.stringify(wanted)}`);
+if (selectedFiles.length === 0) {
+  console.error(`no test file matches ${JSON.stringify(filters)}`);
   process.exit(1);
 }
-// The runner starts a process for each file; they take it from here.
+// The runner starts a process for each file, which inherits this variable.
 process.env.NODE_OPTIONS = '--enable-source-maps';
 const known = knownRed.readKnownRed('KNOWN-RED.txt');
 const failed = [];
 const passed = new Set();
-// A failed test may leave a socket open, and its process would never end.
+// A failed test may leave a socket open, which would keep its process running.
 const FILE_TIMEOUT_MS = 120_000;
 const run = nodeTest.run({
-  files: chosen,
+  files: selectedFiles,
   concurrency: true,
   timeout: FILE_TIMEOUT_MS,
 });
 run.on('test:fail', (test) => {
-  if (!isEcho(test)) failed.push(test.name);
+  if (!failedOnlyInSubtests(test)) failed.push(test.name);
 });
 run.on('test:pass', (test) => passed.add(test.name));
 run.compose(new reporters.spec()).pipe(process.stdout);
 run.on('end', () => {
-  const complete = wanted.length === 0;
+  const complete = filters.length === 0;
   const faults = knownRed.judge({known, failed, passed, complete});
   for (const line of faults) console.error(line);
   process.exitCode = faults.length === 0 ? 0 : 1;
 });
 
-/** A suite or file that failed only because a test in it did. */
-function isEcho(test) {
+/** Whether a suite or file failed only because a test in it failed. */
+function failedOnlyInSubtests(test) {
   return test.details.error.failureType === 'subtestsFailed';
 }
 
-function testFiles() {
+function findTestFiles() {
   const files = [];
   for (const name of fs.readdirSync('packages').sort()) {
     const src = path.join('packages', name, 'src');
--- a/scripts/start_cached.cjs
+++ b/scripts/start_cached.cjs
@@ -1,7 +1,7 @@
 /**
- * Starts target/entry.cjs with the code that was compiled when it was built.
- * Without a cache that fits, as of another version of Node, the script is
- * compiled as usual.
+ * Starts target/entry.cjs with the V8 code cache that was written at build time.
+ * If the cache is missing or does not match, for example because the Node
+ * version differs, the script is compiled as usual.
  */
 'use strict';
 
@@ -39,13 +39,16 @@
   );
 }
 
-/** The libraries are loaded first, so that the code that loads them is in it. */
+/**
+ * Writes the code cache after the script has run and loaded its libraries, so
+ * that the cache also contains the functions compiled meanwhile.
+ */
 function writeCache() {
   const script = load(undefined);
   try {
     run(script);
   } catch (err) {
-    // Without settings the entry ends where it reads them.
+    // Without settings the entry fails when it reads them, after loading.
     if (!/GYPSUMWALL_SETTINGS/.test(err.message)) throw err;
   }
   fs.writeFileSync(cachePath, script.createCachedData());
--- a/scripts/write_project_references.mjs
+++ b/scripts/write_project_references.mjs
@@ -1,6 +1,7 @@
 /**
- * Writes each package's tsconfig.json from the arrow table. Run it after the
- * table changes: node scripts/write_project_references.mjs
+ * Generates the tsconfig.json of each package from the table of allowed
+ * dependencies in package_arrows.mjs. Run it after that table changes:
+ * node scripts/write_project_references.mjs
  */
 import * as fs from 'node:fs';
 import * as arrows from './package_arrows.mjs';
@@ -23,7 +24,8 @@
   files: [],
   references: [
     ...names.map((name) => ({path: `packages/${arrows.folderOf(name)}`})),
-    // The adapter to the users' platform writes its own references.
+    // The adapter to the users' platform declares its references in its own
+    // tsconfig.json.
     {path: 'platform'},
   ],
 };
