--- a/packages/gypsumwall-bench/src/cell_measures.ts
+++ b/packages/gypsumwall-bench/src/cell_measures.ts
@@ -13,9 +13,9 @@
   deadlinesMissed: number;
   /** Missed deadlines that an offline schedule of the admitted jobs meets. */
   avoidableMisses: number;
-  jobs: number;
+  jobsSubmitted: number;
   jobsDone: number;
-  refused: Map<string, number>;
+  refusedByReason: Map<string, number>;
   /** Processor time used after the warm-up, in core milliseconds. */
   usedCoreMs: number;
   /**
@@ -53,9 +53,9 @@
     deadlineJobs: 0,
     deadlinesMissed: 0,
     avoidableMisses: 0,
-    jobs: 0,
+    jobsSubmitted: 0,
     jobsDone: 0,
-    refused: new Map(),
+    refusedByReason: new Map(),
     usedCoreMs: 0,
     boundCoreMs: 0,
     reservedCoreMs: 0,
--- a/packages/gypsumwall-bench/src/control_calls.ts
+++ b/packages/gypsumwall-bench/src/control_calls.ts
@@ -116,10 +116,10 @@
 ): Promise<Cost> {
   const bytesBefore = await readByteCount(fake);
   const before = process.cpuUsage();
-  let left = calls;
+  let remainingCalls = calls;
   const caller = async () => {
-    while (left > 0) {
-      left -= 1;
+    while (remainingCalls > 0) {
+      remainingCalls -= 1;
       await callOnce();
     }
   };
--- a/packages/gypsumwall-bench/src/control_fake_worker.ts
+++ b/packages/gypsumwall-bench/src/control_fake_worker.ts
@@ -1,7 +1,7 @@
 /**
  * A fake worker that answers over HTTP. It runs as a separate process, so that
- * the benchmark counts only the processor time of the caller. It reports as many
- * running tasks as the path names and counts the bytes on its sockets.
+ * the benchmark counts only the processor time of the caller. It reports as
+ * many running tasks as the path names and counts the bytes on its sockets.
  */
 import * as http from 'node:http';
 import type * as net from 'node:net';
--- a/packages/gypsumwall-bench/src/gang_coordinator.ts
+++ b/packages/gypsumwall-bench/src/gang_coordinator.ts
@@ -30,7 +30,7 @@
   applyFreeCapacity(
     freeCapacities: readonly shardCapacities.FreeCapacity[],
   ): void;
-  conflicts(): number;
+  conflictCount(): number;
 }
 
 /** Step id under which the coordinator's registry reserves what others use. */
@@ -41,7 +41,7 @@
 ): GangCoordinator {
   const {timeline, shards, shardOf} = parts;
   const othersUsage = new Map<types.ids.WorkerId, types.resources.Resources>();
-  let conflicts = 0;
+  let conflictCount = 0;
 
   const registryOf = (worker: types.ids.WorkerId) =>
     shards[shardOf(worker)]!.scheduler.book;
@@ -132,7 +132,7 @@
     granted: readonly StartOrder[],
     reported: readonly shardCapacities.FreeCapacity[],
   ): void {
-    conflicts++;
+    conflictCount++;
     for (const {attempt} of granted) releaseAttempt(attempt);
     parts.decider().refuseStarts(gang);
     for (const freeCapacity of reported)
@@ -187,7 +187,7 @@
     reserveAndStart,
     releaseAttempt,
     applyFreeCapacity,
-    conflicts: () => conflicts,
+    conflictCount: () => conflictCount,
   };
 }
 
--- a/packages/gypsumwall-bench/src/memory_bench.ts
+++ b/packages/gypsumwall-bench/src/memory_bench.ts
@@ -1,6 +1,4 @@
-/**
- * Measures the heap use of the placement state, as slopes over several sizes.
- */
+/** Measures the heap use of the placement state, as slopes over its size. */
 import * as timers from 'node:timers/promises';
 import * as v8 from 'node:v8';
 import * as vm from 'node:vm';
--- a/packages/gypsumwall-bench/src/policy_bench.ts
+++ b/packages/gypsumwall-bench/src/policy_bench.ts
@@ -66,12 +66,12 @@
 }
 
 function runScenario(
-  each: Scenario,
+  scenario: Scenario,
   policy: (typeof POLICIES)[number],
   seed: number,
   horizonMs: number,
 ): policyTables.PolicyRun {
-  const {profile, load, accuracy, hasFaults} = each;
+  const {profile, load, accuracy, hasFaults} = scenario;
   const arrivals = workload.makeWorkload({
     profile,
     seed,
@@ -88,8 +88,8 @@
     horizonMs,
     warmUpMs: horizonMs / 4,
     placer: createPlacer(policy, seed),
-    badWorker: hasFaults ? FAULTY_WORKER : undefined,
-    isBroken: hasFaults
+    faultyWorker: hasFaults ? FAULTY_WORKER : undefined,
+    alwaysFails: hasFaults
       ? (arrival) => brokenJobs.has(arrival.jobId)
       : undefined,
   });
--- a/packages/gypsumwall-bench/src/policy_tables.ts
+++ b/packages/gypsumwall-bench/src/policy_tables.ts
@@ -193,8 +193,8 @@
   const total = (counts: ReadonlyMap<string, number>) =>
     [...counts.values()].reduce((sum, each) => sum + each, 0);
   return buildTable('Deadlines, refusals and ends', results, [
-    {name: 'jobs', valueOf: (m) => m.jobs},
-    {name: 'refused', valueOf: (m) => total(m.refused)},
+    {name: 'jobs', valueOf: (m) => m.jobsSubmitted},
+    {name: 'refused', valueOf: (m) => total(m.refusedByReason)},
     {name: 'done', valueOf: (m) => m.jobsDone},
     {name: 'with deadline', valueOf: (m) => m.deadlineJobs},
     {name: 'missed', valueOf: (m) => m.deadlinesMissed},
--- a/packages/gypsumwall-bench/src/routing_bench.ts
+++ b/packages/gypsumwall-bench/src/routing_bench.ts
@@ -26,9 +26,9 @@
   const seeds = options.quick
     ? options.seeds.slice(0, QUICK_SEEDS)
     : options.seeds;
-  const policy = routingCases.POLICY.makeRouter;
+  const policy = routingCases.POLICY.createRouter;
   await warmUp(policy);
-  await warmUp(routingCases.BASELINE.makeRouter);
+  await warmUp(routingCases.BASELINE.createRouter);
   const measured = await measureAll(
     [
       ...routingCases.LOAD_CASES,
@@ -55,7 +55,7 @@
     tables: [
       routingTables.outcomeTable(all),
       routingTables.waitingTable(all),
-      await routingSlopes.slopeTable(seeds, policy),
+      await routingSlopes.measureSlopes(seeds, policy),
     ],
     plots: [routingTables.goodputPlot(measured)],
   };
@@ -65,11 +65,11 @@
  * Runs the measured code once, so that no contender includes the cost of
  * compilation.
  */
-async function warmUp(makeRouter: routingRun.CreateRouter): Promise<void> {
+async function warmUp(createRouter: routingRun.CreateRouter): Promise<void> {
   for (const load of [0.7, 2]) {
     await routingRun.runOnce({
       seed: 1,
-      createRouter: makeRouter,
+      createRouter,
       load,
       fault: 'none',
       cell: routingRun.ONE_ENTRY,
@@ -82,18 +82,18 @@
   cases: readonly routingCases.Case[],
   seeds: readonly number[],
   spanMs: number,
-): Promise<routingTables.Measured[]> {
-  const measured: routingTables.Measured[] = [];
+): Promise<routingTables.MeasuredCase[]> {
+  const measured: routingTables.MeasuredCase[] = [];
   for (const benchCase of cases) {
     const {load, fault, cell, floodFactor: flood} = benchCase;
     for (const contender of benchCase.contenders) {
-      const {makeRouter} = contender;
+      const {createRouter} = contender;
       const figures: routingRun.RunFigures[] = [];
       for (const seed of seeds) {
         figures.push(
           await routingRun.runOnce({
             seed,
-            createRouter: makeRouter,
+            createRouter,
             load,
             fault,
             cell,
--- a/packages/gypsumwall-bench/src/routing_cases.ts
+++ b/packages/gypsumwall-bench/src/routing_cases.ts
@@ -6,7 +6,7 @@
 /** A named router under comparison. */
 export interface Contender {
   readonly name: string;
-  readonly makeRouter: routingRun.CreateRouter;
+  readonly createRouter: routingRun.CreateRouter;
 }
 
 /**
@@ -24,17 +24,17 @@
 /** The production router. */
 export const POLICY: Contender = {
   name: 'policy',
-  makeRouter: (options) => routing.createRouter.createRouter(options),
+  createRouter: (options) => routing.createRouter.createRouter(options),
 };
 /** The naive baseline router. */
 export const BASELINE: Contender = {
   name: 'baseline',
-  makeRouter: (options) =>
+  createRouter: (options) =>
     routing.createBaselineRouter.createBaselineRouter(options),
 };
 const DRAW_VARIANTS: readonly Contender[] = [2, Infinity].map((drawn) => ({
   name: `policy, best of ${drawn === Infinity ? 'all' : drawn}`,
-  makeRouter: (options) =>
+  createRouter: (options) =>
     routing.createRouter.createRouter(
       options,
       routing.chooseUpstream.createChooseUpstream(drawn),
--- a/packages/gypsumwall-bench/src/routing_fake_upstreams.ts
+++ b/packages/gypsumwall-bench/src/routing_fake_upstreams.ts
@@ -30,7 +30,7 @@
   tries: number;
   /** Time of the first try of each request. */
   readonly firstTry: Map<string, number>;
-  /** Slot time of all executed requests. */
+  /** Slot time of all accepted requests, even if their caller gave up. */
   usedMs: number;
   refusals: number;
 }
--- a/packages/gypsumwall-bench/src/routing_run.ts
+++ b/packages/gypsumwall-bench/src/routing_run.ts
@@ -40,8 +40,8 @@
 
 /** Results of the requests of one urgency. */
 export interface UrgencyFigures {
-  sent: number;
-  done: number;
+  sentCount: number;
+  doneInTime: number;
   /** Time from arrival to the first try, in tenths of a millisecond. */
   readonly waitTenths: hdr.Histogram;
   /**
@@ -255,7 +255,7 @@
   let inTime = 0;
   for (const {at, req, serviceMs} of requests) {
     const urgencyFigures = byUrgency[req.urgency];
-    urgencyFigures.sent += 1;
+    urgencyFigures.sentCount += 1;
     const triedAt = counters.firstTry.get(req.requestId);
     if (triedAt !== undefined) {
       urgencyFigures.waitTenths.recordValue(
@@ -268,7 +268,7 @@
       Math.round((doneAt - at) * TENTHS_PER_MS),
     );
     if (doneAt > req.deadline) continue;
-    urgencyFigures.done += 1;
+    urgencyFigures.doneInTime += 1;
     inTime += 1;
     if (doneAt <= endMs) usefulMs += serviceMs;
   }
@@ -287,8 +287,8 @@
 
 function createUrgencyFigures(): UrgencyFigures {
   return {
-    sent: 0,
-    done: 0,
+    sentCount: 0,
+    doneInTime: 0,
     waitTenths: createHistogram(),
     answerTenths: createHistogram(),
   };
--- a/packages/gypsumwall-bench/src/routing_slopes.ts
+++ b/packages/gypsumwall-bench/src/routing_slopes.ts
@@ -1,6 +1,6 @@
 /**
- * Measures how the cost of routing grows with the number of upstreams, teams and
- * waiting requests.
+ * Measures how the cost of routing grows with the number of upstreams, teams
+ * and waiting requests.
  */
 import * as v8 from 'node:v8';
 import * as vm from 'node:vm';
@@ -30,21 +30,21 @@
 })();
 
 /** Measures all slopes and returns them as one table. */
-export async function slopeTable(
+export async function measureSlopes(
   seeds: readonly number[],
-  makeRouter: routingRun.CreateRouter,
+  createMeasuredRouter: routingRun.CreateRouter,
 ): Promise<benchModule.BenchTable> {
   const rows: Array<readonly (string | number)[]> = [];
   for (const upstreams of UPSTREAM_COUNTS) {
     rows.push([
       `CPU us/request at 0.7x, ${upstreams} upstreams`,
-      await measureCpuMicros(seeds, makeRouter, 0.7, upstreams, 1),
+      await measureCpuMicros(seeds, createMeasuredRouter, 0.7, upstreams, 1),
     ]);
   }
   for (const teamSplit of TEAM_SPLITS) {
     rows.push([
       `CPU us/request at 2x, 30 upstreams, ${2 * teamSplit} teams`,
-      await measureCpuMicros(seeds, makeRouter, 2, 30, teamSplit),
+      await measureCpuMicros(seeds, createMeasuredRouter, 2, 30, teamSplit),
     ]);
   }
   for (const upstreams of UPSTREAM_COUNTS) {
@@ -70,10 +70,10 @@
 
 async function measureCpuMicros(
   seeds: readonly number[],
-  makeRouter: routingRun.CreateRouter,
+  createMeasuredRouter: routingRun.CreateRouter,
   load: number,
   upstreams: number,
-  split: number,
+  teamSplit: number,
 ): Promise<number> {
   const cell = {entries: 1, upstreams, slots: 4};
   // The span is chosen so that the number of requests is the same at any size.
@@ -83,11 +83,11 @@
   for (const seed of seeds) {
     const figures = await routingRun.runOnce({
       seed,
-      createRouter: makeRouter,
+      createRouter: createMeasuredRouter,
       cell,
       spanMs,
       load,
-      teamSplit: split,
+      teamSplit,
       fault: 'none',
     });
     measured.push(figures.cpuMicros);
@@ -120,10 +120,10 @@
   const clock = types.virtualClock.createVirtualClock();
   const listed = routingRun.listUpstreams({entries: 1, upstreams, slots: 8});
   const before = readHeapBytes();
-  const router = createRouter(clock, (listed, connections) =>
+  const router = createRouter(clock, (upstream, connections) =>
     platform.httpUpstream.createHttpUpstream({
-      id: listed.id,
-      address: listed.address,
+      id: upstream.id,
+      address: upstream.address,
       connections,
       clock,
     }),
--- a/packages/gypsumwall-bench/src/routing_tables.ts
+++ b/packages/gypsumwall-bench/src/routing_tables.ts
@@ -12,7 +12,7 @@
 const TENTHS_PER_MS = 10;
 
 /** Results of one contender in one case, one run per seed. */
-export interface Measured {
+export interface MeasuredCase {
   readonly benchCase: routingCases.Case;
   readonly contender: routingCases.Contender;
   readonly figures: readonly routingRun.RunFigures[];
@@ -20,7 +20,7 @@
 
 /** Outcomes that callers received, and the cost of routing. */
 export function outcomeTable(
-  measured: readonly Measured[],
+  measured: readonly MeasuredCase[],
 ): benchModule.BenchTable {
   return {
     title: 'Outcomes',
@@ -65,7 +65,7 @@
 
 /** Waiting times of the callers, by urgency. */
 export function waitingTable(
-  measured: readonly Measured[],
+  measured: readonly MeasuredCase[],
 ): benchModule.BenchTable {
   const rows = measured.flatMap(({benchCase, contender, figures}) =>
     urgenciesToShow(benchCase).map((urgency) => {
@@ -78,8 +78,8 @@
             ) / TENTHS_PER_MS,
         );
       const inTime = formatMedianAndRange(figures, (each) => {
-        const {done, sent} = each.byUrgency[urgency];
-        return (100 * done) / sent;
+        const {doneInTime, sentCount} = each.byUrgency[urgency];
+        return (100 * doneInTime) / sentCount;
       });
       const answered = formatMedianAndRange(
         figures,
@@ -106,13 +106,15 @@
 }
 
 /** For cases with a fault, only urgent requests are shown. */
-function urgenciesToShow(one: routingCases.Case): readonly types.job.Urgency[] {
-  return one.fault === 'none' ? URGENCIES : ['urgent'];
+function urgenciesToShow(
+  benchCase: routingCases.Case,
+): readonly types.job.Urgency[] {
+  return benchCase.fault === 'none' ? URGENCIES : ['urgent'];
 }
 
 /** Plots goodput against load. */
 export function goodputPlot(
-  measured: readonly Measured[],
+  measured: readonly MeasuredCase[],
 ): benchModule.BenchPlot {
   const series = [routingCases.POLICY, routingCases.BASELINE].map(
     (contender) => ({
@@ -135,7 +137,10 @@
 }
 
 function sentOf(figures: routingRun.RunFigures): number {
-  return URGENCIES.reduce((sum, each) => sum + figures.byUrgency[each].sent, 0);
+  return URGENCIES.reduce(
+    (sum, each) => sum + figures.byUrgency[each].sentCount,
+    0,
+  );
 }
 
 /** Formats the median with the minimum and maximum, where they differ. */
--- a/packages/gypsumwall-bench/src/spread_cell.ts
+++ b/packages/gypsumwall-bench/src/spread_cell.ts
@@ -253,7 +253,7 @@
     helperCores: helpers.map(coresOf),
     adviserCalls: sum(deciders.map((decider) => decider.adviserCallCount())),
     moves: countMoves(),
-    conflicts: coordinator.conflicts(),
+    conflicts: coordinator.conflictCount(),
   };
 }
 
--- a/packages/gypsumwall-bench/src/step_bench.ts
+++ b/packages/gypsumwall-bench/src/step_bench.ts
@@ -1,7 +1,4 @@
-/**
- * Measures the processor time of the scheduler of step jobs by the number of
- * workers.
- */
+/** Measures the processor time of the step scheduler by number of workers. */
 import type * as benchModule from './bench_module.js';
 import * as statistics from './statistics.js';
 import * as stepCell from './step_cell.js';
@@ -33,15 +30,15 @@
         load: workers / PEAK_WORKERS,
       }),
     );
-    const spreadOf = (pick: (run: stepCell.StepCellResult) => number) =>
-      statistics.formatMedianAndRange(runs.map(pick));
+    const summarize = (valueOf: (run: stepCell.StepCellResult) => number) =>
+      statistics.formatMedianAndRange(runs.map(valueOf));
     return [
       workers,
-      spreadOf((run) => run.starts / run.seconds),
-      spreadOf((run) => (run.schedulerMs * 1_000) / run.starts),
-      spreadOf((run) => run.schedulerMs / run.seconds / 1_000),
-      spreadOf((run) => run.maxCycleMs),
-      ...kinds.map((kind) => spreadOf((run) => run.onTime.get(kind) ?? 0)),
+      summarize((run) => run.starts / run.seconds),
+      summarize((run) => (run.schedulerMs * 1_000) / run.starts),
+      summarize((run) => run.schedulerMs / run.seconds / 1_000),
+      summarize((run) => run.maxCycleMs),
+      ...kinds.map((kind) => summarize((run) => run.onTime.get(kind) ?? 0)),
     ];
   });
   return {
--- a/packages/gypsumwall-bench/src/virtual_cell.ts
+++ b/packages/gypsumwall-bench/src/virtual_cell.ts
@@ -20,9 +20,9 @@
   /** Start of the measurement; until then the policy learns. */
   readonly warmUpMs: number;
   /** Index of the worker on which every task fails, if any. */
-  readonly badWorker?: number;
+  readonly faultyWorker?: number;
   /** Whether every attempt of a job fails. */
-  readonly isBroken?: (arrival: workload.Arrival) => boolean;
+  readonly alwaysFails?: (arrival: workload.Arrival) => boolean;
 }
 
 type CellEvent =
@@ -132,12 +132,12 @@
 
   function handleArrival(arrival: workload.Arrival): void {
     const isMeasured = arrival.at >= warmUpMs;
-    if (isMeasured) measures.jobs += 1;
+    if (isMeasured) measures.jobsSubmitted += 1;
     const refusal = placer.admit(arrival.spec, now as types.clock.WallMs);
     if (refusal !== undefined) {
       if (!isMeasured) return;
-      const before = measures.refused.get(refusal.reason) ?? 0;
-      measures.refused.set(refusal.reason, before + 1);
+      const before = measures.refusedByReason.get(refusal.reason) ?? 0;
+      measures.refusedByReason.set(refusal.reason, before + 1);
       return;
     }
     const {jobId, spec, tasks} = arrival;
@@ -159,8 +159,8 @@
     const job = jobs.get(jobId)!;
     const actual = job.arrival.tasks[index]!;
     const fails =
-      workerIndex === options.badWorker ||
-      options.isBroken?.(job.arrival) === true;
+      workerIndex === options.faultyWorker ||
+      options.alwaysFails?.(job.arrival) === true;
     // A start that fails immediately does not end the waiting time of the task.
     if (!fails && !job.startedTasks.has(index)) {
       job.startedTasks.add(index);
@@ -212,8 +212,8 @@
     const {jobId, index} = types.ids.splitTaskId(task.taskId);
     const job = jobs.get(jobId)!;
     const fails =
-      workerIndex === options.badWorker ||
-      options.isBroken?.(job.arrival) === true;
+      workerIndex === options.faultyWorker ||
+      options.alwaysFails?.(job.arrival) === true;
     if (fails) {
       measures.failedAttempts += 1;
       placer.release(task.taskId, {type: 'failed', message: 'exit 1'});
@@ -375,7 +375,7 @@
   );
   const deadlineJobs = [];
   for (const job of jobs.values()) {
-    if (options.isBroken?.(job.arrival) === true) continue;
+    if (options.alwaysFails?.(job.arrival) === true) continue;
     // A task that never started has waited until the end of the run.
     for (let index = 0; index < job.arrival.tasks.length; index += 1) {
       if (!job.startedTasks.has(index)) recordWait(job, now - job.arrival.at);
