--- a/packages/gypsumwall-bench/src/control_calls.ts
+++ b/packages/gypsumwall-bench/src/control_calls.ts
@@ -63,10 +63,10 @@
   }
 }
 
-function createWorker(base: string, tasks: number): platform.worker.Worker {
+function createWorker(baseUrl: string, tasks: number): platform.worker.Worker {
   return platform.httpWorker.createHttpWorker({
     id: types.ids.brand<types.ids.WorkerId>('bench'),
-    address: `${base}/tasks-${tasks}`,
+    address: `${baseUrl}/tasks-${tasks}`,
     timeoutMs: 10_000,
     dispatcher: new undici.Agent({connections: CONCURRENT_CALLS}),
   });
@@ -74,11 +74,11 @@
 
 async function measureHeartbeats(
   fake: childProcess.ChildProcess,
-  base: string,
+  baseUrl: string,
   tasks: number,
   calls: number,
 ): Promise<Cost> {
-  const worker = createWorker(base, tasks);
+  const worker = createWorker(baseUrl, tasks);
   return measureCost(fake, calls, async () => {
     const answer = await worker.heartbeat(HOLDER_CALL, LEASE_UNTIL, []);
     if (answer.isErr) throw new Error(answer.error.message);
@@ -87,11 +87,11 @@
 
 async function measureStarts(
   fake: childProcess.ChildProcess,
-  base: string,
+  baseUrl: string,
   tasks: number,
   calls: number,
 ): Promise<Cost> {
-  const worker = createWorker(base, tasks);
+  const worker = createWorker(baseUrl, tasks);
   const starts = Array.from({length: tasks}, (_, index) => ({
     taskId: types.ids.brand<types.ids.TaskId>(`merkato-hall.0123/${index}`),
     attempt: types.ids.brand<types.ids.AttemptId>(`123456.${index}`),
--- a/packages/gypsumwall-bench/src/render_report.ts
+++ b/packages/gypsumwall-bench/src/render_report.ts
@@ -66,22 +66,22 @@
 
 function createAxis(
   values: readonly number[],
-  log: boolean,
-  from: number,
-  to: number,
+  isLogarithmic: boolean,
+  startPx: number,
+  endPx: number,
 ): Axis {
-  const usable = values.filter((each) => !log || each > 0);
+  const usable = values.filter((each) => !isLogarithmic || each > 0);
   const scale = (value: number) =>
-    log ? Math.log10(Math.max(value, Number.MIN_VALUE)) : value;
-  const low = log ? scale(Math.min(...usable)) : 0;
+    isLogarithmic ? Math.log10(Math.max(value, Number.MIN_VALUE)) : value;
+  const low = isLogarithmic ? scale(Math.min(...usable)) : 0;
   const high = Math.max(scale(Math.max(...usable)), low + 1e-9);
-  const place = (value: number) =>
-    from + ((scale(value) - low) / (high - low)) * (to - from);
+  const toPixel = (value: number) =>
+    startPx + ((scale(value) - low) / (high - low)) * (endPx - startPx);
   const ticks = Array.from({length: TICK_COUNT}, (_, index) => {
     const at = low + ((high - low) * index) / (TICK_COUNT - 1);
-    return log ? 10 ** at : at;
+    return isLogarithmic ? 10 ** at : at;
   });
-  return {toPixel: place, ticks};
+  return {toPixel, ticks};
 }
 
 /** Renders a plot as SVG; returns an empty string if it has no points. */
