--- a/packages/gypsumwall-bench/src/profiles.ts
+++ b/packages/gypsumwall-bench/src/profiles.ts
@@ -20,7 +20,7 @@
   readonly deadlineFactor?: distributions.HeavyTailedDistribution;
 }
 
-/** One user's failure domain. */
+/** A user's failure domain: its workers and the work that they run. */
 export interface Profile {
   readonly name: string;
   readonly workers: number;
