--- a/packages/gypsumwall-bench/src/adviser_calls.ts
+++ b/packages/gypsumwall-bench/src/adviser_calls.ts
@@ -37,19 +37,19 @@
     entry: string,
     request: scheduling.schedulerTypes.AdviceRequest,
   ): void {
-    pool.finish(entry, request.callMs);
+    pool.release(entry, request.callMs);
     const validMs = request.stepRun.job.policy.advice?.validMs ?? 0;
     const validUntil = types.clock.after(timeline.now(), validMs);
-    scheduler.adviceAnswered(request, parts.adviser(request), validUntil);
+    scheduler.onAdviceAnswered(request, parts.adviser(request), validUntil);
     parts.onAnswer();
   }
 
   return {
     capacity: () => pool.capacity(entries),
     requestAdvice(request) {
-      const entry = pool.take(entries, request.callMs, request.needed);
+      const entry = pool.acquire(entries, request.callMs, request.needed);
       if (entry === undefined) {
-        scheduler.adviceAnswered(request, undefined, timeline.now());
+        scheduler.onAdviceAnswered(request, undefined, timeline.now());
         return;
       }
       callCount++;
--- a/packages/gypsumwall-bench/src/attempt_outcomes.ts
+++ b/packages/gypsumwall-bench/src/attempt_outcomes.ts
@@ -13,14 +13,14 @@
 export interface DrawOutcome {
   (attempt: scheduling.activeJob.Attempt): {
     readonly spanMs: number;
-    readonly outcome: scheduling.jobSteps.RunEnd;
+    readonly outcome: scheduling.jobSteps.AttemptOutcome;
   };
   drawPercent(): number;
 }
 
 export function createDrawOutcome(random: types.random.Random): DrawOutcome {
   const drawOutcome = (attempt: scheduling.activeJob.Attempt) => {
-    const {request, job} = attempt.owner!.stepRun;
+    const {request, job} = attempt.task!.stepRun;
     const {failingShare} = jobKindOf(job.policy.queue);
     const fails = random.next() < failingShare;
     const spanMs = request.expectedMs * (fails ? random.next() : 1);
--- a/packages/gypsumwall-bench/src/gang_coordinator.ts
+++ b/packages/gypsumwall-bench/src/gang_coordinator.ts
@@ -44,7 +44,7 @@
   let conflictCount = 0;
 
   const registryOf = (worker: types.ids.WorkerId) =>
-    shards[shardOf(worker)]!.scheduler.book;
+    shards[shardOf(worker)]!.scheduler.workerRegistry;
 
   function reserveAndStart(starts: readonly StartOrder[]): void {
     const gangs = new Map<string, StartOrder[]>();
@@ -115,7 +115,7 @@
         for (const {attempt} of reserved) releaseAttempt(attempt);
         return starts.map((start) => readFreeCapacity(start.attempt.workerId));
       }
-      registryOf(workerId).book(workerId, stepRunId, size);
+      registryOf(workerId).reserve(workerId, stepRunId, size);
       reserved.push(start);
     }
     return undefined;
@@ -136,7 +136,7 @@
     for (const {attempt} of granted) releaseAttempt(attempt);
     parts.decider().refuseStarts(gang);
     for (const freeCapacity of reported)
-      applyOthersUsage(parts.decider().scheduler.book, freeCapacity);
+      applyOthersUsage(parts.decider().scheduler.workerRegistry, freeCapacity);
   }
 
   function releaseAttempt(attempt: scheduling.activeJob.Attempt): void {
@@ -156,7 +156,7 @@
     process.enqueue(costMs, () => {
       process.measure(() => {
         for (const freeCapacity of freeCapacities)
-          applyOthersUsage(scheduler.book, freeCapacity);
+          applyOthersUsage(scheduler.workerRegistry, freeCapacity);
       });
       parts.decider().requestCycle();
     });
@@ -178,7 +178,7 @@
       accelerators: 0,
     };
     if (current.cpuMillis === previous.cpuMillis) return;
-    registry.book(id, OTHERS_STEP, current);
+    registry.reserve(id, OTHERS_STEP, current);
     registry.release(id, OTHERS_STEP, previous);
     othersUsage.set(id, current);
   }
--- a/packages/gypsumwall-bench/src/job_rebalancing.ts
+++ b/packages/gypsumwall-bench/src/job_rebalancing.ts
@@ -96,10 +96,10 @@
   job: scheduling.activeJob.ActiveJob,
 ): scheduling.jobRequest.StepRequest | undefined {
   let found: scheduling.jobRequest.StepRequest | undefined;
-  for (const {steps} of job.open.values()) {
-    for (const {attempts, waiting, request} of steps) {
+  for (const {steps} of job.openOccurrences.values()) {
+    for (const {attempts, waitingIndexes, request} of steps) {
       if (attempts.size > 0) return undefined;
-      if (waiting.length > 0) found ??= request;
+      if (waitingIndexes.length > 0) found ??= request;
     }
   }
   return found;
--- a/packages/gypsumwall-bench/src/shard_capacities.ts
+++ b/packages/gypsumwall-bench/src/shard_capacities.ts
@@ -56,8 +56,12 @@
   scheduler,
 }: virtualDecider.VirtualDecider): FreeCapacity[] {
   const freeCapacities: FreeCapacity[] = [];
-  for (const {info, free, usable} of scheduler.book.workers.values()) {
-    if (usable) freeCapacities.push({id: info.id, free});
+  for (const {
+    info,
+    free,
+    isUsable,
+  } of scheduler.workerRegistry.workers.values()) {
+    if (isUsable) freeCapacities.push({id: info.id, free});
   }
   return freeCapacities;
 }
--- a/packages/gypsumwall-bench/src/spread_cell.ts
+++ b/packages/gypsumwall-bench/src/spread_cell.ts
@@ -229,7 +229,7 @@
     load: options.load,
     accept(id, kind, request) {
       const {policy} = kind;
-      const chainMs = scheduling.jobRequest.chainMs(request);
+      const chainMs = scheduling.jobRequest.expectedChainMs(request);
       const objectiveMs = chainMs * policy.slackFactor + policy.targetMs;
       measures.recordAccepted(id, kind, request, objectiveMs);
       const acceptedAt = timeline.now();
--- a/packages/gypsumwall-bench/src/spread_measures.ts
+++ b/packages/gypsumwall-bench/src/spread_measures.ts
@@ -95,7 +95,7 @@
     );
     waitingBefore = new Set(waiting);
     for (const {scheduler} of parts.workerDeciders()) {
-      for (const {info, free} of scheduler.book.workers.values()) {
+      for (const {info, free} of scheduler.workerRegistry.workers.values()) {
         samples.capacity += info.capacity.cpuMillis;
         if (free.cpuMillis < 0 || free.memoryMb < 0) samples.overbooked++;
         if (sizes.length === 0 || free.cpuMillis <= 0) continue;
@@ -127,7 +127,7 @@
       starts += orders.length;
       const gangs = new Map<scheduling.activeJob.StepRun, number>();
       for (const {attempt} of orders) {
-        const {stepRun} = attempt.owner!;
+        const {stepRun} = attempt.task!;
         if (!stepRun.request.gang) continue;
         gangs.set(stepRun, (gangs.get(stepRun) ?? 0) + 1);
       }
@@ -171,9 +171,9 @@
 ): scheduling.activeJob.StepRun[] {
   return deciders
     .flatMap(({jobs}) => [...jobs.values()])
-    .flatMap((job) => [...job.open.values()])
+    .flatMap((job) => [...job.openOccurrences.values()])
     .flatMap(({steps}) => steps)
-    .filter(({waiting}) => waiting.length > 0);
+    .filter(({waitingIndexes}) => waitingIndexes.length > 0);
 }
 
 /**
--- a/packages/gypsumwall-bench/src/step_cell.ts
+++ b/packages/gypsumwall-bench/src/step_cell.ts
@@ -91,7 +91,7 @@
 
   const scheduler = scheduling.scheduler.createScheduler({
     attemptBase: 0,
-    isAccounted: () => true,
+    isReconciled: () => true,
     onEvent(event) {
       if (event.type === 'job_over') recordJobOver(event.job);
     },
@@ -176,7 +176,7 @@
     const dirty = measure(() => scheduler.takeDirty());
     if (dirty.length === 0) return;
     schedule(APPEND_MS, () => {
-      measure(() => scheduler.stored(dirty));
+      measure(() => scheduler.onStored(dirty));
       requestCycle();
     });
   }
@@ -187,9 +187,9 @@
     schedule(ORDER_ROUND_TRIP_MS, () => {
       const attempts = running.get(attempt.workerId) ?? new Set();
       running.set(attempt.workerId, attempts.add(attempt));
-      measure(() => scheduler.startAnswered(attempt, {type: 'started'}, now));
+      measure(() => scheduler.onStartAnswered(attempt, {type: 'started'}, now));
     });
-    const {request, job} = attempt.owner!.stepRun;
+    const {request, job} = attempt.task!.stepRun;
     const fails = random.next() < jobKindOf(job.policy.queue).failingShare;
     const spanMs = request.expectedMs * (fails ? random.next() : 1);
     schedule(ORDER_ROUND_TRIP_MS + spanMs, () =>
@@ -203,7 +203,7 @@
 
   function endAttempt(
     attempt: scheduling.activeJob.Attempt,
-    outcome: scheduling.jobSteps.RunEnd,
+    outcome: scheduling.jobSteps.AttemptOutcome,
   ): void {
     const attempts = running.get(attempt.workerId);
     if (attempts?.delete(attempt) !== true) return;
@@ -222,10 +222,10 @@
       ends: [{sequence, taskId, attempt: number, how: outcome, checkpoint: ''}],
       complete: true,
     };
-    measure(() => scheduler.report(report, now));
+    measure(() => scheduler.applyReport(report, now));
     for (const stopped of scheduler.takeStops()) {
       schedule(STOP_TASK_MS, () => {
-        scheduler.stopAnswered(stopped, now);
+        scheduler.onStopAnswered(stopped, now);
         endAttempt(stopped, 'stopped');
       });
     }
@@ -236,16 +236,16 @@
   function requestAdvice(
     request: scheduling.schedulerTypes.AdviceRequest,
   ): void {
-    const entry = pool.take(entries, request.callMs, request.needed);
+    const entry = pool.acquire(entries, request.callMs, request.needed);
     if (entry === undefined) {
-      scheduler.adviceAnswered(request, undefined, now);
+      scheduler.onAdviceAnswered(request, undefined, now);
       return;
     }
     // The adviser handles the calls of one entry one at a time.
     const doneAt = Math.max(now, busyUntil.get(entry) ?? 0) + request.callMs;
     busyUntil.set(entry, doneAt);
     schedule(doneAt - now, () => {
-      pool.finish(entry, request.callMs);
+      pool.release(entry, request.callMs);
       const share = jobKindOf(request.stepRun.job.policy.queue).approvedShare;
       const approved = new Map<types.ids.WorkerId, string>();
       for (const id of request.workers) {
@@ -253,7 +253,7 @@
       }
       const validMs = request.stepRun.job.policy.advice?.validMs ?? 0;
       const validUntil = types.clock.after(now, validMs);
-      measure(() => scheduler.adviceAnswered(request, approved, validUntil));
+      measure(() => scheduler.onAdviceAnswered(request, approved, validUntil));
       requestCycle();
     });
   }
@@ -270,7 +270,7 @@
     const id = types.ids.brand<types.ids.JobId>(`job${++jobCount}`);
     const request = stepLoad.drawRequest(kind, random);
     const {policy} = kind;
-    const chainMs = scheduling.jobRequest.chainMs(request);
+    const chainMs = scheduling.jobRequest.expectedChainMs(request);
     const objectiveMs = chainMs * policy.slackFactor + policy.targetMs;
     pendingJobs.set(id, {kind, at: acceptedAt, objectiveMs});
     const progress = scheduling.jobProgress.NO_PROGRESS;
--- a/packages/gypsumwall-bench/src/virtual_decider.ts
+++ b/packages/gypsumwall-bench/src/virtual_decider.ts
@@ -86,7 +86,7 @@
 
   const scheduler = scheduling.scheduler.createScheduler({
     attemptBase: parts.attemptBase,
-    isAccounted: () => true,
+    isReconciled: () => true,
     onEvent(event) {
       if (event.type !== 'job_over') return;
       jobs.delete(event.job);
@@ -132,7 +132,7 @@
     process.enqueue(workerCalls.CALL_COST_MS, () => {
       timeline.schedule(APPEND_MS, () => {
         process.enqueue(0, () => {
-          process.measure(() => scheduler.stored(dirty));
+          process.measure(() => scheduler.onStored(dirty));
           requestCycle();
         });
       });
@@ -159,7 +159,7 @@
 
   function confirmStart(attempt: scheduling.activeJob.Attempt): void {
     process.measure(() =>
-      scheduler.startAnswered(attempt, {type: 'started'}, timeline.now()),
+      scheduler.onStartAnswered(attempt, {type: 'started'}, timeline.now()),
     );
   }
 
@@ -172,7 +172,7 @@
 
   function endAttempt(
     attempt: scheduling.activeJob.Attempt,
-    outcome: scheduling.jobSteps.RunEnd,
+    outcome: scheduling.jobSteps.AttemptOutcome,
   ): void {
     const {taskId, number, workerId} = attempt;
     const attempts = running.get(workerId);
@@ -196,7 +196,7 @@
   }
 
   function applyReport(report: scheduling.schedulerTypes.WorkerReport): void {
-    process.measure(() => scheduler.report(report, timeline.now()));
+    process.measure(() => scheduler.applyReport(report, timeline.now()));
     for (const attempt of scheduler.takeStops()) stopTask(attempt);
     appendDirty();
     requestCycle();
@@ -206,7 +206,7 @@
     const {workerId} = attempt;
     const onArrival = () =>
       timeline.schedule(STOP_TASK_MS, () => endAttempt(attempt, 'stopped'));
-    const onAnswer = () => scheduler.stopAnswered(attempt, timeline.now());
+    const onAnswer = () => scheduler.onStopAnswered(attempt, timeline.now());
     parts.callsFor(workerId).send([{workerId, onArrival, onAnswer}]);
   }
 
@@ -243,7 +243,7 @@
     refuseStarts(starts) {
       for (const {attempt} of starts) {
         const outcome = {type: 'refused', reason: 'superseded'} as const;
-        scheduler.startAnswered(attempt, outcome, timeline.now());
+        scheduler.onStartAnswered(attempt, outcome, timeline.now());
       }
       requestCycle();
     },
--- a/packages/gypsumwall-cell/src/__fixtures__/fake_worker.ts
+++ b/packages/gypsumwall-cell/src/__fixtures__/fake_worker.ts
@@ -32,7 +32,7 @@
   readonly running: Map<string, FakeAttempt>;
   /** Every start that took effect. */
   readonly started: FakeAttempt[];
-  end(taskId: string, how: scheduling.jobSteps.RunEnd): void;
+  end(taskId: string, how: scheduling.jobSteps.AttemptOutcome): void;
 }
 
 /** Creates a worker with the given number of cores. */
@@ -74,7 +74,10 @@
     return false;
   }
 
-  function endAttempt(key: string, how: scheduling.jobSteps.RunEnd): void {
+  function endAttempt(
+    key: string,
+    how: scheduling.jobSteps.AttemptOutcome,
+  ): void {
     const ended = running.get(key);
     if (ended === undefined) return;
     running.delete(key);
--- a/packages/gypsumwall-cell/src/__tests__/lost_peers.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/lost_peers.test.ts
@@ -77,7 +77,7 @@
   const caller = adviceCallers.createAdviceCaller({
     scheduler: scheduling.scheduler.createScheduler({
       attemptBase: 0,
-      isAccounted: () => true,
+      isReconciled: () => true,
       onEvent: () => {},
     }),
     advisers: () =>
--- a/packages/gypsumwall-cell/src/__tests__/worker_roster.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/worker_roster.test.ts
@@ -22,7 +22,7 @@
     ),
     scheduler: {
       putWorker: () => {},
-      workerGone: (_id: string, cause: string) => calls.push(cause),
+      removeWorker: (_id: string, cause: string) => calls.push(cause),
     } as unknown as scheduling.schedulerTypes.Scheduler,
     decode: (_key, value): result.Result<ports.ListedWorker, string> =>
       value === 'bad'
--- a/packages/gypsumwall-cell/src/__tests__/worker_session.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/worker_session.test.ts
@@ -13,7 +13,7 @@
   const clock = types.clock.createSystemClock();
   const scheduler = scheduling.scheduler.createScheduler({
     attemptBase: 0,
-    isAccounted: () => true,
+    isReconciled: () => true,
     onEvent: () => {},
   });
   scheduler.putWorker(worker.info);
@@ -35,7 +35,8 @@
     onGone: () => {},
     onLeaseExpired: () => {},
   });
-  const isUsable = () => scheduler.book.workers.get(worker.info.id)!.usable;
+  const isUsable = () =>
+    scheduler.workerRegistry.workers.get(worker.info.id)!.isUsable;
   const orderOf = (name: string): scheduling.schedulerTypes.StartOrder => ({
     payload: 'plan',
     attempt: {
--- a/packages/gypsumwall-cell/src/advice_caller.ts
+++ b/packages/gypsumwall-cell/src/advice_caller.ts
@@ -46,20 +46,21 @@
   ): Promise<void> {
     const {stepRun, workers, callMs, needed} = request;
     const advisers = parts.advisers();
-    const instance = pool.take([...advisers.keys()], callMs, needed);
+    const instance = pool.acquire([...advisers.keys()], callMs, needed);
     const adviser = instance === undefined ? undefined : advisers.get(instance);
     if (instance === undefined || adviser === undefined) {
       const never = 0 as types.clock.MonotonicMs;
-      scheduler.adviceAnswered(request, undefined, never);
+      scheduler.onAdviceAnswered(request, undefined, never);
       return;
     }
     const askedAt = clock.monotonic();
-    const timeoutMs = pool.lineMs(instance) * TIMEOUT_FACTOR + ADVICE_SLACK_MS;
+    const timeoutMs =
+      pool.queuedMs(instance) * TIMEOUT_FACTOR + ADVICE_SLACK_MS;
     const answer = await adviser.ask(stepRun.id, workers, timeoutMs);
-    pool.finish(instance, callMs);
+    pool.release(instance, callMs);
     const now = clock.monotonic();
     const validMs = stepRun.job.policy.advice?.validMs ?? 0;
-    scheduler.adviceAnswered(
+    scheduler.onAdviceAnswered(
       request,
       result.isOk(answer) ? answer.value : undefined,
       types.clock.after(now, validMs - ADVICE_TRANSIT_MS),
--- a/packages/gypsumwall-cell/src/cell_holder.ts
+++ b/packages/gypsumwall-cell/src/cell_holder.ts
@@ -88,7 +88,7 @@
   const stopping = new AbortController();
   const scheduler = scheduling.scheduler.createScheduler({
     attemptBase: claim.generation * ATTEMPTS_PER_GENERATION,
-    isAccounted: (worker) => barrier.isAccounted(worker),
+    isReconciled: (worker) => barrier.isAccounted(worker),
     onEvent: (event) => logger.info(event.type, {...event, type: undefined}),
   });
   const writer = cellWriter.createCellWriter({
@@ -124,7 +124,7 @@
         MAJORITY_LOSS_DETECTION_MS + options.leaseMs * SLOW_CLOCK_FACTOR,
     },
     () => {
-      scheduler.workerAccounted();
+      scheduler.onWorkerReconciled();
       if (barrier.unaccounted() > 0) return;
       roster.removeSilent();
       logger.info('takeover_complete', {
@@ -205,8 +205,9 @@
   function leaseMsOn(id: types.ids.WorkerId): number {
     return leaseLength.leaseLength({
       maxMs: options.leaseMs,
-      hasLongRunning: scheduler.runsLasting(id),
-      isLeaving: scheduler.book.workers.get(id)?.info.draining ?? false,
+      hasLongRunning: scheduler.hostsLongRunningTasks(id),
+      isLeaving:
+        scheduler.workerRegistry.workers.get(id)?.info.draining ?? false,
     });
   }
 
@@ -232,7 +233,7 @@
       ...job,
     }));
     lastWrite = writer.write(records).then(() => {
-      scheduler.stored(dirty);
+      scheduler.onStored(dirty);
       for (const {jobId, progress} of dirty) {
         if (scheduling.jobProgress.isOver(progress.phase)) ended.push(jobId);
       }
@@ -285,7 +286,7 @@
     const session = roster.session(order.attempt.workerId);
     if (session === undefined) {
       const refused = {type: 'refused', reason: 'other'} as const;
-      scheduler.startAnswered(order.attempt, refused, clock.monotonic());
+      scheduler.onStartAnswered(order.attempt, refused, clock.monotonic());
       return;
     }
     ordersInFlight++;
@@ -337,7 +338,7 @@
       }
       if (stopping.signal.aborted) return;
       for (const job of jobs.all()) admitJob(job, true);
-      scheduler.workerAccounted();
+      scheduler.onWorkerReconciled();
       isScheduling = true;
       roster.inherit(options.state.usedWorkers.values());
       void workerFollower.run();
--- a/packages/gypsumwall-cell/src/job_service.ts
+++ b/packages/gypsumwall-cell/src/job_service.ts
@@ -279,7 +279,7 @@
   return {
     async submit(id, policy, request) {
       if (jobs.get(id) !== undefined) return {type: 'ok', value: undefined};
-      const fault = scheduling.jobRequest.faultOf(request);
+      const fault = scheduling.jobRequest.describeFault(request);
       if (fault !== undefined) return {type: 'invalid', message: fault};
       const oversized = findOversizedStep(policy.pool, request);
       if (oversized !== undefined) {
--- a/packages/gypsumwall-cell/src/silent_workers.ts
+++ b/packages/gypsumwall-cell/src/silent_workers.ts
@@ -32,7 +32,7 @@
       for (const [known, {until}] of byAddress) {
         if (until <= now) byAddress.delete(known);
       }
-      const {LATE_PROOF_MS} = scheduling.workerLosses;
+      const {LOSS_RETENTION_MS: LATE_PROOF_MS} = scheduling.workerLosses;
       const until = types.clock.after(now, LATE_PROOF_MS);
       byAddress.set(address, {id, until});
     },
--- a/packages/gypsumwall-cell/src/worker_roster.ts
+++ b/packages/gypsumwall-cell/src/worker_roster.ts
@@ -135,7 +135,7 @@
   ): Entry {
     const crashed = recentlySilent.takeRestarted(info);
     if (crashed !== undefined) {
-      scheduler.workerGone(crashed, 'crashed', clock.monotonic());
+      scheduler.removeWorker(crashed, 'crashed', clock.monotonic());
     }
     const session = options.openSession(info);
     const entry: Entry = {info, listed, session, isEvacuating: false};
@@ -256,7 +256,7 @@
     entries.delete(id);
     entry.session.close();
     if (cause === 'silent') recentlySilent.add(entry.info);
-    scheduler.workerGone(id, cause, clock.monotonic());
+    scheduler.removeWorker(id, cause, clock.monotonic());
     // A successor that doesn't find the worker must find the consequences of
     // its crash instead.
     void options.flush();
@@ -311,7 +311,7 @@
         );
         return;
       }
-      scheduler.leasePassed(id, clock.monotonic());
+      scheduler.onLeaseExpired(id, clock.monotonic());
       options.onChange();
     },
     tick(now) {
--- a/packages/gypsumwall-cell/src/worker_session.ts
+++ b/packages/gypsumwall-cell/src/worker_session.ts
@@ -176,7 +176,7 @@
 
   async function onPollFailed(err: types.stepError.StepError): Promise<void> {
     setReachable(false, types.stepError.describeError(err));
-    scheduler.outOfReach(worker.id);
+    scheduler.onWorkerUnreachable(worker.id);
     // Only leases that expired before the last confirmed append count: a
     // successor may have renewed one that expires later.
     if (hasReported && workerClock.hasLeaseExpired(options.confirmedAt())) {
@@ -205,7 +205,7 @@
     for (const end of ends) lastSequence = Math.max(lastSequence, end.sequence);
     const complete = !report.hasMoreEnds;
     const {running} = report;
-    scheduler.report(
+    scheduler.applyReport(
       {workerId: worker.id, askedAt, running, ends, complete},
       now,
     );
@@ -274,7 +274,7 @@
       const leaseUntil = extendLease();
       if (leaseUntil === undefined) {
         const refused = {type: 'refused', reason: 'other'} as const;
-        scheduler.startAnswered(attempt, refused, clock.monotonic());
+        scheduler.onStartAnswered(attempt, refused, clock.monotonic());
         return;
       }
       const sentAt = clock.monotonic();
@@ -290,7 +290,7 @@
       });
       if (closing.signal.aborted) return;
       const outcome = startOutcome(answer);
-      scheduler.startAnswered(attempt, outcome, clock.monotonic());
+      scheduler.onStartAnswered(attempt, outcome, clock.monotonic());
       logger.info('start_answered', {
         task: attempt.taskId,
         attempt: attempt.number,
@@ -310,7 +310,7 @@
         const answer = await link.stop({taskId, attempt, token, timeoutMs});
         if (result.isOk(answer)) {
           if (answer.value.type === 'accepted') {
-            scheduler.stopAnswered(target, clock.monotonic());
+            scheduler.onStopAnswered(target, clock.monotonic());
             await pollAfterStop(target);
             return;
           }
--- a/packages/gypsumwall-emulator/src/rig/entry_machine.ts
+++ b/packages/gypsumwall-emulator/src/rig/entry_machine.ts
@@ -86,10 +86,10 @@
       readiness: `${ip}:${settings.readinessPort}`,
       metrics: `${ip}:${role.metricsPort}/${role.metricsPath}`,
     },
-    kill: () => child?.send('SIGKILL'),
+    kill: () => child?.sendSignal('SIGKILL'),
     async stop() {
       stopped.abort();
-      child?.send('SIGKILL');
+      child?.sendSignal('SIGKILL');
       await child?.exited;
     },
   };
--- a/packages/gypsumwall-entry/src/domain_holder.ts
+++ b/packages/gypsumwall-entry/src/domain_holder.ts
@@ -14,7 +14,7 @@
   >;
   readonly hadPredecessor: () => boolean;
   readonly makePlacer: () => schedulerOptions.DomainSchedulerOptions['placer'];
-  readonly claim: () => membership.domainClaim.ClaimState;
+  readonly claim: () => membership.claimState.ClaimState;
   readonly view: () => membership.domainView.DomainView;
   readonly teams: () => ReadonlyMap<string, settings.cellTree.TeamPolicy>;
 }
@@ -22,7 +22,7 @@
 /** Opens and closes this entry's scheduler as the claim changes. */
 export interface DomainHolder {
   current(): domainScheduler.DomainScheduler | undefined;
-  onClaimChange(state: membership.domainClaim.ClaimState): void;
+  onClaimChange(state: membership.claimState.ClaimState): void;
   onView(view: membership.domainView.DomainView): void;
   onJobChange(change: records.jobFold.JobChange): void;
   onTeamsChange(): void;
@@ -112,7 +112,7 @@
 }
 
 function claimDeadlineOf(
-  state: membership.domainClaim.ClaimState,
+  state: membership.claimState.ClaimState,
   epoch: number,
 ): types.clock.MonotonicMs | undefined {
   if (state.type !== 'held' || state.epoch !== epoch) return undefined;
--- a/packages/gypsumwall-entry/src/entry_context.ts
+++ b/packages/gypsumwall-entry/src/entry_context.ts
@@ -27,7 +27,7 @@
   readonly domainFollower: records.streamFollower.StreamFollower;
   readonly requestFollower: records.streamFollower.StreamFollower;
   readonly view: () => membership.domainView.DomainView;
-  readonly claim: () => membership.domainClaim.ClaimState;
+  readonly claim: () => membership.claimState.ClaimState;
   readonly scheduler: () => domainScheduler.DomainScheduler | undefined;
   readonly router: routing.router.Router;
   readonly jobService: jobService.JobService;
--- a/packages/gypsumwall-entry/src/peer_catch_up.ts
+++ b/packages/gypsumwall-entry/src/peer_catch_up.ts
@@ -61,7 +61,7 @@
   if (reachable.length === 0) return;
   const peer = reachable[options.random.integer(0, reachable.length - 1)];
   if (peer === undefined) return;
-  const answer = await options.clients.at(peer.address).readState({
+  const answer = await options.clients.clientFor(peer.address).readState({
     stream: stream.name,
     above: BigInt(stream.follower.adoptableAbove()),
   });
--- a/packages/gypsumwall-entry/src/peer_forwarding.ts
+++ b/packages/gypsumwall-entry/src/peer_forwarding.ts
@@ -27,7 +27,7 @@
     const span = tracer.startSpan('peer.forward', call.headers['traceparent'], {
       peer: address,
     });
-    const answer = await clients.at(address).forward(
+    const answer = await clients.clientFor(address).forward(
       {
         method: call.method,
         path: call.path,
--- a/packages/gypsumwall-entry/src/router_feed.ts
+++ b/packages/gypsumwall-entry/src/router_feed.ts
@@ -60,5 +60,5 @@
   const others = view.peers
     .filter((peer) => peer.failureDomain === failureDomain)
     .map((peer) => peer.address);
-  return view.selfListed === true ? [address, ...others] : others;
+  return view.isSelfListed === true ? [address, ...others] : others;
 }
--- a/packages/gypsumwall-membership/src/__fixtures__/claim_world.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/claim_world.ts
@@ -47,7 +47,7 @@
   readonly heard: Map<number, types.ids.EntryId>;
   listFetchedAt?: types.clock.MonotonicMs;
   selfListedAt?: types.clock.MonotonicMs;
-  caughtUp: boolean;
+  isCaughtUp: boolean;
 }
 
 /** The world. */
@@ -158,8 +158,8 @@
 
   function readLog(entry: Entry) {
     if (!entry.process.isAlive()) return;
-    entry.caughtUp = stream.isReached(entry.machine);
-    if (entry.caughtUp) {
+    entry.isCaughtUp = stream.isReached(entry.machine);
+    if (entry.isCaughtUp) {
       const from = entry.nextOffset;
       const page = stream.recordsFrom(from);
       entry.process.deliverAt(time.now() + delay(), () => {
@@ -261,7 +261,7 @@
       allGoneMs: ALL_GONE_MS,
       appendRecord: (record) =>
         stream.append(entry.process, entry.machine, record),
-      caughtUp: () => entry.caughtUp,
+      isCaughtUp: () => entry.isCaughtUp,
       view: () => viewOf(entry),
       peers: {
         promise: (peer, ask) =>
@@ -284,7 +284,7 @@
       releasing: false,
       listed: new Set(),
       heard: new Map(),
-      caughtUp: false,
+      isCaughtUp: false,
     };
     entries.set(machine, entry);
     list.add(machine);
--- a/packages/gypsumwall-membership/src/__fixtures__/peer_fixture.ts
+++ b/packages/gypsumwall-membership/src/__fixtures__/peer_fixture.ts
@@ -68,9 +68,9 @@
     port,
     handlers: {
       claim: claimPromises.createClaimPromises(clock),
-      leavingInstances: () => view.listedLeaving(),
+      leavingInstances: () => view.listedLeavingInstances(),
       ownState,
-      onHeartbeat: (req) => view.noteHeartbeat(req),
+      onHeartbeat: (req) => view.onHeartbeat(req),
       forward: (req) => Promise.resolve({status: 200, body: req.body}),
       readState: () => Promise.resolve({entryId, nextOffset: 1n}),
     },
--- a/packages/gypsumwall-membership/src/__tests__/peer_client.test.ts
+++ b/packages/gypsumwall-membership/src/__tests__/peer_client.test.ts
@@ -14,7 +14,7 @@
     const list = peerFixture.createFakeList();
     const peer = await peerFixture.startPeer('bkk-a-1', list);
     try {
-      const client = peer.clients.at(peer.address);
+      const client = peer.clients.clientFor(peer.address);
       const own = {
         entryId: 'bkk-a-2',
         failureDomain: 'bkk-a',
--- a/packages/gypsumwall-membership/src/bin/handover_bench.ts
+++ b/packages/gypsumwall-membership/src/bin/handover_bench.ts
@@ -9,7 +9,7 @@
 import * as types from '@gypsumwall/types';
 import * as claimKeeper from '../claim_keeper.js';
 import type * as claimPeers from '../claim_peers.js';
-import type * as domainClaim from '../domain_claim.js';
+import type * as claimState from '../claim_state.js';
 import type * as domainView from '../domain_view.js';
 
 /** How the holder ends. */
@@ -178,7 +178,7 @@
       ttlMs: options.ttlMs,
       listLagMs: options.ttlMs,
       appendRecord: append,
-      caughtUp: () => true,
+      isCaughtUp: () => true,
       view: () => viewOf(entryId),
       peers: {
         promise: (peer, ask) =>
@@ -186,7 +186,7 @@
         witness: (peer, ask) =>
           call(peer, (target) => target.answerWitness(ask)),
       },
-      onChange: (state: domainClaim.ClaimState) => {
+      onChange: (state: claimState.ClaimState) => {
         if (state.type === 'held') onHeld?.();
       },
     });
--- a/packages/gypsumwall-membership/src/bin/heartbeat_bench.ts
+++ b/packages/gypsumwall-membership/src/bin/heartbeat_bench.ts
@@ -40,7 +40,7 @@
   const relay = await startRelay(Number(new URL(first.address).port));
 
   async function beat(address: string) {
-    const answer = await clients.at(address).heartbeat({
+    const answer = await clients.clientFor(address).heartbeat({
       entryId: 'entry-0123456789abcdef',
       failureDomain: 'merkato-hall',
       address: 'http://127.0.0.1:54321',
--- a/packages/gypsumwall-membership/src/claim_calls.ts
+++ b/packages/gypsumwall-membership/src/claim_calls.ts
@@ -12,7 +12,7 @@
   return {
     promise: async (peer, ask, timeoutMs) => {
       if (peer.address === '') return {type: 'silent'};
-      const answer = await clients.at(peer.address).promiseClaim(
+      const answer = await clients.clientFor(peer.address).promiseClaim(
         {
           holder: ask.holder,
           epoch: BigInt(ask.epoch),
@@ -29,7 +29,7 @@
     },
     witness: async (peer, ask, timeoutMs) => {
       if (peer.address === '') return {type: 'silent'};
-      const answer = await clients.at(peer.address).witnessTakeover(
+      const answer = await clients.clientFor(peer.address).witnessTakeover(
         {
           taker: ask.taker,
           epoch: BigInt(ask.epoch),
--- a/packages/gypsumwall-membership/src/claim_keeper.ts
+++ b/packages/gypsumwall-membership/src/claim_keeper.ts
@@ -12,7 +12,7 @@
 import * as claimPromises from './claim_promises.js';
 import * as claimTaker from './claim_taker.js';
 import * as claimTiming from './claim_timing.js';
-import type * as domainClaim from './domain_claim.js';
+import type * as claimState from './claim_state.js';
 import * as wakeUp from './wake_up.js';
 
 /** An entry's part in its domain's claim. */
@@ -33,7 +33,7 @@
     readAt: types.clock.MonotonicMs,
   ): void;
   /** Looks at the clock: a process that was paused finds its claim lapsed. */
-  state(): domainClaim.ClaimState;
+  state(): claimState.ClaimState;
   /**
    * Gives the claim up for good and lets the next entry claim at once. Call
    * it when every start has been answered or its `startBy` has passed: a
@@ -60,7 +60,7 @@
   let givenUp = false;
   let announced = 'none';
 
-  function state(): domainClaim.ClaimState {
+  function state(): claimState.ClaimState {
     const newest = fold.newest();
     if (newest === undefined || newest.released) return {type: 'none'};
     const {epoch} = newest;
@@ -109,7 +109,7 @@
     if (clock.monotonic() < turnAt) {
       return turnAt < lookAgainAt ? turnAt : lookAgainAt;
     }
-    if (!options.caughtUp()) return lookAgainAt;
+    if (!options.isCaughtUp()) return lookAgainAt;
     const before = fold.newest();
     const witness = await taker.findWitness();
     // Asking took time: the holder's renewal may have come in meanwhile.
--- a/packages/gypsumwall-membership/src/claim_keeper_options.ts
+++ b/packages/gypsumwall-membership/src/claim_keeper_options.ts
@@ -4,7 +4,7 @@
 import type * as telemetry from '@gypsumwall/telemetry';
 import type * as types from '@gypsumwall/types';
 import type * as claimPeers from './claim_peers.js';
-import type * as domainClaim from './domain_claim.js';
+import type * as claimState from './claim_state.js';
 import type * as domainView from './domain_view.js';
 
 /** Options of `createClaimKeeper`. */
@@ -29,9 +29,9 @@
     record: records.domainRecords.DomainRecord,
   ): Promise<result.Result<{offset: number}, types.stepError.StepError>>;
   /** Whether the stream has lately been read up to its end. */
-  caughtUp(): boolean;
+  isCaughtUp(): boolean;
   view(): domainView.DomainView;
   readonly peers: claimPeers.ClaimPeers;
   /** Called when the state's type or epoch has changed. */
-  onChange?(state: domainClaim.ClaimState): void;
+  onChange?(state: claimState.ClaimState): void;
 }
--- a/packages/gypsumwall-membership/src/domain_view.ts
+++ b/packages/gypsumwall-membership/src/domain_view.ts
@@ -29,5 +29,5 @@
   /** When a list that shows this process was last asked for. */
   readonly selfListedAt?: types.clock.MonotonicMs;
   /** Whether the latest list that was fetched shows this process. */
-  readonly selfListed?: boolean;
+  readonly isSelfListed?: boolean;
 }
--- a/packages/gypsumwall-membership/src/domain_view_keeper.ts
+++ b/packages/gypsumwall-membership/src/domain_view_keeper.ts
@@ -39,9 +39,9 @@
   /** The view at this moment; peers fall silent by the clock. */
   current(): domainView.DomainView;
   /** A heartbeat came in; the sender may not be on the list yet. */
-  noteHeartbeat(req: protocol.peer.HeartbeatRequest): void;
+  onHeartbeat(req: protocol.peer.HeartbeatRequest): void;
   /** Instances of the own domain that the list itself shows as leaving. */
-  listedLeaving(): readonly string[];
+  listedLeavingInstances(): readonly string[];
   /** Direct evidence that a worker or upstream is gone. */
   noteGone(id: string): void;
 }
@@ -80,7 +80,7 @@
       upstreams: corrected.filter((instance) => instance.kind === 'upstream'),
       listFetchedAt,
       selfListedAt,
-      selfListed,
+      isSelfListed: selfListed,
     };
   }
 
@@ -118,7 +118,7 @@
     const link = peerLink.createPeerLink({
       address,
       failureDomain: domain,
-      client: options.clients.at(address),
+      client: options.clients.clientFor(address),
       clock,
       heartbeatMs: options.heartbeatMs,
       silenceMs: options.silenceMs,
@@ -246,13 +246,13 @@
     current,
     // Not what peers told: two cut-off entries would tell it to each other
     // for ever.
-    listedLeaving: () =>
+    listedLeavingInstances: () =>
       listed.filter(({state}) => state === 'leaving').map(({id}) => id),
     noteGone: (id) => {
       corrections.noteGone(id);
       corrected = corrections.correct(listed);
     },
-    noteHeartbeat: (req) => {
+    onHeartbeat: (req) => {
       if (req.failureDomain !== failureDomain) return;
       if (isListed(req.entryId)) return;
       track(req.address, types.ids.brand(req.failureDomain));
--- a/packages/gypsumwall-membership/src/index.ts
+++ b/packages/gypsumwall-membership/src/index.ts
@@ -4,7 +4,7 @@
 export * as claimKeeperOptions from './claim_keeper_options.js';
 export * as claimPeers from './claim_peers.js';
 export * as claimTiming from './claim_timing.js';
-export * as domainClaim from './domain_claim.js';
+export * as claimState from './claim_state.js';
 export * as domainView from './domain_view.js';
 export * as domainViewKeeper from './domain_view_keeper.js';
 export * as peerClient from './peer_client.js';
--- a/packages/gypsumwall-membership/src/peer_clients.ts
+++ b/packages/gypsumwall-membership/src/peer_clients.ts
@@ -3,7 +3,7 @@
 
 /** This process's clients. */
 export interface PeerClients {
-  at(address: string): peerClient.PeerClient;
+  clientFor(address: string): peerClient.PeerClient;
   /** Closes the client of an address that is no peer any more. */
   drop(address: string): void;
   close(): void;
@@ -13,7 +13,7 @@
 export function createPeerClients(timeoutMs: number): PeerClients {
   const clients = new Map<string, peerClient.PeerClient>();
   return {
-    at: (address) => {
+    clientFor: (address) => {
       const client =
         clients.get(address) ??
         peerClient.createPeerClient({address, timeoutMs});
--- a/packages/gypsumwall-scheduling/src/__fixtures__/crash_world.ts
+++ b/packages/gypsumwall-scheduling/src/__fixtures__/crash_world.ts
@@ -101,14 +101,14 @@
   function createScheduler(): schedulerTypes.Scheduler {
     const created = schedulers.createScheduler({
       attemptBase: generation++ * ATTEMPTS_PER_GENERATION,
-      isAccounted: (worker) => !unaccounted.has(worker),
+      isReconciled: (worker) => !unaccounted.has(worker),
       onEvent: (event) => events.push(event),
     });
     for (const job of jobs) addTo(created, job);
     for (const progress of persisted.values()) {
       for (const id of progress.workers) if (used.has(id)) unaccounted.add(id);
     }
-    created.workerAccounted();
+    created.onWorkerReconciled();
     for (const machine of machines) machine.heard = 0;
     for (const [id, info] of used) {
       created.putWorker({...info, draining: true});
@@ -124,17 +124,21 @@
     target: schedulerTypes.Scheduler,
     id: types.ids.WorkerId,
   ): void {
-    if (target.book.workers.has(id)) target.workerGone(id, 'crashed', now);
+    if (target.workerRegistry.workers.has(id))
+      target.removeWorker(id, 'crashed', now);
     forgotten.push(id);
-    if (unaccounted.delete(id)) target.workerAccounted();
+    if (unaccounted.delete(id)) target.onWorkerReconciled();
   }
 
   function account(id: types.ids.WorkerId): void {
-    if (unaccounted.delete(id)) scheduler?.workerAccounted();
+    if (unaccounted.delete(id)) scheduler?.onWorkerReconciled();
   }
 
   /** Ends the runs of a gang whose member is gone or done. */
-  function endGang(taskId: types.ids.TaskId, how: jobSteps.RunEnd): void {
+  function endGang(
+    taskId: types.ids.TaskId,
+    how: jobSteps.AttemptOutcome,
+  ): void {
     if (!stepOf(taskId).gang) return;
     const prefix = taskId.slice(0, taskId.lastIndexOf('.') + 1);
     for (const machine of machines) {
@@ -149,7 +153,7 @@
   function endRun(
     machine: crashModel.Machine,
     run: crashModel.RealRun,
-    how: jobSteps.RunEnd,
+    how: jobSteps.AttemptOutcome,
   ): void {
     machine.runs = machine.runs.filter((one) => one !== run);
     const {taskId, attempt} = run;
@@ -170,9 +174,9 @@
     machine.runs = [];
     machine.ends = [];
     for (const taskId of tasks) endGang(taskId, 'broken');
-    if (scheduler?.book.workers.has(worker) !== true) return;
+    if (scheduler?.workerRegistry.workers.has(worker) !== true) return;
     scheduler.setUsable(worker, false, now);
-    scheduler.outOfReach(worker);
+    scheduler.onWorkerUnreachable(worker);
   }
 
   function restart(machine: crashModel.Machine): void {
@@ -215,7 +219,7 @@
   ): void {
     const machine = lives.get(run.workerId)!;
     if (!isUp(machine) || machine.info.id !== run.workerId) {
-      target.startAnswered(run, {type: 'unknown'}, now);
+      target.onStartAnswered(run, {type: 'unknown'}, now);
       return;
     }
     const {taskId, number: attempt, size, workerId: worker} = run;
@@ -224,7 +228,7 @@
     const {capacity} = machine.info;
     const exceeds = !types.resources.fits(crashModel.usedOf(machine), capacity);
     starts.push({taskId, worker, at: now, exceeds});
-    target.startAnswered(run, {type: 'started'}, now);
+    target.onStartAnswered(run, {type: 'started'}, now);
   }
 
   function stop(
@@ -238,7 +242,7 @@
       (one) => one.taskId === run.taskId && one.attempt === run.number,
     );
     if (found !== undefined) found.stopsAt = types.clock.after(now, STOP_MS);
-    target.stopAnswered(run, now);
+    target.onStopAnswered(run, now);
   }
 
   function report(
@@ -246,10 +250,10 @@
     machine: crashModel.Machine,
   ): void {
     const {id} = machine.info;
-    if (!target.book.workers.has(id)) target.putWorker(machine.info);
+    if (!target.workerRegistry.workers.has(id)) target.putWorker(machine.info);
     const percentOf = (run: crashModel.RealRun) =>
       Math.floor((now - run.startedAt) / REPORT_EVERY_MS) % WHOLE;
-    target.report(
+    target.applyReport(
       {
         workerId: id,
         askedAt: now,
@@ -262,7 +266,7 @@
       now,
     );
     machine.heard = machine.sequence;
-    if (target.book.workers.get(id)?.usable === false) {
+    if (target.workerRegistry.workers.get(id)?.isUsable === false) {
       target.putWorker(machine.info);
       target.setUsable(id, true, now);
     }
@@ -282,7 +286,7 @@
       const {dirty, heard, forgotten: over} = writes.shift()!;
       for (const id of over) used.delete(id);
       for (const {jobId, progress} of dirty) persisted.set(jobId, progress);
-      target.stored(dirty);
+      target.onStored(dirty);
       for (const [machine, upTo] of heard) {
         machine.ends = machine.ends.filter((end) => end.sequence > upTo);
       }
@@ -299,8 +303,8 @@
     for (const machine of machines) {
       const {crashedAt, info} = machine;
       if (isUp(machine) || now - crashedAt! < LEASE_MS) continue;
-      if (!target.book.workers.has(info.id)) continue;
-      target.leasePassed(info.id, now);
+      if (!target.workerRegistry.workers.has(info.id)) continue;
+      target.onLeaseExpired(info.id, now);
       account(info.id);
     }
     for (const run of target.takeStops()) stop(target, run);
--- a/packages/gypsumwall-scheduling/src/__fixtures__/scheduler_world.ts
+++ b/packages/gypsumwall-scheduling/src/__fixtures__/scheduler_world.ts
@@ -60,7 +60,7 @@
   decide(): schedulerTypes.StartOrder[];
   /** Decides and answers every start. */
   startAll(): activeJob.Attempt[];
-  end(run: activeJob.Attempt, how: jobSteps.RunEnd): void;
+  end(run: activeJob.Attempt, how: jobSteps.AttemptOutcome): void;
   /** Hands in a report that lists exactly these runs. */
   report(
     worker: types.ids.WorkerId,
@@ -74,14 +74,14 @@
   const unaccounted = new Set<types.ids.WorkerId>();
   const scheduler = schedulers.createScheduler({
     attemptBase: 0,
-    isAccounted: (worker) => !unaccounted.has(worker),
+    isReconciled: (worker) => !unaccounted.has(worker),
     onEvent: (event) => events.push(event),
   });
   const wall = 0 as types.clock.WallMs;
   let sequence = 0;
 
   function store(): void {
-    scheduler.stored(scheduler.takeDirty());
+    scheduler.onStored(scheduler.takeDirty());
   }
 
   const world: SchedulerWorld = {
@@ -132,7 +132,7 @@
     startAll() {
       const orders = world.decide();
       for (const {attempt: run} of orders) {
-        scheduler.startAnswered(run, {type: 'started'}, world.now);
+        scheduler.onStartAnswered(run, {type: 'started'}, world.now);
       }
       world.now = types.clock.after(world.now, 1);
       return orders.map((order) => order.attempt);
@@ -140,7 +140,7 @@
     end(run, how) {
       const {taskId, number: attempt, workerId} = run;
       const row = {sequence: ++sequence, taskId, attempt, how, checkpoint: ''};
-      scheduler.report(
+      scheduler.applyReport(
         {
           workerId,
           askedAt: world.now,
@@ -153,7 +153,7 @@
       store();
     },
     report(workerId, running) {
-      scheduler.report(
+      scheduler.applyReport(
         {workerId, askedAt: world.now, running, ends: [], complete: true},
         world.now,
       );
--- a/packages/gypsumwall-scheduling/src/__fixtures__/unreliable_world.ts
+++ b/packages/gypsumwall-scheduling/src/__fixtures__/unreliable_world.ts
@@ -121,7 +121,7 @@
     generation++;
     scheduler = schedulers.createScheduler({
       attemptBase: generation * ATTEMPTS_PER_GENERATION,
-      isAccounted: (worker) => !unaccounted.has(worker),
+      isReconciled: (worker) => !unaccounted.has(worker),
       onEvent: () => undefined,
     });
   }
@@ -171,7 +171,7 @@
   }
 
   function isKnown(worker: RealWorker): boolean {
-    return scheduler.book.workers.has(worker.id);
+    return scheduler.workerRegistry.workers.has(worker.id);
   }
 
   function submit(
@@ -241,7 +241,7 @@
     const tell = (outcome: schedulerTypes.StartOutcome) => {
       if (start.generation === generation) {
         if (outcome.type === 'unknown') setReachable(start.worker, false);
-        scheduler.startAnswered(run, outcome, now);
+        scheduler.onStartAnswered(run, outcome, now);
       }
     };
     switch (fate) {
@@ -274,7 +274,7 @@
   function endRun(
     worker: RealWorker,
     run: WorkerRun,
-    how: jobSteps.RunEnd,
+    how: jobSteps.AttemptOutcome,
   ): void {
     const {taskId, attempt} = run;
     worker.runs.delete(keyOf(taskId, attempt));
@@ -300,7 +300,7 @@
     }
     if (!options.answered) return;
     stops = stops.filter((one) => one !== run);
-    scheduler.stopAnswered(run, now);
+    scheduler.onStopAnswered(run, now);
   }
 
   function contentOf(worker: RealWorker): ReportContent {
@@ -334,7 +334,7 @@
       worker.heardSequence = Math.max(worker.heardSequence, end.sequence);
     }
     const {running, complete} = content;
-    scheduler.report(
+    scheduler.applyReport(
       {workerId: worker.id, askedAt, running, ends, complete},
       now,
     );
@@ -349,14 +349,14 @@
   }
 
   function account(worker: RealWorker): void {
-    if (unaccounted.delete(worker.id)) scheduler.workerAccounted();
+    if (unaccounted.delete(worker.id)) scheduler.onWorkerReconciled();
   }
 
   function confirmWrite(): void {
     const write = writes.shift();
     if (write === undefined) return;
     for (const {jobId, progress} of write.dirty) persisted.set(jobId, progress);
-    scheduler.stored(write.dirty);
+    scheduler.onStored(write.dirty);
     for (const [worker, heard] of write.heard) {
       worker.ends = worker.ends.filter((end) => end.sequence > heard);
     }
@@ -371,7 +371,7 @@
     const validMs = stepRun.job.policy.advice?.validMs ?? 0;
     const until = types.clock.after(now, validMs);
     if (answer === 'none') {
-      scheduler.adviceAnswered(wish, undefined, until);
+      scheduler.onAdviceAnswered(wish, undefined, until);
       return;
     }
     const approved = new Map<types.ids.WorkerId, string>();
@@ -381,7 +381,7 @@
         approved.set(worker, 'ticket');
       } else turnedDown.add(key);
     });
-    scheduler.adviceAnswered(wish, approved, until);
+    scheduler.onAdviceAnswered(wish, approved, until);
   }
 
   function gone(worker: RealWorker): void {
@@ -390,7 +390,7 @@
     starts = starts.filter((one) => one.worker !== worker);
     late = late.filter((one) => one.worker !== worker);
     stops = stops.filter((run) => run.workerId !== worker.id);
-    if (isKnown(worker)) scheduler.workerGone(worker.id, 'crashed', now);
+    if (isKnown(worker)) scheduler.removeWorker(worker.id, 'crashed', now);
     account(worker);
   }
 
@@ -402,7 +402,7 @@
     }
     late = late.filter((one) => one.worker !== worker);
     setReachable(worker, false);
-    scheduler.leasePassed(worker.id, now);
+    scheduler.onLeaseExpired(worker.id, now);
     account(worker);
   }
 
@@ -423,7 +423,7 @@
       unaccounted.add(worker.id);
     }
     for (const job of jobs) takeUp(job, true);
-    scheduler.workerAccounted();
+    scheduler.onWorkerReconciled();
     for (const worker of used) {
       scheduler.putWorker({...worker.info, draining: true});
     }
@@ -547,7 +547,7 @@
       worker.cut = true;
       if (!isKnown(worker)) return;
       setReachable(worker, false);
-      scheduler.outOfReach(worker.id);
+      scheduler.onWorkerUnreachable(worker.id);
     },
     /** Nobody is told. */
     die(worker: RealWorker) {
--- a/packages/gypsumwall-scheduling/src/__tests__/advice_names.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/advice_names.test.ts
@@ -21,7 +21,7 @@
 ): void {
   const approved = new Map(wish.workers.map((id) => [id, 'ticket'] as const));
   const until = types.clock.after(world.now, ADVICE.validMs);
-  world.scheduler.adviceAnswered(wish, approved, until);
+  world.scheduler.onAdviceAnswered(wish, approved, until);
 }
 
 // Load: 150 workers, the first 100 of them full. A caller's job waits while 50
--- a/packages/gypsumwall-scheduling/src/__tests__/advice_turns.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/advice_turns.test.ts
@@ -35,20 +35,20 @@
     open = open.filter((call) => call.at > ms);
     const capacity = lanes.capacity(ENTRIES);
     const {advice} = world.scheduler.decide(world.now, WALL, capacity);
-    world.scheduler.stored(world.scheduler.takeDirty());
+    world.scheduler.onStored(world.scheduler.takeDirty());
     world.now = types.clock.after(world.now, TICK_MS);
     for (const wish of advice) {
       if (wish.stepRun.job.id === 'narrow') askedAfterMs = ms;
-      const lane = lanes.take(ENTRIES, wish.callMs, wish.needed);
+      const lane = lanes.acquire(ENTRIES, wish.callMs, wish.needed);
       const never = 0 as types.clock.MonotonicMs;
       if (lane === undefined) {
-        world.scheduler.adviceAnswered(wish, undefined, never);
+        world.scheduler.onAdviceAnswered(wish, undefined, never);
         continue;
       }
       const answer = () => {
-        lanes.finish(lane, wish.callMs);
+        lanes.release(lane, wish.callMs);
         // The policy allows none of the workers.
-        world.scheduler.adviceAnswered(wish, new Map(), never);
+        world.scheduler.onAdviceAnswered(wish, new Map(), never);
       };
       open.push({at: ms + wish.callMs, answer});
     }
--- a/packages/gypsumwall-scheduling/src/__tests__/copies.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/copies.test.ts
@@ -19,7 +19,7 @@
   world.addWorker('w2', 4);
   world.now = types.clock.after(world.now, 500);
   world.scheduler.setUsable(w1, false, world.now);
-  world.scheduler.outOfReach(w1);
+  world.scheduler.onWorkerUnreachable(w1);
   return {world, run: run!};
 }
 
@@ -44,9 +44,9 @@
 // Each failed look tells anew that the worker is out of reach.
 test('a task has one copy, however often its worker is found out of reach', () => {
   const {world, run} = openWorld(true);
-  world.scheduler.outOfReach(run.workerId);
+  world.scheduler.onWorkerUnreachable(run.workerId);
   assert.equal(world.startAll().length, 1);
-  world.scheduler.outOfReach(run.workerId);
+  world.scheduler.onWorkerUnreachable(run.workerId);
   assert.equal(world.startAll().length, 0);
 });
 
--- a/packages/gypsumwall-scheduling/src/__tests__/decisions.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/decisions.test.ts
@@ -65,18 +65,18 @@
 test('a small call never waits behind large ones on all lanes', () => {
   const lanes = adviserPool.createAdviserPool<string>();
   const entries = ['a', 'b', 'c', 'd'];
-  const large = [1, 2, 3].map(() => lanes.take(entries, 740, true));
+  const large = [1, 2, 3].map(() => lanes.acquire(entries, 740, true));
   assert.deepEqual(large, ['a', 'b', undefined]);
-  assert.equal(lanes.take(entries, 10, true), 'c');
-  assert.equal(lanes.take(entries, 10, true), 'd');
+  assert.equal(lanes.acquire(entries, 10, true), 'c');
+  assert.equal(lanes.acquire(entries, 10, true), 'd');
 });
 
 test('a lane that is long enough takes no more', () => {
   const lanes = adviserPool.createAdviserPool<string>();
-  assert.equal(lanes.take(['a'], 1_600, true), 'a');
-  assert.equal(lanes.take(['a'], 1_600, true), undefined);
-  lanes.finish('a', 1_600);
-  assert.equal(lanes.take(['a'], 1_600, true), 'a');
+  assert.equal(lanes.acquire(['a'], 1_600, true), 'a');
+  assert.equal(lanes.acquire(['a'], 1_600, true), undefined);
+  lanes.release('a', 1_600);
+  assert.equal(lanes.acquire(['a'], 1_600, true), 'a');
 });
 
 // Guards against urgent calls that stand in line behind long ones.
@@ -87,22 +87,22 @@
     large: 1,
     spare: 2,
   });
-  assert.equal(lanes.take(['a'], 740, true), 'a');
-  assert.equal(lanes.take(['a'], 10, true), undefined);
+  assert.equal(lanes.acquire(['a'], 740, true), 'a');
+  assert.equal(lanes.acquire(['a'], 10, true), undefined);
   assert.deepEqual(lanes.capacity(['a', 'b']), {
     needed: 1,
     large: 0,
     spare: 1,
   });
-  lanes.finish('a', 740);
-  assert.equal(lanes.take(['a'], 10, true), 'a');
+  lanes.release('a', 740);
+  assert.equal(lanes.acquire(['a'], 10, true), 'a');
 });
 
 test('a call that can wait goes only where nothing is in line', () => {
   const lanes = adviserPool.createAdviserPool<string>();
-  assert.equal(lanes.take(['a'], 100, false), 'a');
-  assert.equal(lanes.take(['a'], 100, false), undefined);
-  assert.equal(lanes.take(['a'], 100, true), 'a');
+  assert.equal(lanes.acquire(['a'], 100, false), 'a');
+  assert.equal(lanes.acquire(['a'], 100, false), undefined);
+  assert.equal(lanes.acquire(['a'], 100, true), 'a');
 });
 
 // Load: gangs that wait ask for more workers all the time. An urgent job that
@@ -110,9 +110,9 @@
 test('calls that can wait leave lanes empty for urgent ones', () => {
   const lanes = adviserPool.createAdviserPool<string>();
   const entries = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'];
-  const taken = entries.map(() => lanes.take(entries, 200, false));
+  const taken = entries.map(() => lanes.acquire(entries, 200, false));
   assert.deepEqual(taken.filter((lane) => lane !== undefined).length, 6);
-  assert.equal(lanes.take(entries, 10, true), 'g');
+  assert.equal(lanes.acquire(entries, 10, true), 'g');
 });
 
 test('a task id is taken apart as it was put together', () => {
--- a/packages/gypsumwall-scheduling/src/__tests__/domain_affinity.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/domain_affinity.test.ts
@@ -15,7 +15,7 @@
   const world = worlds.createSchedulerWorld();
   for (const name of ['a1', 'b1', 'c1', 'a2', 'b2', 'c2']) {
     const id = world.addWorker(name, 2);
-    const {info} = world.scheduler.book.workers.get(id)!;
+    const {info} = world.scheduler.workerRegistry.workers.get(id)!;
     const domain = types.ids.brand<types.ids.FailureDomain>(name[0]!);
     world.scheduler.putWorker({...info, domain});
   }
--- a/packages/gypsumwall-scheduling/src/__tests__/left_waiting.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/left_waiting.test.ts
@@ -23,7 +23,7 @@
   const lost = first.find((run) => run.workerId === w2)!;
   const stopped = first.find((run) => run.workerId === w1)!;
   world.scheduler.setUsable(w2, false, world.now);
-  world.scheduler.leasePassed(w2, world.now);
+  world.scheduler.onLeaseExpired(w2, world.now);
   world.end(stopped, 'stopped');
   world.scheduler.takeStops();
   world.addWorker('w3', 1);
@@ -74,7 +74,7 @@
   world.report(w2!, [worlds.row('job.0.1.0', 1)]);
   world.report(w3!, [worlds.row('job.0.1.1', 1)]);
   world.report(w1!, []);
-  world.scheduler.leasePassed(w3!, world.now);
+  world.scheduler.onLeaseExpired(w3!, world.now);
   const [member] = world.scheduler.takeStops();
   assert.equal(member?.taskId, 'job.0.1.0');
   // The end of the first step is lost, so its task runs again.
@@ -100,7 +100,7 @@
   world.report(w3!, [worlds.row('job.0.0.2', 2)]);
   const [unwanted] = world.scheduler.takeStops();
   assert.equal(unwanted?.workerId, w3);
-  world.scheduler.leasePassed(w1!, world.now);
+  world.scheduler.onLeaseExpired(w1!, world.now);
   const [member] = world.scheduler.takeStops();
   assert.equal(member?.workerId, w2);
   world.end(unwanted!, 'stopped');
@@ -133,7 +133,7 @@
     world.now = types.clock.after(world.now, 5);
     const {starts} = world.scheduler.decide(world.now, WALL);
     started.push(...starts.map((start) => start.attempt.taskId));
-    world.scheduler.stored(world.scheduler.takeDirty());
+    world.scheduler.onStored(world.scheduler.takeDirty());
   }
   assert.deepEqual(started, ['small.0.0.0']);
 });
@@ -152,7 +152,7 @@
     'lapsed',
   );
   assert.deepEqual(world.scheduler.takeStops(), [member]);
-  world.scheduler.stopAnswered(member, world.now);
+  world.scheduler.onStopAnswered(member, world.now);
   const report = (spanMs: number) => {
     world.now = types.clock.after(world.now, spanMs);
     world.report(w1, [worlds.row(member.taskId, member.number)]);
@@ -164,7 +164,7 @@
   assert.deepEqual(world.scheduler.takeStops(), [member]);
   report(4_000);
   assert.deepEqual(world.scheduler.takeStops(), [], 'one at a time');
-  world.scheduler.stopAnswered(member, world.now);
+  world.scheduler.onStopAnswered(member, world.now);
   world.now = types.clock.after(world.now, 1);
   world.report(w1, []);
   assert.equal(world.startAll().length, 2);
@@ -191,13 +191,13 @@
     started.push(...starts.map(({attempt: run}) => run.workerId));
     for (const wish of wishes) {
       const named = wish.workers.filter((id) => approved.has(id));
-      world.scheduler.adviceAnswered(
+      world.scheduler.onAdviceAnswered(
         wish,
         new Map(named.map((id) => [id, 'ticket'])),
         types.clock.after(world.now, advice.validMs),
       );
     }
-    world.scheduler.stored(world.scheduler.takeDirty());
+    world.scheduler.onStored(world.scheduler.takeDirty());
     world.now = types.clock.after(world.now, 20);
   }
   assert.deepEqual(started, ['w39']);
--- a/packages/gypsumwall-scheduling/src/__tests__/recorded_workers.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/recorded_workers.test.ts
@@ -17,7 +17,7 @@
   world.submit('job', [worlds.step({taskCount: 2, longRunning: true})]);
   const runs = world.startAll();
   world.scheduler.takeDirty();
-  const info = world.scheduler.book.workers.get(w1)!.info;
+  const info = world.scheduler.workerRegistry.workers.get(w1)!.info;
   world.scheduler.putWorker({...info, draining: true});
   world.scheduler.evacuate(w1);
   const recorded = () =>
@@ -26,7 +26,7 @@
     const {taskId, number: attempt} = runs[nth]!;
     const end = {sequence: nth + 1, taskId, attempt, how: 'stopped' as const};
     const ends = [{...end, checkpoint: ''}];
-    world.scheduler.report(
+    world.scheduler.applyReport(
       {workerId: w1, askedAt: world.now, running: [], ends, complete: false},
       world.now,
     );
@@ -44,7 +44,7 @@
     ...job,
     progress: {...job.progress, workers: [w1]},
   }));
-  world.scheduler.stored(earlier);
+  world.scheduler.onStored(earlier);
   world.scheduler.putWorker(info);
   assert.deepEqual(
     world.scheduler.decide(world.now, 0 as types.clock.WallMs).starts,
@@ -66,10 +66,10 @@
   world.submit('elsewhere', [worlds.step()], on(w1));
   world.submit('perhaps', [worlds.step()], on(cut));
   world.submit('waiting', [worlds.step()], {inherited: true});
-  world.scheduler.workerAccounted();
+  world.scheduler.onWorkerReconciled();
   const started = () => world.startAll().map((run) => run.taskId);
   assert.deepEqual(started().sort(), ['elsewhere.0.0.0', 'waiting.0.0.0']);
   world.unaccounted.clear();
-  world.scheduler.workerAccounted();
+  world.scheduler.onWorkerReconciled();
   assert.deepEqual(started(), ['perhaps.0.0.0']);
 });
--- a/packages/gypsumwall-scheduling/src/__tests__/refused_starts.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/refused_starts.test.ts
@@ -16,7 +16,7 @@
     for (const {attempt: run} of world.decide()) {
       refused++;
       const outcome = {type: 'refused', reason: 'other'} as const;
-      world.scheduler.startAnswered(run, outcome, world.now);
+      world.scheduler.onStartAnswered(run, outcome, world.now);
     }
     world.now = types.clock.after(world.now, CYCLE_MS);
   }
@@ -39,7 +39,7 @@
   const refused = world.submit('refused', [worlds.step()]);
   refuseAll(world, 200);
   const other = world.submit('other', [worlds.step()]);
-  const jobs = () => world.startAll().map((run) => run.owner?.stepRun.job.id);
+  const jobs = () => world.startAll().map((run) => run.task?.stepRun.job.id);
   assert.deepEqual(jobs(), [other]);
   world.now = types.clock.after(world.now, 400);
   assert.deepEqual(jobs(), [refused]);
--- a/packages/gypsumwall-scheduling/src/__tests__/scheduler.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/scheduler.test.ts
@@ -31,7 +31,7 @@
   const dirty = world.scheduler.takeDirty();
   assert.deepEqual(dirty[0]?.progress.workers, ['w1']);
   assert.deepEqual(world.scheduler.decide(world.now, wall).starts, []);
-  world.scheduler.stored(dirty);
+  world.scheduler.onStored(dirty);
   assert.equal(world.scheduler.decide(world.now, wall).starts.length, 1);
 });
 
@@ -46,16 +46,16 @@
   const [recorded] = world.scheduler.takeDirty();
   assert.deepEqual(recorded?.progress.workers, ['w1']);
   assert.equal(recorded.progress.phase, 'queued');
-  world.scheduler.stored([recorded]);
+  world.scheduler.onStored([recorded]);
   const [lost] = world.decide();
   const unknown = {type: 'unknown'} as const;
-  world.scheduler.startAnswered(lost!.attempt, unknown, world.now);
+  world.scheduler.onStartAnswered(lost!.attempt, unknown, world.now);
   assert.deepEqual(world.scheduler.takeDirty(), []);
-  world.scheduler.stopAnswered(lost!.attempt, world.now);
+  world.scheduler.onStopAnswered(lost!.attempt, world.now);
   world.now = types.clock.after(world.now, 1);
   world.report(w1, []);
   const [order] = world.decide();
-  world.scheduler.startAnswered(order!.attempt, {type: 'started'}, world.now);
+  world.scheduler.onStartAnswered(order!.attempt, {type: 'started'}, world.now);
   const [begun] = world.scheduler.takeDirty();
   assert.equal(begun?.progress.phase, 'running');
 });
@@ -94,12 +94,12 @@
   const w1 = world.addWorker('w1', 1);
   world.submit('job', [worlds.step()]);
   const [order] = world.decide();
-  world.scheduler.startAnswered(order!.attempt, {type: 'unknown'}, world.now);
+  world.scheduler.onStartAnswered(order!.attempt, {type: 'unknown'}, world.now);
   world.addWorker('w2', 1);
   assert.deepEqual(world.scheduler.takeStops(), [order!.attempt]);
   world.report(w1, []);
   assert.equal(world.decide().length, 0, 'a report alone proves nothing');
-  world.scheduler.stopAnswered(order!.attempt, world.now);
+  world.scheduler.onStopAnswered(order!.attempt, world.now);
   world.now = types.clock.after(world.now, 1);
   world.report(w1, []);
   const [again] = world.decide();
@@ -111,8 +111,8 @@
   world.addWorker('w1', 1);
   const job = world.submit('job', [worlds.step()]);
   const [order] = world.decide();
-  world.scheduler.startAnswered(order!.attempt, {type: 'unknown'}, world.now);
-  world.scheduler.stopAnswered(order!.attempt, world.now);
+  world.scheduler.onStartAnswered(order!.attempt, {type: 'unknown'}, world.now);
+  world.scheduler.onStopAnswered(order!.attempt, world.now);
   world.end(order!.attempt, 'done');
   assert.equal(world.scheduler.hasJob(job), false);
 });
@@ -127,7 +127,7 @@
   const [run] = world.startAll();
   world.end(run!, 'failed');
   const [second] = world.startAll();
-  world.scheduler.report(
+  world.scheduler.applyReport(
     {
       workerId: w1,
       askedAt: world.now,
@@ -191,7 +191,7 @@
   world.submit('job', steps, {inherited: true, progress});
   world.report(w2, [worlds.row('job.0.1.0', 1), worlds.row('job.0.1.1', 1)]);
   assert.deepEqual(world.scheduler.takeStops(), []);
-  world.scheduler.report(
+  world.scheduler.applyReport(
     {
       workerId: w1,
       askedAt: world.now,
@@ -210,7 +210,7 @@
     world.now,
   );
   // Without this the job is held back, and nothing could start in any case.
-  world.scheduler.workerAccounted();
+  world.scheduler.onWorkerReconciled();
   assert.deepEqual(world.startAll(), []);
 });
 
@@ -264,7 +264,7 @@
   const w2 = world.addWorker('w2', 1);
   const w3 = world.addWorker('w3', 1);
   const until = types.clock.after(world.now, advice.validMs);
-  world.scheduler.adviceAnswered(wish, new Map(), until);
+  world.scheduler.onAdviceAnswered(wish, new Map(), until);
   world.now = types.clock.after(until, 1);
   const [next] = world.scheduler.decide(world.now, wall).advice;
   assert.deepEqual(next?.workers, [w2, w3]);
@@ -279,7 +279,7 @@
   const wall = 0 as types.clock.WallMs;
   const [wish] = world.scheduler.decide(world.now, wall).advice;
   const until = types.clock.after(world.now, advice.validMs);
-  world.scheduler.adviceAnswered(wish!, new Map([[w2, 'ticket']]), until);
+  world.scheduler.onAdviceAnswered(wish!, new Map([[w2, 'ticket']]), until);
   const orders = world.decide();
   assert.deepEqual(
     orders.map((order) => [order.attempt.workerId, order.ticket]),
--- a/packages/gypsumwall-scheduling/src/__tests__/scheduling_cycle.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/scheduling_cycle.test.ts
@@ -12,7 +12,7 @@
 
 /** Counts how often a step is tried: without advice each try lists workers. */
 function countTries(world: worlds.SchedulerWorld): () => number {
-  const {workers} = world.scheduler.book;
+  const {workers} = world.scheduler.workerRegistry;
   const values = workers.values.bind(workers);
   let tries = 0;
   Object.assign(workers, {
@@ -169,7 +169,7 @@
               // Another life of the worker: all that ran there is gone.
               const gone = workers[action.worker]!;
               running = running.filter((run) => run.workerId !== gone);
-              world.scheduler.workerGone(gone, 'crashed', world.now);
+              world.scheduler.removeWorker(gone, 'crashed', world.now);
               workers[action.worker] = world.addWorker(`w${++lives}`, 4);
               break;
             }
--- a/packages/gypsumwall-scheduling/src/__tests__/task_isolation.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/task_isolation.test.ts
@@ -93,7 +93,7 @@
   const policy = {priority: 0};
   world.submit('urgent', [worlds.step()], {policy, progress: RECORDED});
   submitSuspect(world, 'suspect', [0], 2);
-  const jobs = world.startAll().map((run) => run.owner?.stepRun.job.id);
+  const jobs = world.startAll().map((run) => run.task?.stepRun.job.id);
   assert.deepEqual(jobs, ['urgent']);
 });
 
@@ -132,7 +132,7 @@
   for (let nth = 0; nth < 4; nth++) sendShort();
   const suspect = submitSuspect(world, 'suspect', [0], 2);
   const isTried = () =>
-    running.some((run) => run.owner?.stepRun.job.id === suspect);
+    running.some((run) => run.task?.stepRun.job.id === suspect);
   for (let nth = 0; nth < 60 && !isTried(); nth++) sendShort();
   assert.ok(isTried());
 });
@@ -190,7 +190,7 @@
   world.report(worker, [worlds.row('suspect.0.0.0', 7)]);
   world.submit('other', [worlds.step()]);
   assert.equal(world.startAll().length, 0);
-  world.scheduler.workerGone(worker, 'crashed', world.now);
+  world.scheduler.removeWorker(worker, 'crashed', world.now);
   const reasons = world.events.flatMap((event) =>
     event.type === 'task_given_up' ? [event.reason] : [],
   );
@@ -211,7 +211,7 @@
   for (const lost of [run!.workerId, neighbour]) {
     world.scheduler.setUsable(lost, false, world.now);
   }
-  world.scheduler.workerGone(run!.workerId, 'crashed', world.now);
+  world.scheduler.removeWorker(run!.workerId, 'crashed', world.now);
   const givenUp = world.events.filter(
     (event) => event.type === 'task_given_up',
   );
@@ -226,7 +226,7 @@
     submitSuspect(world, 'job', crashed, 1, {speculative: true});
     const [run] = world.startAll();
     world.scheduler.setUsable(run!.workerId, false, world.now);
-    world.scheduler.outOfReach(run!.workerId);
+    world.scheduler.onWorkerUnreachable(run!.workerId);
     return world.startAll().length > 0;
   };
   assert.equal(startsAgain([]), true);
@@ -255,7 +255,7 @@
     submitSuspect(world, 'suspect', [0], crashCount);
     world.startAll();
     elapse(world, ranMs);
-    world.scheduler.workerGone(worker, 'crashed', world.now);
+    world.scheduler.removeWorker(worker, 'crashed', world.now);
     return world.events.some((event) => event.type === 'task_given_up');
   };
   assert.equal(isGivenUp(2, 500), true);
--- a/packages/gypsumwall-scheduling/src/__tests__/waiting_work.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/waiting_work.test.ts
@@ -297,14 +297,21 @@
   const found: activeJob.StepRun[] = [];
   for (const job of world.scheduler.jobs.values()) {
     assert.equal(job.heldBack, false, `${job.id} is held back`);
-    for (const {steps} of job.open.values()) found.push(...steps);
+    for (const {steps} of job.openOccurrences.values()) found.push(...steps);
   }
   return found;
 }
 
 /** Each open task is in line or runs; a gang's are all the one or the other. */
 function checkTasks(stepRun: activeJob.StepRun): void {
-  const {id, request, state, waiting, attempts: runs, done} = stepRun;
+  const {
+    id,
+    request,
+    state,
+    waitingIndexes: waiting,
+    attempts: runs,
+    done,
+  } = stepRun;
   if (state !== 'open') return;
   const {gang, taskCount} = request;
   for (const run of runs) {
@@ -320,7 +327,7 @@
     assert.ok(attempts.size <= 1, `${id}: attempts ${[...attempts].join()}`);
     return;
   }
-  const running = new Set([...runs].map((run) => run.owner!.index));
+  const running = new Set([...runs].map((run) => run.task!.index));
   for (let index = 0; index < taskCount; index++) {
     const held =
       done.has(index) || running.has(index) || waiting.includes(index);
@@ -331,7 +338,7 @@
 /** What the scheduler believes of the workers is what is so. */
 function checkWorkers(world: worlds.UnreliableWorld): void {
   for (const worker of world.workers) {
-    const booked = world.scheduler.book.workers.get(worker.id);
+    const booked = world.scheduler.workerRegistry.workers.get(worker.id);
     if (booked === undefined) continue;
     const used = world.usedOf(worker);
     const free = types.resources.subtract(worker.info.capacity, used);
@@ -365,7 +372,7 @@
   stepRun: activeJob.StepRun,
   worker: workerRegistry.BookedWorker,
 ): boolean {
-  const {info, usable} = worker;
+  const {info, isUsable: usable} = worker;
   const {request, job, advice} = stepRun;
   if (!usable || info.draining || info.pool !== job.policy.pool) return false;
   const label = request.requiredLabel;
@@ -377,14 +384,14 @@
 
 /** No step waits for which there is room that isn't kept for another. */
 function checkWaiting(world: worlds.UnreliableWorld): void {
-  const {book} = world.scheduler;
+  const {workerRegistry: book} = world.scheduler;
   const health = workerHealth.createWorkerHealth(() => book.workers.size);
   const hold = gangReservation.createGangReservation({
     book,
     health,
     now: world.now,
   });
-  const waiting = stepsOf(world).filter((one) => one.waiting.length > 0);
+  const waiting = stepsOf(world).filter((one) => one.waitingIndexes.length > 0);
   assert.equal(world.scheduler.counts().waitingSteps, waiting.length);
   waiting.sort((a, b) =>
     jobOrder.compare(
--- a/packages/gypsumwall-scheduling/src/active_job.ts
+++ b/packages/gypsumwall-scheduling/src/active_job.ts
@@ -27,7 +27,7 @@
   readonly number: number;
   readonly workerId: types.ids.WorkerId;
   /** Whose task it is; absent for a run that nothing here asked for. */
-  readonly owner?: {readonly stepRun: StepRun; readonly index: number};
+  readonly task?: {readonly stepRun: StepRun; readonly index: number};
   /** What is booked for it on the worker, and under which step. */
   readonly size: types.resources.Resources;
   readonly stepRunId: string;
@@ -58,7 +58,7 @@
   /** `closed` until the steps before it are done. */
   state: 'closed' | 'open' | 'done';
   /** Indexes that have neither run nor end; a gang's are all or none. */
-  waiting: number[];
+  waitingIndexes: number[];
   readonly attempts: Set<Attempt>;
   readonly done: Set<number>;
   /** Attempts that failed, by index; a gang's under 0. */
@@ -130,7 +130,7 @@
   unstoredCrashes?: 'new' | jobProgress.JobProgress;
   /** The failure domain that its tasks keep to while it has room. */
   home?: types.ids.FailureDomain;
-  readonly open: Map<number, Occurrence>;
+  readonly openOccurrences: Map<number, Occurrence>;
   readonly finished: Set<number>;
 }
 
@@ -157,7 +157,7 @@
       number: step,
       request,
       state: 'closed',
-      waiting: [],
+      waitingIndexes: [],
       attempts: new Set(),
       done: new Set(),
       failures: new Map(),
@@ -174,7 +174,9 @@
 
 /** How long a job should take from its acceptance, in milliseconds. */
 export function objectiveMs({request, policy}: ActiveJob): number {
-  return jobRequest.chainMs(request) * policy.slackFactor + policy.targetMs;
+  return (
+    jobRequest.expectedChainMs(request) * policy.slackFactor + policy.targetMs
+  );
 }
 
 /** The step's place in the order of work. */
@@ -204,7 +206,7 @@
 
 /** Has all steps of a job tried again. */
 export function noteChanged(job: ActiveJob): void {
-  for (const {steps} of job.open.values()) {
+  for (const {steps} of job.openOccurrences.values()) {
     for (const stepRun of steps) stepRun.changed = true;
   }
 }
@@ -216,7 +218,7 @@
 ): void {
   job.policy = policy;
   noteChanged(job);
-  for (const {steps} of job.open.values()) {
+  for (const {steps} of job.openOccurrences.values()) {
     for (const stepRun of steps) stepRun.rank = undefined;
   }
 }
@@ -226,7 +228,7 @@
   const {phase} = job;
   if (jobProgress.isOver(phase)) return {...jobProgress.NO_PROGRESS, phase};
   const occurrences: Record<string, jobProgress.StepProgress[]> = {};
-  for (const [number, occurrence] of job.open) {
+  for (const [number, occurrence] of job.openOccurrences) {
     occurrences[number] = occurrence.steps.map(stepProgressOf);
   }
   const workers = [...job.workers.keys()];
--- a/packages/gypsumwall-scheduling/src/advice_names.ts
+++ b/packages/gypsumwall-scheduling/src/advice_names.ts
@@ -113,7 +113,7 @@
   const renewalMs = policy.callMs + policy.perWorkerMs * FEWEST_NAMED;
   const freshUntil = types.clock.after(now, renewalMs);
   const {approvals, asked} = stepRun.advice;
-  const wanted = stepRun.waiting.length * SPARE_FACTOR;
+  const wanted = stepRun.waitingIndexes.length * SPARE_FACTOR;
   const rows: Row[] = [];
   let covered = 0;
   for (const row of known) {
@@ -161,14 +161,14 @@
   const rows: Row[] = [];
   for (const worker of book.workers.values()) {
     const {id} = worker.info;
-    if (!worker.usable || worker.info.draining) continue;
+    if (!worker.isUsable || worker.info.draining) continue;
     // A refusal doesn't change.
     if (stepRun.advice.refused.has(id)) continue;
     if (!chooseWorker.mayRunOn(stepRun, worker)) continue;
     const fitting = Math.min(
       gangFit.tasksThatFit(size, worker.free),
       chooseWorker.roomFor(stepRun, worker),
-      stepRun.waiting.length,
+      stepRun.waitingIndexes.length,
     );
     const tasks = mayUse(stepRun, id) ? Math.max(0, fitting) : 0;
     rows.push({id, approved: false, tasks, free: worker.free.cpuMillis});
--- a/packages/gypsumwall-scheduling/src/advice_wishes.ts
+++ b/packages/gypsumwall-scheduling/src/advice_wishes.ts
@@ -100,7 +100,7 @@
 }: adviceNames.NamesContext): workerRegistry.BookedWorker[] {
   const roomy: workerRegistry.BookedWorker[] = [];
   for (const worker of book.workers.values()) {
-    const {free, info, usable} = worker;
+    const {free, info, isUsable: usable} = worker;
     if (!usable || info.draining) continue;
     if (free.cpuMillis >= 0 && free.memoryMb > 0) roomy.push(worker);
   }
@@ -113,7 +113,7 @@
   roomy: readonly workerRegistry.BookedWorker[],
   {mayUse}: adviceNames.NamesContext,
 ): boolean {
-  const {advice, request, waiting} = stepRun;
+  const {advice, request, waitingIndexes: waiting} = stepRun;
   const size = chooseWorker.bookedSize(stepRun);
   let missing = request.gang ? waiting.length : 1;
   for (const worker of roomy) {
--- a/packages/gypsumwall-scheduling/src/adviser_pool.ts
+++ b/packages/gypsumwall-scheduling/src/adviser_pool.ts
@@ -50,16 +50,16 @@
    * Takes the shortest line; undefined if all are long enough. A call that can
    * wait takes an empty lane while enough others are.
    */
-  take(
+  acquire(
     entries: readonly Entry[],
     callMs: number,
     needed: boolean,
   ): Entry | undefined;
-  finish(entry: Entry, callMs: number): void;
+  release(entry: Entry, callMs: number): void;
   /** How many calls the entries would take now. */
   capacity(entries: readonly Entry[]): AdviceCapacity;
   /** Milliseconds of calls that an entry has in line. */
-  lineMs(entry: Entry): number;
+  queuedMs(entry: Entry): number;
 }
 
 /** Creates lanes with nothing in line. */
@@ -79,7 +79,7 @@
   const isOpen = (entry: Entry) => lineOf(entry) <= LONGEST_LINE_MS;
 
   return {
-    take(entries, callMs, needed) {
+    acquire(entries, callMs, needed) {
       const ordered = [...entries].sort();
       const open = isLarge(callMs) ? forLarge(entries) : ordered;
       let best: Entry | undefined;
@@ -94,7 +94,7 @@
       inLineMs.set(best, lineOf(best) + callMs);
       return best;
     },
-    lineMs: lineOf,
+    queuedMs: lineOf,
     capacity(entries) {
       const kept = Math.floor(entries.length * KEPT_EMPTY_SHARE);
       return {
@@ -103,7 +103,7 @@
         spare: Math.max(0, emptyLanes(entries) - kept),
       };
     },
-    finish(entry, callMs) {
+    release(entry, callMs) {
       inLineMs.set(entry, Math.max(0, lineOf(entry) - callMs));
     },
   };
--- a/packages/gypsumwall-scheduling/src/attempt_table.ts
+++ b/packages/gypsumwall-scheduling/src/attempt_table.ts
@@ -36,7 +36,7 @@
       byKey.set(keyOfRun(run), run);
       const runs = byWorker.get(run.workerId) ?? new Set<activeJob.Attempt>();
       byWorker.set(run.workerId, runs.add(run));
-      run.owner?.stepRun.attempts.add(run);
+      run.task?.stepRun.attempts.add(run);
     },
     find: (taskId, attempt, worker) =>
       byKey.get(keyOf(taskId, attempt, worker)),
@@ -46,7 +46,7 @@
       const runs = byWorker.get(run.workerId);
       runs?.delete(run);
       if (runs?.size === 0) byWorker.delete(run.workerId);
-      run.owner?.stepRun.attempts.delete(run);
+      run.task?.stepRun.attempts.delete(run);
       book.release(run.workerId, run.stepRunId, run.size);
     },
     has: (run) => byKey.get(keyOfRun(run)) === run,
--- a/packages/gypsumwall-scheduling/src/choose_worker.ts
+++ b/packages/gypsumwall-scheduling/src/choose_worker.ts
@@ -96,7 +96,7 @@
   worker: workerRegistry.BookedWorker,
   {health, now, isolation}: ChoiceContext,
 ): boolean {
-  if (!worker.usable || worker.info.draining) return false;
+  if (!worker.isUsable || worker.info.draining) return false;
   if (isolation?.isClosedTo(stepRun, worker.info.id) === true) return false;
   if (!mayRunOn(stepRun, worker)) return false;
   return health.trustOf(worker.info.id, now) !== 'avoided';
--- a/packages/gypsumwall-scheduling/src/crash_reader.ts
+++ b/packages/gypsumwall-scheduling/src/crash_reader.ts
@@ -128,12 +128,12 @@
         accompanied: losses.isAccompanied(worker),
       });
       for (const run of runs) {
-        if (run.owner === undefined) continue;
-        const {stepRun, index} = run.owner;
+        if (run.task === undefined) continue;
+        const {stepRun, index} = run.task;
         if (!record(stepRun, index, worker, kind)) continue;
         const ranMs = isolatedMs(run, now);
         const reason = crashRecords.giveUpReason(stepRun, index, ranMs);
-        if (reason !== undefined) giveUp(run.owner, reason);
+        if (reason !== undefined) giveUp(run.task, reason);
       }
     },
     noteSilent(worker, runs, now) {
@@ -141,7 +141,7 @@
         if (forgetAt <= now) unproven.delete(id);
       }
       if (runs.length === 0) return;
-      const forgetAt = types.clock.after(now, workerLosses.LATE_PROOF_MS);
+      const forgetAt = types.clock.after(now, workerLosses.LOSS_RETENTION_MS);
       const before = unproven.get(worker)?.runs ?? [];
       unproven.set(worker, {runs: [...before, ...runs], forgetAt});
     },
@@ -150,7 +150,7 @@
       const crashed = [...job.unheardCrashes];
       job.unheardCrashes.clear();
       if (crashed.length === 0) return;
-      for (const {steps} of job.open.values()) {
+      for (const {steps} of job.openOccurrences.values()) {
         for (const stepRun of steps) {
           for (const index of missingIndexes(stepRun)) {
             recordOne(stepRun, index, crashed);
@@ -165,7 +165,7 @@
 function missingIndexes(stepRun: activeJob.StepRun): number[] {
   if (stepRun.state !== 'open') return [];
   const found = new Set(stepRun.done);
-  for (const {owner} of stepRun.attempts) {
+  for (const {task: owner} of stepRun.attempts) {
     if (owner !== undefined) found.add(owner.index);
   }
   const missing: number[] = [];
--- a/packages/gypsumwall-scheduling/src/job_registry.ts
+++ b/packages/gypsumwall-scheduling/src/job_registry.ts
@@ -112,7 +112,7 @@
   function noteWaiting(stepRun: activeJob.StepRun): void {
     const over = jobProgress.isOver(stepRun.job.phase);
     stepRun.changed = true;
-    if (stepRun.waiting.length > 0 && !over) waiting.add(stepRun);
+    if (stepRun.waitingIndexes.length > 0 && !over) waiting.add(stepRun);
     else waiting.delete(stepRun);
   }
 
@@ -133,7 +133,7 @@
     jobs.delete(job.id);
     scheduled.delete(job);
     parts.health.forgetJob(job.id);
-    for (const occurrence of job.open.values()) {
+    for (const occurrence of job.openOccurrences.values()) {
       for (const stepRun of occurrence.steps) {
         waiting.delete(stepRun);
         for (const run of stepRun.attempts) stop(run);
@@ -155,7 +155,7 @@
 
   /** A gang that was found in part has lost members with their workers. */
   function breakPartialGangs(job: activeJob.ActiveJob): void {
-    for (const occurrence of job.open.values()) {
+    for (const occurrence of job.openOccurrences.values()) {
       for (const stepRun of occurrence.steps) {
         const {gang, taskCount} = stepRun.request;
         const found = stepRun.attempts.size;
@@ -193,25 +193,25 @@
     noteWaiting(stepRun);
   }
 
-  function noteLeft({owner, workerId}: activeJob.Attempt): void {
+  function noteLeft({task: owner, workerId}: activeJob.Attempt): void {
     const job = owner?.stepRun.job;
     if (job === undefined || jobProgress.isOver(job.phase)) return;
     if (!parts.isLeaving(workerId)) return;
     for (const run of parts.runs.ofWorker(workerId)) {
-      if (run.owner?.stepRun.job === job) return;
+      if (run.task?.stepRun.job === job) return;
     }
     if (job.workers.delete(workerId)) dirty.add(job);
   }
 
   /** A run is over without a word on how: its task waits again. */
   function dropRun(run: activeJob.Attempt): void {
-    const {owner, number: attempt} = run;
+    const {task: owner, number: attempt} = run;
     parts.runs.remove(run);
     noteLeft(run);
     if (owner !== undefined) requeue(owner.stepRun, owner.index, attempt);
   }
 
-  function startCopy({phase, owner}: activeJob.Attempt): void {
+  function startCopy({phase, task: owner}: activeJob.Attempt): void {
     if (phase === 'stopping' || owner === undefined) return;
     const {stepRun, index} = owner;
     const {speculative, gang, longRunning} = stepRun.request;
@@ -221,26 +221,28 @@
     if (stepRun.state !== 'open') return;
     if (jobProgress.isOver(stepRun.job.phase)) return;
     const runsOfTask = [...stepRun.attempts].filter(
-      (run) => run.owner?.index === index,
+      (run) => run.task?.index === index,
     );
-    if (runsOfTask.length > 1 || stepRun.waiting.includes(index)) return;
-    stepRun.waiting.push(index);
+    if (runsOfTask.length > 1 || stepRun.waitingIndexes.includes(index)) return;
+    stepRun.waitingIndexes.push(index);
     noteWaiting(stepRun);
   }
 
   function stepRunOf(taskId: types.ids.TaskId): TaskOwner | undefined {
     const place = taskIds.placeOf(taskId);
     if (place === undefined) return undefined;
-    const occurrence = jobs.get(place.jobId)?.open.get(place.occurrence);
+    const occurrence = jobs
+      .get(place.jobId)
+      ?.openOccurrences.get(place.occurrence);
     const stepRun = occurrence?.steps[place.step];
     if (stepRun === undefined) return undefined;
     return {stepRun, index: place.index};
   }
 
   function takeOutOfLine(stepRun: activeJob.StepRun, index: number): void {
-    stepRun.waiting = stepRun.request.gang
+    stepRun.waitingIndexes = stepRun.request.gang
       ? []
-      : stepRun.waiting.filter((waitingIndex) => waitingIndex !== index);
+      : stepRun.waitingIndexes.filter((waitingIndex) => waitingIndex !== index);
     noteWaiting(stepRun);
   }
 
--- a/packages/gypsumwall-scheduling/src/job_request.ts
+++ b/packages/gypsumwall-scheduling/src/job_request.ts
@@ -77,7 +77,7 @@
 }
 
 /** The longest chain of expected run times through the steps; milliseconds. */
-export function chainMs(request: JobRequest): number {
+export function expectedChainMs(request: JobRequest): number {
   const ends: number[] = [];
   request.steps.forEach((step, index) => {
     const before = step.after.map((earlier) => ends[earlier] ?? 0);
@@ -87,7 +87,7 @@
 }
 
 /** What is wrong with a request, in words, or undefined. */
-export function faultOf(request: JobRequest): string | undefined {
+export function describeFault(request: JobRequest): string | undefined {
   if (request.steps.length === 0)
     return 'steps = []: a job has a step at least';
   for (const [index, step] of request.steps.entries()) {
--- a/packages/gypsumwall-scheduling/src/job_steps.ts
+++ b/packages/gypsumwall-scheduling/src/job_steps.ts
@@ -8,7 +8,7 @@
 import type * as jobRequest from './job_request.js';
 
 /** How a worker says that a run has ended. */
-export type RunEnd =
+export type AttemptOutcome =
   | 'done'
   /** Through its own fault or the worker's. */
   | 'failed'
@@ -43,7 +43,7 @@
     workers: new Map(progress.workers.map((id) => [id, 'recorded'])),
     failedOn: new Set(),
     unheardCrashes: new Set(),
-    open: new Map(),
+    openOccurrences: new Map(),
     finished: new Set(progress.finished),
   };
   for (const [number, steps] of Object.entries(progress.occurrences)) {
@@ -52,7 +52,7 @@
       Number(number),
       start.acceptedAt,
     );
-    job.open.set(occurrence.number, occurrence);
+    job.openOccurrences.set(occurrence.number, occurrence);
     steps.forEach((step, index) => restore(occurrence.steps[index], step));
   }
   return job;
@@ -85,16 +85,20 @@
   const schedule = job.request.schedule;
   const total = schedule?.occurrences ?? 1;
   for (let number = 0; number < total; number++) {
-    if (job.finished.has(number) || job.open.has(number)) continue;
+    if (job.finished.has(number) || job.openOccurrences.has(number)) continue;
     const lateMs =
       schedule === undefined ? 0 : lateness(schedule, number, wall);
     if (lateMs < 0) break;
     const countsFrom =
       schedule === undefined ? job.acceptedAt : types.clock.after(now, -lateMs);
-    job.open.set(number, activeJob.createOccurrence(job, number, countsFrom));
+    job.openOccurrences.set(
+      number,
+      activeJob.createOccurrence(job, number, countsFrom),
+    );
   }
   const opened: activeJob.StepRun[] = [];
-  for (const occurrence of job.open.values()) openSteps(occurrence, opened);
+  for (const occurrence of job.openOccurrences.values())
+    openSteps(occurrence, opened);
   return opened;
 }
 
@@ -117,7 +121,7 @@
     );
     if (!ready) continue;
     stepRun.state = 'open';
-    stepRun.waiting = openIndexes(stepRun);
+    stepRun.waitingIndexes = openIndexes(stepRun);
     opened.push(stepRun);
   }
 }
@@ -127,7 +131,7 @@
   const {gang, taskCount} = stepRun.request;
   if (gang && stepRun.attempts.size > 0) return [];
   const running = new Set<number | undefined>();
-  for (const run of stepRun.attempts) running.add(run.owner?.index);
+  for (const run of stepRun.attempts) running.add(run.task?.index);
   const indexes: number[] = [];
   // Taken from the end: the first index goes first.
   for (let index = taskCount - 1; index >= 0; index--) {
@@ -140,11 +144,13 @@
 export function markDone(stepRun: activeJob.StepRun, index: number): void {
   if (stepRun.state === 'done') return;
   if (stepRun.request.gang) {
-    stepRun.waiting = [];
+    stepRun.waitingIndexes = [];
     stepRun.state = 'done';
   } else {
     stepRun.done.add(index);
-    stepRun.waiting = stepRun.waiting.filter((waiting) => waiting !== index);
+    stepRun.waitingIndexes = stepRun.waitingIndexes.filter(
+      (waiting) => waiting !== index,
+    );
     if (stepRun.done.size < stepRun.request.taskCount) return;
     stepRun.state = 'done';
   }
@@ -156,7 +162,7 @@
   job: activeJob.ActiveJob,
 ): void {
   if (!occurrence.steps.every((step) => step.state === 'done')) return;
-  job.open.delete(occurrence.number);
+  job.openOccurrences.delete(occurrence.number);
   job.finished.add(occurrence.number);
   const total = job.request.schedule?.occurrences ?? 1;
   if (job.finished.size === total && !jobProgress.isOver(job.phase)) {
@@ -184,11 +190,11 @@
 export function requeue(stepRun: activeJob.StepRun, index: number): void {
   if (stepRun.state !== 'open' || jobProgress.isOver(stepRun.job.phase)) return;
   if (stepRun.request.gang) {
-    if (stepRun.attempts.size > 0 || stepRun.waiting.length > 0) return;
-    stepRun.waiting = openIndexes(stepRun);
+    if (stepRun.attempts.size > 0 || stepRun.waitingIndexes.length > 0) return;
+    stepRun.waitingIndexes = openIndexes(stepRun);
     return;
   }
-  if (stepRun.done.has(index) || stepRun.waiting.includes(index)) return;
-  for (const run of stepRun.attempts) if (run.owner?.index === index) return;
-  stepRun.waiting.push(index);
+  if (stepRun.done.has(index) || stepRun.waitingIndexes.includes(index)) return;
+  for (const run of stepRun.attempts) if (run.task?.index === index) return;
+  stepRun.waitingIndexes.push(index);
 }
--- a/packages/gypsumwall-scheduling/src/place_isolated.ts
+++ b/packages/gypsumwall-scheduling/src/place_isolated.ts
@@ -8,7 +8,7 @@
 /** Whether tasks of a step wait that have to be apart. */
 export function waitsForIsolation(stepRun: activeJob.StepRun): boolean {
   if (stepRun.crashes.size === 0) return false;
-  return stepRun.waiting.some((index) =>
+  return stepRun.waitingIndexes.some((index) =>
     crashRecords.needsIsolation(stepRun, index),
   );
 }
@@ -20,7 +20,7 @@
 } {
   const apart: number[] = [];
   const others: number[] = [];
-  for (const index of stepRun.waiting) {
+  for (const index of stepRun.waitingIndexes) {
     const isApart = crashRecords.needsIsolation(stepRun, index);
     (isApart ? apart : others).push(index);
   }
--- a/packages/gypsumwall-scheduling/src/place_step.ts
+++ b/packages/gypsumwall-scheduling/src/place_step.ts
@@ -25,10 +25,10 @@
   }
   if (stepRun.request.gang) return placeGangApart(stepRun, context);
   const {apart, others} = placeIsolated.splitWaiting(stepRun);
-  stepRun.waiting = others;
+  stepRun.waitingIndexes = others;
   const first = placeTogether(stepRun, context);
   const placed = placeIsolated.placeIsolated(stepRun, apart, context);
-  stepRun.waiting.push(...apart.slice(placed.length));
+  stepRun.waitingIndexes.push(...apart.slice(placed.length));
   return [...first, ...placed];
 }
 
@@ -43,7 +43,7 @@
     const among = chooseWorker.candidates(stepRun, context);
     const rest = placeGang(stepRun, among, context, others);
     if (rest.length === others.length) {
-      stepRun.waiting = [];
+      stepRun.waitingIndexes = [];
       return [...first, ...rest];
     }
   }
@@ -69,7 +69,7 @@
   );
   const place = stepRun.request.gang ? placeWholeGang : placeTasks;
   const first = recorded.length > 0 ? place(stepRun, recorded, context) : [];
-  if (stepRun.waiting.length === 0) return first;
+  if (stepRun.waitingIndexes.length === 0) return first;
   return [...first, ...place(stepRun, among, context)];
 }
 
@@ -79,13 +79,13 @@
   context: chooseWorker.ChoiceContext,
 ): placements.Placement[] {
   const placed: placements.Placement[] = [];
-  while (stepRun.waiting.length > 0) {
-    const index = stepRun.waiting.at(-1)!;
+  while (stepRun.waitingIndexes.length > 0) {
+    const index = stepRun.waitingIndexes.at(-1)!;
     const isSuspected = stepRun.crashes.has(index);
     const choice = isSuspected ? {...context, isSuspected} : context;
     const worker = chooseWorker.chooseWorker(stepRun, among, choice);
     if (worker === undefined) break;
-    stepRun.waiting.pop();
+    stepRun.waitingIndexes.pop();
     placed.push(placements.take(stepRun, index, worker, context.book));
     noteSuspect(stepRun, index, worker, context);
   }
@@ -97,8 +97,8 @@
   among: readonly workerRegistry.BookedWorker[],
   context: chooseWorker.ChoiceContext,
 ): placements.Placement[] {
-  const placed = placeGang(stepRun, among, context, stepRun.waiting);
-  if (placed.length > 0) stepRun.waiting = [];
+  const placed = placeGang(stepRun, among, context, stepRun.waitingIndexes);
+  if (placed.length > 0) stepRun.waitingIndexes = [];
   return placed;
 }
 
--- a/packages/gypsumwall-scheduling/src/placements.ts
+++ b/packages/gypsumwall-scheduling/src/placements.ts
@@ -17,7 +17,7 @@
   worker: workerRegistry.BookedWorker,
   book: workerRegistry.WorkerRegistry,
 ): Placement {
-  book.book(worker.info.id, stepRun.id, chooseWorker.bookedSize(stepRun));
+  book.reserve(worker.info.id, stepRun.id, chooseWorker.bookedSize(stepRun));
   return {stepRun, index, worker};
 }
 
@@ -35,5 +35,5 @@
   book: workerRegistry.WorkerRegistry,
 ): void {
   unbook(placement, book);
-  placement.stepRun.waiting.push(placement.index);
+  placement.stepRun.waitingIndexes.push(placement.index);
 }
--- a/packages/gypsumwall-scheduling/src/report_reader.ts
+++ b/packages/gypsumwall-scheduling/src/report_reader.ts
@@ -58,9 +58,9 @@
       worker: workerId,
       how: row.how,
     });
-    const owner = run?.owner ?? jobRegistry.stepRunOf(row.taskId);
-    if (owner === undefined) return;
-    const {stepRun, index} = owner;
+    const task = run?.task ?? jobRegistry.stepRunOf(row.taskId);
+    if (task === undefined) return;
+    const {stepRun, index} = task;
     jobRegistry.noteBegun(stepRun.job);
     keepCheckpoint(stepRun, index, row.checkpoint);
     switch (row.how) {
@@ -98,7 +98,7 @@
     jobRegistry.noteWaiting(stepRun);
     for (const run of stepRun.attempts) {
       // Members of a gang end together by themselves; copies don't.
-      if (!stepRun.request.gang && run.owner?.index === index)
+      if (!stepRun.request.gang && run.task?.index === index)
         jobRegistry.stop(run);
     }
     jobRegistry.dirty.add(job);
@@ -148,10 +148,10 @@
       run.percentChangedAt = now;
     }
     run.startedAt ??= now;
-    if (run.owner !== undefined) {
-      jobRegistry.noteBegun(run.owner.stepRun.job);
-      keepCheckpoint(run.owner.stepRun, run.owner.index, row.checkpoint);
-      clearSurvivor(run.owner, now - run.startedAt);
+    if (run.task !== undefined) {
+      jobRegistry.noteBegun(run.task.stepRun.job);
+      keepCheckpoint(run.task.stepRun, run.task.index, row.checkpoint);
+      clearSurvivor(run.task, now - run.startedAt);
     }
   }
 
@@ -193,7 +193,7 @@
       taskId: row.taskId,
       number: row.attempt,
       workerId,
-      owner,
+      task: owner,
       size,
       stepRunId,
       phase: 'running',
@@ -203,7 +203,7 @@
       percentChangedAt: now,
     };
     runs.add(run);
-    book.book(workerId, stepRunId, size);
+    book.reserve(workerId, stepRunId, size);
     if (owner === undefined) {
       jobRegistry.stop(run);
       return;
@@ -225,7 +225,7 @@
     if (stepRun.state === 'done' || stepRun.done.has(index)) return false;
     const {gang} = stepRun.request;
     for (const run of stepRun.attempts) {
-      if (gang ? run.number !== attempt : run.owner?.index === index) {
+      if (gang ? run.number !== attempt : run.task?.index === index) {
         return false;
       }
     }
--- a/packages/gypsumwall-scheduling/src/scheduler.ts
+++ b/packages/gypsumwall-scheduling/src/scheduler.ts
@@ -77,7 +77,7 @@
   let held: schedulingCycle.CycleResult['held'] = new Map();
 
   function waitsForIsolation(id: types.ids.JobId): boolean {
-    for (const {steps} of jobs.get(id)?.open.values() ?? []) {
+    for (const {steps} of jobs.get(id)?.openOccurrences.values() ?? []) {
       if (steps.some(placeIsolated.waitsForIsolation)) return true;
     }
     return false;
@@ -91,8 +91,8 @@
   ): void {
     switch (reason) {
       case 'bad_ticket':
-        if (run.owner === undefined) return;
-        run.owner.stepRun.advice.approvals.delete(run.workerId);
+        if (run.task === undefined) return;
+        run.task.stepRun.advice.approvals.delete(run.workerId);
         return;
       case 'no_room':
       case 'unhealthy':
@@ -189,7 +189,7 @@
   }
 
   return {
-    book,
+    workerRegistry: book,
     jobs,
     addJob(start, now, wall) {
       const job = jobSteps.createJob({...start, arrival: arrivals++});
@@ -207,24 +207,24 @@
       if (job !== undefined) jobRegistry.finishJob(job, 'cancelled');
     },
     putWorker: (info) => void book.put(info),
-    workerGone(id, cause, now) {
+    removeWorker(id, cause, now) {
       if (cause === 'crashed') lost.noteUnheard(id);
       book.remove(id);
       lost.dropRuns(id, cause, now);
       losses.noteGone(id);
       health.forgetWorker(id);
     },
-    leasePassed: (id, now) => lost.dropRuns(id, 'silent', now),
+    onLeaseExpired: (id, now) => lost.dropRuns(id, 'silent', now),
     setUsable(id, usable, now) {
       if (!usable) lost.noteUnanswered(id, now);
       book.setUsable(id, usable);
     },
-    outOfReach(id) {
+    onWorkerUnreachable(id) {
       for (const run of runs.ofWorker(id)) jobRegistry.startCopy(run);
     },
     isIdle: (id) => runs.ofWorker(id).size === 0,
-    runsLasting(id) {
-      for (const {owner} of runs.ofWorker(id)) {
+    hostsLongRunningTasks(id) {
+      for (const {task: owner} of runs.ofWorker(id)) {
         if (owner?.stepRun.request.longRunning === true) return true;
       }
       return false;
@@ -232,10 +232,10 @@
     evacuate(id) {
       for (const run of runs.ofWorker(id)) jobRegistry.stop(run);
     },
-    workerAccounted() {
+    onWorkerReconciled() {
       for (const job of jobs.values()) {
         if (!job.heldBack) continue;
-        if (![...job.workers.keys()].every(options.isAccounted)) continue;
+        if (![...job.workers.keys()].every(options.isReconciled)) continue;
         job.heldBack = false;
         crashes.noteAccounted(job);
         activeJob.noteChanged(job);
@@ -247,7 +247,8 @@
         jobRegistry.moveOn(job, now, wall);
         const total = job.request.schedule?.occurrences ?? 1;
         // Only jobs with times to come are looked at again.
-        if (job.finished.size + job.open.size >= total) scheduled.delete(job);
+        if (job.finished.size + job.openOccurrences.size >= total)
+          scheduled.delete(job);
       }
       const cycle = runCycle(now, capacity.needed);
       recordWorkers(cycle.awaitingCommit);
@@ -257,7 +258,7 @@
       const advice = takeWishes(cycle.awaitingAdvice, now, capacity);
       return {starts, advice};
     },
-    startAnswered(run, outcome, now) {
+    onStartAnswered(run, outcome, now) {
       if (!runs.has(run)) return;
       switch (outcome.type) {
         case 'started':
@@ -268,9 +269,9 @@
             run.percentChangedAt = now;
             isolation.noteStarted(run, now);
           }
-          if (run.owner !== undefined) {
-            refusalBackoff.noteTaken(run.owner.stepRun);
-            jobRegistry.noteBegun(run.owner.stepRun.job);
+          if (run.task !== undefined) {
+            refusalBackoff.noteTaken(run.task.stepRun);
+            jobRegistry.noteBegun(run.task.stepRun.job);
           }
           return;
         case 'unknown':
@@ -287,25 +288,25 @@
             reason: outcome.reason,
           });
           learnFromRefusal(run, outcome.reason, now);
-          if (run.owner !== undefined) {
-            const {stepRun} = run.owner;
+          if (run.task !== undefined) {
+            const {stepRun} = run.task;
             refusalBackoff.noteRefused(stepRun, outcome.reason, now);
           }
           jobRegistry.dropRun(run);
           return;
       }
     },
-    stopAnswered(run, now) {
+    onStopAnswered(run, now) {
       run.confirmedAt = now;
     },
-    report(report, now) {
+    applyReport(report, now) {
       const info = book.workers.get(report.workerId)?.info;
       if (info !== undefined) losses.noteAnswered(info, now);
       crashes.noteAnswered(report.workerId);
       readReport(report, now);
       isolation.noteFound(report.workerId, now);
     },
-    adviceAnswered({stepRun, workers}, approved, validUntil) {
+    onAdviceAnswered({stepRun, workers}, approved, validUntil) {
       if (approved !== undefined) stepRun.changed = true;
       stepAdvice.noteAnswer(stepRun.advice, workers, approved, validUntil);
     },
@@ -319,7 +320,7 @@
       dirty.clear();
       return taken;
     },
-    stored(stored) {
+    onStored(stored) {
       for (const {jobId, progress} of stored) {
         const job = jobs.get(jobId);
         if (job !== undefined) activeJob.noteChanged(job);
--- a/packages/gypsumwall-scheduling/src/scheduler_types.ts
+++ b/packages/gypsumwall-scheduling/src/scheduler_types.ts
@@ -59,7 +59,7 @@
   readonly sequence: number;
   readonly taskId: types.ids.TaskId;
   readonly attempt: number;
-  readonly how: jobSteps.RunEnd;
+  readonly how: jobSteps.AttemptOutcome;
   readonly checkpoint: string;
 }
 
@@ -92,7 +92,7 @@
 
 /** The scheduler of one cell. */
 export interface Scheduler {
-  readonly book: workerRegistry.WorkerRegistry;
+  readonly workerRegistry: workerRegistry.WorkerRegistry;
   /** Its jobs with work left. */
   readonly jobs: ReadonlyMap<types.ids.JobId, activeJob.ActiveJob>;
   /** Takes a job up; its runs are looked for in reports from then on. */
@@ -109,13 +109,13 @@
   cancelJob(id: types.ids.JobId): void;
   putWorker(info: workerRegistry.WorkerInfo): void;
   /** Its stay is surely over: nothing runs there any more. */
-  workerGone(
+  removeWorker(
     id: types.ids.WorkerId,
     cause: WorkerLoss,
     now: types.clock.MonotonicMs,
   ): void;
   /** Its lease has surely passed; it may come back, with nothing running. */
-  leasePassed(id: types.ids.WorkerId, now: types.clock.MonotonicMs): void;
+  onLeaseExpired(id: types.ids.WorkerId, now: types.clock.MonotonicMs): void;
   /** Whether new tasks may be placed there. */
   setUsable(
     id: types.ids.WorkerId,
@@ -123,29 +123,29 @@
     now: types.clock.MonotonicMs,
   ): void;
   /** It doesn't answer: what may be copied is started elsewhere as well. */
-  outOfReach(id: types.ids.WorkerId): void;
+  onWorkerUnreachable(id: types.ids.WorkerId): void;
   /** Whether nothing runs or may run on a worker. */
   isIdle(id: types.ids.WorkerId): boolean;
   /** Whether any task that lasts runs or may run on a worker. */
-  runsLasting(id: types.ids.WorkerId): boolean;
+  hostsLongRunningTasks(id: types.ids.WorkerId): boolean;
   /** Stops all that runs on a worker that is about to leave. */
   evacuate(id: types.ids.WorkerId): void;
   /** A worker was accounted for: jobs that were held back may go on. */
-  workerAccounted(): void;
+  onWorkerReconciled(): void;
   /** Without a capacity nothing limits the calls to the adviser. */
   decide(
     now: types.clock.MonotonicMs,
     wall: types.clock.WallMs,
     capacity?: adviserPool.AdviceCapacity,
   ): Decisions;
-  startAnswered(
+  onStartAnswered(
     run: activeJob.Attempt,
     outcome: StartOutcome,
     now: types.clock.MonotonicMs,
   ): void;
-  stopAnswered(run: activeJob.Attempt, now: types.clock.MonotonicMs): void;
-  report(report: WorkerReport, now: types.clock.MonotonicMs): void;
-  adviceAnswered(
+  onStopAnswered(run: activeJob.Attempt, now: types.clock.MonotonicMs): void;
+  applyReport(report: WorkerReport, now: types.clock.MonotonicMs): void;
+  onAdviceAnswered(
     wish: AdviceRequest,
     approved: ReadonlyMap<types.ids.WorkerId, string> | undefined,
     validUntil: types.clock.MonotonicMs,
@@ -155,7 +155,7 @@
   /** Jobs to store, handed over once. */
   takeDirty(): DirtyJob[];
   /** The jobs' progress stands in the store. */
-  stored(jobs: readonly DirtyJob[]): void;
+  onStored(jobs: readonly DirtyJob[]): void;
   counts(): SchedulerCounts;
 }
 
@@ -174,7 +174,7 @@
    * Whether it is known what runs on a worker that an earlier scheduler used:
    * it has answered since, or can't run anything any more.
    */
-  readonly isAccounted: (worker: types.ids.WorkerId) => boolean;
+  readonly isReconciled: (worker: types.ids.WorkerId) => boolean;
   /** Told of each decision that touches a task, for the log. */
   readonly onEvent: (event: SchedulerEvent) => void;
 }
@@ -186,7 +186,7 @@
       readonly run: types.ids.TaskId;
       readonly attempt: number;
       readonly worker: types.ids.WorkerId;
-      readonly how: jobSteps.RunEnd | 'vanished' | 'refused' | 'lost';
+      readonly how: jobSteps.AttemptOutcome | 'vanished' | 'refused' | 'lost';
       readonly reason?: RefusalReason | WorkerLoss;
     }
   | {
--- a/packages/gypsumwall-scheduling/src/scheduling_cycle.ts
+++ b/packages/gypsumwall-scheduling/src/scheduling_cycle.ts
@@ -81,7 +81,7 @@
     const found = tries ? placeStep.placeStep(stepRun, choice) : [];
     if (isWaitingGang(stepRun) && !pauses) hold.holdFor(stepRun);
     const advised = stepRun.job.policy.advice !== undefined;
-    if (advised && stepRun.waiting.length > 0)
+    if (advised && stepRun.waitingIndexes.length > 0)
       result.awaitingAdvice.push(stepRun);
     const ready = readyOf(stepRun, found);
     result.placed.push(...ready);
@@ -129,7 +129,10 @@
   return false;
 }
 
-function isWaitingGang({request, waiting}: activeJob.StepRun): boolean {
+function isWaitingGang({
+  request,
+  waitingIndexes: waiting,
+}: activeJob.StepRun): boolean {
   return request.gang && waiting.length > 0;
 }
 
--- a/packages/gypsumwall-scheduling/src/stall_detector.ts
+++ b/packages/gypsumwall-scheduling/src/stall_detector.ts
@@ -29,7 +29,7 @@
  * before its end and began anew. One that really hangs is found by the members
  * that stand still before 100.
  */
-function waitsForGang({owner, percent}: activeJob.Attempt): boolean {
+function waitsForGang({task: owner, percent}: activeJob.Attempt): boolean {
   return owner?.stepRun.request.gang === true && percent >= DONE_PERCENT;
 }
 
@@ -40,14 +40,14 @@
 ): Stall | undefined {
   const stalled: activeJob.Attempt[] = [];
   for (const run of runs) {
-    if (run.owner?.stepRun.request.longRunning === true) continue;
+    if (run.task?.stepRun.request.longRunning === true) continue;
     if (run.phase !== 'running' || waitsForGang(run)) continue;
     if (now - run.percentChangedAt < STALLED_AFTER_MS) return undefined;
     stalled.push(run);
   }
   if (stalled.length === 0) return undefined;
   const blamesWorker = stalled.some(
-    (run) => run.owner?.stepRun.request.gang === false,
+    (run) => run.task?.stepRun.request.gang === false,
   );
   return {runs: stalled, blamesWorker};
 }
--- a/packages/gypsumwall-scheduling/src/start_orders.ts
+++ b/packages/gypsumwall-scheduling/src/start_orders.ts
@@ -33,7 +33,7 @@
     taskId: taskIds.taskId(stepRun.id, index),
     number: stepRun.highestAttempts.get(key)!,
     workerId: worker.info.id,
-    owner: {stepRun, index},
+    task: {stepRun, index},
     size: chooseWorker.bookedSize(stepRun),
     stepRunId: stepRun.id,
     phase: 'starting',
--- a/packages/gypsumwall-scheduling/src/task_isolation.ts
+++ b/packages/gypsumwall-scheduling/src/task_isolation.ts
@@ -89,7 +89,7 @@
     kept.get(id)?.jobId === stepRun.job.id;
 
   function isSettled(
-    {owner, startedAt}: activeJob.Attempt,
+    {task: owner, startedAt}: activeJob.Attempt,
     now: types.clock.MonotonicMs,
   ): boolean {
     if (owner === undefined || startedAt === undefined) return false;
@@ -119,7 +119,7 @@
       return false;
     }
     for (const run of runs.ofWorker(id)) {
-      if (run.owner?.stepRun.job === stepRun.job) continue;
+      if (run.task?.stepRun.job === stepRun.job) continue;
       if (!isSettled(run, now)) return false;
     }
     return true;
@@ -131,7 +131,7 @@
   ): boolean {
     const {job} = stepRun;
     for (const jobId of placed.get(id) ?? []) if (jobId !== job.id) return true;
-    for (const {owner} of runs.ofWorker(id)) {
+    for (const {task: owner} of runs.ofWorker(id)) {
       if (owner === undefined || owner.stepRun.job === job) continue;
       if (crashRecords.crashCount(owner.stepRun, owner.index) > 0) return true;
     }
@@ -139,15 +139,15 @@
   }
 
   /** Whether all that runs beside it is of the same job. */
-  function isAmongOwn({owner, workerId}: activeJob.Attempt): boolean {
+  function isAmongOwn({task: owner, workerId}: activeJob.Attempt): boolean {
     for (const other of runs.ofWorker(workerId)) {
-      if (other.owner?.stepRun.job !== owner?.stepRun.job) return false;
+      if (other.task?.stepRun.job !== owner?.stepRun.job) return false;
     }
     return true;
   }
 
   function isOnTrial(id: types.ids.WorkerId, {jobId}: Keep): boolean {
-    for (const {owner, isolatedUntil} of runs.ofWorker(id)) {
+    for (const {task: owner, isolatedUntil} of runs.ofWorker(id)) {
       if (isolatedUntil === undefined) continue;
       if (owner?.stepRun.job.id === jobId) return true;
     }
@@ -173,7 +173,7 @@
     slackMs: number,
     now: types.clock.MonotonicMs,
   ): void {
-    const {owner, workerId} = run;
+    const {task: owner, workerId} = run;
     if (owner === undefined) return;
     const {stepRun, index} = owner;
     const spanMs = crashRecords.trialMs(stepRun, index) + slackMs;
@@ -217,7 +217,7 @@
       kept.set(id, {type: 'reserved', jobId, until});
     },
     noteOrdered(run, now) {
-      const {owner} = run;
+      const {task: owner} = run;
       if (owner === undefined) return;
       if (!crashRecords.needsIsolation(owner.stepRun, owner.index)) return;
       startTrial(run, ORDER_SLACK_MS, now);
@@ -228,7 +228,7 @@
     noteFound(worker, now) {
       if (kept.has(worker)) return;
       for (const run of runs.ofWorker(worker)) {
-        const {owner, isolatedUntil} = run;
+        const {task: owner, isolatedUntil} = run;
         if (owner === undefined || isolatedUntil !== undefined) continue;
         if (!crashRecords.needsIsolation(owner.stepRun, owner.index)) continue;
         if (isAmongOwn(run)) startTrial(run, 0, now);
--- a/packages/gypsumwall-scheduling/src/wait_reasons.ts
+++ b/packages/gypsumwall-scheduling/src/wait_reasons.ts
@@ -52,7 +52,7 @@
   const {id, draining} = worker.info;
   const {advice, job} = stepRun;
   const advised = job.policy.advice !== undefined;
-  if (!worker.usable) return 'unusable';
+  if (!worker.isUsable) return 'unusable';
   if (draining) return 'draining';
   if (!chooseWorker.mayRunOn(stepRun, worker)) return 'other_kind';
   if (advised && advice.refused.has(id)) return 'refused';
--- a/packages/gypsumwall-scheduling/src/wait_reporter.ts
+++ b/packages/gypsumwall-scheduling/src/wait_reporter.ts
@@ -74,7 +74,7 @@
       type: 'step_waits',
       step: stepRun.id,
       queue: stepRun.job.policy.queue,
-      tasks: stepRun.waiting.length,
+      tasks: stepRun.waitingIndexes.length,
       ofTasks: stepRun.request.taskCount,
       waitedMs,
       rank: wait.rank,
@@ -125,7 +125,8 @@
   jobs: Iterable<activeJob.ActiveJob>,
 ): Iterable<activeJob.StepRun> {
   for (const job of jobs) {
-    for (const {steps} of job.open.values()) yield* steps.filter(isBreaking);
+    for (const {steps} of job.openOccurrences.values())
+      yield* steps.filter(isBreaking);
   }
 }
 
--- a/packages/gypsumwall-scheduling/src/worker_losses.ts
+++ b/packages/gypsumwall-scheduling/src/worker_losses.ts
@@ -20,7 +20,7 @@
 /** Fewer are lost together by chance. */
 const FEWEST_TOGETHER = 3;
 /** A loss is remembered for so long, in case it proves a crash; milliseconds. */
-export const LATE_PROOF_MS = 60_000;
+export const LOSS_RETENTION_MS = 60_000;
 
 interface Stay {
   readonly info: workerRegistry.WorkerInfo;
@@ -116,7 +116,7 @@
       prune(now);
       const stay = stays.get(id);
       if (stay === undefined || stay.loss !== undefined) return;
-      const forgetAt = types.clock.after(now, LATE_PROOF_MS);
+      const forgetAt = types.clock.after(now, LOSS_RETENTION_MS);
       stay.loss = {at: now, isExplained, forgetAt};
     },
     noteGone(id) {
--- a/packages/gypsumwall-scheduling/src/worker_registry.ts
+++ b/packages/gypsumwall-scheduling/src/worker_registry.ts
@@ -26,7 +26,7 @@
   /** Room left; negative where the capacity has shrunk below what runs. */
   free: types.resources.Resources;
   /** Whether it has answered under our fencing token, and lately. */
-  usable: boolean;
+  isUsable: boolean;
   /** Tasks of each step that are booked here, by step run id. */
   readonly perStep: Map<string, number>;
 }
@@ -37,7 +37,7 @@
   /** Adds a worker or takes over what the list says of it now. */
   put(info: WorkerInfo): BookedWorker;
   remove(id: types.ids.WorkerId): void;
-  book(
+  reserve(
     id: types.ids.WorkerId,
     stepRun: string,
     size: types.resources.Resources,
@@ -96,21 +96,21 @@
       const worker: BookedWorker = {
         info,
         free: info.capacity,
-        usable: false,
+        isUsable: false,
         perStep: new Map(),
       };
       workers.set(info.id, worker);
       return worker;
     },
     remove: (id) => void workers.delete(id),
-    book: (id, stepRun, size) => move(id, stepRun, size, 1),
+    reserve: (id, stepRun, size) => move(id, stepRun, size, 1),
     release(id, stepRun, size) {
       move(id, stepRun, size, -1);
       freed.add(id);
     },
     setUsable(id, usable) {
       const worker = workers.get(id);
-      if (worker !== undefined) worker.usable = usable;
+      if (worker !== undefined) worker.isUsable = usable;
       freed.add(id);
     },
     noteFreed: (id) => void freed.add(id),
--- a/packages/gypsumwall-testing/src/child.ts
+++ b/packages/gypsumwall-testing/src/child.ts
@@ -24,8 +24,8 @@
    */
   readonly ready: Promise<unknown>;
   readonly exited: Promise<ChildExit>;
-  running(): boolean;
-  send(signal: NodeJS.Signals): void;
+  isRunning(): boolean;
+  sendSignal(signal: NodeJS.Signals): void;
 }
 
 /** What to start. */
@@ -92,8 +92,8 @@
     pid: child.pid ?? -1,
     ready,
     exited,
-    running: () => child.exitCode === null && child.signalCode === null,
-    send: (signal) => void child.kill(signal),
+    isRunning: () => child.exitCode === null && child.signalCode === null,
+    sendSignal: (signal) => void child.kill(signal),
   };
 }
 
--- a/packages/gypsumwall-testing/src/launch_cell.ts
+++ b/packages/gypsumwall-testing/src/launch_cell.ts
@@ -160,7 +160,7 @@
     killEntry: async (id) => {
       const entry = entryOf(id);
       running.delete(id);
-      entry.child.send('SIGKILL');
+      entry.child.sendSignal('SIGKILL');
       await entry.child.exited;
       board.remove(id);
       await updateList();
@@ -170,7 +170,7 @@
       board.setState(id, 'leaving');
       await updateList();
       recorded.record({type: 'entry_stopping', entryId: id});
-      entry.child.send('SIGTERM');
+      entry.child.sendSignal('SIGTERM');
       // The balancer sends callers there until it sees that it isn't ready.
       while (await entry.client.ready()) await timers.setTimeout(BALANCER_MS);
       running.delete(id);
@@ -184,7 +184,7 @@
       return history.merge([recorded.since(0), ...others]);
     },
     close: async () => {
-      for (const {child} of running.values()) child.send('SIGKILL');
+      for (const {child} of running.values()) child.sendSignal('SIGKILL');
       for (const {child, client} of running.values()) {
         await child.exited;
         await client.close();
--- a/packages/gypsumwall-testing/src/scenario/fault_steps.ts
+++ b/packages/gypsumwall-testing/src/scenario/fault_steps.ts
@@ -41,7 +41,7 @@
 ): Promise<void> {
   const id = await bind(state, step);
   note(state, `freeze ${id}`);
-  state.cell.entry(id).child.send('SIGSTOP');
+  state.cell.entry(id).child.sendSignal('SIGSTOP');
   state.frozen.add(id);
 }
 
@@ -52,7 +52,7 @@
 ): Promise<void> {
   const id = await scenarioState.resolveEntry(state, step.entry);
   note(state, `thaw ${id}`);
-  state.cell.entry(id).child.send('SIGCONT');
+  state.cell.entry(id).child.sendSignal('SIGCONT');
   state.frozen.delete(id);
 }
 
--- a/packages/gypsumwall-testing/src/scenario/run_scenario.ts
+++ b/packages/gypsumwall-testing/src/scenario/run_scenario.ts
@@ -62,7 +62,7 @@
     const spanMs = performance.now() - startedAt;
     return {failure, findings, events, spanMs, folder: cell.folder};
   } finally {
-    for (const id of state.frozen) cell.entry(id).child.send('SIGCONT');
+    for (const id of state.frozen) cell.entry(id).child.sendSignal('SIGCONT');
     await cell.close();
   }
 }
--- a/packages/gypsumwall-testing/src/stand_in_group.ts
+++ b/packages/gypsumwall-testing/src/stand_in_group.ts
@@ -78,7 +78,7 @@
     histories: () =>
       Promise.all([...controls.values()].map((control) => fetchAll(control))),
     close: async () => {
-      for (const {child: started} of children) started.send('SIGKILL');
+      for (const {child: started} of children) started.sendSignal('SIGKILL');
       await Promise.all(children.map(({child: started}) => started.exited));
     },
   };
