--- a/packages/gypsumwall-bench/src/control_fake_worker.ts
+++ b/packages/gypsumwall-bench/src/control_fake_worker.ts
@@ -1,12 +1,12 @@
 /**
- * A worker's answers over HTTP, in a process of its own, so that the
- * bench counts only the caller's processor time. It answers with as many running
- * tasks as the query asks and counts the bytes on its sockets.
+ * A fake worker that answers over HTTP. It runs as a separate process, so that
+ * the benchmark counts only the processor time of the caller. It reports as
+ * many running tasks as the path names and counts the bytes on its sockets.
  */
 import * as http from 'node:http';
 import type * as net from 'node:net';
 
-/** What the process tells when it listens. */
+/** Message that the process sends to its parent once it listens. */
 export interface FakeWorkerReady {
   readonly port: number;
 }
@@ -22,8 +22,8 @@
   req.on('end', () => {
     const tasks = Number(/^\/tasks-(\d+)\//.exec(req.url ?? '')?.[1] ?? 0);
     const body = req.url?.endsWith('/start')
-      ? startAnswers(Buffer.concat(chunks).toString('utf8'))
-      : heartbeatAnswer(tasks);
+      ? buildStartResponse(Buffer.concat(chunks).toString('utf8'))
+      : buildHeartbeatResponse(tasks);
     res.setHeader('content-type', 'application/json');
     res.end(JSON.stringify(body));
   });
@@ -43,12 +43,12 @@
   process.send?.(bytes);
 });
 
-function startAnswers(body: string): object {
+function buildStartResponse(body: string): object {
   const {tasks} = JSON.parse(body) as {tasks: unknown[]};
   return {answers: tasks.map(() => ({type: 'started'}))};
 }
 
-function heartbeatAnswer(tasks: number): object {
+function buildHeartbeatResponse(tasks: number): object {
   const now = performance.now();
   const named = Array.from({length: tasks}, (_, index) => ({
     taskId: `merkato-hall.0123456789abcdef/${index}`,
--- a/packages/gypsumwall-bench/src/gang_coordinator.ts
+++ b/packages/gypsumwall-bench/src/gang_coordinator.ts
@@ -1,50 +1,52 @@
 /**
- * Decides on wide gangs for all shards: places them by the room that shards
- * tell of, has the shards reserve it, and has them start the gang once each of
- * them has; if one refuses, the others give the room back.
+ * Schedules wide gangs across all shards. The coordinator places a gang on the
+ * free capacity that the shards report, asks each shard involved to reserve its
+ * part, and starts the gang once all of them have. If one shard refuses, the
+ * reservations of the others are released.
  */
 import type * as scheduling from '@gypsumwall/scheduling';
 import * as types from '@gypsumwall/types';
-import type * as shardRooms from './shard_rooms.js';
+import type * as shardCapacities from './shard_capacities.js';
 import type * as virtualDecider from './virtual_decider.js';
 import type * as virtualTimeline from './virtual_timeline.js';
 import * as workerCalls from './worker_calls.js';
 
 type StartOrder = scheduling.schedulerTypes.StartOrder;
 
-/** What a coordinator works on. */
+/** Dependencies of a coordinator. */
 export interface GangCoordinatorParts {
   readonly timeline: virtualTimeline.VirtualTimeline;
   readonly shards: readonly virtualDecider.VirtualDecider[];
   readonly shardOf: (worker: types.ids.WorkerId) => number;
-  /** The decider of the coordinator. */
+  /** Returns the coordinator's own decider. */
   readonly decider: () => virtualDecider.VirtualDecider;
 }
 
 /** The coordinator of wide gangs. */
 export interface GangCoordinator {
-  launch(starts: readonly StartOrder[]): void;
-  runOver(run: scheduling.activeJob.Attempt): void;
-  /** Takes over what a shard tells of its workers. */
-  roomTold(rooms: readonly shardRooms.WorkerRoom[]): void;
-  conflicts(): number;
+  reserveAndStart(starts: readonly StartOrder[]): void;
+  releaseAttempt(attempt: scheduling.activeJob.Attempt): void;
+  /** Applies the free capacity that a shard reported for its workers. */
+  applyFreeCapacity(
+    freeCapacities: readonly shardCapacities.FreeCapacity[],
+  ): void;
+  conflictCount(): number;
 }
 
-/** Step under which the room of all others is booked at the coordinator. */
-const OTHERS = 'others';
+/** Step id under which the coordinator's registry reserves what others use. */
+const OTHERS_STEP = 'others';
 
-/** Creates a coordinator. */
 export function createGangCoordinator(
   parts: GangCoordinatorParts,
 ): GangCoordinator {
   const {timeline, shards, shardOf} = parts;
-  const others = new Map<types.ids.WorkerId, types.resources.Resources>();
-  let conflicts = 0;
+  const othersUsage = new Map<types.ids.WorkerId, types.resources.Resources>();
+  let conflictCount = 0;
 
-  const bookOf = (worker: types.ids.WorkerId) =>
+  const registryOf = (worker: types.ids.WorkerId) =>
     shards[shardOf(worker)]!.scheduler.workerRegistry;
 
-  function launch(starts: readonly StartOrder[]): void {
+  function reserveAndStart(starts: readonly StartOrder[]): void {
     const gangs = new Map<string, StartOrder[]>();
     for (const start of starts) {
       const gang = gangs.get(start.attempt.stepRunId) ?? [];
@@ -58,116 +60,138 @@
     const byShard = new Map<number, StartOrder[]>();
     for (const start of gang) {
       const shard = shardOf(start.attempt.workerId);
-      const part = byShard.get(shard) ?? [];
-      byShard.set(shard, part);
-      part.push(start);
+      const starts = byShard.get(shard) ?? [];
+      byShard.set(shard, starts);
+      starts.push(start);
     }
     const granted: StartOrder[] = [];
-    const told: shardRooms.WorkerRoom[] = [];
-    let missing = byShard.size;
-    for (const [shard, part] of byShard) {
-      ask(shard, part, (refusal) => {
-        if (refusal === undefined) granted.push(...part);
-        else told.push(...refusal);
-        if (--missing > 0) return;
-        if (told.length === 0) parts.decider().send(gang);
-        else giveBack(gang, granted, told);
+    const refusals: shardCapacities.FreeCapacity[] = [];
+    let pendingShards = byShard.size;
+    for (const [shard, starts] of byShard) {
+      requestReservation(shard, starts, (refusal) => {
+        if (refusal === undefined) granted.push(...starts);
+        else refusals.push(...refusal);
+        if (--pendingShards > 0) return;
+        if (refusals.length === 0) parts.decider().sendStarts(gang);
+        else rollBack(gang, granted, refusals);
       });
     }
   }
 
-  /** Asks a shard for room, all or none; a refusal tells what room there is. */
-  function ask(
+  /**
+   * Asks a shard to reserve all starts or none. A refusal contains the current
+   * free capacity of the workers.
+   */
+  function requestReservation(
     shard: number,
-    part: readonly StartOrder[],
-    answer: (refusal: shardRooms.WorkerRoom[] | undefined) => void,
+    starts: readonly StartOrder[],
+    onAnswer: (refusal: shardCapacities.FreeCapacity[] | undefined) => void,
   ): void {
     const {process} = parts.decider();
-    const back = (refusal: shardRooms.WorkerRoom[] | undefined) =>
-      timeline.later(workerCalls.ORDER_MS / 2, () =>
-        process.handle(0, () => answer(refusal)),
+    const sendBack = (refusal: shardCapacities.FreeCapacity[] | undefined) =>
+      timeline.schedule(workerCalls.ROUND_TRIP_MS / 2, () =>
+        process.enqueue(0, () => onAnswer(refusal)),
       );
-    process.handle(workerCalls.CALL_MS, () => {
-      timeline.later(workerCalls.ORDER_MS / 2, () => {
-        const costMs = workerCalls.CALL_MS + part.length * workerCalls.ITEM_MS;
-        shards[shard]!.process.handle(costMs, () => back(book(part)));
+    process.enqueue(workerCalls.CALL_COST_MS, () => {
+      timeline.schedule(workerCalls.ROUND_TRIP_MS / 2, () => {
+        const costMs =
+          workerCalls.CALL_COST_MS +
+          starts.length * workerCalls.BATCH_ITEM_COST_MS;
+        shards[shard]!.process.enqueue(costMs, () =>
+          sendBack(reserveOnShard(starts)),
+        );
       });
     });
   }
 
-  function book(
-    part: readonly StartOrder[],
-  ): shardRooms.WorkerRoom[] | undefined {
-    const booked: StartOrder[] = [];
-    for (const start of part) {
+  function reserveOnShard(
+    starts: readonly StartOrder[],
+  ): shardCapacities.FreeCapacity[] | undefined {
+    const reserved: StartOrder[] = [];
+    for (const start of starts) {
       const {workerId, stepRunId, size} = start.attempt;
-      const free = bookOf(workerId).workers.get(workerId)?.free;
+      const free = registryOf(workerId).workers.get(workerId)?.free;
       if (free === undefined || !types.resources.fits(size, free)) {
-        for (const {attempt: run} of booked) runOver(run);
-        return part.map((one) => roomOf(one.attempt.workerId));
+        for (const {attempt} of reserved) releaseAttempt(attempt);
+        return starts.map((start) => readFreeCapacity(start.attempt.workerId));
       }
-      bookOf(workerId).reserve(workerId, stepRunId, size);
-      booked.push(start);
+      registryOf(workerId).reserve(workerId, stepRunId, size);
+      reserved.push(start);
     }
     return undefined;
   }
 
-  function roomOf(id: types.ids.WorkerId): shardRooms.WorkerRoom {
-    return {id, free: bookOf(id).workers.get(id)!.free};
+  function readFreeCapacity(
+    id: types.ids.WorkerId,
+  ): shardCapacities.FreeCapacity {
+    return {id, free: registryOf(id).workers.get(id)!.free};
   }
 
-  function giveBack(
+  function rollBack(
     gang: readonly StartOrder[],
     granted: readonly StartOrder[],
-    told: readonly shardRooms.WorkerRoom[],
+    reported: readonly shardCapacities.FreeCapacity[],
   ): void {
-    conflicts++;
-    for (const {attempt: run} of granted) runOver(run);
-    parts.decider().refuse(gang);
-    for (const room of told)
-      mirror(parts.decider().scheduler.workerRegistry, room);
+    conflictCount++;
+    for (const {attempt} of granted) releaseAttempt(attempt);
+    parts.decider().refuseStarts(gang);
+    for (const freeCapacity of reported)
+      applyOthersUsage(parts.decider().scheduler.workerRegistry, freeCapacity);
   }
 
-  function runOver(run: scheduling.activeJob.Attempt): void {
-    bookOf(run.workerId).release(run.workerId, run.stepRunId, run.size);
-    shards[shardOf(run.workerId)]!.requestCycle();
+  function releaseAttempt(attempt: scheduling.activeJob.Attempt): void {
+    registryOf(attempt.workerId).release(
+      attempt.workerId,
+      attempt.stepRunId,
+      attempt.size,
+    );
+    shards[shardOf(attempt.workerId)]!.requestCycle();
   }
 
-  function roomTold(rooms: readonly shardRooms.WorkerRoom[]): void {
+  function applyFreeCapacity(
+    freeCapacities: readonly shardCapacities.FreeCapacity[],
+  ): void {
     const {process, scheduler} = parts.decider();
-    const costMs = workerCalls.CALL_MS + rooms.length * 0.001;
-    process.handle(costMs, () => {
+    const costMs = workerCalls.CALL_COST_MS + freeCapacities.length * 0.001;
+    process.enqueue(costMs, () => {
       process.measure(() => {
-        for (const room of rooms) mirror(scheduler.workerRegistry, room);
+        for (const freeCapacity of freeCapacities)
+          applyOthersUsage(scheduler.workerRegistry, freeCapacity);
       });
       parts.decider().requestCycle();
     });
   }
 
-  /** Books on the own copy of a worker what others have on it. */
-  function mirror(
-    book: scheduling.workerRegistry.WorkerRegistry,
-    {id, free}: shardRooms.WorkerRoom,
+  /** Reserves in the coordinator's registry what others use on a worker. */
+  function applyOthersUsage(
+    registry: scheduling.workerRegistry.WorkerRegistry,
+    {id, free}: shardCapacities.FreeCapacity,
   ): void {
-    const before = others.get(id) ?? types.resources.NO_RESOURCES;
-    const own = book.workers.get(id)!;
-    // What is on its way to the shard isn't in the room that it told.
-    const known = minus(own.free, free);
-    const now = {
-      cpuMillis: Math.max(0, before.cpuMillis + known.cpuMillis),
-      memoryMb: Math.max(0, before.memoryMb + known.memoryMb),
+    const previous = othersUsage.get(id) ?? types.resources.NO_RESOURCES;
+    const own = registry.workers.get(id)!;
+    // The reported free capacity does not include reservations that are still
+    // on their way to the shard.
+    const occupied = subtract(own.free, free);
+    const current = {
+      cpuMillis: Math.max(0, previous.cpuMillis + occupied.cpuMillis),
+      memoryMb: Math.max(0, previous.memoryMb + occupied.memoryMb),
       accelerators: 0,
     };
-    if (now.cpuMillis === before.cpuMillis) return;
-    book.reserve(id, OTHERS, now);
-    book.release(id, OTHERS, before);
-    others.set(id, now);
+    if (current.cpuMillis === previous.cpuMillis) return;
+    registry.reserve(id, OTHERS_STEP, current);
+    registry.release(id, OTHERS_STEP, previous);
+    othersUsage.set(id, current);
   }
 
-  return {launch, runOver, roomTold, conflicts: () => conflicts};
+  return {
+    reserveAndStart,
+    releaseAttempt,
+    applyFreeCapacity,
+    conflictCount: () => conflictCount,
+  };
 }
 
-function minus(
+function subtract(
   left: types.resources.Resources,
   right: types.resources.Resources,
 ): types.resources.Resources {
--- a/packages/gypsumwall-bench/src/routing_bench.ts
+++ b/packages/gypsumwall-bench/src/routing_bench.ts
@@ -1,6 +1,7 @@
 /**
- * Routing of quick requests, policy beside baseline on the same seeds: real
- * router code, upstreams in process, virtual time.
+ * Compares the routing policy for quick requests with the baseline on the same
+ * seeds. It runs the real routers against in-process fake upstreams in virtual
+ * time.
  */
 import type * as benchModule from './bench_module.js';
 import * as routingCases from './routing_cases.js';
@@ -13,7 +14,6 @@
 const QUICK_SEEDS = 2;
 const SHARING_SPAN_MS = 2_500;
 
-/** The bench of the routing policy. */
 export const ROUTING_BENCH: benchModule.BenchModule = {
   name: 'routing',
   run,
@@ -26,16 +26,20 @@
   const seeds = options.quick
     ? options.seeds.slice(0, QUICK_SEEDS)
     : options.seeds;
-  const policy = routingCases.POLICY.makeRouter;
+  const policy = routingCases.POLICY.createRouter;
   await warmUp(policy);
-  await warmUp(routingCases.BASELINE.makeRouter);
+  await warmUp(routingCases.BASELINE.createRouter);
   const measured = await measureAll(
-    [...routingCases.LOADS, routingCases.FLOOD, ...routingCases.FAULTS],
+    [
+      ...routingCases.LOAD_CASES,
+      routingCases.FLOOD_CASE,
+      ...routingCases.FAULT_CASES,
+    ],
     seeds,
     spanMs,
   );
   const sharing = await measureAll(
-    routingCases.SHARING,
+    routingCases.SHARING_CASES,
     seeds,
     SHARING_SPAN_MS,
   );
@@ -51,18 +55,21 @@
     tables: [
       routingTables.outcomeTable(all),
       routingTables.waitingTable(all),
-      await routingSlopes.slopeTable(seeds, policy),
+      await routingSlopes.measureSlopes(seeds, policy),
     ],
     plots: [routingTables.goodputPlot(measured)],
   };
 }
 
-/** Runs what is measured once, so that no contender pays for compiling. */
-async function warmUp(makeRouter: routingRun.MakeRouter): Promise<void> {
+/**
+ * Runs the measured code once, so that no contender includes the cost of
+ * compilation.
+ */
+async function warmUp(createRouter: routingRun.CreateRouter): Promise<void> {
   for (const load of [0.7, 2]) {
     await routingRun.runOnce({
       seed: 1,
-      makeRouter,
+      createRouter,
       load,
       fault: 'none',
       cell: routingRun.ONE_ENTRY,
@@ -75,27 +82,27 @@
   cases: readonly routingCases.Case[],
   seeds: readonly number[],
   spanMs: number,
-): Promise<routingTables.Measured[]> {
-  const measured: routingTables.Measured[] = [];
-  for (const one of cases) {
-    const {load, fault, cell, flood} = one;
-    for (const contender of one.contenders) {
-      const {makeRouter} = contender;
+): Promise<routingTables.MeasuredCase[]> {
+  const measured: routingTables.MeasuredCase[] = [];
+  for (const benchCase of cases) {
+    const {load, fault, cell, floodFactor: flood} = benchCase;
+    for (const contender of benchCase.contenders) {
+      const {createRouter} = contender;
       const figures: routingRun.RunFigures[] = [];
       for (const seed of seeds) {
         figures.push(
           await routingRun.runOnce({
             seed,
-            makeRouter,
+            createRouter,
             load,
             fault,
             cell,
-            flood,
+            floodFactor: flood,
             spanMs,
           }),
         );
       }
-      measured.push({one, contender, figures});
+      measured.push({benchCase, contender, figures});
     }
   }
   return measured;
--- a/packages/gypsumwall-bench/src/routing_cases.ts
+++ b/packages/gypsumwall-bench/src/routing_cases.ts
@@ -1,46 +1,48 @@
-/** What the routing bench compares. */
+/** The cases and routers that the routing benchmark compares. */
 import * as routing from '@gypsumwall/routing';
 import type * as fakeUpstreams from './routing_fake_upstreams.js';
 import * as routingRun from './routing_run.js';
 
-/** A router with a name. */
+/** A named router under comparison. */
 export interface Contender {
   readonly name: string;
-  readonly makeRouter: routingRun.MakeRouter;
+  readonly createRouter: routingRun.CreateRouter;
 }
 
-/** One load with one fault, and who meets it. */
+/**
+ * A combination of load and fault, and the routers that are measured under it.
+ */
 export interface Case {
   readonly name: string;
   readonly load: number;
   readonly fault: fakeUpstreams.UpstreamFault;
   readonly cell: routingRun.RoutingCell;
-  readonly flood?: number;
+  readonly floodFactor?: number;
   readonly contenders: readonly Contender[];
 }
 
-/** The router of the product. */
+/** The production router. */
 export const POLICY: Contender = {
   name: 'policy',
-  makeRouter: (options) => routing.createRouter.createRouter(options),
+  createRouter: (options) => routing.createRouter.createRouter(options),
 };
-/** The naive router. */
+/** The naive baseline router. */
 export const BASELINE: Contender = {
   name: 'baseline',
-  makeRouter: (options) =>
+  createRouter: (options) =>
     routing.createBaselineRouter.createBaselineRouter(options),
 };
-const DRAWS: readonly Contender[] = [2, Infinity].map((drawn) => ({
+const DRAW_VARIANTS: readonly Contender[] = [2, Infinity].map((drawn) => ({
   name: `policy, best of ${drawn === Infinity ? 'all' : drawn}`,
-  makeRouter: (options) =>
+  createRouter: (options) =>
     routing.createRouter.createRouter(
       options,
       routing.chooseUpstream.createChooseUpstream(drawn),
     ),
 }));
 
-/** Growing load without a fault. */
-export const LOADS: readonly Case[] = [0.7, 0.95, 2, 5].map((load) => ({
+/** Increasing load without faults. */
+export const LOAD_CASES: readonly Case[] = [0.7, 0.95, 2, 5].map((load) => ({
   name: `${load}x`,
   load,
   fault: 'none',
@@ -48,10 +50,10 @@
   contenders: [POLICY, BASELINE],
 }));
 
-/** Load under which faults are met. */
+/** Load of the cases with faults. */
 export const FAULT_LOAD = 0.7;
-/** One upstream with a fault. */
-export const FAULTS: readonly Case[] = (
+/** Cases in which one upstream has a fault. */
+export const FAULT_CASES: readonly Case[] = (
   ['dead', 'slow', 'refusing', 'silent-connections'] as const
 ).map((fault) => ({
   name: fault,
@@ -59,36 +61,42 @@
   fault,
   cell: routingRun.ONE_ENTRY,
   contenders:
-    fault === 'slow' ? [POLICY, ...DRAWS, BASELINE] : [POLICY, BASELINE],
+    fault === 'slow'
+      ? [POLICY, ...DRAW_VARIANTS, BASELINE]
+      : [POLICY, BASELINE],
 }));
 
-/** One team sends eight times what it usually does. */
-export const FLOOD: Case = {
+/** A team sends eight times its usual number of requests. */
+export const FLOOD_CASE: Case = {
   name: '0.7x, team floods 8x',
   load: 0.7,
-  flood: 8,
+  floodFactor: 8,
   fault: 'none',
   cell: routingRun.ONE_ENTRY,
   contenders: [POLICY, BASELINE],
 };
 
-/** A service of today with the entries of today. */
-const SHARING_DRAWS_LOAD = 0.7;
+/** Load at which the draw variants are compared with several entries. */
+const DRAW_VARIANTS_LOAD = 0.7;
+/** Size of a present-day service, with its present-day number of entries. */
 const SIX_ENTRIES = {entries: 6, upstreams: 30, slots: 8};
-/** Entries that share upstreams, or do not know of each other. */
-export const SHARING: readonly Case[] = [0.7, 0.95].flatMap((load) => [
+/**
+ * Several entries, which either share the upstream slots or ignore each other.
+ */
+export const SHARING_CASES: readonly Case[] = [0.7, 0.95].flatMap((load) => [
   {
     name: `6 entries, shares, ${load}x`,
     load,
     fault: 'none' as const,
     cell: SIX_ENTRIES,
-    contenders: load === SHARING_DRAWS_LOAD ? [POLICY, ...DRAWS] : [POLICY],
+    contenders:
+      load === DRAW_VARIANTS_LOAD ? [POLICY, ...DRAW_VARIANTS] : [POLICY],
   },
   {
     name: `6 entries, no shares, ${load}x`,
     load,
     fault: 'none' as const,
-    cell: {...SIX_ENTRIES, unaware: true},
+    cell: {...SIX_ENTRIES, ignoresOtherEntries: true},
     contenders: [POLICY],
   },
 ]);
--- a/packages/gypsumwall-bench/src/routing_tables.ts
+++ b/packages/gypsumwall-bench/src/routing_tables.ts
@@ -1,4 +1,4 @@
-/** Tables and plot of the routing bench. */
+/** Tables and plot of the routing benchmark. */
 import type * as types from '@gypsumwall/types';
 import type * as benchModule from './bench_module.js';
 import * as routingCases from './routing_cases.js';
@@ -9,18 +9,18 @@
   'normal',
   'overnight',
 ];
-const TENTHS = 10;
+const TENTHS_PER_MS = 10;
 
-/** A case met by one contender, a run for each seed. */
-export interface Measured {
-  readonly one: routingCases.Case;
+/** Results of one contender in one case, one run per seed. */
+export interface MeasuredCase {
+  readonly benchCase: routingCases.Case;
   readonly contender: routingCases.Contender;
   readonly figures: readonly routingRun.RunFigures[];
 }
 
-/** What callers were told, and what it cost. */
+/** Outcomes that callers received, and the cost of routing. */
 export function outcomeTable(
-  measured: readonly Measured[],
+  measured: readonly MeasuredCase[],
 ): benchModule.BenchTable {
   return {
     title: 'Outcomes',
@@ -36,50 +36,58 @@
       'upstream refusals',
       'CPU us/request',
     ],
-    rows: measured.map(({one, contender, figures}) => [
-      `${one.name}, ${contender.name}`,
-      spread(figures, (each) => each.goodput),
-      spread(figures, (each) => each.amplification),
-      spread(figures, (each) => (100 * each.notRun) / sentOf(each)),
-      spread(figures, (each) => (100 * each.unknown) / sentOf(each)),
-      spread(figures, (each) => (100 * each.late) / sentOf(each)),
-      spread(
+    rows: measured.map(({benchCase, contender, figures}) => [
+      `${benchCase.name}, ${contender.name}`,
+      formatMedianAndRange(figures, (each) => each.goodput),
+      formatMedianAndRange(figures, (each) => each.amplification),
+      formatMedianAndRange(
         figures,
-        (each) => each.refusedAfter.getValueAtPercentile(50) / TENTHS,
+        (each) => (100 * each.notRun) / sentOf(each),
       ),
-      spread(
+      formatMedianAndRange(
         figures,
-        (each) => each.refusedAfter.getValueAtPercentile(99) / TENTHS,
+        (each) => (100 * each.unknown) / sentOf(each),
       ),
-      spread(figures, (each) => each.upstreamRefusals),
-      spread(figures, (each) => each.cpuMicros),
+      formatMedianAndRange(figures, (each) => (100 * each.late) / sentOf(each)),
+      formatMedianAndRange(
+        figures,
+        (each) => each.refusalTenths.getValueAtPercentile(50) / TENTHS_PER_MS,
+      ),
+      formatMedianAndRange(
+        figures,
+        (each) => each.refusalTenths.getValueAtPercentile(99) / TENTHS_PER_MS,
+      ),
+      formatMedianAndRange(figures, (each) => each.upstreamRefusals),
+      formatMedianAndRange(figures, (each) => each.cpuMicros),
     ]),
   };
 }
 
-/** How long callers waited. */
+/** Waiting times of the callers, by urgency. */
 export function waitingTable(
-  measured: readonly Measured[],
+  measured: readonly MeasuredCase[],
 ): benchModule.BenchTable {
-  const rows = measured.flatMap(({one, contender, figures}) =>
-    shownUrgencies(one).map((urgency) => {
+  const rows = measured.flatMap(({benchCase, contender, figures}) =>
+    urgenciesToShow(benchCase).map((urgency) => {
       const waited = (percentile: number) =>
-        spread(
+        formatMedianAndRange(
           figures,
           (each) =>
-            each.byUrgency[urgency].waited.getValueAtPercentile(percentile) /
-            TENTHS,
+            each.byUrgency[urgency].waitTenths.getValueAtPercentile(
+              percentile,
+            ) / TENTHS_PER_MS,
         );
-      const inTime = spread(figures, (each) => {
-        const {done, sent} = each.byUrgency[urgency];
-        return (100 * done) / sent;
+      const inTime = formatMedianAndRange(figures, (each) => {
+        const {doneInTime, sentCount} = each.byUrgency[urgency];
+        return (100 * doneInTime) / sentCount;
       });
-      const answered = spread(
+      const answered = formatMedianAndRange(
         figures,
         (each) =>
-          each.byUrgency[urgency].answered.getValueAtPercentile(99) / TENTHS,
+          each.byUrgency[urgency].answerTenths.getValueAtPercentile(99) /
+          TENTHS_PER_MS,
       );
-      const name = `${one.name}, ${contender.name}, ${urgency}`;
+      const name = `${benchCase.name}, ${contender.name}, ${urgency}`;
       return [name, waited(50), waited(99), waited(99.9), answered, inTime];
     }),
   );
@@ -97,23 +105,25 @@
   };
 }
 
-/** With a fault, the urgent alone tell enough. */
-function shownUrgencies(one: routingCases.Case): readonly types.job.Urgency[] {
-  return one.fault === 'none' ? URGENCIES : ['urgent'];
+/** For cases with a fault, only urgent requests are shown. */
+function urgenciesToShow(
+  benchCase: routingCases.Case,
+): readonly types.job.Urgency[] {
+  return benchCase.fault === 'none' ? URGENCIES : ['urgent'];
 }
 
-/** Goodput over load. */
+/** Plots goodput against load. */
 export function goodputPlot(
-  measured: readonly Measured[],
+  measured: readonly MeasuredCase[],
 ): benchModule.BenchPlot {
   const series = [routingCases.POLICY, routingCases.BASELINE].map(
     (contender) => ({
       name: contender.name,
       points: measured
         .filter((each) => each.contender === contender)
-        .filter((each) => routingCases.LOADS.includes(each.one))
+        .filter((each) => routingCases.LOAD_CASES.includes(each.benchCase))
         .map((each) => ({
-          x: each.one.load,
+          x: each.benchCase.load,
           y: median(each.figures.map((figures) => figures.goodput)),
         })),
     }),
@@ -127,20 +137,23 @@
 }
 
 function sentOf(figures: routingRun.RunFigures): number {
-  return URGENCIES.reduce((sum, each) => sum + figures.byUrgency[each].sent, 0);
+  return URGENCIES.reduce(
+    (sum, each) => sum + figures.byUrgency[each].sentCount,
+    0,
+  );
 }
 
-/** The median, with the least and the greatest. */
-function spread(
+/** Formats the median with the minimum and maximum, where they differ. */
+function formatMedianAndRange(
   figures: readonly routingRun.RunFigures[],
   valueOf: (figures: routingRun.RunFigures) => number,
 ): string {
   const values = figures.map(valueOf);
-  const short = (value: number) => String(Number(value.toPrecision(3)));
-  const least = short(Math.min(...values));
-  const greatest = short(Math.max(...values));
-  const middle = short(median(values));
-  return least === greatest ? middle : `${middle} [${least}..${greatest}]`;
+  const formatNumber = (value: number) => String(Number(value.toPrecision(3)));
+  const min = formatNumber(Math.min(...values));
+  const max = formatNumber(Math.max(...values));
+  const middle = formatNumber(median(values));
+  return min === max ? middle : `${middle} [${min}..${max}]`;
 }
 
 function median(values: readonly number[]): number {
--- a/packages/gypsumwall-bench/src/routing_workload.ts
+++ b/packages/gypsumwall-bench/src/routing_workload.ts
@@ -1,12 +1,12 @@
 /**
- * Requests shaped on the brief's two users: kinds of quick work with their
- * own urgency and deadline, heavy-tailed service times and gaps, and declared
- * times that are off by up to a factor of four.
+ * Generates quick requests modelled on two users: each operation has its own
+ * urgency and deadline, service times and interarrival times are heavy-tailed,
+ * and declared service times are off by up to a factor of four.
  */
 import type * as routing from '@gypsumwall/routing';
 import * as types from '@gypsumwall/types';
 
-/** One kind of quick request. */
+/** A kind of quick request. */
 interface Operation {
   readonly team: string;
   readonly name: string;
@@ -57,65 +57,75 @@
   },
 ];
 
-/** Mean slot time of a request, in milliseconds. */
+/** Mean slot time of a request over all operations. */
 export const MEAN_SERVICE_MS = OPERATIONS.reduce(
   (sum, each) => sum + each.share * each.meanMs,
   0,
 );
 
-/** A request and what nobody but the bench knows of it. */
+/**
+ * A request with its arrival time and its actual service time, which the router
+ * does not know.
+ */
 export interface WorkloadRequest {
   readonly at: number;
   readonly serviceMs: number;
   readonly req: routing.router.RoutedRequest;
 }
 
-/** How much work there is. */
+/** Parameters of a generated workload. */
 export interface WorkloadOptions {
   readonly random: types.random.Random;
-  /** Mean requests a second, without the flood. */
+  /** Mean requests per second, without the flood. */
   readonly perSecond: number;
-  /** How many times the usual requests the flooding team sends. */
-  readonly flood: number;
-  /** Into how many teams each team is split. */
-  readonly split: number;
+  /** Factor by which the flooding team increases its request rate. */
+  readonly floodFactor: number;
+  /** Number of teams into which each team is split. */
+  readonly teamSplit: number;
   readonly fromMs: number;
   readonly untilMs: number;
 }
 
-/** The team whose demand nobody forecast. */
+/** The team whose demand rises unexpectedly. */
 const FLOODING_TEAM = 'skyroute-clubs';
-const FAR_OFF = 4;
-/** Spread of the logarithm; the largest in a thousand is about 13 x mean. */
+const MAX_ESTIMATE_FACTOR = 4;
+/**
+ * Standard deviation of the logarithm; the largest of a thousand is about 13
+ * times the mean.
+ */
 const SERVICE_SIGMA = 0.9;
 const GAP_SIGMA = 1.2;
 
-/** Makes the requests of one run, in order of arrival. */
+/** Generates the requests of one run, in order of arrival. */
 export function makeWorkload(options: WorkloadOptions): WorkloadRequest[] {
   const {random} = options;
-  // How far off each kind declares itself; the same for the whole run.
-  const biases = OPERATIONS.map(() => FAR_OFF ** (2 * random.next() - 1));
+  // Ratio of the declared to the mean service time of each operation, constant
+  // for the whole run.
+  const biases = OPERATIONS.map(
+    () => MAX_ESTIMATE_FACTOR ** (2 * random.next() - 1),
+  );
   const shares = OPERATIONS.map((each) =>
-    each.team === FLOODING_TEAM ? each.share * options.flood : each.share,
+    each.team === FLOODING_TEAM ? each.share * options.floodFactor : each.share,
   );
   const allShares = shares.reduce((sum, share) => sum + share, 0);
   const meanGapMs = 1_000 / (options.perSecond * allShares);
   const requests: WorkloadRequest[] = [];
   let at = options.fromMs;
   for (;;) {
-    at += logNormal(random, meanGapMs, GAP_SIGMA);
+    at += drawLogNormal(random, meanGapMs, GAP_SIGMA);
     if (at >= options.untilMs) return requests;
-    const index = pick(shares, random.next() * allShares);
+    const index = pickIndex(shares, random.next() * allShares);
     const operation = OPERATIONS[index];
     if (operation === undefined) continue;
-    const serviceMs = logNormal(random, operation.meanMs, SERVICE_SIGMA);
+    const serviceMs = drawLogNormal(random, operation.meanMs, SERVICE_SIGMA);
     const estimateMs = operation.meanMs * (biases[index] ?? 1);
     const id = `r${requests.length}`;
-    const part = options.split > 1 ? random.integer(1, options.split) : 0;
+    const teamPart =
+      options.teamSplit > 1 ? random.integer(1, options.teamSplit) : 0;
     requests.push({
       at,
       serviceMs,
-      req: makeRequest(operation, id, at, estimateMs, part),
+      req: makeRequest(operation, id, at, estimateMs, teamPart),
     });
   }
 }
@@ -125,12 +135,12 @@
   requestId: string,
   at: number,
   estimateMs: number,
-  part: number,
+  teamPart: number,
 ): routing.router.RoutedRequest {
   return {
     requestId,
     team: types.ids.brand<types.ids.TeamId>(
-      part === 0 ? operation.team : `${operation.team}-${part}`,
+      teamPart === 0 ? operation.team : `${operation.team}-${teamPart}`,
     ),
     operation: operation.name,
     urgency: operation.urgency,
@@ -143,8 +153,8 @@
 
 const NO_BODY = new Uint8Array();
 
-/** Index of the share in which the drawn number falls. */
-function pick(shares: readonly number[], drawn: number): number {
+/** Returns the index of the share into which the drawn number falls. */
+function pickIndex(shares: readonly number[], drawn: number): number {
   let sum = 0;
   for (const [index, share] of shares.entries()) {
     sum += share;
@@ -153,8 +163,11 @@
   return shares.length - 1;
 }
 
-/** A log-normal number with the given mean (Box and Muller). */
-function logNormal(
+/**
+ * Draws from a log-normal distribution with the given mean (Box-Muller
+ * transform).
+ */
+function drawLogNormal(
   random: types.random.Random,
   mean: number,
   sigma: number,
--- a/packages/gypsumwall-bench/src/spread_cell.ts
+++ b/packages/gypsumwall-bench/src/spread_cell.ts
@@ -1,15 +1,16 @@
 /**
- * A cell on a time of its own whose scheduling is spread over processes: one
- * decider or shards of it, each with or without helpers that make its calls,
- * and with or without a coordinator for wide gangs. Load, workers and adviser
- * are those of the cell with one holder.
+ * Simulates, on a virtual clock, a cell whose scheduling is distributed over
+ * processes: either a single decider or one decider per shard, with or without
+ * helpers that make its calls, and with or without a coordinator for wide
+ * gangs. Load, workers and adviser are the same as in `step_cell.ts`, where one
+ * holder schedules the whole cell.
  */
 import * as scheduling from '@gypsumwall/scheduling';
 import * as types from '@gypsumwall/types';
 import * as gangCoordinator from './gang_coordinator.js';
-import * as jobMoves from './job_moves.js';
-import * as runEnds from './run_ends.js';
-import * as shardRooms from './shard_rooms.js';
+import * as jobRebalancing from './job_rebalancing.js';
+import * as attemptOutcomes from './attempt_outcomes.js';
+import * as shardCapacities from './shard_capacities.js';
 import * as spreadLoad from './spread_load.js';
 import * as spreadMeasures from './spread_measures.js';
 import * as stepLoad from './step_load.js';
@@ -18,109 +19,115 @@
 import * as virtualTimeline from './virtual_timeline.js';
 import * as workerCalls from './worker_calls.js';
 
-const START_MS = 1_000;
+const START_AT_MS = 1_000;
 const DOMAINS = 4;
 const WORKERS_PER_RACK = 20;
 const WORKERS_PER_ENTRY = 8;
 const WORKERS_PER_HELPER = 64;
 const CAPACITY = {cpuMillis: 16_000, memoryMb: 32_768, accelerators: 0};
-/** A gang that needs more than this share of a shard's processors is wide. */
-const WIDE_SHARE = 0.05;
-/** Share of the entries that a coordinator may call the adviser by. */
-const COORDINATOR_ENTRIES = 0.4;
+/** A gang is wide if it needs more than this share of a shard's processors. */
+const MIN_WIDE_GANG_SHARE = 0.05;
+/** Share of the entries through which the coordinator calls the adviser. */
+const COORDINATOR_ENTRY_SHARE = 0.4;
 const ATTEMPTS_PER_DECIDER = 1_000;
 
-/** A way of spreading. */
-export interface SpreadWay {
+/** A way to distribute the scheduling over processes. */
+export interface SpreadVariant {
   readonly name: string;
-  /** Workers of a shard at most; absent: one decider for all of them. */
+  /**
+   * Maximum number of workers of a shard; if absent, one decider has all
+   * workers.
+   */
   readonly shardSize?: number;
-  /** Whether helpers make the calls to workers. */
-  readonly helpers: boolean;
-  /** Whether one coordinator decides on wide gangs. */
-  readonly coordinator: boolean;
+  /** Whether helpers make the calls to the workers. */
+  readonly hasHelpers: boolean;
+  /** Whether a coordinator schedules the wide gangs. */
+  readonly hasCoordinator: boolean;
 }
 
-/** What a run came to. */
+/** Results of a run. */
 export interface SpreadResult extends spreadMeasures.SpreadCounts {
   readonly seconds: number;
   readonly shards: number;
-  /** Processor time that deciding took, all deciders together. */
+  /** Processor time of the scheduling decisions of all deciders. */
   readonly decidingMs: number;
-  /** Share of a core that each decider took, calls included. */
+  /** Mean cores used by each decider, including its calls. */
   readonly deciderCores: readonly number[];
-  /** The same for each helper. */
+  /** Mean cores used by each helper. */
   readonly helperCores: readonly number[];
   readonly adviserCalls: number;
   readonly moves: number;
   readonly conflicts: number;
 }
 
-/** What a run is made of. */
+/** Parameters of a run. */
 export interface SpreadOptions {
-  readonly way: SpreadWay;
+  readonly variant: SpreadVariant;
   readonly workers: number;
   readonly seconds: number;
   readonly seed: number;
-  /** Factor on the rates of the load. */
+  /** Factor by which the arrival rates are scaled. */
   readonly load: number;
 }
 
-/** How many shards a way makes of so many workers. */
-export function countShards(way: SpreadWay, workers: number): number {
-  if (way.shardSize === undefined) return 1;
-  return DOMAINS * Math.ceil(workers / DOMAINS / way.shardSize);
+/** Number of shards that a variant makes of the given number of workers. */
+export function countShards(variant: SpreadVariant, workers: number): number {
+  if (variant.shardSize === undefined) return 1;
+  return DOMAINS * Math.ceil(workers / DOMAINS / variant.shardSize);
 }
 
-/** Runs a cell. */
 export function runSpreadCell(options: SpreadOptions): SpreadResult {
-  const {way, workers, seconds} = options;
-  const timeline = virtualTimeline.createVirtualTimeline(START_MS);
-  const endMs = START_MS + seconds * 1_000;
-  const draws = types.random.createRandom(options.seed + 1);
-  const drawEnd = runEnds.createDrawEnd(draws);
-  const adviser = runEnds.createAdviser(draws);
+  const {variant, workers, seconds} = options;
+  const timeline = virtualTimeline.createVirtualTimeline(START_AT_MS);
+  const endMs = START_AT_MS + seconds * 1_000;
+  const random = types.random.createRandom(options.seed + 1);
+  const drawOutcome = attemptOutcomes.createDrawOutcome(random);
+  const adviser = attemptOutcomes.createAdviser(random);
   const infos = createWorkerInfos(workers);
-  const count = countShards(way, workers);
+  const shardCount = countShards(variant, workers);
   const shardOfWorker = new Map(
-    infos.map((info, nth) => [info.id, nth % count]),
+    infos.map((info, index) => [info.id, index % shardCount]),
   );
   const shardOf = (id: types.ids.WorkerId) => shardOfWorker.get(id)!;
   const entries = Array.from(
     {length: Math.ceil(workers / WORKERS_PER_ENTRY)},
-    (_, nth) => `e${nth}`,
+    (_, index) => `e${index}`,
   );
-  const coordinated = way.coordinator
-    ? entries.splice(0, Math.ceil(entries.length * COORDINATOR_ENTRIES))
+  const coordinatorEntries = variant.hasCoordinator
+    ? entries.splice(0, Math.ceil(entries.length * COORDINATOR_ENTRY_SHARE))
     : [];
   const measures = spreadMeasures.createSpreadMeasures({
     timeline,
     endMs,
-    ofWorkers: () => shards,
-    ofJobs: () => deciders,
+    workerDeciders: () => shards,
+    jobDeciders: () => deciders,
   });
   const createProcess = () => virtualProcess.createVirtualProcess(timeline);
   const helpers = infos.map(createProcess).slice(0, countHelpers());
   const shardCalls: workerCalls.WorkerCalls[] = [];
-  const shards = Array.from({length: count}, (_, nth) => createShard(nth));
+  const shards = Array.from({length: shardCount}, (_, shardIndex) =>
+    createShard(shardIndex),
+  );
   const coordinator = gangCoordinator.createGangCoordinator({
     timeline,
     shards,
     shardOf,
-    decider: () => wideDecider!,
+    decider: () => coordinatorDecider!,
   });
-  const wideDecider = way.coordinator ? createWideDecider() : undefined;
+  const coordinatorDecider = variant.hasCoordinator
+    ? createCoordinatorDecider()
+    : undefined;
   const deciders =
-    wideDecider === undefined ? shards : [...shards, wideDecider];
+    coordinatorDecider === undefined ? shards : [...shards, coordinatorDecider];
 
   function countHelpers(): number {
-    return way.helpers ? Math.ceil(workers / WORKERS_PER_HELPER) : 0;
+    return variant.hasHelpers ? Math.ceil(workers / WORKERS_PER_HELPER) : 0;
   }
 
-  function createShard(nth: number): virtualDecider.VirtualDecider {
+  function createShard(shardIndex: number): virtualDecider.VirtualDecider {
     const process = createProcess();
-    const calls = way.helpers
-      ? workerCalls.createHelpedCalls(
+    const calls = variant.hasHelpers
+      ? workerCalls.createHelperCalls(
           timeline,
           process,
           (id) => helpers[Number(id.split('-')[1]) % helpers.length]!,
@@ -130,84 +137,93 @@
     const decider = virtualDecider.createVirtualDecider({
       timeline,
       process,
-      entries: entries.filter((_, entry) => entry % count === nth),
-      attemptBase: nth * ATTEMPTS_PER_DECIDER,
-      drawEnd,
+      entries: entries.filter((_, entry) => entry % shardCount === shardIndex),
+      attemptBase: shardIndex * ATTEMPTS_PER_DECIDER,
+      drawOutcome,
       adviser,
       callsFor: () => calls,
-      onStarts: (starts) => measures.noteStarts(starts),
-      onJobOver: (id) => measures.noteOver(id),
+      onStarts: (starts) => measures.recordStarts(starts),
+      onJobOver: (id) => measures.recordJobOver(id),
     });
     for (const info of infos) {
-      if (shardOf(info.id) === nth) addWorker(decider, info);
+      if (shardOf(info.id) === shardIndex) addWorker(decider, info);
     }
     return decider;
   }
 
-  /** Its orders and reports go through the shards of the workers. */
-  function createWideDecider(): virtualDecider.VirtualDecider {
+  /**
+   * Creates the coordinator's decider; its orders and reports go through the
+   * shards.
+   */
+  function createCoordinatorDecider(): virtualDecider.VirtualDecider {
     const process = createProcess();
-    const relayed = shardCalls.map((calls) =>
+    const relayedCalls = shardCalls.map((calls) =>
       workerCalls.createRelayedCalls(timeline, process, calls),
     );
     const decider = virtualDecider.createVirtualDecider({
       timeline,
       process,
-      entries: coordinated,
-      attemptBase: count * ATTEMPTS_PER_DECIDER,
-      drawEnd,
+      entries: coordinatorEntries,
+      attemptBase: shardCount * ATTEMPTS_PER_DECIDER,
+      drawOutcome,
       adviser,
-      callsFor: (id) => relayed[shardOf(id)]!,
-      launch: (starts) => coordinator.launch(starts),
-      onStarts: (starts) => measures.noteStarts(starts),
-      onRunOver: (run) => coordinator.runOver(run),
-      onJobOver: (id) => measures.noteOver(id),
+      callsFor: (id) => relayedCalls[shardOf(id)]!,
+      dispatchStarts: (starts) => coordinator.reserveAndStart(starts),
+      onStarts: (starts) => measures.recordStarts(starts),
+      onAttemptEnd: (attempt) => coordinator.releaseAttempt(attempt),
+      onJobOver: (id) => measures.recordJobOver(id),
     });
     for (const info of infos) addWorker(decider, info);
     return decider;
   }
 
-  const rooms = shardRooms.createShardRooms(
+  const capacities = shardCapacities.createShardCapacities(
     timeline,
-    count > 1 || way.coordinator ? shards : [],
-    (nth) => {
-      if (way.coordinator) coordinator.roomTold(rooms.roomOf(nth));
+    shardCount > 1 || variant.hasCoordinator ? shards : [],
+    (shardIndex) => {
+      if (variant.hasCoordinator)
+        coordinator.applyFreeCapacity(capacities.freeCapacityOf(shardIndex));
     },
   );
-  const moves =
-    count > 1 ? jobMoves.startJobMoves({timeline, shards, rooms}) : () => 0;
+  const countMoves =
+    shardCount > 1
+      ? jobRebalancing.startJobRebalancing({timeline, shards, capacities})
+      : () => 0;
 
   function deciderOf(
     id: types.ids.JobId,
     request: scheduling.jobRequest.JobRequest,
   ): virtualDecider.VirtualDecider {
-    const home = shards[hash(id) % count]!;
+    const homeShard = shards[hashOf(id) % shardCount]!;
     const gang = request.steps.find((step) => isWide(step));
-    if (gang === undefined || count === 1) return home;
-    return wideDecider ?? roomiest(gang);
+    if (gang === undefined || shardCount === 1) return homeShard;
+    return coordinatorDecider ?? shardWithMostSlots(gang);
   }
 
   function isWide(step: scheduling.jobRequest.StepRequest): boolean {
-    const needed = step.taskCount * step.size.cpuMillis;
-    const ofShard = (workers / count) * CAPACITY.cpuMillis;
-    return step.gang && needed > ofShard * WIDE_SHARE;
+    const neededMillis = step.taskCount * step.size.cpuMillis;
+    const shardMillis = (workers / shardCount) * CAPACITY.cpuMillis;
+    return step.gang && neededMillis > shardMillis * MIN_WIDE_GANG_SHARE;
   }
 
-  function roomiest(
+  function shardWithMostSlots(
     gang: scheduling.jobRequest.StepRequest,
   ): virtualDecider.VirtualDecider {
     let best = 0;
     let mostSlots = -1;
-    for (let nth = 0; nth < count; nth++) {
-      const slots = shardRooms.likelySlots(rooms.roomOf(nth), gang);
+    for (let shardIndex = 0; shardIndex < shardCount; shardIndex++) {
+      const slots = shardCapacities.estimateSlots(
+        capacities.freeCapacityOf(shardIndex),
+        gang,
+      );
       if (slots <= mostSlots) continue;
-      best = nth;
+      best = shardIndex;
       mostSlots = slots;
     }
     return shards[best]!;
   }
 
-  spreadLoad.startLoad({
+  spreadLoad.startArrivals({
     timeline,
     random: types.random.createRandom(options.seed),
     load: options.load,
@@ -215,7 +231,7 @@
       const {policy} = kind;
       const chainMs = scheduling.jobRequest.expectedChainMs(request);
       const objectiveMs = chainMs * policy.slackFactor + policy.targetMs;
-      measures.noteAccepted(id, kind, request, objectiveMs);
+      measures.recordAccepted(id, kind, request, objectiveMs);
       const acceptedAt = timeline.now();
       const progress = scheduling.jobProgress.NO_PROGRESS;
       const start = {id, request, policy, acceptedAt, progress};
@@ -231,13 +247,13 @@
   return {
     ...measures.counts(),
     seconds,
-    shards: count,
+    shards: shardCount,
     decidingMs: sum(deciders.map(({process}) => process.measuredMs())),
     deciderCores: deciders.map(({process}) => coresOf(process)),
     helperCores: helpers.map(coresOf),
-    adviserCalls: sum(deciders.map((decider) => decider.adviserCalls())),
-    moves: moves(),
-    conflicts: coordinator.conflicts(),
+    adviserCalls: sum(deciders.map((decider) => decider.adviserCallCount())),
+    moves: countMoves(),
+    conflicts: coordinator.conflictCount(),
   };
 }
 
@@ -252,20 +268,20 @@
 function createWorkerInfos(
   count: number,
 ): scheduling.workerRegistry.WorkerInfo[] {
-  return Array.from({length: count}, (_, nth) => ({
-    id: types.ids.brand(`worker-${nth}`),
+  return Array.from({length: count}, (_, index) => ({
+    id: types.ids.brand(`worker-${index}`),
     address: '',
-    domain: types.ids.brand(`domain-${nth % DOMAINS}`),
+    domain: types.ids.brand(`domain-${index % DOMAINS}`),
     pool: stepLoad.POOL,
     capacity: CAPACITY,
     labels: [],
-    rack: types.ids.brand(`rack-${Math.floor(nth / WORKERS_PER_RACK)}`),
+    rack: types.ids.brand(`rack-${Math.floor(index / WORKERS_PER_RACK)}`),
     draining: false,
   }));
 }
 
-/** FNV-1a. */
-function hash(text: string): number {
+/** FNV-1a hash. */
+function hashOf(text: string): number {
   let value = 0x811c9dc5;
   for (const char of text) {
     value = Math.imul(value ^ char.charCodeAt(0), 0x01000193) >>> 0;
--- a/packages/gypsumwall-bench/src/spread_load.ts
+++ b/packages/gypsumwall-bench/src/spread_load.ts
@@ -1,14 +1,16 @@
-/** Jobs as they come to a cell: the same ones however it is scheduled. */
+/**
+ * Generates the jobs of a cell; they are the same for every scheduling variant.
+ */
 import type * as scheduling from '@gypsumwall/scheduling';
 import * as types from '@gypsumwall/types';
 import * as stepLoad from './step_load.js';
 import type * as virtualTimeline from './virtual_timeline.js';
 
-/** What a load is made of. */
+/** Parameters of the load. */
 export interface SpreadLoadParts {
   readonly timeline: virtualTimeline.VirtualTimeline;
   readonly random: types.random.Random;
-  /** Factor on the rates. */
+  /** Factor by which the arrival rates are scaled. */
   readonly load: number;
   readonly accept: (
     id: types.ids.JobId,
@@ -17,26 +19,29 @@
   ) => void;
 }
 
-/** Lets jobs come from now on. */
-export function startLoad(parts: SpreadLoadParts): void {
+/** Starts the arrivals of all kinds of jobs. */
+export function startArrivals(parts: SpreadLoadParts): void {
   const {timeline, random} = parts;
-  let jobs = 0;
+  let jobCount = 0;
 
-  function arrive(kind: stepLoad.JobKind): void {
-    const id = types.ids.brand<types.ids.JobId>(`job${++jobs}`);
+  function handleArrival(kind: stepLoad.JobKind): void {
+    const id = types.ids.brand<types.ids.JobId>(`job${++jobCount}`);
     parts.accept(id, kind, stepLoad.drawRequest(kind, random));
-    plan(kind);
+    scheduleArrival(kind);
   }
 
-  function plan(kind: stepLoad.JobKind): void {
+  function scheduleArrival(kind: stepLoad.JobKind): void {
     const now = timeline.now();
     const burst = stepLoad.BURSTS.find(
-      (one) => one.kind === kind.name && now >= one.fromMs && now < one.toMs,
+      (candidate) =>
+        candidate.kind === kind.name &&
+        now >= candidate.fromMs &&
+        now < candidate.toMs,
     );
     const rate = kind.rate * parts.load * (burst?.factor ?? 1);
     const gapMs = (-Math.log(1 - random.next()) * 1_000) / rate;
-    timeline.later(gapMs, () => arrive(kind));
+    timeline.schedule(gapMs, () => handleArrival(kind));
   }
 
-  for (const kind of stepLoad.PEAK_KINDS) plan(kind);
+  for (const kind of stepLoad.PEAK_KINDS) scheduleArrival(kind);
 }
--- a/packages/gypsumwall-bench/src/spread_measures.ts
+++ b/packages/gypsumwall-bench/src/spread_measures.ts
@@ -1,4 +1,4 @@
-/** What a run of a cell with several deciders came to. */
+/** Measurements of a run of a cell with several deciders. */
 import type * as scheduling from '@gypsumwall/scheduling';
 import * as types from '@gypsumwall/types';
 import type * as stepLoad from './step_load.js';
@@ -6,69 +6,82 @@
 import type * as virtualTimeline from './virtual_timeline.js';
 
 /**
- * How often the free room is looked at, after the cell has filled. Only tasks
- * count that waited at the look before as well; milliseconds.
+ * Interval at which the free capacity is sampled once the cell has filled. Only
+ * steps that were already waiting at the previous sample count.
  */
-const SAMPLE_MS = 500;
-const FIRST_SAMPLE_MS = 6_000;
-/** Gangs accepted later than so long before the end aren't counted. */
+const SAMPLE_INTERVAL_MS = 500;
+const FIRST_SAMPLE_AFTER_MS = 6_000;
+/** Gangs accepted within this time before the end are not counted. */
 const GANG_MARGIN_MS = 5_000;
 
-/** Counts by the end of a run. */
+/** Totals at the end of a run. */
 export interface SpreadCounts {
   readonly jobs: number;
   readonly starts: number;
-  /** Share of the jobs that ended within their objective, by kind. */
+  /** Share of the jobs that met their objective, by kind. */
   readonly onTime: ReadonlyMap<string, number>;
-  /** Share of the jobs with gangs whose first gang began, all members at once. */
-  readonly gangsBegun: number;
-  /** Gangs of which only some members were started at once. */
+  /**
+   * Share of the jobs with gangs of which a gang was started with all members
+   * at once.
+   */
+  readonly gangsStartedWhole: number;
+  /** Number of gangs that were started with only some of their members. */
   readonly gangsPartial: number;
-  /** Share of the capacity that is free where no waiting task fits. */
+  /**
+   * Share of the capacity that is free on workers where no waiting task fits.
+   */
   readonly unfitShare: number;
-  /** Share of the capacity that is free though a waiting task would fit. */
+  /**
+   * Share of the capacity that is free on workers where a waiting task would
+   * fit.
+   */
   readonly unusedShare: number;
-  /** Looks at a worker with more booked than it has. */
+  /**
+   * Number of samples of a worker on which more is reserved than its capacity.
+   */
   readonly overbooked: number;
 }
 
-/** Takes the measures of one run. */
+/** Records the measurements of one run. */
 export interface SpreadMeasures {
-  noteAccepted(
+  recordAccepted(
     id: types.ids.JobId,
     kind: stepLoad.JobKind,
     request: scheduling.jobRequest.JobRequest,
     objectiveMs: number,
   ): void;
-  noteStarts(starts: readonly scheduling.schedulerTypes.StartOrder[]): void;
-  noteOver(id: types.ids.JobId): void;
+  recordStarts(starts: readonly scheduling.schedulerTypes.StartOrder[]): void;
+  recordJobOver(id: types.ids.JobId): void;
   counts(): SpreadCounts;
 }
 
-interface JobNote {
+interface PendingJob {
   readonly kind: stepLoad.JobKind;
   readonly at: types.clock.MonotonicMs;
   readonly objectiveMs: number;
 }
 
-/** Creates measures; the deciders of workers and of jobs are looked at. */
+/**
+ * Creates empty measurements and starts the sampling of workers and waiting
+ * steps.
+ */
 export function createSpreadMeasures(parts: {
   readonly timeline: virtualTimeline.VirtualTimeline;
   readonly endMs: number;
-  readonly ofWorkers: () => readonly virtualDecider.VirtualDecider[];
-  readonly ofJobs: () => readonly virtualDecider.VirtualDecider[];
+  readonly workerDeciders: () => readonly virtualDecider.VirtualDecider[];
+  readonly jobDeciders: () => readonly virtualDecider.VirtualDecider[];
 }): SpreadMeasures {
   const {timeline} = parts;
-  const notes = new Map<types.ids.JobId, JobNote>();
+  const pendingJobs = new Map<types.ids.JobId, PendingJob>();
   const onTime = new Map<string, {met: number; all: number}>();
   const gangJobs = new Map<types.ids.JobId, boolean>();
-  let before = new Set<scheduling.activeJob.StepRun>();
+  let waitingBefore = new Set<scheduling.activeJob.StepRun>();
   const samples = {unfit: 0, unused: 0, capacity: 0, overbooked: 0};
   let jobs = 0;
   let starts = 0;
   let gangsPartial = 0;
 
-  function count({kind}: JobNote, met: boolean): void {
+  function countObjective({kind}: PendingJob, met: boolean): void {
     const counts = onTime.get(kind.name) ?? {met: 0, all: 0};
     counts.all++;
     if (met) counts.met++;
@@ -76,10 +89,12 @@
   }
 
   function sample(): void {
-    const waiting = waitingSteps(parts.ofJobs());
-    const sizes = smallestSizes(waiting.filter((step) => before.has(step)));
-    before = new Set(waiting);
-    for (const {scheduler} of parts.ofWorkers()) {
+    const waiting = findWaitingSteps(parts.jobDeciders());
+    const sizes = findSmallestSizes(
+      waiting.filter((step) => waitingBefore.has(step)),
+    );
+    waitingBefore = new Set(waiting);
+    for (const {scheduler} of parts.workerDeciders()) {
       for (const {info, free} of scheduler.workerRegistry.workers.values()) {
         samples.capacity += info.capacity.cpuMillis;
         if (free.cpuMillis < 0 || free.memoryMb < 0) samples.overbooked++;
@@ -88,10 +103,10 @@
         samples[fits ? 'unused' : 'unfit'] += free.cpuMillis;
       }
     }
-    timeline.later(SAMPLE_MS, sample);
+    timeline.schedule(SAMPLE_INTERVAL_MS, sample);
   }
 
-  function noteGang(
+  function recordGang(
     stepRun: scheduling.activeJob.StepRun,
     members: number,
   ): void {
@@ -99,45 +114,49 @@
     else if (gangJobs.has(stepRun.job.id)) gangJobs.set(stepRun.job.id, true);
   }
 
-  timeline.later(FIRST_SAMPLE_MS, sample);
+  timeline.schedule(FIRST_SAMPLE_AFTER_MS, sample);
   return {
-    noteAccepted(id, kind, request, objectiveMs) {
+    recordAccepted(id, kind, request, objectiveMs) {
       jobs++;
       const at = timeline.now();
-      notes.set(id, {kind, at, objectiveMs});
-      const gang = request.steps.some((step) => step.gang);
-      if (gang && at < parts.endMs - GANG_MARGIN_MS) gangJobs.set(id, false);
+      pendingJobs.set(id, {kind, at, objectiveMs});
+      const hasGang = request.steps.some((step) => step.gang);
+      if (hasGang && at < parts.endMs - GANG_MARGIN_MS) gangJobs.set(id, false);
     },
-    noteStarts(orders) {
+    recordStarts(orders) {
       starts += orders.length;
       const gangs = new Map<scheduling.activeJob.StepRun, number>();
-      for (const {attempt: run} of orders) {
-        const {stepRun} = run.task!;
+      for (const {attempt} of orders) {
+        const {stepRun} = attempt.task!;
         if (!stepRun.request.gang) continue;
         gangs.set(stepRun, (gangs.get(stepRun) ?? 0) + 1);
       }
-      for (const [stepRun, members] of gangs) noteGang(stepRun, members);
+      for (const [stepRun, members] of gangs) recordGang(stepRun, members);
     },
-    noteOver(id) {
-      const note = notes.get(id);
-      if (note === undefined) return;
-      notes.delete(id);
-      count(note, timeline.now() - note.at <= note.objectiveMs);
+    recordJobOver(id) {
+      const pendingJob = pendingJobs.get(id);
+      if (pendingJob === undefined) return;
+      pendingJobs.delete(id);
+      countObjective(
+        pendingJob,
+        timeline.now() - pendingJob.at <= pendingJob.objectiveMs,
+      );
     },
     counts() {
-      // A job that is late by the end of the run never was on time.
-      for (const note of notes.values()) {
-        if (timeline.now() - note.at > note.objectiveMs) count(note, false);
+      // A job that is already late at the end of the run missed its objective.
+      for (const pendingJob of pendingJobs.values()) {
+        if (timeline.now() - pendingJob.at > pendingJob.objectiveMs)
+          countObjective(pendingJob, false);
       }
       const shares = [...onTime].map(
         ([name, {met, all}]) => [name, met / all] as const,
       );
-      const begun = [...gangJobs.values()].filter(Boolean).length;
+      const startedWhole = [...gangJobs.values()].filter(Boolean).length;
       return {
         jobs,
         starts,
         onTime: new Map(shares),
-        gangsBegun: begun / gangJobs.size,
+        gangsStartedWhole: startedWhole / gangJobs.size,
         gangsPartial,
         unfitShare: samples.unfit / samples.capacity,
         unusedShare: samples.unused / samples.capacity,
@@ -147,24 +166,28 @@
   };
 }
 
-function waitingSteps(
+function findWaitingSteps(
   deciders: readonly virtualDecider.VirtualDecider[],
 ): scheduling.activeJob.StepRun[] {
   return deciders
     .flatMap(({jobs}) => [...jobs.values()])
     .flatMap((job) => [...job.openOccurrences.values()])
     .flatMap(({steps}) => steps)
-    .filter(({waitingIndexes: waiting}) => waiting.length > 0);
+    .filter(({waitingIndexes}) => waitingIndexes.length > 0);
 }
 
-/** Sizes of tasks, without those that a smaller one stands for. */
-function smallestSizes(
+/**
+ * Returns the task sizes of the steps, without those that are at least as large
+ * as another one.
+ */
+function findSmallestSizes(
   steps: readonly scheduling.activeJob.StepRun[],
 ): types.resources.Resources[] {
   const smallest: types.resources.Resources[] = [];
   for (const {request} of steps) {
     const {size} = request;
-    if (smallest.some((one) => types.resources.fits(one, size))) continue;
+    if (smallest.some((smaller) => types.resources.fits(smaller, size)))
+      continue;
     smallest.push(size);
   }
   return smallest;
--- a/packages/gypsumwall-bench/src/step_bench.ts
+++ b/packages/gypsumwall-bench/src/step_bench.ts
@@ -1,16 +1,17 @@
-/** Processor time of the scheduler of step jobs, by workers and load. */
+/** Measures the processor time of the step scheduler by number of workers. */
 import type * as benchModule from './bench_module.js';
 import * as statistics from './statistics.js';
 import * as stepCell from './step_cell.js';
 import * as stepLoad from './step_load.js';
 
-/** The load is made for this many workers and grows with them. */
+/**
+ * The load is defined for this many workers and is scaled to the actual number.
+ */
 const PEAK_WORKERS = 246;
-const SECONDS = 30;
-/** As in the cells that the load was taken from. */
+const RUN_SECONDS = 30;
+/** Same ratio as in the cells from which the load was taken. */
 const WORKERS_PER_ENTRY = 8;
 
-/** The bench. */
 export const STEP_BENCH: benchModule.BenchModule = {
   name: 'step-jobs',
   run: (options) => Promise.resolve(runAll(options)),
@@ -24,25 +25,25 @@
       stepCell.runStepCell({
         workers,
         entries: Math.ceil(workers / WORKERS_PER_ENTRY),
-        seconds: SECONDS,
+        seconds: RUN_SECONDS,
         seed,
         load: workers / PEAK_WORKERS,
       }),
     );
-    const over = (pick: (run: stepCell.StepCellResult) => number) =>
-      statistics.spread(runs.map(pick));
+    const summarize = (valueOf: (run: stepCell.StepCellResult) => number) =>
+      statistics.formatMedianAndRange(runs.map(valueOf));
     return [
       workers,
-      over((run) => run.starts / run.seconds),
-      over((run) => (run.schedulerMs * 1_000) / run.starts),
-      over((run) => run.schedulerMs / run.seconds / 1_000),
-      over((run) => run.longestPassMs),
-      ...kinds.map((kind) => over((run) => run.onTime.get(kind) ?? 0)),
+      summarize((run) => run.starts / run.seconds),
+      summarize((run) => (run.schedulerMs * 1_000) / run.starts),
+      summarize((run) => run.schedulerMs / run.seconds / 1_000),
+      summarize((run) => run.maxCycleMs),
+      ...kinds.map((kind) => summarize((run) => run.onTime.get(kind) ?? 0)),
     ];
   });
   return {
     notes: [
-      `${SECONDS} s on a virtual clock, seeds ${seeds.join(', ')}; the load grows with the workers; processor time is that of the scheduler alone, without calls`,
+      `${RUN_SECONDS} s on a virtual clock, seeds ${seeds.join(', ')}; the load grows with the workers; processor time is that of the scheduler alone, without calls`,
     ],
     tables: [
       {
--- a/packages/gypsumwall-bench/src/step_load.ts
+++ b/packages/gypsumwall-bench/src/step_load.ts
@@ -1,42 +1,42 @@
 /**
- * The load of a cell whose workers are shared by three kinds of jobs: few wide
- * ones with large tasks, some wide ones with small tasks, and many urgent ones
- * of two or three tasks. The figures are those of a planning service at its
- * peak, as its operators gave them: rates, widths, sizes and the time their
- * adviser takes; a rack and a worker are as theirs.
+ * The load of a cell in which three kinds of jobs share the workers: few wide
+ * jobs with large tasks, more wide jobs with small tasks, and many urgent jobs
+ * of two or three tasks. The arrival rates, widths, sizes and adviser latencies
+ * are those of a planning service at its peak, as reported by its operators.
+ * Racks and workers have the same sizes as theirs.
  */
 import type * as scheduling from '@gypsumwall/scheduling';
 import type * as types from '@gypsumwall/types';
-import * as draw from './draw.js';
+import * as distributions from './distributions.js';
 
-/** One kind of jobs. */
+/** A kind of jobs. */
 export interface JobKind {
   readonly name: string;
-  /** Jobs a second. */
+  /** Arrivals per second. */
   readonly rate: number;
   readonly policy: scheduling.jobRequest.QueuePolicy;
   readonly meanSteps: number;
-  readonly mostSteps: number;
+  readonly maxSteps: number;
   readonly meanTasks: number;
-  readonly mostTasks: number;
+  readonly maxTasks: number;
   readonly cpuMillis: number;
   readonly memoryMb: number;
-  /** Mean time of a task on a worker of usual speed, in milliseconds. */
+  /** Mean run time of a task on a worker of usual speed. */
   readonly workMs: number;
-  /** Share of the steps whose tasks run all together. */
+  /** Share of the steps that are gangs. */
   readonly gangShare: number;
   /** Share of the workers that the adviser approves. */
   readonly approvedShare: number;
-  /** Share of the runs that fail at some point, through nobody's fault. */
+  /** Share of the attempts that fail at random. */
   readonly failingShare: number;
 }
 
-/** The pool that all of them run in. */
+/** The pool in which all kinds of jobs run. */
 export const POOL = 'pool';
 
 const COMMON = {pool: POOL, maxFailures: 4} as const;
 
-/** A few seconds in which a kind comes more often. */
+/** A period in which jobs of a kind arrive more often. */
 export interface Burst {
   readonly kind: string;
   readonly factor: number;
@@ -44,13 +44,13 @@
   readonly toMs: number;
 }
 
-/** Bursts as the operators see them. */
+/** Bursts as observed by the operators. */
 export const BURSTS: readonly Burst[] = [
   {kind: 'urgent', factor: 2.1, fromMs: 7_000, toMs: 11_000},
   {kind: 'wide-large', factor: 1.6, fromMs: 20_000, toMs: 24_000},
 ];
 
-/** The kinds at the peak of a cell of 246 workers. */
+/** The kinds of jobs at the peak of a cell of 246 workers. */
 export const PEAK_KINDS: readonly JobKind[] = [
   {
     name: 'wide-large',
@@ -64,9 +64,9 @@
       advice: {callMs: 572, perWorkerMs: 8.06, validMs: 2_000},
     },
     meanSteps: 1.2,
-    mostSteps: 3,
+    maxSteps: 3,
     meanTasks: 20,
-    mostTasks: 120,
+    maxTasks: 120,
     cpuMillis: 4_500,
     memoryMb: 8_100,
     workMs: 5_000,
@@ -86,9 +86,9 @@
       advice: {callMs: 104, perWorkerMs: 1.43, validMs: 2_000},
     },
     meanSteps: 1.5,
-    mostSteps: 4,
+    maxSteps: 4,
     meanTasks: 25,
-    mostTasks: 150,
+    maxTasks: 150,
     cpuMillis: 1_700,
     memoryMb: 2_500,
     workMs: 2_200,
@@ -108,9 +108,9 @@
       advice: {callMs: 14.3, perWorkerMs: 0.21, validMs: 2_000},
     },
     meanSteps: 1,
-    mostSteps: 1,
+    maxSteps: 1,
     meanTasks: 3.2,
-    mostTasks: 19,
+    maxTasks: 19,
     cpuMillis: 2_500,
     memoryMb: 4_600,
     workMs: 1_000,
@@ -120,12 +120,12 @@
   },
 ];
 
-/** Draws a job of a kind. */
+/** Draws a request for a job of the given kind. */
 export function drawRequest(
   kind: JobKind,
   random: types.random.Random,
 ): scheduling.jobRequest.JobRequest {
-  const count = bounded(random, kind.meanSteps, 0.4, kind.mostSteps);
+  const count = drawBounded(random, kind.meanSteps, 0.4, kind.maxSteps);
   const steps: scheduling.jobRequest.StepRequest[] = [];
   for (let number = 0; number < count; number++) {
     steps.push(drawStep(kind, random, number));
@@ -139,13 +139,13 @@
   number: number,
 ): scheduling.jobRequest.StepRequest {
   return {
-    taskCount: bounded(random, kind.meanTasks, 0.8, kind.mostTasks),
+    taskCount: drawBounded(random, kind.meanTasks, 0.8, kind.maxTasks),
     size: {
-      cpuMillis: Math.ceil(kind.cpuMillis * draw.jitter(random)),
-      memoryMb: Math.ceil(kind.memoryMb * draw.jitter(random)),
+      cpuMillis: Math.ceil(kind.cpuMillis * distributions.drawJitter(random)),
+      memoryMb: Math.ceil(kind.memoryMb * distributions.drawJitter(random)),
       accelerators: 0,
     },
-    expectedMs: kind.workMs * draw.logNormalMean(random, 1, 0.5),
+    expectedMs: kind.workMs * distributions.drawLogNormal(random, 1, 0.5),
     after: number === 0 ? [] : [number - 1],
     savesProgress: false,
     gang: random.next() < kind.gangShare,
@@ -156,12 +156,12 @@
   };
 }
 
-function bounded(
+function drawBounded(
   random: types.random.Random,
   mean: number,
   sigma: number,
-  most: number,
+  max: number,
 ): number {
-  const drawn = Math.round(draw.logNormalMean(random, mean, sigma));
-  return Math.min(most, Math.max(1, drawn));
+  const drawn = Math.round(distributions.drawLogNormal(random, mean, sigma));
+  return Math.min(max, Math.max(1, drawn));
 }
--- a/packages/gypsumwall-bench/src/virtual_decider.ts
+++ b/packages/gypsumwall-bench/src/virtual_decider.ts
@@ -1,78 +1,88 @@
-/** One decider of a virtual cell: a scheduler and the process that runs it. */
+/** A decider of a virtual cell: a scheduler and the process that runs it. */
 import * as scheduling from '@gypsumwall/scheduling';
 import type * as types from '@gypsumwall/types';
-import * as adviserLines from './adviser_lines.js';
-import type * as runEnds from './run_ends.js';
+import * as adviserCalls from './adviser_calls.js';
+import type * as attemptOutcomes from './attempt_outcomes.js';
 import type * as virtualProcess from './virtual_process.js';
 import type * as virtualTimeline from './virtual_timeline.js';
 import * as workerCalls from './worker_calls.js';
 
-/** Time of an append; milliseconds. */
-const STORE_MS = 16;
-/** What a worker takes to stop a task; milliseconds. */
-const STOP_MS = 150;
-/** Pauses before a cycle, as the holder makes them. */
-const CYCLE_GAP_MS = 3;
-const CYCLE_GAP_FACTOR = 4;
-
-/** A job as a decider takes it up. */
+/** Duration of an append to the store. */
+const APPEND_MS = 16;
+/** Time that a worker takes to stop a task. */
+const STOP_TASK_MS = 150;
+/**
+ * Delay before a scheduling cycle, as the holder waits: at least
+ * `MIN_CYCLE_DELAY_MS`, and `CYCLE_DELAY_FACTOR` times the duration of the
+ * previous cycle.
+ */
+const MIN_CYCLE_DELAY_MS = 3;
+const CYCLE_DELAY_FACTOR = 4;
+
+/** A job as it is passed to a decider. */
 export type JobStart = Omit<
   scheduling.jobSteps.JobStart,
   'arrival' | 'inherited'
 >;
 
-/** What a decider is made of. */
+/** Dependencies of a decider. */
 export interface DeciderParts {
   readonly timeline: virtualTimeline.VirtualTimeline;
   readonly process: virtualProcess.VirtualProcess;
-  /** Entries whose calls to the adviser it may use. */
+  /** Entries through which the decider may call the adviser. */
   readonly entries: readonly string[];
   readonly attemptBase: number;
-  readonly drawEnd: runEnds.DrawEnd;
-  readonly adviser: adviserLines.Adviser;
+  readonly drawOutcome: attemptOutcomes.DrawOutcome;
+  readonly adviser: adviserCalls.Adviser;
   readonly callsFor: (worker: types.ids.WorkerId) => workerCalls.WorkerCalls;
-  /** Has starts sent; absent: they are sent as they are decided. */
-  readonly launch?: (
+  /**
+   * Takes the decided starts, to send them later; if absent, they are sent at
+   * once.
+   */
+  readonly dispatchStarts?: (
     starts: readonly scheduling.schedulerTypes.StartOrder[],
   ) => void;
-  /** Starts are sent. */
+  /** Called when starts are sent. */
   readonly onStarts: (
     starts: readonly scheduling.schedulerTypes.StartOrder[],
   ) => void;
-  readonly onRunOver?: (run: scheduling.activeJob.Attempt) => void;
+  readonly onAttemptEnd?: (attempt: scheduling.activeJob.Attempt) => void;
   readonly onJobOver: (job: types.ids.JobId) => void;
 }
 
-/** One decider. */
+/** A decider of a virtual cell. */
 export interface VirtualDecider {
   readonly scheduler: scheduling.schedulerTypes.Scheduler;
   readonly process: virtualProcess.VirtualProcess;
-  /** Jobs that the adviser was asked about. */
+  /** Unfinished jobs for which the adviser was called. */
   readonly jobs: ReadonlyMap<types.ids.JobId, scheduling.activeJob.ActiveJob>;
   accept(start: JobStart): void;
-  /** Gives a job away; nothing of it may run. */
-  giveAway(job: scheduling.activeJob.ActiveJob): JobStart;
-  /** Sends starts to workers. */
-  send(starts: readonly scheduling.schedulerTypes.StartOrder[]): void;
-  /** Starts that surely never run. */
-  refuse(starts: readonly scheduling.schedulerTypes.StartOrder[]): void;
+  /**
+   * Removes a job so that another decider can accept it; none of its tasks may
+   * run.
+   */
+  transferOut(job: scheduling.activeJob.ActiveJob): JobStart;
+  /** Sends the starts to the workers. */
+  sendStarts(starts: readonly scheduling.schedulerTypes.StartOrder[]): void;
+  /** Reports that these starts were never sent and will not run. */
+  refuseStarts(starts: readonly scheduling.schedulerTypes.StartOrder[]): void;
   requestCycle(): void;
-  adviserCalls(): number;
+  adviserCallCount(): number;
 }
 
-/** Creates a decider without jobs or workers. */
+/** Creates a decider without jobs and workers. */
 export function createVirtualDecider(parts: DeciderParts): VirtualDecider {
   const {timeline, process} = parts;
-  const launch = parts.launch ?? send;
+  const dispatchStarts = parts.dispatchStarts ?? sendStarts;
   const jobs = new Map<types.ids.JobId, scheduling.activeJob.ActiveJob>();
-  const leaving = new Set<types.ids.JobId>();
+  const transferredOut = new Set<types.ids.JobId>();
   const running = new Map<
     types.ids.WorkerId,
     Set<scheduling.activeJob.Attempt>
   >();
   const sequences = new Map<types.ids.WorkerId, number>();
-  let planned = false;
-  let gapMs = CYCLE_GAP_MS;
+  let isCyclePlanned = false;
+  let cycleDelayMs = MIN_CYCLE_DELAY_MS;
 
   const scheduler = scheduling.scheduler.createScheduler({
     attemptBase: parts.attemptBase,
@@ -80,10 +90,10 @@
     onEvent(event) {
       if (event.type !== 'job_over') return;
       jobs.delete(event.job);
-      if (!leaving.delete(event.job)) parts.onJobOver(event.job);
+      if (!transferredOut.delete(event.job)) parts.onJobOver(event.job);
     },
   });
-  const lines = adviserLines.createAdviserLines({
+  const adviser = adviserCalls.createAdviserCalls({
     ...parts,
     scheduler,
     onAnswer: requestCycle,
@@ -91,37 +101,37 @@
   const wall = () => timeline.now() as unknown as types.clock.WallMs;
 
   function requestCycle(): void {
-    if (planned) return;
-    planned = true;
-    timeline.later(gapMs, () => process.handle(0, cycle));
+    if (isCyclePlanned) return;
+    isCyclePlanned = true;
+    timeline.schedule(cycleDelayMs, () => process.enqueue(0, runCycle));
   }
 
-  function cycle(): void {
-    planned = false;
+  function runCycle(): void {
+    isCyclePlanned = false;
     let decisions: scheduling.schedulerTypes.Decisions = {
       starts: [],
       advice: [],
     };
-    const tookMs = process.measure(() => {
-      const capacity = lines.capacity();
+    const cycleMs = process.measure(() => {
+      const capacity = adviser.capacity();
       decisions = scheduler.decide(timeline.now(), wall(), capacity);
     });
-    gapMs = Math.max(CYCLE_GAP_MS, tookMs * CYCLE_GAP_FACTOR);
-    store();
-    if (decisions.starts.length > 0) launch(decisions.starts);
-    for (const wish of decisions.advice) {
-      const {job} = wish.stepRun;
+    cycleDelayMs = Math.max(MIN_CYCLE_DELAY_MS, cycleMs * CYCLE_DELAY_FACTOR);
+    appendDirty();
+    if (decisions.starts.length > 0) dispatchStarts(decisions.starts);
+    for (const request of decisions.advice) {
+      const {job} = request.stepRun;
       jobs.set(job.id, job);
-      lines.ask(wish);
+      adviser.requestAdvice(request);
     }
   }
 
-  function store(): void {
+  function appendDirty(): void {
     const dirty = scheduler.takeDirty();
     if (dirty.length === 0) return;
-    process.handle(workerCalls.CALL_MS, () => {
-      timeline.later(STORE_MS, () => {
-        process.handle(0, () => {
+    process.enqueue(workerCalls.CALL_COST_MS, () => {
+      timeline.schedule(APPEND_MS, () => {
+        process.enqueue(0, () => {
           process.measure(() => scheduler.onStored(dirty));
           requestCycle();
         });
@@ -129,72 +139,75 @@
     });
   }
 
-  function send(starts: readonly scheduling.schedulerTypes.StartOrder[]): void {
+  function sendStarts(
+    starts: readonly scheduling.schedulerTypes.StartOrder[],
+  ): void {
     parts.onStarts(starts);
     const batches = new Map<workerCalls.WorkerCalls, workerCalls.Order[]>();
-    for (const {attempt: run} of starts) {
-      const calls = parts.callsFor(run.workerId);
+    for (const {attempt} of starts) {
+      const calls = parts.callsFor(attempt.workerId);
       const batch = batches.get(calls) ?? [];
       batches.set(calls, batch);
       batch.push({
-        workerId: run.workerId,
-        arrive: () => begin(run),
-        answer: () => answer(run),
+        workerId: attempt.workerId,
+        onArrival: () => startAttempt(attempt),
+        onAnswer: () => confirmStart(attempt),
       });
     }
     for (const [calls, batch] of batches) calls.send(batch);
   }
 
-  function answer(run: scheduling.activeJob.Attempt): void {
+  function confirmStart(attempt: scheduling.activeJob.Attempt): void {
     process.measure(() =>
-      scheduler.onStartAnswered(run, {type: 'started'}, timeline.now()),
+      scheduler.onStartAnswered(attempt, {type: 'started'}, timeline.now()),
     );
   }
 
-  function begin(run: scheduling.activeJob.Attempt): void {
-    const runs = running.get(run.workerId) ?? new Set();
-    running.set(run.workerId, runs.add(run));
-    const {spanMs, how} = parts.drawEnd(run);
-    timeline.later(spanMs, () => end(run, how));
+  function startAttempt(attempt: scheduling.activeJob.Attempt): void {
+    const attempts = running.get(attempt.workerId) ?? new Set();
+    running.set(attempt.workerId, attempts.add(attempt));
+    const {spanMs, outcome} = parts.drawOutcome(attempt);
+    timeline.schedule(spanMs, () => endAttempt(attempt, outcome));
   }
 
-  function end(
-    run: scheduling.activeJob.Attempt,
-    how: scheduling.jobSteps.AttemptOutcome,
+  function endAttempt(
+    attempt: scheduling.activeJob.Attempt,
+    outcome: scheduling.jobSteps.AttemptOutcome,
   ): void {
-    const {taskId, number: attempt, workerId} = run;
-    const runs = running.get(workerId);
-    if (runs?.delete(run) !== true) return;
-    parts.onRunOver?.(run);
+    const {taskId, number, workerId} = attempt;
+    const attempts = running.get(workerId);
+    if (attempts?.delete(attempt) !== true) return;
+    parts.onAttemptEnd?.(attempt);
     const sequence = (sequences.get(workerId) ?? 0) + 1;
     sequences.set(workerId, sequence);
     const report: scheduling.schedulerTypes.WorkerReport = {
       workerId,
       askedAt: timeline.now(),
-      running: [...runs].map((one) => ({
-        taskId: one.taskId,
-        attempt: one.number,
+      running: [...attempts].map((other) => ({
+        taskId: other.taskId,
+        attempt: other.number,
         checkpoint: '',
-        percent: parts.drawEnd.percent(),
+        percent: parts.drawOutcome.drawPercent(),
       })),
-      ends: [{sequence, taskId, attempt, how, checkpoint: ''}],
+      ends: [{sequence, taskId, attempt: number, how: outcome, checkpoint: ''}],
       complete: true,
     };
-    parts.callsFor(workerId).bring(workerId, () => take(report));
+    parts.callsFor(workerId).deliverReport(workerId, () => applyReport(report));
   }
 
-  function take(report: scheduling.schedulerTypes.WorkerReport): void {
+  function applyReport(report: scheduling.schedulerTypes.WorkerReport): void {
     process.measure(() => scheduler.applyReport(report, timeline.now()));
-    for (const run of scheduler.takeStops()) stop(run);
-    store();
+    for (const attempt of scheduler.takeStops()) stopTask(attempt);
+    appendDirty();
     requestCycle();
   }
 
-  function stop(run: scheduling.activeJob.Attempt): void {
-    const {workerId} = run;
-    const arrive = () => timeline.later(STOP_MS, () => end(run, 'stopped'));
-    const answered = () => scheduler.onStopAnswered(run, timeline.now());
-    parts.callsFor(workerId).send([{workerId, arrive, answer: answered}]);
+  function stopTask(attempt: scheduling.activeJob.Attempt): void {
+    const {workerId} = attempt;
+    const onArrival = () =>
+      timeline.schedule(STOP_TASK_MS, () => endAttempt(attempt, 'stopped'));
+    const onAnswer = () => scheduler.onStopAnswered(attempt, timeline.now());
+    parts.callsFor(workerId).send([{workerId, onArrival, onAnswer}]);
   }
 
   return {
@@ -202,7 +215,7 @@
     process,
     jobs,
     accept(start) {
-      process.handle(workerCalls.CALL_MS, () => {
+      process.enqueue(workerCalls.CALL_COST_MS, () => {
         process.measure(() =>
           scheduler.addJob(
             {...start, inherited: false},
@@ -213,10 +226,10 @@
         requestCycle();
       });
     },
-    giveAway(job) {
+    transferOut(job) {
       const {id, request, policy, acceptedAt} = job;
       const progress = scheduling.activeJob.progressOf(job);
-      leaving.add(id);
+      transferredOut.add(id);
       scheduler.cancelJob(id);
       return {
         id,
@@ -226,15 +239,15 @@
         progress: {...progress, workers: []},
       };
     },
-    send,
-    refuse(starts) {
-      for (const {attempt: run} of starts) {
+    sendStarts,
+    refuseStarts(starts) {
+      for (const {attempt} of starts) {
         const outcome = {type: 'refused', reason: 'superseded'} as const;
-        scheduler.onStartAnswered(run, outcome, timeline.now());
+        scheduler.onStartAnswered(attempt, outcome, timeline.now());
       }
       requestCycle();
     },
     requestCycle,
-    adviserCalls: () => lines.calls(),
+    adviserCallCount: () => adviser.callCount(),
   };
 }
--- a/packages/gypsumwall-bench/src/virtual_process.ts
+++ b/packages/gypsumwall-bench/src/virtual_process.ts
@@ -1,18 +1,22 @@
 /**
- * A process with one thread on a virtual timeline. Calls take a set time of
- * it, decisions what they took on the real processor; the rest waits in line.
+ * A single-threaded process on a virtual timeline. Calls occupy its thread for
+ * a fixed time, and decisions for the time that they took on the real
+ * processor. Work that arrives meanwhile waits in a queue.
  */
 import type * as virtualTimeline from './virtual_timeline.js';
 
-/** One process. */
+/** A single-threaded process. */
 export interface VirtualProcess {
-  /** Does some work after a set time of the thread, in its turn. */
-  handle(costMs: number, work: () => void): void;
-  /** Work whose real time the thread is busy for; that time. */
+  /** Queues work that occupies the thread for `costMs` before it runs. */
+  enqueue(costMs: number, work: () => void): void;
+  /**
+   * Runs work, occupies the thread for the real time it took, and returns that
+   * time.
+   */
   measure(work: () => void): number;
-  /** Milliseconds that the thread was busy for. */
+  /** Time for which the thread was busy. */
   busyMs(): number;
-  /** Of these, those that were measured. */
+  /** The part of `busyMs` that `measure` measured. */
   measuredMs(): number;
 }
 
@@ -22,40 +26,40 @@
 ): VirtualProcess {
   let queue: {costMs: number; work: () => void}[] = [];
   let head = 0;
-  let running = false;
-  let pendingMs = 0;
+  let isRunning = false;
+  let measuredInItemMs = 0;
   let busyMs = 0;
   let measuredMs = 0;
 
-  function next(): void {
+  function runNext(): void {
     const item = queue[head++];
-    running = item !== undefined;
+    isRunning = item !== undefined;
     if (item === undefined) {
       queue = [];
       head = 0;
       return;
     }
     busyMs += item.costMs;
-    timeline.later(item.costMs, () => {
-      pendingMs = 0;
+    timeline.schedule(item.costMs, () => {
+      measuredInItemMs = 0;
       item.work();
-      timeline.later(pendingMs, next);
+      timeline.schedule(measuredInItemMs, runNext);
     });
   }
 
   return {
-    handle(costMs, work) {
+    enqueue(costMs, work) {
       queue.push({costMs, work});
-      if (!running) next();
+      if (!isRunning) runNext();
     },
     measure(work) {
-      const from = performance.now();
+      const startedAt = performance.now();
       work();
-      const tookMs = performance.now() - from;
-      pendingMs += tookMs;
-      busyMs += tookMs;
-      measuredMs += tookMs;
-      return tookMs;
+      const elapsedMs = performance.now() - startedAt;
+      measuredInItemMs += elapsedMs;
+      busyMs += elapsedMs;
+      measuredMs += elapsedMs;
+      return elapsedMs;
     },
     busyMs: () => busyMs,
     measuredMs: () => measuredMs,
--- a/packages/gypsumwall-bench/src/virtual_timeline.ts
+++ b/packages/gypsumwall-bench/src/virtual_timeline.ts
@@ -1,24 +1,24 @@
-/** A time of its own: events in order, each at its virtual moment. */
+/** A virtual clock with an event queue, for discrete-event simulation. */
 import type * as types from '@gypsumwall/types';
 
-/** What happens, and when. */
+/** A virtual clock and its scheduled events. */
 export interface VirtualTimeline {
   now(): types.clock.MonotonicMs;
-  later(spanMs: number, work: () => void): void;
-  /** Lets everything happen up to a moment. */
+  schedule(delayMs: number, callback: () => void): void;
+  /** Runs all events that are due at or before `endMs`. */
   runUntil(endMs: number): void;
 }
 
-/** Creates a timeline on which nothing is planned. */
+/** Creates a timeline without scheduled events. */
 export function createVirtualTimeline(startMs: number): VirtualTimeline {
-  /** Latest first, so that the next one is taken off the end. */
-  const events: {at: number; work: () => void}[] = [];
+  /** Ordered latest first, so that the next event is popped off the end. */
+  const events: {at: number; callback: () => void}[] = [];
   let now = startMs;
 
   return {
     now: () => now as types.clock.MonotonicMs,
-    later(spanMs, work) {
-      const at = now + spanMs;
+    schedule(delayMs, callback) {
+      const at = now + delayMs;
       let low = 0;
       let high = events.length;
       while (low < high) {
@@ -26,14 +26,14 @@
         if (events[middle]!.at > at) low = middle + 1;
         else high = middle;
       }
-      events.splice(low, 0, {at, work});
+      events.splice(low, 0, {at, callback});
     },
     runUntil(endMs) {
       for (;;) {
         const next = events.pop();
         if (next === undefined || next.at > endMs) break;
         now = next.at;
-        next.work();
+        next.callback();
       }
       now = endMs;
     },
--- a/packages/gypsumwall-bench/src/worker_calls.ts
+++ b/packages/gypsumwall-bench/src/worker_calls.ts
@@ -1,36 +1,40 @@
 /**
- * How orders reach workers and their reports come back: by the decider's own
- * calls, or in batches through helpers that make the calls.
+ * Transports for orders to workers and for their reports: the decider either
+ * calls the workers itself, or exchanges batches with helper processes that
+ * make the calls.
  */
 import type * as types from '@gypsumwall/types';
 import type * as virtualProcess from './virtual_process.js';
 import type * as virtualTimeline from './virtual_timeline.js';
 
-/** Processor time of a call and of one more item in a batch; milliseconds. */
-export const CALL_MS = 0.25;
-export const ITEM_MS = 0.02;
-/** Round trip between two processes; milliseconds. */
-export const ORDER_MS = 3;
-/** For how long a helper gathers what it hands on; milliseconds. */
-const GATHER_MS = 5;
+/** Processor time of a call. */
+export const CALL_COST_MS = 0.25;
+/** Processor time of each item in a batch. */
+export const BATCH_ITEM_COST_MS = 0.02;
+/** Round trip between two processes. */
+export const ROUND_TRIP_MS = 3;
+/**
+ * Time for which a helper collects answers and reports before it forwards them.
+ */
+const BATCH_WINDOW_MS = 5;
 
-/** An order to a worker. */
+/** An order to start or stop a task on a worker. */
 export interface Order {
   readonly workerId: types.ids.WorkerId;
-  /** At the worker. */
-  arrive(): void;
-  /** At the decider, once the worker has answered. */
-  answer(): void;
+  /** Called when the order reaches the worker. */
+  onArrival(): void;
+  /** Called at the decider when it receives the worker's answer. */
+  onAnswer(): void;
 }
 
-/** The calls of one decider to workers. */
+/** The transport between one decider and the workers. */
 export interface WorkerCalls {
   send(orders: readonly Order[]): void;
-  /** Brings a worker's report to the decider. */
-  bring(workerId: types.ids.WorkerId, apply: () => void): void;
+  /** Delivers a worker's report to the decider. */
+  deliverReport(workerId: types.ids.WorkerId, apply: () => void): void;
 }
 
-/** Calls that the decider makes itself. */
+/** Creates a transport in which the decider calls the workers itself. */
 export function createDirectCalls(
   timeline: virtualTimeline.VirtualTimeline,
   process: virtualProcess.VirtualProcess,
@@ -38,56 +42,67 @@
   return {
     send(orders) {
       for (const order of orders) {
-        process.handle(CALL_MS, () => {
-          timeline.later(ORDER_MS / 2, () => order.arrive());
-          timeline.later(ORDER_MS, () =>
-            process.handle(0, () => order.answer()),
+        process.enqueue(CALL_COST_MS, () => {
+          timeline.schedule(ROUND_TRIP_MS / 2, () => order.onArrival());
+          timeline.schedule(ROUND_TRIP_MS, () =>
+            process.enqueue(0, () => order.onAnswer()),
           );
         });
       }
     },
-    bring: (_, apply) => process.handle(CALL_MS, apply),
+    deliverReport: (_, apply) => process.enqueue(CALL_COST_MS, apply),
   };
 }
 
-/** Calls that helpers make, each for its own workers. */
-export function createHelpedCalls(
+/**
+ * Creates a transport in which helpers call the workers; each worker has one
+ * helper.
+ */
+export function createHelperCalls(
   timeline: virtualTimeline.VirtualTimeline,
   process: virtualProcess.VirtualProcess,
   helperOf: (workerId: types.ids.WorkerId) => virtualProcess.VirtualProcess,
 ): WorkerCalls {
-  const gathered = new Map<virtualProcess.VirtualProcess, (() => void)[]>();
+  const pendingBatches = new Map<
+    virtualProcess.VirtualProcess,
+    (() => void)[]
+  >();
 
-  function handOn(helper: virtualProcess.VirtualProcess): void {
-    const items = gathered.get(helper) ?? [];
-    gathered.delete(helper);
-    helper.handle(CALL_MS, () => {
-      timeline.later(ORDER_MS / 2, () => {
-        const costMs = CALL_MS + items.length * ITEM_MS;
-        process.handle(costMs, () => {
+  function forwardBatch(helper: virtualProcess.VirtualProcess): void {
+    const items = pendingBatches.get(helper) ?? [];
+    pendingBatches.delete(helper);
+    helper.enqueue(CALL_COST_MS, () => {
+      timeline.schedule(ROUND_TRIP_MS / 2, () => {
+        const costMs = CALL_COST_MS + items.length * BATCH_ITEM_COST_MS;
+        process.enqueue(costMs, () => {
           for (const item of items) item();
         });
       });
     });
   }
 
-  function gather(
+  function addToBatch(
     helper: virtualProcess.VirtualProcess,
     item: () => void,
   ): void {
-    const items = gathered.get(helper);
+    const items = pendingBatches.get(helper);
     if (items !== undefined) {
       items.push(item);
       return;
     }
-    gathered.set(helper, [item]);
-    timeline.later(GATHER_MS, () => handOn(helper));
+    pendingBatches.set(helper, [item]);
+    timeline.schedule(BATCH_WINDOW_MS, () => forwardBatch(helper));
   }
 
-  function call(helper: virtualProcess.VirtualProcess, order: Order): void {
-    helper.handle(CALL_MS, () => {
-      timeline.later(ORDER_MS / 2, () => order.arrive());
-      timeline.later(ORDER_MS, () => gather(helper, () => order.answer()));
+  function callWorker(
+    helper: virtualProcess.VirtualProcess,
+    order: Order,
+  ): void {
+    helper.enqueue(CALL_COST_MS, () => {
+      timeline.schedule(ROUND_TRIP_MS / 2, () => order.onArrival());
+      timeline.schedule(ROUND_TRIP_MS, () =>
+        addToBatch(helper, () => order.onAnswer()),
+      );
     });
   }
 
@@ -101,37 +116,46 @@
         batch.push(order);
       }
       for (const [helper, batch] of batches) {
-        process.handle(CALL_MS + batch.length * ITEM_MS, () => {
-          timeline.later(ORDER_MS / 2, () => {
-            for (const order of batch) call(helper, order);
-          });
-        });
+        process.enqueue(
+          CALL_COST_MS + batch.length * BATCH_ITEM_COST_MS,
+          () => {
+            timeline.schedule(ROUND_TRIP_MS / 2, () => {
+              for (const order of batch) callWorker(helper, order);
+            });
+          },
+        );
       }
     },
-    bring(workerId, apply) {
+    deliverReport(workerId, apply) {
       const helper = helperOf(workerId);
-      helper.handle(CALL_MS, () => gather(helper, apply));
+      helper.enqueue(CALL_COST_MS, () => addToBatch(helper, apply));
     },
   };
 }
 
-/** Calls that another decider makes; only it talks to the workers. */
+/**
+ * Creates a transport that goes through another decider, the only one that
+ * calls the workers.
+ */
 export function createRelayedCalls(
   timeline: virtualTimeline.VirtualTimeline,
   process: virtualProcess.VirtualProcess,
   calls: WorkerCalls,
 ): WorkerCalls {
-  const back = (work: () => void) => () =>
-    timeline.later(ORDER_MS / 2, () => process.handle(ITEM_MS, work));
+  const deliverBack = (work: () => void) => () =>
+    timeline.schedule(ROUND_TRIP_MS / 2, () =>
+      process.enqueue(BATCH_ITEM_COST_MS, work),
+    );
   return {
     send(orders) {
       calls.send(
         orders.map((order) => ({
           ...order,
-          answer: back(() => order.answer()),
+          onAnswer: deliverBack(() => order.onAnswer()),
         })),
       );
     },
-    bring: (workerId, apply) => calls.bring(workerId, back(apply)),
+    deliverReport: (workerId, apply) =>
+      calls.deliverReport(workerId, deliverBack(apply)),
   };
 }
