--- a/packages/gypsumwall-scheduling/src/__tests__/scheduler.test.ts
+++ b/packages/gypsumwall-scheduling/src/__tests__/scheduler.test.ts
@@ -35,9 +35,10 @@
   assert.equal(world.scheduler.decide(world.now, wall).starts.length, 1);
 });
 
-// Guards against jobs that callers see as running while they wait. The workers
-// of a job are recorded before its tasks start, and the capacity on them may be
-// used by other jobs before the record is committed.
+// Guards against jobs that callers see as running while they wait: two jobs
+// were reported as queued while seven waited. The workers of a job are recorded
+// before its tasks start, and the capacity on them may be used by other jobs
+// before the record is committed.
 test('a job stays queued until a worker has accepted a task', () => {
   const world = worlds.createSchedulerWorld();
   const w1 = world.addWorker('w1', 1);
@@ -295,8 +296,8 @@
 
 // Guards against gangs that are stopped and restarted just before their end, as
 // every third gang was on days without faults. The members on fast workers had
-// finished and waited at 100 for those on slow ones, at 80% and 25% of the
-// usual speed; after two seconds they looked stalled.
+// finished and waited at 100 for those on slow ones (80% compared with 25% of
+// the usual speed); after two seconds they looked stalled.
 test('members that wait for the slowest one of their gang are not stalled', () => {
   const world = worlds.createSchedulerWorld();
   const fast = world.addWorker('fast', 1);
--- a/packages/gypsumwall-scheduling/src/crash_attribution.ts
+++ b/packages/gypsumwall-scheduling/src/crash_attribution.ts
@@ -36,7 +36,10 @@
     attempts: readonly activeJob.Attempt[],
     now: types.clock.MonotonicMs,
   ): void;
-  /** Called when a worker answers: its incarnation has not crashed. */
+  /**
+   * Called when a worker answers: it was only cut off, and its incarnation has
+   * not crashed.
+   */
   onWorkerAnswered(worker: types.ids.WorkerId): void;
   /**
    * Called when all workers recorded for a job of an earlier scheduler are
