--- a/packages/gypsumwall-scheduling/src/active_job.ts
+++ b/packages/gypsumwall-scheduling/src/active_job.ts
@@ -99,8 +99,8 @@
   /** No task of it starts before this moment, because starts were refused. */
   backoffUntil?: types.clock.MonotonicMs;
   /**
-   * Since when it was due but not tried, or was placed only on workers that are
-   * not recorded for its job yet.
+   * Since when it was due but not tried, or had placements that could not start
+   * because the store had not committed their workers or crashes.
    */
   skippedSince?: types.clock.MonotonicMs;
 }
@@ -146,8 +146,8 @@
    */
   readonly unresolvedCrashes: Set<types.ids.WorkerId>;
   /**
-   * Whether it has crashes that are not stored yet: `new`, or the progress
-   * whose commit stores them.
+   * Set while crashes of its tasks are not stored: `new`, or the progress whose
+   * commit stores them.
    */
   unstoredCrashes?: 'new' | jobProgress.JobProgress;
   /** The failure domain in which its tasks are placed while it has capacity. */
--- a/packages/gypsumwall-scheduling/src/adviser_pool.ts
+++ b/packages/gypsumwall-scheduling/src/adviser_pool.ts
@@ -24,10 +24,10 @@
  */
 const IDLE_ENTRY_SHARE = 0.25;
 /**
- * Maximum duration of the calls queued at one entry. Further calls wait at the
- * holder, which picks the most urgent one once an entry is free; the adviser
- * would handle them in order of arrival, however late their jobs are by then;
- * milliseconds.
+ * An entry accepts no further call while the calls queued at it take longer
+ * than this; milliseconds. Further calls wait at the holder, which picks the
+ * most urgent one once an entry is free. Queued at the adviser, they would be
+ * handled in order of arrival, however late their jobs are by then.
  */
 const MAX_QUEUE_MS = 100;
 
--- a/packages/gypsumwall-scheduling/src/choose_worker.ts
+++ b/packages/gypsumwall-scheduling/src/choose_worker.ts
@@ -136,9 +136,10 @@
 
 /**
  * Chooses the best of the given workers with capacity for a task: trusted ones
- * first, then the rack near the data, then the failure domain of the job, and
- * then the worker with the least free processors, which leaves other workers
- * free for large tasks.
+ * first, then the rack near the data, then the failure domain of the job, then
+ * for a suspected task workers without suspected tasks of other jobs, and then
+ * the worker with the least free processors, which leaves other workers free
+ * for large tasks.
  */
 export function chooseWorker(
   stepRun: activeJob.StepRun,
--- a/packages/gypsumwall-scheduling/src/job_progress.ts
+++ b/packages/gypsumwall-scheduling/src/job_progress.ts
@@ -9,9 +9,9 @@
 
 /** Phase of a job. */
 export type JobPhase =
-  /** Accepted; no task was sent to a worker. */
+  /** Accepted; no worker is known to have accepted a task of the job. */
   | 'queued'
-  /** A task may have been sent to a worker. */
+  /** A worker has accepted a task of the job. */
   | 'running'
   | 'completed'
   | 'failed'
--- a/packages/gypsumwall-scheduling/src/place_isolated.ts
+++ b/packages/gypsumwall-scheduling/src/place_isolated.ts
@@ -54,8 +54,8 @@
 }
 
 /**
- * Chooses a worker reserved for the job first, then an idle worker, then any
- * other.
+ * Chooses a worker that is reserved for the job or runs an isolated task of it,
+ * then an idle worker, then any other.
  */
 function chooseIsolationWorker(
   stepRun: activeJob.StepRun,
--- a/packages/gypsumwall-scheduling/src/stall_detector.ts
+++ b/packages/gypsumwall-scheduling/src/stall_detector.ts
@@ -18,8 +18,8 @@
 export interface Stall {
   readonly attempts: activeJob.Attempt[];
   /**
-   * Whether the worker is at fault. Members of a gang stall all together,
-   * wherever the one at fault is, so they do not show that their worker is.
+   * Whether the worker is at fault. If one member of a gang stalls, all members
+   * do, so a stalled member does not show that its own worker is at fault.
    */
   readonly blamesWorker: boolean;
 }
--- a/packages/gypsumwall-scheduling/src/task_isolation.ts
+++ b/packages/gypsumwall-scheduling/src/task_isolation.ts
@@ -23,8 +23,8 @@
  */
 const ORDER_SLACK_MS = 1_000;
 /**
- * Maximum time for which a worker is reserved for a task while other jobs drain
- * from it; milliseconds.
+ * Maximum time for which a worker is reserved for a task while the attempts of
+ * other jobs on it end; milliseconds.
  */
 const MAX_RESERVATION_MS = 10_000;
 /** Maximum share of the workers that are reserved at once. */
@@ -39,12 +39,18 @@
 
 /** The isolated workers of a scheduler. */
 export interface TaskIsolation {
-  /** Whether a worker is reserved for the step's job. */
+  /**
+   * Whether a worker is reserved for the step's job or runs an isolated task of
+   * it.
+   */
   isReservedFor(
     stepRun: activeJob.StepRun,
     worker: types.ids.WorkerId,
   ): boolean;
-  /** Whether a worker is reserved for another job. */
+  /**
+   * Whether a worker is reserved for another job or runs an isolated task of
+   * another job.
+   */
   isClosedTo(stepRun: activeJob.StepRun, worker: types.ids.WorkerId): boolean;
   /** Whether a task that needs isolation may start on a worker now. */
   canStartIsolated(
@@ -100,8 +106,8 @@
     context: chooseWorker.ChoiceContext,
   ): void;
   /**
-   * Releases workers that no longer have to be reserved and returns them;
-   * called once before each cycle.
+   * Opens workers that no longer have to be closed to other jobs and returns
+   * them; called once before each cycle.
    */
   releaseExpired(now: types.clock.MonotonicMs): types.ids.WorkerId[];
 }
@@ -142,9 +148,7 @@
     return now - startedAt >= neededMs;
   }
 
-  /**
-   * Whether tasks were placed on a worker for which no start order exists yet.
-   */
+  /** Whether tasks without a start order yet are placed on a worker. */
   function hasUnstartedPlacements(
     worker: workerRegistry.RegisteredWorker,
   ): boolean {
--- a/packages/gypsumwall-scheduling/src/wait_reasons.ts
+++ b/packages/gypsumwall-scheduling/src/wait_reasons.ts
@@ -20,7 +20,10 @@
   | 'avoided'
   /** Reserved for a gang. */
   | 'reserved'
-  /** Closed to the step by the isolation of tasks that may crash a worker. */
+  /**
+   * Closed to the step by a task of another job that needs isolation, or not
+   * suitable for the isolated start of a task of this step.
+   */
   | 'isolated'
   | 'not_asked'
   | 'ticket_over'
--- a/packages/gypsumwall-scheduling/src/waiting_order.ts
+++ b/packages/gypsumwall-scheduling/src/waiting_order.ts
@@ -1,7 +1,7 @@
 /**
  * Sorts the waiting steps by the order in which they get capacity. From one
  * cycle to the next only few steps change their position, so sorting the
- * previous order again takes time that grows with these few only.
+ * previous order again takes time that is linear in the number of steps.
  */
 import type * as types from '@gypsumwall/types';
 import * as activeJob from './active_job.js';
