--- a/packages/gypsumwall-scheduling/src/plan_advice_calls.ts
+++ b/packages/gypsumwall-scheduling/src/plan_advice_calls.ts
@@ -60,8 +60,8 @@
   readonly registry: workerRegistry.WorkerRegistry;
   readonly now: types.clock.MonotonicMs;
   /**
-   * Whether the step could start on a worker, regardless of approval and free
-   * capacity.
+   * Whether health, isolation and reservations allow the step to use a worker.
+   * Pool, label, approval and free capacity are checked separately.
    */
   readonly canUse: (
     stepRun: activeJob.StepRun,
