--- a/packages/gypsumwall-cell/src/cell_holder.ts
+++ b/packages/gypsumwall-cell/src/cell_holder.ts
@@ -255,7 +255,8 @@
     isCycleScheduled = false;
     if (!isScheduling || stopping.signal.aborted) return;
     sendStops();
-    // Each start includes a lease, so nothing can be started without one.
+    // Each start grants a lease, so nothing is started while leases may not be
+    // renewed.
     if (!mayRenew()) return;
     const startedAt = clock.monotonic();
     const decisions = scheduler.decide(
--- a/packages/gypsumwall-cell/src/cell_state.ts
+++ b/packages/gypsumwall-cell/src/cell_state.ts
@@ -14,7 +14,10 @@
     storeRecords.UsedWorkerRecord
   >;
   apply(record: storeRecords.StoreRecord, offset: number): void;
-  /** Drops all other workers, because a load of the log contains only these. */
+  /**
+   * Drops all workers except these, because a load of the log contains all that
+   * exist.
+   */
   retainUsedWorkers(ids: ReadonlySet<types.ids.WorkerId>): void;
 }
 
--- a/packages/gypsumwall-cell/src/cell_writer.ts
+++ b/packages/gypsumwall-cell/src/cell_writer.ts
@@ -23,8 +23,8 @@
 const RETRY_ROUND_MS = 4_000;
 /**
  * Pause between batches, so that the task ends of some milliseconds share one
- * call. Each call has a cost, and a start waits for at most one call;
- * milliseconds.
+ * call. Each call has a cost, and a start that has to wait for a write is
+ * delayed by at most one pause; milliseconds.
  */
 const BATCH_PAUSE_MS = 10;
 /** Keeps a batch well below the store's limit for one call. */
--- a/packages/gypsumwall-cell/src/config_keeper.ts
+++ b/packages/gypsumwall-cell/src/config_keeper.ts
@@ -1,4 +1,4 @@
-/** Stores the newest operator's configuration that an entry has read. */
+/** Keeps the operator's newest configuration that an entry has read. */
 import * as result from 'true-myth/result';
 import type * as scheduling from '@gypsumwall/scheduling';
 import type * as telemetry from '@gypsumwall/telemetry';
--- a/packages/gypsumwall-cell/src/failover_policy.ts
+++ b/packages/gypsumwall-cell/src/failover_policy.ts
@@ -84,7 +84,7 @@
   return lastRecordAt > reachableSince ? lastRecordAt : reachableSince;
 }
 
-/** Factor by which a holder may exceed the usual silence. */
+/** How many times the usual silence a holder is allowed. */
 function backoffFactor({takeovers, now}: FailoverView): number {
   const recent = takeovers.filter((at) => now - at < TAKEOVER_WINDOW_MS).length;
   const doublings = Math.max(0, recent - TAKEOVERS_BEFORE_BACKOFF);
--- a/packages/gypsumwall-cell/src/forwarding_job_service.ts
+++ b/packages/gypsumwall-cell/src/forwarding_job_service.ts
@@ -2,9 +2,9 @@
  * The job service that callers use. It answers from this entry's local job
  * service while the store is available, and forwards calls to a peer while the
  * store refuses this entry or is slow. Queries are also forwarded until this
- * entry has read the records it missed. A slow store handles one append at a
- * time, so all entries then send their calls through the holder, which combines
- * them in batches.
+ * entry has read the records it missed. The store handles the appends of a
+ * log one at a time, so while it is slow all entries send their calls through
+ * the holder, which combines them in batches.
  */
 import type * as telemetry from '@gypsumwall/telemetry';
 import * as types from '@gypsumwall/types';
@@ -15,8 +15,8 @@
 /** Append latency above which calls go through the holder; milliseconds. */
 const SLOW_STORE_MS = 60;
 /**
- * Timeout of a call through the holder while the store is slow: two of its
- * appends; milliseconds.
+ * Timeout of a call through the holder while the store is slow, enough for two
+ * of the store's appends; milliseconds.
  */
 const SLOW_HOLDER_TIMEOUT_MS = 2_500;
 /** The same, after a first try that timed out; milliseconds. */
--- a/packages/gypsumwall-cell/src/holder_probe.ts
+++ b/packages/gypsumwall-cell/src/holder_probe.ts
@@ -2,8 +2,8 @@
  * Pings the cell's holder when its log has been silent for longer than usual.
  * Silence alone must last 0.9 s before a takeover, since a store that is sixty
  * times slower than usual looks the same. If the holder doesn't answer its
- * peers either, half of that is enough. The probe only reports; whether a claim
- * succeeds is decided at the end of the log.
+ * peers either, half of that is enough. The probe only reports: a claim succeeds
+ * only if the log still ends where the claimant has read it.
  */
 import * as types from '@gypsumwall/types';
 import * as failoverPolicy from './failover_policy.js';
--- a/packages/gypsumwall-cell/src/job_service.ts
+++ b/packages/gypsumwall-cell/src/job_service.ts
@@ -54,7 +54,7 @@
   | {readonly type: 'ok'; readonly value: Value}
   /** The call had no effect and will have none. */
   | {readonly type: 'not_run'; readonly retryAfterMs: number}
-  /** The call may have taken effect; the caller should query it. */
+  /** The call may have taken effect; the caller should repeat it. */
   | {readonly type: 'unknown'}
   | {readonly type: 'absent'}
   | {readonly type: 'invalid'; readonly message: string};
--- a/packages/gypsumwall-cell/src/job_table.ts
+++ b/packages/gypsumwall-cell/src/job_table.ts
@@ -12,9 +12,9 @@
   readonly id: types.ids.JobId;
   readonly queue: string;
   /**
-   * Undefined once the job is finished. Also undefined once the request was
-   * dropped from the store, which only happens to finished jobs, even if the
-   * end hasn't been read yet.
+   * Undefined once the job is known to be finished, or once the request was
+   * dropped from the store. The latter happens only to finished jobs, but this
+   * entry may not have read the job's end yet.
    */
   record: storeRecords.JobRecord | undefined;
   progress: scheduling.jobProgress.JobProgress;
@@ -34,15 +34,16 @@
     now: types.clock.MonotonicMs,
   ): boolean;
   /**
-   * Drops the requests of all other jobs, because a load contains only these.
+   * Drops the requests of all jobs except these, because a load of the log
+   * contains all requests that exist.
    */
   retainRequests(
     ids: ReadonlySet<types.ids.JobId>,
     now: types.clock.MonotonicMs,
   ): void;
   /**
-   * Drops all other finished jobs, because a load contains only the progress of
-   * these.
+   * Drops all finished jobs except these, because a load of the log contains
+   * all progress that exists.
    */
   retainProgress(ids: ReadonlySet<types.ids.JobId>): void;
   /** Jobs that were finished before the given moment. */
--- a/packages/gypsumwall-cell/src/pause_detector.ts
+++ b/packages/gypsumwall-cell/src/pause_detector.ts
@@ -7,8 +7,8 @@
 import type * as types from '@gypsumwall/types';
 
 /**
- * A larger change of the difference between the clocks is not drift;
- * milliseconds.
+ * A larger change of the difference between the clocks from one check to the
+ * next is a suspension or a step of the wall clock, not drift; milliseconds.
  */
 const MAX_DRIFT_MS = 250;
 
--- a/packages/gypsumwall-cell/src/peer_directory.ts
+++ b/packages/gypsumwall-cell/src/peer_directory.ts
@@ -40,9 +40,10 @@
 /** Outcome of a forwarded call. */
 export type RelayOutcome =
   | {readonly type: 'answered'; readonly res: peerProtocol.RelayRes}
-  /** No peer gave a definite answer, but one may have applied the call. */
+  /** No peer gave a definite answer. */
   | {
       readonly type: 'unanswered';
+      /** Whether a peer may have applied the call all the same. */
       readonly maybeApplied: boolean;
       /** Whether a peer received the call, is alive, and needs more time. */
       readonly isSlow: boolean;
@@ -118,8 +119,8 @@
   /**
    * Checks a peer that didn't answer a forwarded call in time; true if it is
    * alive. With a slow store a peer waits for its own append. When peers were
-   * avoided for that, they got no more calls, and 45 entries appended one by
-   * one.
+   * avoided for that, the holder got no more calls to combine, and 45 entries
+   * each sent their own appends.
    */
   async function checkUnanswered(
     peer: Peer,
--- a/packages/gypsumwall-cell/src/ports.ts
+++ b/packages/gypsumwall-cell/src/ports.ts
@@ -170,8 +170,8 @@
 export interface ListedWorker {
   readonly info: scheduling.workerRegistry.WorkerInfo;
   /**
-   * Minimum time until a draining worker leaves, counted from when the entry
-   * was written; milliseconds.
+   * Minimum time until a draining worker leaves, counted from when its list
+   * entry was written; milliseconds.
    */
   readonly leavesInMs?: number;
 }
--- a/packages/gypsumwall-cell/src/worker_roster.ts
+++ b/packages/gypsumwall-cell/src/worker_roster.ts
@@ -210,8 +210,8 @@
   /**
    * Whether a removed worker has left. The list removes a worker that has left,
    * and also one that was silent for too long, which may be cut off and still
-   * run tasks. A worker that announced its departure and wrote its list entry
-   * more recently can't have been removed for silence.
+   * run tasks. A worker that announced its departure, and whose last list entry
+   * is too recent for a removal for silence, must have left.
    */
   function hasLeft(id: types.ids.WorkerId): boolean {
     const entry = entries.get(id);
