--- a/packages/gypsumwall-cell/src/cell_entry.ts
+++ b/packages/gypsumwall-cell/src/cell_entry.ts
@@ -221,8 +221,9 @@
   }
 
   /**
-   * A replaced holder is probably unreachable, so it isn't used to ask the
-   * adviser either.
+   * Marks a holder that another entry has replaced as lost, so that the adviser
+   * isn't asked through it either. Counts the takeover unless the holder had
+   * released the cell.
    */
   function markReplacedHolder(before: claimView.CellClaim | undefined): void {
     if (before === undefined) return;
--- a/packages/gypsumwall-cell/src/failover_barrier.ts
+++ b/packages/gypsumwall-cell/src/failover_barrier.ts
@@ -4,12 +4,14 @@
  * lists all running attempts and refuses the old holder; or once its
  * incarnation has ended; or once every lease that an old holder may have
  * granted has expired. Until then its tasks may still run, and starting them
- * elsewhere would run them twice. An old holder whose appends aren't confirmed
- * renews leases only while more than half of the workers answer it, and only
- * for a limited time. Once more than half of the workers have answered the new
- * holder, at least one of any majority refuses the old one. Old leases have
- * therefore expired one lease after whichever of the two limits is reached
- * first.
+ * elsewhere would run them twice.
+ *
+ * An old holder whose appends aren't confirmed renews leases only while more
+ * than half of the workers answer it, and only for a limited time. Once more
+ * than half of the workers have answered the new holder, any majority that the
+ * old one needs includes a worker that refuses it. Old leases have therefore
+ * expired one lease after the old holder notices this, or after its time limit,
+ * whichever comes first.
  */
 import type * as types from '@gypsumwall/types';
 
--- a/packages/gypsumwall-cell/src/hedge.ts
+++ b/packages/gypsumwall-cell/src/hedge.ts
@@ -37,8 +37,8 @@
   readonly until: types.clock.MonotonicMs;
   /**
    * Whether to stop waiting because an immediate failure is more useful to the
-   * caller than a late answer. Only evaluated once the usual latency is
-   * exceeded.
+   * caller than a late answer. Evaluated after a failed call, and once an answer
+   * is overdue.
    */
   readonly shouldGiveUp?: () => boolean;
   /**
--- a/packages/gypsumwall-cell/src/worker_session.ts
+++ b/packages/gypsumwall-cell/src/worker_session.ts
@@ -29,7 +29,10 @@
  * milliseconds.
  */
 const ORDER_TIMEOUT_MS = 250;
-/** Pause after an unanswered poll or stop; milliseconds. */
+/**
+ * Pause after an unanswered poll, or an unanswered or refused stop;
+ * milliseconds.
+ */
 const RETRY_PAUSE_MS = 150;
 /**
  * Pause while ended attempts can't be stored. The worker answers at once with
