--- a/packages/gypsumwall-cell/src/__tests__/safeguards.test.ts
+++ b/packages/gypsumwall-cell/src/__tests__/safeguards.test.ts
@@ -85,7 +85,7 @@
     reachableSince: at(0),
     isHolderLost: false,
     takeovers: [],
-    leaving: false,
+    isLeaving: false,
     now: at(failoverPolicy.MAX_SILENCE_MS + 1),
     ...fields,
   };
--- a/packages/gypsumwall-cell/src/election.ts
+++ b/packages/gypsumwall-cell/src/election.ts
@@ -87,7 +87,7 @@
       reachableSince: follower.reachableSince(),
       isHolderLost: parts.isHolderLost(),
       takeovers: parts.takeovers(),
-      leaving: parts.isLeaving(),
+      isLeaving: parts.isLeaving(),
       now: clock.monotonic(),
     });
   }
--- a/packages/gypsumwall-cell/src/failover_policy.ts
+++ b/packages/gypsumwall-cell/src/failover_policy.ts
@@ -63,7 +63,7 @@
   readonly isHolderLost: boolean;
   /** When holders were replaced that hadn't released the cell; ascending. */
   readonly takeovers: readonly types.clock.MonotonicMs[];
-  readonly leaving: boolean;
+  readonly isLeaving: boolean;
   readonly now: types.clock.MonotonicMs;
 }
 
@@ -95,7 +95,7 @@
 export function vacancyOf(view: FailoverView): Vacancy | undefined {
   const {claim, self} = view;
   const since = silentSince(view);
-  if (view.leaving || since === undefined) return undefined;
+  if (view.isLeaving || since === undefined) return undefined;
   if (claim === undefined) return 'never_held';
   if (claim.state === 'released') return 'released';
   if (claim.holder === self.entryId) return undefined;
--- a/packages/gypsumwall-cell/src/silent_workers.ts
+++ b/packages/gypsumwall-cell/src/silent_workers.ts
@@ -32,8 +32,8 @@
       for (const [known, {until}] of byAddress) {
         if (until <= now) byAddress.delete(known);
       }
-      const {LOSS_RETENTION_MS: LATE_PROOF_MS} = scheduling.workerLosses;
-      const until = types.clock.after(now, LATE_PROOF_MS);
+      const {LOSS_RETENTION_MS} = scheduling.workerLosses;
+      const until = types.clock.after(now, LOSS_RETENTION_MS);
       byAddress.set(address, {id, until});
     },
     takeRestarted({id, address}) {
--- a/packages/gypsumwall-scheduling/src/active_job.ts
+++ b/packages/gypsumwall-scheduling/src/active_job.ts
@@ -207,11 +207,14 @@
 export function claimantOf(stepRun: StepRun): jobOrder.Claimant {
   const {job, occurrence} = stepRun;
   const objective = objectiveMs(job);
-  const worthlessAt = objective * jobOrder.LATE_FACTOR;
+  const worthlessAfterMs = objective * jobOrder.LATE_FACTOR;
   return {
     priority: job.policy.priority,
     dueAt: types.clock.after(occurrence.objectiveStartsAt, objective),
-    worthlessAt: types.clock.after(occurrence.objectiveStartsAt, worthlessAt),
+    worthlessAt: types.clock.after(
+      occurrence.objectiveStartsAt,
+      worthlessAfterMs,
+    ),
     remainingMs: remainingMs(stepRun),
     isLongRunning: stepRun.request.longRunning,
     arrival: job.arrival,
--- a/packages/gypsumwall-scheduling/src/job_registry.ts
+++ b/packages/gypsumwall-scheduling/src/job_registry.ts
@@ -172,7 +172,7 @@
    * Stops gangs of which only some members were found: the others were lost
    * with their workers.
    */
-  function breakPartialGangs(job: activeJob.ActiveJob): void {
+  function stopPartialGangs(job: activeJob.ActiveJob): void {
     for (const occurrence of job.openOccurrences.values()) {
       for (const stepRun of occurrence.steps) {
         const {gang, taskCount} = stepRun.request;
@@ -288,7 +288,7 @@
     queueCopy,
     updateWaiting,
     dequeue,
-    stopPartialGangs: breakPartialGangs,
+    stopPartialGangs,
     findTask,
     takeStops() {
       const taken = stops;
--- a/packages/gypsumwall-scheduling/src/place_isolated.ts
+++ b/packages/gypsumwall-scheduling/src/place_isolated.ts
@@ -64,7 +64,7 @@
 ): workerRegistry.RegisteredWorker | undefined {
   const {isolation} = context;
   const ownWorkers = suitable.filter(
-    ({info}) => isolation?.isReservedFor(stepRun, info.id) === true,
+    ({info}) => isolation?.isHeldFor(stepRun, info.id) === true,
   );
   const idle = suitable.filter(({tasksByStep}) => tasksByStep.size === 0);
   for (const candidates of [ownWorkers, idle, suitable]) {
--- a/packages/gypsumwall-scheduling/src/task_isolation.ts
+++ b/packages/gypsumwall-scheduling/src/task_isolation.ts
@@ -43,10 +43,7 @@
    * Whether a worker is reserved for the step's job or runs an isolated task of
    * it.
    */
-  isReservedFor(
-    stepRun: activeJob.StepRun,
-    worker: types.ids.WorkerId,
-  ): boolean;
+  isHeldFor(stepRun: activeJob.StepRun, worker: types.ids.WorkerId): boolean;
   /**
    * Whether a worker is reserved for another job or runs an isolated task of
    * another job.
@@ -249,7 +246,7 @@
   }
 
   return {
-    isReservedFor,
+    isHeldFor: isReservedFor,
     isClosedTo: (stepRun, id) => holds.has(id) && !isReservedFor(stepRun, id),
     canStartIsolated,
     hostsSuspect,
@@ -327,13 +324,13 @@
     },
     releaseExpired(now) {
       placedSuspects = new Map();
-      const reopened: types.ids.WorkerId[] = [];
+      const released: types.ids.WorkerId[] = [];
       for (const [id, hold] of holds) {
         if (!isExpired(id, hold, now)) continue;
         holds.delete(id);
-        reopened.push(id);
+        released.push(id);
       }
-      return reopened;
+      return released;
     },
   };
 }
