--- a/packages/gypsumwall-emulator/src/model/worker_machine.ts
+++ b/packages/gypsumwall-emulator/src/model/worker_machine.ts
@@ -24,7 +24,7 @@
     'id' | 'onCrash' | 'capacityNoticeMs'
   >;
   readonly heartbeatMs: number;
-  /** Time between the announcement that a worker leaves and its end. */
+  /** Time from the announcement that a worker leaves to that worker's end. */
   readonly drainMs: number;
   /** Time after which a crashed worker starts again. */
   readonly restartMs: number;
@@ -39,7 +39,10 @@
   setFault(fault: MachineFault): void;
   /** Announces that the worker leaves; resolves once it has left. */
   leave(): Promise<void>;
-  /** Ends the worker; its next incarnation starts after `restartMs`. */
+  /**
+   * Ends the worker; its next incarnation starts after `restartMs`. `culprit`
+   * is the task that caused the crash, if a task did.
+   */
   crash(culprit?: string): Promise<void>;
   /** Sets the capacity, which the next heartbeat reports. */
   setCapacity(capacity: types.resources.Resources): void;
@@ -47,7 +50,10 @@
   stop(): void;
 }
 
-/** Time that the system has to learn of a capacity after its report. */
+/**
+ * Time that the system under test has to learn of a new capacity after the
+ * heartbeat that reports the capacity.
+ */
 const CAPACITY_NOTICE_MS = 3_000;
 
 /** Creates a machine and starts its worker. */
--- a/packages/gypsumwall-emulator/src/wire/http_server.ts
+++ b/packages/gypsumwall-emulator/src/wire/http_server.ts
@@ -14,7 +14,10 @@
 /** Exceeds the size of the largest append. */
 const BODY_LIMIT_BYTES = 4 * 1024 * 1024;
 
-/** Creates a server with raw request bodies; any thrown error is answered with 400. */
+/**
+ * Creates a server that passes request bodies on as bytes and answers any
+ * thrown error with 400.
+ */
 export function createServer(): fastify.FastifyInstance {
   const server = fastify.fastify({
     bodyLimit: BODY_LIMIT_BYTES,
--- a/packages/gypsumwall-emulator/src/wire/worker_server.ts
+++ b/packages/gypsumwall-emulator/src/wire/worker_server.ts
@@ -19,7 +19,8 @@
 const startBody = zod.object({
   ...attemptFields,
   spec: zod.string().default(''),
-  // Not necessarily whole: a holder calculates it from readings of this clock.
+  // May have a fraction: the entry that sends the call calculates this time
+  // from readings of the worker's clock, the `clockMs` of earlier answers.
   expiresMs: zod.number().optional(),
   checkpoint: zod.string().default(''),
   ticket: zod.string().optional(),
@@ -32,7 +33,10 @@
   waitMs: nonNegativeInteger.max(2_000).default(0),
 });
 
-/** A server that gets its machine after its address is known. */
+/**
+ * A server that is started before its machine exists, because the machine's
+ * options contain the server's address.
+ */
 export interface WorkerServer extends httpServer.WireServer {
   serveMachine(machine: workerMachine.WorkerMachine): void;
 }
@@ -45,7 +49,7 @@
 
 type Order = (target: worker.Worker) => workerOrders.OrderAnswer;
 
-/** Starts a server without a machine. */
+/** Starts a server that has no machine until `serveMachine` is called. */
 export async function startWorkerServer({
   clock,
   random,
@@ -177,7 +181,10 @@
   }
 }
 
-/** The last value is the processor time in use, in thousandths of a core. */
+/**
+ * Encodes an attempt as an array, whose last value is the processor time that
+ * the attempt uses, in thousandths of a core.
+ */
 function encodeRunning(
   running: workerAttempt.WorkerAttempt,
 ): readonly unknown[] {
--- a/packages/gypsumwall-entry/src/http_server.ts
+++ b/packages/gypsumwall-entry/src/http_server.ts
@@ -11,7 +11,10 @@
 import * as statusRoutes from './status_routes.js';
 
 const MAX_BODY_BYTES = 1024 * 1024;
-/** Callers that send their headers or body more slowly are disconnected. */
+/**
+ * A caller is disconnected if it takes longer than this to send a whole
+ * request, or longer than `HEADERS_TIMEOUT_MS` to send the headers.
+ */
 const REQUEST_TIMEOUT_MS = 10_000;
 const HEADERS_TIMEOUT_MS = 5_000;
 /** Interval of Node's check for slow callers; its default is 30 s. */
@@ -33,7 +36,7 @@
     forceCloseConnections: 'idle',
   });
   // Bodies are kept as bytes: requests are forwarded without being parsed, and
-  // the job routes parse JSON themselves in order to report its faults.
+  // the job routes parse JSON themselves in order to report errors in it.
   app.removeAllContentTypeParsers();
   app.addContentTypeParser('*', {parseAs: 'buffer'}, (_req, body, done) =>
     done(null, body),
--- a/packages/gypsumwall-membership/src/claim_keeper.ts
+++ b/packages/gypsumwall-membership/src/claim_keeper.ts
@@ -1,6 +1,7 @@
 /**
- * Runs an entry's part of the claim protocol of its failure domain: holds the
- * claim or waits to take it over, and answers as a peer named on it.
+ * Runs an entry's part of the claim protocol of its failure domain. The entry
+ * holds the claim or waits to take it over and, as a peer that a claim names,
+ * answers the claim's holder and the entries that want to take the claim over.
  */
 import * as result from 'true-myth/result';
 import type * as records from '@gypsumwall/records';
@@ -32,14 +33,18 @@
     newest: claimFold.NewestClaim | undefined,
     readAt: types.clock.MonotonicMs,
   ): void;
-  /** Reads the clock, so that a paused process finds its claim lapsed. */
+  /**
+   * Returns the claim's state now. Each call reads the clock, so that a process
+   * that was paused finds its claim lapsed.
+   */
   state(): claimState.ClaimState;
   /**
    * Releases the claim for the rest of this process's life, so that the next
-   * entry can claim at once. Call it only after every start was answered or
-   * its `startBy` has passed: a start still in flight could reach its worker
-   * together with a start of the next holder. Call it before the peer service
-   * closes: peers take a closed port as proof that this process holds no claim.
+   * entry can claim at once. Call this only after every start of a task was
+   * answered or the start's `startBy` has passed: a start still in flight could
+   * reach its worker together with a start of the next holder. Call this before
+   * the peer service closes: peers take a closed port as proof that this
+   * process holds no claim.
    */
   release(): Promise<result.Result<void, types.stepError.StepError>>;
   answerPromise(req: claimPeers.PromiseRequest): claimPeers.PromiseReply;
@@ -98,7 +103,7 @@
     reportState();
   }
 
-  /** Returns when to run the next iteration. */
+  /** Renews the claim once; returns when the next iteration of `run` is due. */
   async function renewClaim(
     newest: claimFold.NewestClaim,
   ): Promise<types.clock.MonotonicMs> {
@@ -107,7 +112,11 @@
     return types.clock.after(startedAt, ttlMs / claimTiming.RENEWALS_PER_TTL);
   }
 
-  /** Returns when to run the next iteration. */
+  /**
+   * Appends a claim if this entry's turn has come and a witness shows that
+   * nobody holds the present one. Returns when the next iteration of `run` is
+   * due.
+   */
   async function tryTakeover(): Promise<types.clock.MonotonicMs> {
     const turnAt = taker.turnAt();
     const nextCheckAt = types.clock.after(clock.monotonic(), callTimeoutMs);
--- a/packages/gypsumwall-placement/src/scheduling_cycle.ts
+++ b/packages/gypsumwall-placement/src/scheduling_cycle.ts
@@ -13,8 +13,8 @@
 /** A cycle ends after this many jobs that can't be placed. */
 const MAX_FAILURES_PER_CYCLE = 32;
 /**
- * A gang that doesn't fit is tried again after this time at the earliest, and
- * then after as long as it has been blocked, up to `MAX_GANG_RETRY_MS`.
+ * A gang that doesn't fit is tried again after the time for which the gang has
+ * been blocked, but after at least this and at most `MAX_GANG_RETRY_MS`.
  */
 const MIN_GANG_RETRY_MS = 20;
 const MAX_GANG_RETRY_MS = 1000;
@@ -159,7 +159,7 @@
   return undefined;
 }
 
-/** Allocates resources for every waiting task, or for none. */
+/** Allocates resources for all waiting tasks of one job, or for none. */
 function placeAll(
   context: CycleContext,
   job: jobQueue.WaitingJob,
@@ -216,8 +216,8 @@
 }
 
 /**
- * Returns the workers that the job must not use. If it has failed on every
- * schedulable worker, it may use all of them again.
+ * Returns the workers that the job must not use. A job that has failed on every
+ * schedulable worker may use all of them again.
  */
 function workersToAvoid(
   context: CycleContext,
--- a/packages/gypsumwall-records/src/envelope.ts
+++ b/packages/gypsumwall-records/src/envelope.ts
@@ -1,6 +1,7 @@
 /**
- * The envelope around every record in the log. Its version lets an older entry
- * recognise records of a newer one, which it skips and logs.
+ * The envelope around every record in the log. The version in the envelope lets
+ * an entry of an older release recognise records of a newer release; the entry
+ * skips and logs such records.
  */
 
 /** Newest record version that this code can read. */
@@ -10,14 +11,15 @@
 export type Envelope =
   | {readonly type: 'record'; readonly v: number; readonly record: unknown}
   /**
-   * Carries no data. It fences its producer's earlier sequences: records with a
-   * lower sequence that arrive later are void (see `producer_sequences.ts`).
+   * Carries no data. It fences the earlier sequences of its producer: records
+   * of that producer with a lower sequence that arrive later are void (see
+   * `producer_sequences.ts`).
    */
   | {readonly type: 'void'; readonly v: number}
   | {
       readonly type: 'snapshot';
       readonly v: number;
-      /** The state covers all records below this offset. */
+      /** The snapshot covers all records below this offset. */
       readonly nextOffset: number;
       /** Index of this part of the text, from 0, and the number of parts. */
       readonly part: number;
@@ -31,7 +33,7 @@
   | {readonly type: 'newer'; readonly version: number}
   | {readonly type: 'malformed'; readonly message: string};
 
-/** Encodes a record that a fold applies. */
+/** Encodes a record that readers of the stream apply to their state. */
 export function encodeRecord(record: object): string {
   return encode({type: 'record', v: RECORD_VERSION, record});
 }
--- a/packages/gypsumwall-records/src/stream_follower.ts
+++ b/packages/gypsumwall-records/src/stream_follower.ts
@@ -1,6 +1,7 @@
 /**
  * Follows one stream of the platform's log and folds its records into a state.
- * One loop reads; other code can query its position or wait for an offset.
+ * `run` reads in a loop; other code can query the offset that the loop has
+ * reached or wait for an offset.
  */
 import * as platform from '@gypsumwall/platform';
 import type * as telemetry from '@gypsumwall/telemetry';
@@ -19,7 +20,7 @@
   readonly logger: telemetry.logger.Logger;
   /** Called for each valid record, after the fold has applied it. */
   readonly onRecord?: (record: platform.platformLog.LogRecord) => void;
-  /** Called after each page that contained records. */
+  /** Called after each page with records and after each adopted snapshot. */
   readonly onProgress?: () => void;
 }
 
@@ -29,7 +30,10 @@
   run(signal: AbortSignal): Promise<void>;
   /** Offset after the last record that was read. */
   nextOffset(): number;
-  /** Whether the state was complete at the last read that succeeded. */
+  /**
+   * Whether the state covered the whole stream when the log or a peer last
+   * answered.
+   */
   isCaughtUp(): boolean;
   /** When the log last answered; undefined before its first answer. */
   lastAnswerAt(): types.clock.MonotonicMs | undefined;
@@ -41,16 +45,20 @@
   recordsSinceSnapshot(): number;
   /** Whether a new reader could rebuild the state from the log. */
   isRebuildable(): boolean;
-  /** Snapshots can be adopted only if their `nextOffset` is above this. */
+  /** `adopt` accepts only snapshots whose `nextOffset` is above this offset. */
   adoptableAbove(): number;
   /** Returns the current state, for a snapshot record or for a peer. */
   snapshot(): snapshotText.Snapshot;
   /**
-   * Adopts a peer's state, for use while the log is unreachable. A state that
-   * is not ahead of this one is ignored, so that the state never goes back.
+   * Replaces the state with a peer's, for use while the log is unreachable.
+   * Returns false and changes nothing if the snapshot's `nextOffset` is not
+   * above `adoptableAbove()`, so that the state never goes back.
    */
   adopt(snapshot: snapshotText.Snapshot): boolean;
-  /** Reports that a caught-up peer has read the stream up to `nextOffset`. */
+  /**
+   * Reports that another entry, which is caught up, has read the stream up to
+   * `nextOffset`, so that this follower can count as caught up too.
+   */
   confirmCaughtUp(nextOffset: number): void;
 }
 
@@ -73,10 +81,10 @@
   const waiters = new Set<Waiter>();
   let nextOffset = 0;
   let isComplete = false;
-  /** Whether the last page reached the stream's end; then reads long-poll. */
+  /** Whether the last page reached the stream's end; if so, reads long-poll. */
   let isAtEnd = false;
   let recordsAfterSnapshot = 0;
-  /** Offset of the oldest record in the log, as of its last answer. */
+  /** Offset of the oldest record in the log, as of the log's last answer. */
   let firstRetainedOffset = 0;
   /** A snapshot in the stream covers all records below this offset. */
   let snapshotEndOffset = 0;
@@ -88,7 +96,10 @@
    */
   let awaitingSnapshot: AwaitingSnapshot | undefined;
 
-  /** Takes the maximum, because an older snapshot may arrive late. */
+  /**
+   * Records the end offset of a snapshot at its last part. Takes the maximum,
+   * because an older snapshot may arrive late.
+   */
   function recordSnapshotPart(
     part: Extract<envelope.Envelope, {readonly type: 'snapshot'}>,
   ): void {
--- a/packages/gypsumwall-settings/src/explain_issue.ts
+++ b/packages/gypsumwall-settings/src/explain_issue.ts
@@ -1,4 +1,4 @@
-/** Converts issues of the schema library to problems with a remedy. */
+/** Converts zod's validation errors to settings problems with a remedy. */
 import type * as zod from 'zod';
 import type * as readJsonc from './read_jsonc.js';
 import * as settingsProblem from './settings_problem.js';
@@ -10,18 +10,18 @@
   /** Absent for a value that was not read from a file. */
   readonly file?: string;
   readonly placeOf?: readJsonc.JsoncDocument['placeOf'];
-  /** Path of the value in the tree, such as `teams/night-plans`. */
+  /** Path of the value in the settings tree, such as `teams/night-plans`. */
   readonly prefix?: readonly string[];
 }
 
-/** A fault; its path is relative to the value of the source. */
+/** A validation error; `path` is relative to the value of the source. */
 export interface Fault {
   readonly path: readonly PropertyKey[];
   readonly message: string;
   readonly remedy: string;
 }
 
-/** Converts all issues of one validation to problems. */
+/** Converts the validation errors of one value to problems. */
 export function explainIssues(
   issues: readonly zod.core.$ZodIssue[],
   source: Source,
--- a/packages/gypsumwall-settings/src/units.ts
+++ b/packages/gypsumwall-settings/src/units.ts
@@ -1,14 +1,14 @@
 /**
- * Units that the suffix of a key names, such as `Ms`, and conversion of values
- * with another unit.
+ * Units that a key's suffix names, such as `Ms`, and the conversion of values
+ * that are written in another unit.
  */
 
 interface Unit {
   readonly suffix: RegExp;
   readonly name: string;
   /**
-   * Other units by the abbreviation used in values: how many of this unit each
-   * of them is.
+   * The units that values may be written in, by abbreviation; each number is
+   * the size of that unit in this one.
    */
   readonly factors: Readonly<Record<string, number>>;
 }
@@ -41,7 +41,10 @@
   return UNITS.find((unit) => unit.suffix.test(key));
 }
 
-/** Returns ` (milliseconds)` for a key in Ms; empty if it has no unit. */
+/**
+ * Returns the unit of a key in the form ` (milliseconds)`, or an empty text if
+ * the key has no unit.
+ */
 export function describeUnit(key: string): string {
   const unit = findUnit(key);
   return unit === undefined ? '' : ` (${unit.name})`;
@@ -63,8 +66,9 @@
 }
 
 /**
- * Returns the known key that is equal except for case, punctuation and unit, or
- * else one that is a prefix of `key` or starts with it.
+ * Returns the first known key that equals `key`, or else the first that is a
+ * prefix of `key` or starts with `key`. Case, punctuation and unit suffixes are
+ * ignored.
  */
 export function findNearestKey(
   key: string,
--- a/packages/gypsumwall-testing/src/history_event.ts
+++ b/packages/gypsumwall-testing/src/history_event.ts
@@ -73,19 +73,26 @@
       readonly attempt: string;
       readonly cause: EndCause;
       /**
-       * The actual usage when the attempt ended; `ranMs` is how long it ran.
+       * The actual usage when the attempt ended; `ranMs` is how long the
+       * attempt ran.
        */
       readonly used: types.resources.Resources;
       readonly ranMs: number;
     }
-  /** The worker reported the end in an answer, which may have been lost. */
+  /**
+   * The worker reported an attempt's end in an answer, which may have been
+   * lost.
+   */
   | {
       readonly type: 'end_told';
       readonly workerId: string;
       readonly taskId: string;
       readonly attempt: string;
     }
-  /** A holder acknowledged the end, so at least one of the answers arrived. */
+  /**
+   * A holder acknowledged an attempt's end, so at least one of the answers that
+   * reported the end arrived.
+   */
   | {
       readonly type: 'end_acknowledged';
       readonly workerId: string;
@@ -113,8 +120,8 @@
       /** SHA-256 of the request's body, in hex. */
       readonly bodyHash: string;
       /**
-       * The operation files with an authority or bills: its effect can't be
-       * undone.
+       * Whether the operation files with an authority or bills, so that its
+       * effect can't be undone.
        */
       readonly authority: boolean;
     }
--- a/packages/gypsumwall-testing/src/launch_cell.ts
+++ b/packages/gypsumwall-testing/src/launch_cell.ts
@@ -1,4 +1,4 @@
-/** Starts a complete cell as separate processes and stops it again. */
+/** Starts a complete cell as separate processes, and stops these again. */
 import * as crypto from 'node:crypto';
 import * as fs from 'node:fs';
 import * as os from 'node:os';
@@ -24,7 +24,7 @@
   readonly entryCommand: readonly string[];
   /**
    * Whether all connections of an entry go through relays, so that tests can
-   * cut them.
+   * cut the connections.
    */
   readonly isRelayed: boolean;
   readonly seed: number;
@@ -43,7 +43,10 @@
    * Folder of settings and logs; `close` removes it unless `keepFolder` is set.
    */
   readonly folder: string;
-  /** Returns the running entries, including frozen ones. */
+  /**
+   * Returns the entries that were started and not yet killed or stopped. This
+   * includes frozen ones, whose process is suspended with SIGSTOP.
+   */
   entries(): entryProcess.EntryProcess[];
   entry(id: string): entryProcess.EntryProcess;
   /** Starts another entry and adds it to the platform's list. */
@@ -273,8 +276,8 @@
 
 /**
  * Waits until every entry has a share of the upstreams' slots. While a whole
- * cell starts up it has none for a while, and faults injected then would affect
- * nothing.
+ * cell starts up, the entries have no shares for a while, and faults injected
+ * then would affect nothing.
  */
 async function waitUntilServing(cell: Cell): Promise<void> {
   const deadline = types.clock.after(performance.now(), READY_TIMEOUT_MS);
--- a/packages/gypsumwall-testing/src/platform_stand_in.ts
+++ b/packages/gypsumwall-testing/src/platform_stand_in.ts
@@ -172,8 +172,10 @@
 ): void {
   const snapshots: ListSnapshot[] = [];
   /**
-   * Addresses of the instances' relays, by view and instance, so that a test
-   * can cut a single path.
+   * Each entry's view of the list, by the entry's id: for each instance, the
+   * address at which this entry reaches it. Except for the entry itself, the
+   * address is that of a relay for this pair alone, so that a test can cut a
+   * single path.
    */
   const views = new Map<string, Readonly<Record<string, string>>>();
   let lagMs = cfg.listLagMs;
@@ -191,7 +193,7 @@
     const {view} = zod.object({view: zod.string()}).parse(req.params);
     const addresses = views.get(view) ?? {};
     // An instance without a relay yet must not be listed by its real address,
-    // because its path couldn't be cut.
+    // because a test couldn't cut the path to that address.
     const instances = listed().flatMap((instance) => {
       const address = addresses[String(instance.id)];
       return address === undefined ? [] : [{...instance, address}];
--- a/packages/gypsumwall-testing/src/scenario/random_faults.ts
+++ b/packages/gypsumwall-testing/src/scenario/random_faults.ts
@@ -1,4 +1,4 @@
-/** The faults of generated scenarios, and the load that runs during them. */
+/** Faults of generated scenarios, and the load that runs during the faults. */
 
 /** A step, in the form of a scenario file. */
 export type StepInput = Readonly<Record<string, unknown>>;
@@ -85,7 +85,10 @@
   ];
 }
 
-/** Jobs of each kind, quick requests, and requests that file plans. */
+/**
+ * The steps that start the load: a batch job, a gang and a service, and
+ * requests for the operations `airspace-check` and `file-plan`.
+ */
 export const LOAD: readonly StepInput[] = [
   {do: 'watch_setting', path: 'teams/filing'},
   {
@@ -147,7 +150,10 @@
   {do: 'settle', withinMs: 60_000},
 ];
 
-/** Returns a step that waits for `ms` milliseconds. */
+/**
+ * Returns a step that ends after `ms` milliseconds. Its time limit, after which
+ * it would fail, is 1,000 ms longer.
+ */
 export function waitStep(ms: number): StepInput {
   return {do: 'wait', until: {type: 'passed', ms}, withinMs: ms + 1_000};
 }
--- a/packages/gypsumwall/src/commands/drain_command.ts
+++ b/packages/gypsumwall/src/commands/drain_command.ts
@@ -2,7 +2,6 @@
 import * as oclif from '@oclif/core';
 import * as callFlags from '../call_flags.js';
 
-/** Starts the planned stop of an entry. */
 export class DrainCommand extends oclif.Command {
   static override summary = 'Start the planned stop of an entry.';
   static override description =
--- a/packages/gypsumwall/src/commands/job_cancel_command.ts
+++ b/packages/gypsumwall/src/commands/job_cancel_command.ts
@@ -2,7 +2,6 @@
 import * as oclif from '@oclif/core';
 import * as callFlags from '../call_flags.js';
 
-/** Cancels a job. */
 export class JobCancelCommand extends oclif.Command {
   static override summary = 'Cancel a job.';
   static override description =
--- a/packages/gypsumwall/src/commands/job_list_command.ts
+++ b/packages/gypsumwall/src/commands/job_list_command.ts
@@ -2,7 +2,6 @@
 import * as oclif from '@oclif/core';
 import * as callFlags from '../call_flags.js';
 
-/** Lists the jobs of the caller's team. */
 export class JobListCommand extends oclif.Command {
   static override summary = 'List the jobs of your team.';
   static override description =
--- a/packages/gypsumwall/src/commands/job_result_command.ts
+++ b/packages/gypsumwall/src/commands/job_result_command.ts
@@ -2,7 +2,6 @@
 import * as oclif from '@oclif/core';
 import * as callFlags from '../call_flags.js';
 
-/** Prints the results of a job. */
 export class JobResultCommand extends oclif.Command {
   static override summary = 'Print the results of a job, one task a line.';
   static override description =
--- a/packages/gypsumwall/src/commands/job_status_command.ts
+++ b/packages/gypsumwall/src/commands/job_status_command.ts
@@ -2,7 +2,6 @@
 import * as oclif from '@oclif/core';
 import * as callFlags from '../call_flags.js';
 
-/** Shows the state of a job. */
 export class JobStatusCommand extends oclif.Command {
   static override summary = 'Show the state of a job.';
   static override description =
--- a/packages/gypsumwall/src/commands/request_command.ts
+++ b/packages/gypsumwall/src/commands/request_command.ts
@@ -2,7 +2,6 @@
 import * as oclif from '@oclif/core';
 import * as callFlags from '../call_flags.js';
 
-/** Sends a request. */
 export class RequestCommand extends oclif.Command {
   static override summary = 'Send one request; prints the answer.';
   static override description =
--- a/packages/gypsumwall/src/commands/settings_check_command.ts
+++ b/packages/gypsumwall/src/commands/settings_check_command.ts
@@ -2,7 +2,6 @@
 import * as oclif from '@oclif/core';
 import * as callFlags from '../call_flags.js';
 
-/** Checks settings files without an entry. */
 export class SettingsCheckCommand extends oclif.Command {
   static override summary = 'Check settings files; no entry is needed.';
   static override description =
--- a/packages/gypsumwall/src/commands/settings_get_command.ts
+++ b/packages/gypsumwall/src/commands/settings_get_command.ts
@@ -2,7 +2,6 @@
 import * as oclif from '@oclif/core';
 import * as callFlags from '../call_flags.js';
 
-/** Prints the settings in force. */
 export class SettingsGetCommand extends oclif.Command {
   static override summary = 'Print a subtree in force, or list all.';
   static override description =
--- a/packages/gypsumwall/src/commands/settings_publish_command.ts
+++ b/packages/gypsumwall/src/commands/settings_publish_command.ts
@@ -2,7 +2,6 @@
 import * as oclif from '@oclif/core';
 import * as callFlags from '../call_flags.js';
 
-/** Publishes settings. */
 export class SettingsPublishCommand extends oclif.Command {
   static override summary = 'Publish the subtrees of a file that differ.';
   static override description =
--- a/packages/gypsumwall/src/commands/submit_command.ts
+++ b/packages/gypsumwall/src/commands/submit_command.ts
@@ -2,7 +2,6 @@
 import * as oclif from '@oclif/core';
 import * as callFlags from '../call_flags.js';
 
-/** Submits a job. */
 export class SubmitCommand extends oclif.Command {
   static override summary = 'Submit a job; prints its id.';
   static override description =
