--- a/packages/gypsumwall-records/src/stream_follower.ts
+++ b/packages/gypsumwall-records/src/stream_follower.ts
@@ -292,8 +292,8 @@
       nextOffset,
       text: snapshotText.writeText(sequences, fold),
     }),
-    confirmCaughtUp: (nextOffset) => {
-      if (awaitingSnapshot === undefined && nextOffset === nextOffset) {
+    confirmCaughtUp: (peerNextOffset) => {
+      if (awaitingSnapshot === undefined && peerNextOffset === nextOffset) {
         isComplete = true;
       }
     },
